--- a/stoneyoke/controlplane/register_rows.py
+++ b/stoneyoke/consensus/message_rows.py
@@ -1,7 +1,7 @@
 """Values of the register as rows of messages, both ways. No I/O."""
 
 from stoneyoke.api.configuration import Version
-from stoneyoke.controlplane.consensus import NO_BALLOT, Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.protocol import NO_BALLOT, Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.transport.messages import BallotRow, MemberRow, Stamp, ValueRow
 
 EMPTY = RegisterValue(VoterSet())
--- a/stoneyoke/controlplane/consensus.py
+++ b/stoneyoke/consensus/protocol.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from stoneyoke.api.configuration import Version
-from stoneyoke.controlplane.quorum import copies, majority
+from stoneyoke.consensus.quorum import copies, majority
 
 
 class Ballot(NamedTuple):
--- a/stoneyoke/controlplane/record_formats.py
+++ b/stoneyoke/consensus/record_formats.py
@@ -9,7 +9,7 @@
 import msgpack
 
 from stoneyoke.api.configuration import Version
-from stoneyoke.controlplane.consensus import (
+from stoneyoke.consensus.protocol import (
     FIRST_DISK,
     Accepted,
     Ballot,
--- a/stoneyoke/controlplane/replica.py
+++ b/stoneyoke/consensus/replica.py
@@ -10,7 +10,7 @@
 
 from stoneyoke.api.configuration import Version, read_configuration
 from stoneyoke.api.schema import InvalidField
-from stoneyoke.controlplane.consensus import (
+from stoneyoke.consensus.protocol import (
     FIRST_DISK,
     NO_BALLOT,
     Accepted,
@@ -20,7 +20,7 @@
     VoterSet,
     initial_value,
 )
-from stoneyoke.controlplane.record_formats import (
+from stoneyoke.consensus.record_formats import (
     IDENTITY,
     OLD_CONFIGURATION,
     OLD_VOTERS,
@@ -44,7 +44,7 @@
 Blocking = Callable[..., Awaitable[Any]]  # runs a function that may wait for the disk
 
 
-class Store(Protocol):
+class RecordStorage(Protocol):
     """Records on disk, in families: the newest whole one counts."""
 
     def keep(self, family: str, record: Record) -> None:
@@ -57,7 +57,7 @@
 class Replica:
     """learned: called whenever a newer value is known to be chosen."""
 
-    def __init__(self, address: str, store: Store, blocking: Blocking, learned: Callable[[], None]) -> None:
+    def __init__(self, address: str, store: RecordStorage, blocking: Blocking, learned: Callable[[], None]) -> None:
         self.address, self.store, self.blocking, self.learned = address, store, blocking, learned
         self.identity = ReplicaId(address, "")
         self.acceptor = Acceptor()
@@ -67,7 +67,7 @@
 
     # ---- start ----
 
-    async def load(self, seeds: tuple[str, ...], first_start: bool, chance: random.Random) -> None:
+    async def load(self, seeds: tuple[str, ...], first_start: bool, random_source: random.Random) -> None:
         """What the disk holds. A disk without an identity is new: at the first start of the whole system the seeds
         vote with it, later it makes another member, which votes once the others have decided so."""
         identity = await self.load_record(IDENTITY, read_identity)
@@ -76,7 +76,7 @@
         if identity is None:
             accepted, promised = await self.load_old(), None
             fresh = first_start or accepted is not None
-            identity = FIRST_DISK if fresh else f"{chance.getrandbits(64):016x}"
+            identity = FIRST_DISK if fresh else f"{random_source.getrandbits(64):016x}"
             if first_start and accepted is None:
                 accepted = initial_value(seeds)
             # The identity goes last: a start that ends before it is a start on an empty disk again.
--- a/stoneyoke/controlplane/replication.py
+++ b/stoneyoke/consensus/replication.py
@@ -10,9 +10,7 @@
 
 from loguru import logger
 
-from stoneyoke.controlplane.consensus import Accepted, Ballot, Change, Phase, Query, ReplicaId, Round
-from stoneyoke.controlplane.peers import Peers
-from stoneyoke.controlplane.register_rows import (
+from stoneyoke.consensus.message_rows import (
     accepted_rows,
     ballot_row,
     member_row,
@@ -20,7 +18,9 @@
     read_value,
     value_row,
 )
-from stoneyoke.controlplane.replica import Replica
+from stoneyoke.consensus.protocol import Accepted, Ballot, Change, Phase, Query, ReplicaId, Round
+from stoneyoke.consensus.replica import Replica
+from stoneyoke.controlplane.peers import Peers
 from stoneyoke.storage.record_store import StorageError
 from stoneyoke.transport.messages import (
     AcceptRequest,
@@ -54,8 +54,16 @@
 class Replication:
     """proposer: this process's part of ballots: its address and life, never used by another process."""
 
-    def __init__(self, replica: Replica, peers: Peers, proposer: str, spawn: Spawn, chance: random.Random) -> None:
-        self.replica, self.peers, self.proposer, self.spawn, self.chance = replica, peers, proposer, spawn, chance
+    def __init__(
+        self, replica: Replica, peers: Peers, proposer: str, spawn: Spawn, random_source: random.Random
+    ) -> None:
+        self.replica, self.peers, self.proposer, self.spawn, self.random_source = (
+            replica,
+            peers,
+            proposer,
+            spawn,
+            random_source,
+        )
         self.counter = 0
         self.proposing = asyncio.Lock()  # one round of this process at a time
 
@@ -69,7 +77,7 @@
                 while True:
                     if chosen := await self.run_round(change):
                         return chosen
-                    await asyncio.sleep(pause * (0.5 + self.chance.random()))
+                    await asyncio.sleep(pause * (0.5 + self.random_source.random()))
                     pause = min(PAUSE_MOST_S, 2 * pause)
         except TimeoutError:
             return None
--- a/stoneyoke/control/gateway.py
+++ b/stoneyoke/control/gateway.py
@@ -18,31 +18,63 @@
 from functools import partial
 from typing import Any
 
+from stoneyoke.control.actions import (
+    Abandon,
+    Action,
+    AddToCounter,
+    CancelAttempt,
+    Reject,
+    SetTimer,
+    StartAttempt,
+    Subscribe,
+)
 from stoneyoke.control.choice import Choice
+from stoneyoke.control.events import (
+    AnswerStarted,
+    Arrival,
+    AttemptEnded,
+    ClientGone,
+    CounterReply,
+    EndpointsChanged,
+    Event,
+    ParametersChanged,
+    PeerEvidence,
+    TimerFired,
+)
 from stoneyoke.control.ground import BEAT, PROVEN_UNRUN
-from stoneyoke.control.quotas import Quotas
-from stoneyoke.interface import (
-    Abort, Action, AddCount, Arrival, CallOff, CallOut, CallOutEnded, ClientGone, CountAnswer, Effect, Event,
-    FleetNews, Group, Hearsay, NewTerms, Outcome, PushBack, SetTimer, State, StreamBegun, Subscribe, Terms, TimerFired,
+from stoneyoke.control.open_rpc import MethodRow, OpenRpc, Rpc
+from stoneyoke.control.parameters import (
+    AttemptOutcome,
+    BackendState,
+    DeduplicationScope,
+    GatewayParameters,
+    Idempotency,
 )
-from stoneyoke.limits.stores import SECOND, Store
-from stoneyoke.records import MethodRow, OpenRpc, Rpc
+from stoneyoke.control.quotas import Quotas
+from stoneyoke.limits.token_bucket import SECOND, TokenBucket
 
 STILL_OUT = None  # what an RPC is resumed with when its call-out has been out for the asked time
 
 
 class Gateway(Quotas, Choice):
-    def __init__(self, terms: Terms, now: int) -> None:
-        super().__init__(terms, now)
+    def __init__(self, parameters: GatewayParameters, now: int) -> None:
+        super().__init__(parameters, now)
         self.open: dict[int, OpenRpc] = {}
         # A new life begins with one: an earlier one may have used all.
-        self.further = Store(terms.further_rate, terms.further_depth, 1.0, now)
+        self.retry_budget = TokenBucket(parameters.retry_budget_per_s, parameters.retry_budget_depth, 1.0, now)
         self.value = 0.0  # running mean: utility for the time taken
         self.ticking = False
         self.handlers: dict[type, Callable[[Any], None]] = {
-            Arrival: self.arrive, CallOutEnded: self.ended, TimerFired: self.tick, CountAnswer: self.counted,
-            FleetNews: self.listed, Hearsay: self.advise, ClientGone: self.client_gone,
-            StreamBegun: self.stream_begun, NewTerms: self.renew}
+            Arrival: self.arrive,
+            AttemptEnded: self.ended,
+            TimerFired: self.tick,
+            CounterReply: self.counted,
+            EndpointsChanged: self.listed,
+            PeerEvidence: self.advise,
+            ClientGone: self.client_gone,
+            AnswerStarted: self.stream_begun,
+            ParametersChanged: self.renew,
+        }
 
     def holds(self, rpc: int) -> bool:
         return rpc in self.open
@@ -63,22 +95,22 @@
     # ---- one RPC, from top to bottom ----
 
     def rpc(self, rpc: OpenRpc) -> Rpc:
-        call, method = rpc.call, self.terms.methods[rpc.call.method]
+        call, method = rpc.call, self.parameters.methods[rpc.call.method]
         customer = self.customer(call)
         customer.demand += call.units
         wait, held = yield from self.admit(rpc, customer)
         if wait > 0:
-            yield PushBack(call.rpc, self.advised(customer, wait))
+            yield Reject(call.rpc, self.advised(customer, wait))
             return
         unrun, home, first_at = True, None, 0
         claim, tried, arrived = self.claim(call), set[int](), False
-        self.further.level += self.terms.further_ratio
-        for _ in range(method.tries or self.terms.call_outs_max):
+        self.retry_budget.level += self.parameters.retry_budget_ratio
+        for _ in range(method.tries or self.parameters.attempts_max):
             # The whole system's budget of further tries, in parts: what came to a backend counts.
-            if arrived and self.terms.further_depth and self.further.fill(self.now) < 1.0:
+            if arrived and self.parameters.retry_budget_depth and self.retry_budget.fill(self.now) < 1.0:
                 break
             # Rule 2: a deduplicated RPC that may have run stays in its group and within the memory.
-            if not unrun and method.effect is Effect.DEDUPLICATED and self.now >= first_at + method.memory_us:
+            if not unrun and method.effect is Idempotency.DEDUPLICATED and self.now >= first_at + method.memory_us:
                 break
             if not (backend := self.choose(tried, claim, None if unrun else home, method.group)):
                 break
@@ -87,10 +119,10 @@
                 customer.store.level -= call.units if customer.plan.rate > 0 and not held else 0.0
                 customer.ceiling.level -= call.units if customer.plan.ceiling_rate > 0 and not held else 0.0
             if unrun:
-                home, first_at = backend if method.effect is Effect.DEDUPLICATED else None, self.now
+                home, first_at = backend if method.effect is Idempotency.DEDUPLICATED else None, self.now
             tried.add(backend.index)
-            self.further.level -= arrived
-            result: CallOutEnded = yield CallOut(call.rpc, backend.index, 0)
+            self.retry_budget.level -= arrived
+            result: AttemptEnded = yield StartAttempt(call.rpc, backend.index, 0)
             while result is STILL_OUT:
                 if rpc.slow_at < rpc.sent:
                     rpc.slow_at = rpc.sent
@@ -100,39 +132,49 @@
                         self.press(1.0)
                 # Quiet backend: nothing has come back from it for as long as this call-out is out, while
                 # the fleet answers: in a jam of all, sending again would only feed it.
-                quiet = not self.near(backend) and (
-                    self.now - backend.quiet_since >= self.patience(call.method))
-                remembered = method.effect is Effect.DEDUPLICATED and self.now < first_at + method.memory_us
-                if quiet and self.terms.can_call_off and (method.effect is Effect.IDEMPOTENT or remembered):
-                    result = yield CallOff(call.rpc, rpc.sent - 1)
+                quiet = not self.near(backend) and (self.now - backend.quiet_since >= self.patience(call.method))
+                remembered = method.effect is Idempotency.DEDUPLICATED and self.now < first_at + method.memory_us
+                if (
+                    quiet
+                    and self.parameters.can_cancel_attempts
+                    and (method.effect is Idempotency.IDEMPOTENT or remembered)
+                ):
+                    result = yield CancelAttempt(call.rpc, rpc.sent - 1)
                 else:
                     result = yield self.patience(call.method) // 4
-            if result.outcome is Outcome.OK and not result.closed:
+            if result.outcome is AttemptOutcome.OK and not result.closed:
                 break
-            arrived = arrived or result.outcome not in (Outcome.NO_CONNECTION, Outcome.NOT_SENT)
+            arrived = arrived or result.outcome not in (AttemptOutcome.NO_CONNECTION, AttemptOutcome.NOT_SENT)
             if result.outcome not in PROVEN_UNRUN:
                 unrun = False
-                if method.effect is Effect.NON_IDEMPOTENT:
+                if method.effect is Idempotency.NON_IDEMPOTENT:
                     break
             # Too late for another, or the fleet is full: going round that would only keep it so.
-            if self.now >= rpc.begun + call.wait_us - method.soft_us // 8 or not unrun and self.jammed() or (
-                    result.outcome is Outcome.TURNED_AWAY and self.swamped > 0.4):
+            if (
+                self.now >= rpc.begun + call.wait_us - method.soft_us // 8
+                or not unrun
+                and self.jammed()
+                or (result.outcome is AttemptOutcome.REJECTED and self.swamped > 0.4)
+            ):
                 break
         if held and rpc.sent == 0:
             self.call_counter(held[0], -held[1])
         # Rule 2: a pushback says that trying again is harmless.
-        harmless = unrun or method.effect is Effect.IDEMPOTENT or (
-            method.effect is Effect.DEDUPLICATED and method.group is Group.ALL)
+        harmless = (
+            unrun
+            or method.effect is Idempotency.IDEMPOTENT
+            or (method.effect is Idempotency.DEDUPLICATED and method.group is DeduplicationScope.ALL)
+        )
         # The pressed back end's own wait: a soft deadline, in which a full one empties.
-        yield PushBack(call.rpc, self.jittered(method.soft_us), True) if harmless else Abort(call.rpc)
+        yield Reject(call.rpc, self.jittered(method.soft_us), True) if harmless else Abandon(call.rpc)
 
     def patience(self, method: int) -> int:
-        return self.terms.methods[method].soft_us * 3 // 5  # after which a call-out counts as slow
+        return self.parameters.methods[method].soft_us * 3 // 5  # after which a call-out counts as slow
 
     def claim(self, call: Arrival) -> float:
         """The part of the room that an RPC may fill. A later try that can no longer be ok within the soft
         deadline leaves most of it to those that can; unmarked, told by a wait shorter than a first try's."""
-        method, row = self.terms.methods[call.method], self.methods[call.method]
+        method, row = self.parameters.methods[call.method], self.methods[call.method]
         row.longest = max(row.longest, call.wait_us)
         if call.wait_us < 0.7 * row.mean:  # it would be given up before it is answered
             return 0.1
@@ -140,17 +182,17 @@
         if later and method.deadline_us - call.wait_us > 0.8 * method.soft_us:
             return 0.4  # 0.5 and 0.3 each gave up more on one kind of incident
         # Utility for the time it takes, against the running mean: the cheaper half of it leaves first.
-        value = method.utility * self.terms.plans[call.plan].price * call.units / row.mean
+        value = method.utility * self.parameters.plans[call.plan].price * call.units / row.mean
         self.value += (value - self.value) * (0.02 if self.value else 1.0)
         return min(1.0, 0.6 + 0.5 * value / self.value) if self.value > 0 else 1.0
 
     # ---- events ----
 
-    def renew(self, news: NewTerms) -> None:
+    def renew(self, news: ParametersChanged) -> None:
         """Other gateways, or other methods: what was measured stays."""
-        self.terms = terms = news.terms
-        self.methods += [MethodRow(method.soft_us) for method in terms.methods[len(self.methods):]]
-        self.further.reshape(terms.further_rate, terms.further_depth, self.now)
+        self.parameters = parameters = news.parameters
+        self.methods += [MethodRow(method.soft_us) for method in parameters.methods[len(self.methods) :]]
+        self.retry_budget.reshape(parameters.retry_budget_per_s, parameters.retry_budget_depth, self.now)
 
     def arrive(self, call: Arrival) -> None:
         rpc = OpenRpc(call, self.now)
@@ -158,7 +200,7 @@
         rpc.steps = self.rpc(rpc)
         self.carry_out(rpc, next(rpc.steps))
 
-    def resume(self, rpc: OpenRpc, result: CallOutEnded | CountAnswer | None) -> None:
+    def resume(self, rpc: OpenRpc, result: AttemptEnded | CounterReply | None) -> None:
         rpc.asked = None
         if rpc.steps and not rpc.ended:
             self.carry_out(rpc, rpc.steps.send(result))
@@ -167,12 +209,12 @@
         if isinstance(wish, int):
             rpc.look_at = self.now + wish
             return
-        if isinstance(wish, AddCount):
+        if isinstance(wish, AddToCounter):
             # No answer within two beats is none: the slice decides.
             rpc.look_at, rpc.asked = self.now + 2 * BEAT, wish
             return self.call_counter(wish.name, wish.amount, partial(self.told, rpc, wish))
         self.actions.append(wish)
-        if isinstance(wish, CallOut):
+        if isinstance(wish, StartAttempt):
             backend = self.backends[wish.backend]
             if backend.out == 0:
                 backend.quiet_since = self.now
@@ -184,13 +226,13 @@
             rpc.outs[rpc.sent] = (wish.backend, self.now)
             rpc.sent += 1
             rpc.look_at = self.now + self.patience(rpc.call.method)
-        elif isinstance(wish, CallOff):
+        elif isinstance(wish, CancelAttempt):
             rpc.look_at = self.now + SECOND
         else:
             rpc.ended = True
             self.drop_if_done(rpc)
 
-    def told(self, rpc: OpenRpc, asked: AddCount, answer: CountAnswer) -> None:
+    def told(self, rpc: OpenRpc, asked: AddToCounter, answer: CounterReply) -> None:
         if rpc.asked is asked and not rpc.ended:
             self.resume(rpc, answer)
 
@@ -203,11 +245,11 @@
             rpc.ended = True
             self.drop_if_done(rpc)
 
-    def stream_begun(self, event: StreamBegun) -> None:
+    def stream_begun(self, event: AnswerStarted) -> None:
         if rpc := self.open.get(event.rpc):
             rpc.look_at = self.now + 3600 * SECOND  # left alone from here on
 
-    def ended(self, result: CallOutEnded) -> None:
+    def ended(self, result: AttemptEnded) -> None:
         rpc = self.open.get(result.rpc)
         if rpc is None or result.n not in rpc.outs:
             return
@@ -218,7 +260,7 @@
         self.out -= 1
         customer = self.customers[rpc.call.customer]
         customer.out -= 1
-        if self.terms.settles and customer.plan.rate > 0 and result.units > 0:  # told with the first ok
+        if self.parameters.settles and customer.plan.rate > 0 and result.units > 0:  # told with the first ok
             customer.store.level += rpc.call.units - result.units
         if sent_at >= self.woke:
             self.measure(backend, rpc, result, sent_at)
@@ -228,7 +270,7 @@
 
     def set_beat(self) -> None:
         """Each gateway beats at a place of its own: their calls don't crowd the counter at once."""
-        phase = self.terms.own_index * BEAT // self.terms.gateways
+        phase = self.parameters.own_index * BEAT // self.parameters.gateways
         self.actions.append(SetTimer(BEAT - (self.now - phase) % BEAT, 0))
 
     def tick(self, _: TimerFired) -> None:
@@ -241,13 +283,13 @@
         if beat % 5 == 0:
             # Room that is not used would let a sudden jam in unchecked.
             self.usual_out += (self.out - self.usual_out) * 0.1
-            self.room = min(self.room, 3 * self.usual_out + 4)
+            self.concurrency_limit = min(self.concurrency_limit, 3 * self.usual_out + 4)
             self.answers *= 0.9
             self.news += 1
             if self.news >= 4:  # answers, or a second: a quiet gateway has little to rank anew
                 self.renew_order()
-            self.backends = {i: b for i, b in self.backends.items() if b.state is not State.GONE or b.out}
-        if self.terms.must_subscribe and self.now >= self.subscribe_at:
+            self.backends = {i: b for i, b in self.backends.items() if b.state is not BackendState.GONE or b.out}
+        if self.parameters.must_subscribe and self.now >= self.subscribe_at:
             self.subscribe_at = math.inf
             self.actions.append(Subscribe())
         for rpc in [r for r in self.open.values() if r.look_at <= self.now]:
--- a/stoneyoke/records.py
+++ b/stoneyoke/control/open_rpc.py
@@ -3,7 +3,8 @@
 from collections.abc import Generator
 from typing import Any, NamedTuple
 
-from stoneyoke.interface import Action, AddCount, Arrival
+from stoneyoke.control.actions import Action, AddToCounter
+from stoneyoke.control.events import Arrival
 
 Rpc = Generator[Action | int, Any, None]
 
@@ -35,6 +36,6 @@
         self.call, self.begun = call, now
         self.steps: Rpc | None = None
         self.outs: dict[int, tuple[int, int]] = {}  # call-out number -> backend, time
-        self.asked: AddCount | None = None  # what it waits for the counter to answer
+        self.asked: AddToCounter | None = None  # what it waits for the counter to answer
         self.sent = self.look_at = self.slow_at = 0  # slow_at: call-outs whose slowness has been counted
         self.ended = False
--- a/stoneyoke/control/quotas.py
+++ b/stoneyoke/control/quotas.py
@@ -6,28 +6,32 @@
 from functools import partial
 from typing import Any
 
+from stoneyoke.control.actions import Action, AddToCounter, ForgetCustomer
+from stoneyoke.control.events import Arrival, CounterReply
 from stoneyoke.control.ground import BEAT, Ground
-from stoneyoke.interface import Action, AddCount, Arrival, CountAnswer, Forget, Plan, Terms
-from stoneyoke.limits.common import LIFE, Common, Talk, guarded_part
-from stoneyoke.limits.stores import LONGEST_WAIT, SECOND, Store
-from stoneyoke.records import Call, OpenRpc
+from stoneyoke.control.open_rpc import Call, OpenRpc
+from stoneyoke.control.parameters import GatewayParameters, Plan
+from stoneyoke.limits.common_store import LIFE, SharedBucket, Talk, guarded_share
+from stoneyoke.limits.token_bucket import LONGEST_WAIT, SECOND, TokenBucket
 
-Hear = Callable[[CountAnswer], None]
+Hear = Callable[[CounterReply], None]
 Held = tuple[int, float] | None  # a name of the counter and the amount that stands in it for an RPC
 
 
 class Customer:
     """A customer at this gateway. Dropped by sweep() once idle and its store full, or idle for a minute."""
 
-    def __init__(self, call: Arrival, plan: Plan, terms: Terms, lump: float, now: int, born: int) -> None:
+    def __init__(
+        self, call: Arrival, plan: Plan, parameters: GatewayParameters, lump: float, now: int, born: int
+    ) -> None:
         self.index, self.account, self.plan = call.customer, call.account, plan
-        width = call.width if math.isfinite(call.width) and call.width >= 1 else terms.gateways
-        self.even = 1 / min(width, terms.gateways)
+        width = call.width if math.isfinite(call.width) and call.width >= 1 else parameters.gateways
+        self.even = 1 / min(width, parameters.gateways)
         self.slice, self.lump = self.even, lump
-        self.store = Store(plan.rate * self.even, self.depth(), self.depth(), now)
+        self.store = TokenBucket(plan.rate * self.even, self.depth(), self.depth(), now)
         # Rule 5: an earlier life may have sent all, so it starts empty with this life; time fills it.
         rate, depth = plan.ceiling_rate * self.even, plan.ceiling_burst * self.even
-        self.ceiling = Store(rate, depth, min(depth, rate * (now - born) / SECOND), now)
+        self.ceiling = TokenBucket(rate, depth, min(depth, rate * (now - born) / SECOND), now)
         self.out, self.seen = 0, now
         self.demand = 0.0  # this second's, in units
         # Decayed sums over seconds, and their lengths: own demand, and what the others were counted with.
@@ -37,11 +41,11 @@
         # whole: then the store is the common one, and the slice decides where that is not heard. Read off
         # what is told, so that all gateways agree.
         self.common, self.period = None, 1
-        if terms.has_counter and self.even < 1 and 0 < plan.rate * self.even < 2 * terms.units_top:
+        if parameters.has_counter and self.even < 1 and 0 < plan.rate * self.even < 2 * parameters.units_max:
             self.period = 2  # where it is not asked for: thin demand shows late
-            self.common = Common(plan, call.account, self.even, lump)
-            rate, depth = guarded_part(plan, self.even, terms.units_top, terms.own_index)
-            self.ceiling = Store(rate, depth, min(depth, rate * (now - born) / SECOND), now)
+            self.common = SharedBucket(plan, call.account, self.even, lump)
+            rate, depth = guarded_share(plan, self.even, parameters.units_max, parameters.own_index)
+            self.ceiling = TokenBucket(rate, depth, min(depth, rate * (now - born) / SECOND), now)
         self.counting_until = self.advised_until = self.blocked_until = 0
         self.tries = self.early = self.step = 0
 
@@ -64,25 +68,25 @@
 
 
 class Quotas(Ground):
-    def __init__(self, terms: Terms, now: int) -> None:
-        super().__init__(terms, now)
+    def __init__(self, parameters: GatewayParameters, now: int) -> None:
+        super().__init__(parameters, now)
         self.customers: dict[int, Customer] = {}
         self.counter_heard = self.counter_asked = now
         self.agenda: dict[int, list[Call]] = {}  # beat -> calls; renewed each second
         self.awaiting: dict[int, deque[tuple[int, Hear | None]]] = {}  # by name; each call is answered once
         self.beat = self.misses = 0  # misses: counter calls in a row without an answer
         self.reading = 1.0  # the part of the calls that is made
-        self.guards = any(plan.ceiling_rate > 0 for plan in terms.plans)
+        self.guards = any(plan.ceiling_rate > 0 for plan in parameters.plans)
         self.usual_reading, self.counts_until = 1.0, now
         self.prompt = 20_000.0  # the shortest time in which one was answered, slowly forgotten
         self.lump = 1.0  # running mean of the RPCs' cost
 
     def customer(self, call: Arrival) -> Customer:
         if not math.isfinite(call.units) or call.units <= 0:
-            call.units = max(1.0, self.terms.units_top)  # an unreadable cost counts as the dearest
+            call.units = max(1.0, self.parameters.units_max)  # an unreadable cost counts as the dearest
         self.lump += (call.units - self.lump) * 0.05
         if not (customer := self.customers.get(call.customer)):
-            customer = Customer(call, self.terms.plans[call.plan], self.terms, self.lump, self.now, self.born)
+            customer = Customer(call, self.parameters.plans[call.plan], self.parameters, self.lump, self.now, self.born)
             self.customers[call.customer] = customer
         customer.seen, customer.lump = self.now, self.lump
         return customer
@@ -104,12 +108,12 @@
             return self.common_wait(common, call), None
         silent = self.misses >= 3 and self.now - self.counter_asked < SECOND
         part = min(1.0, self.reading * (3 if common.guards else 1)) if self.guards else 1.0
-        if silent or call.wait_us < 4 * BEAT or self.chance.draw() >= part:
+        if silent or call.wait_us < 4 * BEAT or self.random_source.draw() >= part:
             return self.slice_wait(customer, call), None
         # What goes unasked meanwhile is made up for by the weight of what is asked.
         name, asked_at = common.name(self.now), self.now
         amount = max(call.units, min(call.units / part, 0.5 * common.burst))
-        answer: CountAnswer | None = yield AddCount(name, LIFE, amount)
+        answer: CounterReply | None = yield AddToCounter(name, LIFE, amount)
         if answer is None or not answer.added or not math.isfinite(answer.total) or asked_at < self.woke:
             return self.slice_wait(customer, call), None
         level = common.read(answer.total, self.now)
@@ -126,14 +130,14 @@
         self.call_counter(name, -amount)
         return self.common_wait(common, call), None
 
-    def asks(self, common: Common) -> bool:
+    def asks(self, common: SharedBucket) -> bool:
         return common.guards or self.now >= self.counts_until
 
-    def common_wait(self, common: Common, call: Arrival) -> int:
+    def common_wait(self, common: SharedBucket, call: Arrival) -> int:
         lack = call.units - common.most(self.now)
         return max(1, common.shut_until - self.now, math.ceil(lack / common.rate * SECOND))
 
-    def converse(self, talk: Talk, answer: CountAnswer | None = None) -> None:
+    def converse(self, talk: Talk, answer: CounterReply | None = None) -> None:
         """Calls the counter as the talk wants, which is told each answer's total (nan: none) and the time."""
         total = answer.total if answer and answer.added else math.nan
         try:
@@ -169,7 +173,7 @@
         return wait
 
     def jittered(self, wait: int) -> int:
-        return wait + int(self.chance.draw() * (min(LONGEST_WAIT, max(SECOND, wait)) + 1))
+        return wait + int(self.random_source.draw() * (min(LONGEST_WAIT, max(SECOND, wait)) + 1))
 
     # ---- slices from counted demand ----
 
@@ -183,7 +187,7 @@
                 told, customer.demand = customer.demand, 0.0
                 customer.own = 0.6 * customer.own + told
                 customer.own_time = 0.6 * customer.own_time + customer.period
-                if self.now < customer.counting_until and customer.even < 1 and self.terms.has_counter:
+                if self.now < customer.counting_until and customer.even < 1 and self.parameters.has_counter:
                     self.lay_out(customer, told, second)
             if self.now - customer.heard > (2 if silent else 20) * SECOND:
                 customer.others = customer.others_time = 0.0
@@ -196,13 +200,12 @@
         if not customer.common:
             if told > 0:
                 self.agenda.setdefault(1 + slot, []).append(Call(name, told))
-            if self.chance.draw() < part:
+            if self.random_source.draw() < part:
                 self.agenda.setdefault(11 + slot, []).append(Call(name, 0.0, customer.index, told))
-        elif told > 0 and not self.asks(customer.common) and self.chance.draw() < part:
+        elif told > 0 and not self.asks(customer.common) and self.random_source.draw() < part:
             # One call for both. What is left out while calls are turned away is made up for by its weight.
-            slot, told = int(18 * self.chance.draw()), told / part
-            self.agenda.setdefault(1 + slot, []).append(
-                Call(name, told, customer.index, told, (slot + 0.5) / 18))
+            slot, told = int(18 * self.random_source.draw()), told / part
+            self.agenda.setdefault(1 + slot, []).append(Call(name, told, customer.index, told, (slot + 0.5) / 18))
 
     def renew_slice(self, customer: Customer) -> None:
         """Own part of the counted demand; even while nothing is known of the others."""
@@ -216,7 +219,7 @@
         full = idle > 60 * SECOND or store.fill(self.now) >= store.depth
         if idle > 10 * SECOND and not customer.out and full and ceiling.fill(self.now) >= ceiling.depth:
             del self.customers[customer.index]
-            self.actions.append(Forget(customer.index))
+            self.actions.append(ForgetCustomer(customer.index))
 
     def count(self) -> None:
         for beat in [b for b in self.agenda if b <= self.beat]:
@@ -227,9 +230,9 @@
     def call_counter(self, name: int, amount: float, hear: Hear | None = None) -> None:
         self.counter_asked = self.now
         self.awaiting.setdefault(name, deque()).append((self.now, hear))
-        self.actions.append(AddCount(name, LIFE, amount))
+        self.actions.append(AddToCounter(name, LIFE, amount))
 
-    def counted(self, answer: CountAnswer) -> None:
+    def counted(self, answer: CounterReply) -> None:
         if not (line := self.awaiting.get(answer.name)):
             return
         asked_at, hear = line.popleft()
@@ -256,7 +259,7 @@
         if asking and self.guards and self.usual_reading < 0.45:
             self.counts_until, self.reading, self.usual_reading = self.now + 30 * SECOND, 1.0, 1.0
 
-    def read(self, call: Call, answer: CountAnswer) -> None:
+    def read(self, call: Call, answer: CounterReply) -> None:
         customer = self.customers.get(call.customer)
         if not customer or not answer.added or not math.isfinite(answer.total):
             return
--- a/stoneyoke/controlplane/configuration_service.py
+++ b/stoneyoke/controlplane/configuration_service.py
@@ -10,8 +10,8 @@
 
 from stoneyoke.api.calls import Acknowledged, Answer, Document, Rejected, Unavailable
 from stoneyoke.api.configuration import Configuration
-from stoneyoke.controlplane.consensus import Accepted, RegisterValue
-from stoneyoke.controlplane.replication import LARGE_S, Replication
+from stoneyoke.consensus.protocol import Accepted, RegisterValue
+from stoneyoke.consensus.replication import LARGE_S, Replication
 
 ANSWER_S = 0.85  # a caller moves on after a second of silence (PROTOCOL, The operator)
 FINISH_S = 3.0  # a round goes on after its operator was told that the answer is unclear
--- a/stoneyoke/controlplane/controller.py
+++ b/stoneyoke/controlplane/controller.py
@@ -22,19 +22,19 @@
 )
 from stoneyoke.api.configuration import Configuration, Version, read_configuration
 from stoneyoke.api.schema import InvalidField
+from stoneyoke.consensus.message_rows import EMPTY, ballot_row, member_row, stamp, value_row
+from stoneyoke.consensus.protocol import NO_BALLOT, Ballot
+from stoneyoke.consensus.replica import RecordStorage, Replica
+from stoneyoke.consensus.replication import Replication
+from stoneyoke.consensus.voter_set import wanted_size
 from stoneyoke.controlplane.configuration_service import ConfigurationService
-from stoneyoke.controlplane.consensus import NO_BALLOT, Ballot
 from stoneyoke.controlplane.discovery_service import DiscoveryService, Surroundings
 from stoneyoke.controlplane.heartbeat_ring import HeartbeatWatch
 from stoneyoke.controlplane.membership import Membership
 from stoneyoke.controlplane.peers import Peer, Peers
 from stoneyoke.controlplane.quota_lease import QuotaLease
-from stoneyoke.controlplane.register_rows import EMPTY, ballot_row, member_row, stamp, value_row
-from stoneyoke.controlplane.replica import Replica, Store
-from stoneyoke.controlplane.replication import Replication
 from stoneyoke.controlplane.status import status_text
-from stoneyoke.controlplane.voter_set import wanted_size
-from stoneyoke.limits.shares import FORGET_S
+from stoneyoke.limits.quota_allocator import FORGET_S
 from stoneyoke.transport.messages import (
     AcceptRequest,
     ChosenNotice,
@@ -86,7 +86,7 @@
         ip: str,
         port: int,
         zone: str,
-        store: Store,
+        store: RecordStorage,
         seeds: tuple[str, ...],
         *,
         first_start: bool,
@@ -95,24 +95,24 @@
         losses: int,
         clock: Callable[[], float] = time.monotonic,
         dial: Callable[[tuple[str, int]], PeerClient] = PeerClient,
-        chance: random.Random | None = None,
+        random_source: random.Random | None = None,
     ) -> None:
         self.name, self.ip, self.zone, self.clock = name, ip, zone, clock
         self.seeds, self.first_start, self.bounds = seeds, first_start, bounds
         self.silent_s, self.losses = silent_s, losses
-        self.chance = chance or random.SystemRandom()
-        self.life, self.born = f"{self.chance.getrandbits(48):012x}", clock()
+        self.random_source = random_source or random.SystemRandom()
+        self.incarnation, self.born = f"{self.random_source.getrandbits(48):012x}", clock()
         self.tasks: set[asyncio.Future[Any]] = set()  # kept until they are done
-        self.alarm = asyncio.Event()  # set and renewed when others should hear of something
-        self.roll = 0  # rises with each change of the controllers and gateways known
+        self.change_event = asyncio.Event()  # set and renewed when others should hear of something
+        self.membership_version = 0  # rises with each change of the controllers and gateways known
         self.gateways_seen: dict[str, GatewaySeen] = {}
         self.watch = HeartbeatWatch(WATCH_S)
         self.configuration: Configuration | None = None  # the newest that is chosen
         self.packed: tuple[Ballot, bytes] = (NO_BALLOT, b"")  # its text, deflated
         self.peers = Peers(ip, port, dial, clock, self.meet_peer)
         self.replica = Replica(ip, store, lambda *call: self.blocking(*call), self.learned)
-        proposer = f"{ip}/{self.life}"
-        self.replication = Replication(self.replica, self.peers, proposer, self.spawn, self.chance)
+        proposer = f"{ip}/{self.incarnation}"
+        self.replication = Replication(self.replica, self.peers, proposer, self.spawn, self.random_source)
         self.configurations = ConfigurationService(self.replication, self.in_touch)
         self.discovery: DiscoveryService
         self.lease: QuotaLease
@@ -120,7 +120,7 @@
 
     async def start(self) -> None:
         """Raises StorageError or BadRecord if the disk can't be used."""
-        await self.replica.load(self.seeds, self.first_start, self.chance)
+        await self.replica.load(self.seeds, self.first_start, self.random_source)
         fresh = self.first_start and self.replica.acceptor.promised == NO_BALLOT
         surroundings = Surroundings(
             own_address=self.ip,
@@ -137,14 +137,14 @@
         self.lease = QuotaLease(
             self.replica,
             self.peers,
-            self.life,
+            self.incarnation,
             bounds=self.bounds,
             fresh=fresh,
             gateways=self.gateways,
             changed=self.changed,
             clock=self.clock,
             spawn=self.spawn,
-            chance=self.chance,
+            random_source=self.random_source,
         )
         self.membership = Membership(
             self.replication,
@@ -153,7 +153,7 @@
             clock=self.clock,
             size=wanted_size(self.losses),
             catch_up_s=self.bounds["catch_up_s"],
-            chance=self.chance,
+            random_source=self.random_source,
         )
         self.meet(*self.seeds, *self.replica.voters().addresses())
         for work in (
@@ -181,8 +181,8 @@
 
     def changed(self) -> None:
         """Whoever waits for news is answered."""
-        self.alarm.set()
-        self.alarm = asyncio.Event()
+        self.change_event.set()
+        self.change_event = asyncio.Event()
 
     def learned(self) -> None:
         """A newer value of the register is known to be chosen."""
@@ -203,7 +203,7 @@
 
     def meet(self, *addresses: str) -> None:
         if self.peers.add(*addresses):
-            self.roll += 1
+            self.membership_version += 1
 
     def meet_peer(self, address: str, peer: Peer) -> None:
         peer.tasks.append(self.spawn(self.follow(address, peer)))
@@ -226,13 +226,13 @@
             self.ip,
             "controller",
             self.zone,
-            peer.life,
+            peer.incarnation,
             peer.seq,
             stamp(self.replica.version()),
             True,
             False,
             int(PULL_S * 1000),
-            self.life,
+            self.incarnation,
             -1,
         )
         begun_at = self.clock()
@@ -261,7 +261,7 @@
         while True:
             await asyncio.sleep(SWEEP_S)
             if self.watch.sweep(self.clock()):
-                self.roll += 1
+                self.membership_version += 1
                 self.changed()
 
     # ---- what other processes ask ----
@@ -298,11 +298,11 @@
             self.meet(asked.ip)
         else:
             self.hear_gateway(asked)
-        alarm = self.alarm
+        change_event = self.change_event
         if asked.wait_ms > 0 and self.knows_all(asked):
             try:
                 async with asyncio.timeout(min(asked.wait_ms / 1000, PULL_MOST_S)):
-                    await alarm.wait()
+                    await change_event.wait()
             except TimeoutError:
                 pass
         return self.news(asked)
@@ -311,23 +311,23 @@
         now = self.clock()
         self.gateways_seen[asked.name] = GatewaySeen(Version(*asked.stamp), now, asked.ready)
         if asked.beat and self.watch.beat(asked.name, now):
-            self.roll += 1
+            self.membership_version += 1
             self.changed()
 
     def knows_all(self, asked: PullRequest) -> bool:
         """Whether there is nothing new for the asker."""
-        current = asked.life == self.life and asked.seq >= self.discovery.registry.seq
-        rolled = asked.roll == self.roll or asked.kind == "controller"
+        current = asked.incarnation == self.incarnation and asked.seq >= self.discovery.registry.seq
+        rolled = asked.membership_version == self.membership_version or asked.kind == "controller"
         return current and rolled and self.replica.version() <= Version(*asked.stamp)
 
     def news(self, asked: PullRequest) -> PullResponse:
-        known, view, chosen = asked.life == self.life, self.replica.view(), self.replica.chosen
+        known, view, chosen = asked.incarnation == self.incarnation, self.replica.view(), self.replica.chosen
         rows = self.discovery.registry.since(asked.seq if known else 0, self.clock())
         lists: tuple[list[str], list[str]] = ([], [])
-        if not known or asked.roll != self.roll:
+        if not known or asked.membership_version != self.membership_version:
             lists = ([self.ip, *self.peers], list(self.watch.seen))
         return PullResponse(
-            self.life,
+            self.incarnation,
             self.discovery.registry.seq,
             not known,
             list(rows),
@@ -340,7 +340,7 @@
             self.lease.holder_known(),
             self.membership.leaving,
             self.zone,
-            self.roll,
+            self.membership_version,
             *lists,
         )
 
@@ -359,7 +359,7 @@
         allocator.plans(self.configuration.tenants or [] if self.configuration else [])
         deaf_s = asked.deaf_ms / 1000
         return QuotaResponse(
-            True, allocator.draw(asked.name, asked.life, deaf_s, asked.full, asked.wants, self.clock())
+            True, allocator.draw(asked.name, asked.incarnation, deaf_s, asked.full, asked.wants, self.clock())
         )
 
     # ---- what backends and operators ask ----
--- a/stoneyoke/controlplane/discovery_service.py
+++ b/stoneyoke/controlplane/discovery_service.py
@@ -22,9 +22,9 @@
 from typing import Any, Protocol
 
 from stoneyoke.api.calls import Acknowledged, Answer, Heartbeat, Leave, Unavailable
+from stoneyoke.consensus.quorum import majority
 from stoneyoke.controlplane.instance_registry import InstanceRegistry, Row, row_of
-from stoneyoke.controlplane.quorum import majority
-from stoneyoke.controlplane.settlement import COUNTING_S, Settlement
+from stoneyoke.controlplane.startup_readiness import COUNTING_S, Settlement
 from stoneyoke.transport.messages import InstanceRefresh, InstanceUpdate, InstanceUpdateResponse, Message
 from stoneyoke.transport.messages import Row as WireRow
 from stoneyoke.transport.peers import PeerUnreachable
--- a/stoneyoke/controlplane/leases.py
+++ b/stoneyoke/controlplane/leases.py
@@ -5,8 +5,8 @@
 
 from dataclasses import dataclass, field
 
-from stoneyoke.controlplane.consensus import ReplicaId
-from stoneyoke.controlplane.quorum import majority
+from stoneyoke.consensus.protocol import ReplicaId
+from stoneyoke.consensus.quorum import majority
 
 TTL_S = 1.0
 STOP = 0.85  # of the lease, after which its holder stops: clocks run apart by less
@@ -16,7 +16,7 @@
 @dataclass(slots=True)
 class Grant:
     holder: str
-    life: str
+    incarnation: str
     until: float
     number: int = 0  # of the holder's round of asking
 
@@ -33,18 +33,20 @@
         """This member has just become a voter: the voters before may have granted a lease that still runs."""
         self.silent_until = max(self.silent_until, now + TTL_S)
 
-    def ask(self, duty: str, holder: str, life: str, ttl_s: float, now: float, number: int) -> tuple[bool, str, float]:
+    def ask(
+        self, duty: str, holder: str, incarnation: str, ttl_s: float, now: float, number: int
+    ) -> tuple[bool, str, float]:
         """Whether it is granted; who has it; for how many seconds more. number: of the round of asking: an older one
         that comes late, one that gives back above all, changes nothing (trial 2018)."""
         if now < self.silent_until:
             return False, "", self.silent_until - now
         grant = self.grants.get(duty)
-        if grant and now < grant.until and (grant.holder, grant.life) != (holder, life):
+        if grant and now < grant.until and (grant.holder, grant.incarnation) != (holder, incarnation):
             return False, grant.holder, grant.until - now
-        if grant and (grant.holder, grant.life) == (holder, life) and number < grant.number:
+        if grant and (grant.holder, grant.incarnation) == (holder, incarnation) and number < grant.number:
             return False, grant.holder, max(0.0, grant.until - now)
         ttl_s = min(max(0.0, ttl_s), TTL_S)
-        self.grants[duty] = Grant(holder, life, now + ttl_s, number)
+        self.grants[duty] = Grant(holder, incarnation, now + ttl_s, number)
         return True, holder, ttl_s
 
 
--- a/stoneyoke/controlplane/membership.py
+++ b/stoneyoke/controlplane/membership.py
@@ -6,10 +6,10 @@
 
 from loguru import logger
 
-from stoneyoke.controlplane.consensus import ReplicaId, VoterSet
+from stoneyoke.consensus.protocol import ReplicaId, VoterSet
+from stoneyoke.consensus.replication import Replication, unchanged
+from stoneyoke.consensus.voter_set import LOST_PART, STEADY_S, MemberReport, change_of_voters, next_members
 from stoneyoke.controlplane.peers import NEVER, Peers
-from stoneyoke.controlplane.replication import Replication, unchanged
-from stoneyoke.controlplane.voter_set import LOST_PART, STEADY_S, MemberReport, change_of_voters, next_members
 
 LOOK_S = 0.25
 START_LOOK_S = 0.05  # while nothing is known to be chosen: gateways that start wait for it
@@ -30,10 +30,10 @@
         clock: Callable[[], float],
         size: int,
         catch_up_s: float,
-        chance: random.Random,
+        random_source: random.Random,
     ) -> None:
         self.replication, self.replica, self.peers = replication, replication.replica, peers
-        self.holds_lease, self.clock, self.size, self.chance = holds_lease, clock, size, chance
+        self.holds_lease, self.clock, self.size, self.random_source = holds_lease, clock, size, random_source
         self.lost_s, self.born = LOST_PART * catch_up_s, clock()
         self.leaving = False  # this controller was told to end
         self.unsettled_at: float | None = None
@@ -46,7 +46,7 @@
             except Exception:
                 logger.exception("tending the voters failed")
             pause = LOOK_S if self.replica.chosen else START_LOOK_S
-            await asyncio.sleep(pause * (0.8 + 0.4 * self.chance.random()))
+            await asyncio.sleep(pause * (0.8 + 0.4 * self.random_source.random()))
 
     async def look(self) -> None:
         if self.unsettled():
@@ -63,7 +63,7 @@
             return False
         now = self.clock()
         if self.unsettled_at is None:
-            self.unsettled_at = now + UNSETTLED_S * (1 + self.chance.random()) if chosen else now
+            self.unsettled_at = now + UNSETTLED_S * (1 + self.random_source.random()) if chosen else now
         return now >= self.unsettled_at
 
     async def change(self) -> None:
--- a/stoneyoke/controlplane/peers.py
+++ b/stoneyoke/controlplane/peers.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from stoneyoke.controlplane.consensus import NO_BALLOT, Accepted, Ballot, ReplicaId
-from stoneyoke.controlplane.quorum import majority
-from stoneyoke.controlplane.register_rows import read_value
+from stoneyoke.consensus.message_rows import read_value
+from stoneyoke.consensus.protocol import NO_BALLOT, Accepted, Ballot, ReplicaId
+from stoneyoke.consensus.quorum import majority
 from stoneyoke.transport.messages import Message, PullResponse
 
 TOUCH_S = 1.2  # a peer that answered within this is in touch
@@ -32,24 +32,24 @@
     view: Accepted | None = None  # without its text
     chosen_ballot: Ballot = NO_BALLOT
     heard_at: float = NEVER
-    life: str = ""
+    incarnation: str = ""
     seq: int = 0
     settled: bool = False
     gateways: tuple[str, ...] = ()  # whose heartbeats it has heard
-    keeper: str = ""  # who has the lease of the quotas, by its word
+    lease_holder: str = ""  # who has the lease of the quotas, by its word
     leaving: bool = False
     steady_at: float = NEVER  # since when it has answered without a break
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     def hear(self, news: PullResponse, now: float) -> None:
         replica = ReplicaId(*news.replica)
-        if now - self.heard_at > TOUCH_S or self.life != news.life or self.replica != replica:
+        if now - self.heard_at > TOUCH_S or self.incarnation != news.incarnation or self.replica != replica:
             self.steady_at = now
-        self.replica, self.heard_at, self.life, self.seq = replica, now, news.life, news.seq
+        self.replica, self.heard_at, self.incarnation, self.seq = replica, now, news.incarnation, news.seq
         self.view = Accepted(Ballot(*news.view_ballot), read_value(news.view))
         self.chosen_ballot = Ballot(*news.chosen_ballot)
-        self.settled, self.gateways = news.settled, tuple(news.pilots)
-        self.keeper, self.leaving = news.keeper, news.leaving
+        self.settled, self.gateways = news.settled, tuple(news.gateways)
+        self.lease_holder, self.leaving = news.lease_holder, news.leaving
 
 
 class Peers(Mapping[str, Peer]):
--- a/stoneyoke/controlplane/quota_lease.py
+++ b/stoneyoke/controlplane/quota_lease.py
@@ -6,13 +6,13 @@
 
 from loguru import logger
 
-from stoneyoke.controlplane.consensus import ReplicaId
+from stoneyoke.consensus.message_rows import member_row
+from stoneyoke.consensus.protocol import ReplicaId
+from stoneyoke.consensus.replica import Replica
+from stoneyoke.consensus.replication import Spawn
 from stoneyoke.controlplane.leases import RENEW_S, TTL_S, LeaseGranter, LeaseHolder
 from stoneyoke.controlplane.peers import Peer, Peers
-from stoneyoke.controlplane.register_rows import member_row
-from stoneyoke.controlplane.replica import Replica
-from stoneyoke.controlplane.replication import Spawn
-from stoneyoke.limits.shares import QuotaAllocator
+from stoneyoke.limits.quota_allocator import QuotaAllocator
 from stoneyoke.transport.messages import LeaseRequest, LeaseResponse
 from stoneyoke.transport.peers import PeerUnreachable
 
@@ -29,7 +29,7 @@
         self,
         replica: Replica,
         peers: Peers,
-        life: str,
+        incarnation: str,
         *,
         bounds: dict[str, float],
         fresh: bool,
@@ -37,10 +37,16 @@
         changed: Callable[[], None],
         clock: Callable[[], float],
         spawn: Spawn,
-        chance: random.Random,
+        random_source: random.Random,
     ) -> None:
-        self.replica, self.peers, self.life, self.bounds = replica, peers, life, bounds
-        self.gateways, self.changed, self.clock, self.spawn, self.chance = gateways, changed, clock, spawn, chance
+        self.replica, self.peers, self.incarnation, self.bounds = replica, peers, incarnation, bounds
+        self.gateways, self.changed, self.clock, self.spawn, self.random_source = (
+            gateways,
+            changed,
+            clock,
+            spawn,
+            random_source,
+        )
         self.granter, self.holder = LeaseGranter(clock(), fresh), LeaseHolder()
         self.allocator: QuotaAllocator | None = None
         self.voted = replica.votes()  # as this granter last saw it
@@ -81,16 +87,16 @@
         """Those with a lower place among the voters go first."""
         members = self.replica.voters().members
         if not held:
-            await asyncio.sleep(0.1 * members.index(self.replica.identity) + 0.05 * self.chance.random())
+            await asyncio.sleep(0.1 * members.index(self.replica.identity) + 0.05 * self.random_source.random())
         await self.ask()
 
     async def ask(self) -> None:
         voters, began = self.replica.voters(), self.clock()
         self.holder.ask(began)
         number = self.holder.number
-        ok = self.grant(QUOTAS, self.peers.own, self.life, TTL_S, number, voters.number)[0]
+        ok = self.grant(QUOTAS, self.peers.own, self.incarnation, TTL_S, number, voters.number)[0]
         self.holder.answer(self.replica.identity, ok, voters.members, began, began)
-        request = LeaseRequest(QUOTAS, self.peers.own, self.life, int(TTL_S * 1000), number, voters.number)
+        request = LeaseRequest(QUOTAS, self.peers.own, self.incarnation, int(TTL_S * 1000), number, voters.number)
 
         async def one(peer: Peer) -> None:
             try:
@@ -111,12 +117,12 @@
         """Rivals that each hold a part of the voters would renew that for ever: given back, and by chance later."""
         voters = self.replica.voters()
         self.holder.ask(self.clock())
-        self.grant(QUOTAS, self.peers.own, self.life, 0.0, self.holder.number, voters.number)
-        request = LeaseRequest(QUOTAS, self.peers.own, self.life, 0, self.holder.number, voters.number)
+        self.grant(QUOTAS, self.peers.own, self.incarnation, 0.0, self.holder.number, voters.number)
+        request = LeaseRequest(QUOTAS, self.peers.own, self.incarnation, 0, self.holder.number, voters.number)
         for name in voters.addresses():
             if name in self.peers:
                 self.spawn(self.send(self.peers[name], request))
-        await asyncio.sleep(ASK_S * self.chance.random())
+        await asyncio.sleep(ASK_S * self.random_source.random())
 
     async def send(self, peer: Peer, request: LeaseRequest) -> None:
         try:
@@ -127,7 +133,7 @@
     # ---- the voter's part ----
 
     def grant(
-        self, duty: str, holder: str, life: str, ttl_s: float, number: int, voters_number: int
+        self, duty: str, holder: str, incarnation: str, ttl_s: float, number: int, voters_number: int
     ) -> tuple[bool, str, float]:
         """Whether it is granted; who has it; for how many seconds more. Only for the voters that are known here to be
         chosen, and no more once newer ones may be: so grants of two sets never make up two majorities."""
@@ -139,11 +145,16 @@
         superseded = accepted is not None and accepted.value.voters.number > voters_number
         if not votes or voters_number != current or superseded:
             return False, self.holder_known(), 0.0
-        return self.granter.ask(duty, holder, life, ttl_s, now, number)
+        return self.granter.ask(duty, holder, incarnation, ttl_s, now, number)
 
     def asked(self, request: LeaseRequest) -> LeaseResponse:
         ok, has, left = self.grant(
-            request.duty, request.holder, request.life, request.ttl_ms / 1000, request.number, request.voters_number
+            request.duty,
+            request.holder,
+            request.incarnation,
+            request.ttl_ms / 1000,
+            request.number,
+            request.voters_number,
         )
         return LeaseResponse(ok, has, int(left * 1000), self.replica.chosen_number(), member_row(self.replica.identity))
 
--- a/stoneyoke/controlplane/settlement.py
+++ b/stoneyoke/controlplane/startup_readiness.py
@@ -16,7 +16,7 @@
 
 from dataclasses import dataclass, field
 
-from stoneyoke.controlplane.quorum import copies
+from stoneyoke.consensus.quorum import copies
 
 COUNTING_S = 0.7  # answers to a telling are counted for so long, by the clock of whoever counts
 MARGIN_S = 0.1  # for clocks that do not run quite alike
--- a/stoneyoke/fleet/council.py
+++ b/stoneyoke/fleet/agent.py
@@ -4,6 +4,7 @@
 import random
 from collections.abc import Callable, Iterable
 
+from stoneyoke.control.events import KnownBackend, PeerEvidence
 from stoneyoke.fleet.evidence import ASKS, Evidence
 from stoneyoke.fleet.membership import Address, Membership, Note, size
 from stoneyoke.fleet.messages import (
@@ -20,16 +21,15 @@
     Refused,
     Seal,
 )
-from stoneyoke.interface import Hearsay, Known
 
 SECOND = 1_000_000
 TICK = 100_000  # how often tick() wants to be called
 JUDGE = 500_000
 ENTRY_BYTES = 20  # no fewer than one takes
-NOTHING = Hearsay(frozenset(), frozenset())
+NOTHING = PeerEvidence(frozenset(), frozenset())
 
 
-class Council:
+class FleetAgent:
     """key material: see Seal. now: Unix time in microseconds, in monotonic steps."""
 
     def __init__(
@@ -42,10 +42,10 @@
         now: int,
         count: Callable[[str], None] = lambda _: None,
     ) -> None:
-        self.chance = random.Random(seed)
+        self.random_source = random.Random(seed)
         self.count = count
         self.seal = Seal(keys)
-        self.members = Membership(own, seeds, self.chance, now, count)
+        self.members = Membership(own, seeds, self.random_source, now, count)
         self.evidence = Evidence(own.name, silent_us, now)
         self.sequence = 0
         self.judged = self.swept = now
@@ -120,12 +120,12 @@
         while self.to_ask:
             peer = self.members.peers.get(self.to_ask.pop())
             if peer and peer.present():
-                number = self.chance.getrandbits(60)
+                number = self.random_source.getrandbits(60)
                 self.asked[number] = peer.record.name
                 self.members.out.append(Note(peer.record.address, QUERY, number))
                 return
         self.to_ask = [member.name for member in self.members.present()]
-        self.chance.shuffle(self.to_ask)
+        self.random_source.shuffle(self.to_ask)
 
     def leave(self, now: int) -> list[tuple[Address, bytes]]:
         self.members.leave()
@@ -170,5 +170,5 @@
         changes, self.members.changes = self.members.changes, []
         return changes
 
-    def listed(self, backends: Iterable[Known]) -> None:
+    def listed(self, backends: Iterable[KnownBackend]) -> None:
         self.evidence.listed(backends)
--- a/stoneyoke/fleet/evidence.py
+++ b/stoneyoke/fleet/evidence.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
+from stoneyoke.control.events import KnownBackend, PeerEvidence
 from stoneyoke.fleet.messages import NEVER, Entry
-from stoneyoke.interface import Hearsay, Known
 
 SECOND = 1_000_000
 TENTH = 100_000
@@ -35,7 +35,7 @@
 WRONG = 0.5  # a witness that accuses more of the backends listed than this is cut off itself
 
 
-def identity(known: Known) -> int:
+def identity(known: KnownBackend) -> int:
     """A backend's number, the same at all gateways; a restart is another one, so no verdict outlives it."""
     text = f"{known.name} {known.started_us}"
     return int.from_bytes(blake2b(text.encode(), digest_size=4).digest(), "big")
@@ -65,7 +65,7 @@
 
     def __init__(self, name: str, silent_us: int, now: int) -> None:
         self.name, self.silent_us, self.ticked = name, silent_us, now
-        self.known: dict[int, Known] = {}  # by id; renewed by listed()
+        self.known: dict[int, KnownBackend] = {}  # by id; renewed by listed()
         self.ids: dict[int, int] = {}  # by the module's index
         self.seen: dict[int, Seen] = {}  # by id; emptied by listed()
         self.out: dict[int, tuple[int, int, bool]] = {}  # by RPC: backend, since, told as silent; by ended()
@@ -80,7 +80,7 @@
 
     # ---- what is seen here ----
 
-    def listed(self, backends: Iterable[Known]) -> None:
+    def listed(self, backends: Iterable[KnownBackend]) -> None:
         """All backends there are now. What was known of others is dropped."""
         self.known = {identity(known): known for known in backends}
         self.ids = {known.index: id for id, known in self.known.items()}
@@ -235,7 +235,7 @@
         for_it = sum(told[2].get(id, -1) >= known_since for told in self.heard.values())
         return against, against / max(1, against + for_it)
 
-    def advice(self, now: int, members: int) -> Hearsay:
+    def advice(self, now: int, members: int) -> PeerEvidence:
         """Who is left out here, and who of these is probed in this slot. members: gateways with this one."""
         left_out, probed, slot = set[int](), set[int](), now // SLOT
         for id in self.verdicts:
@@ -247,4 +247,4 @@
                 probed.add(index)
             else:
                 left_out.add(index)
-        return Hearsay(frozenset(left_out), frozenset(probed))
+        return PeerEvidence(frozenset(left_out), frozenset(probed))
--- a/stoneyoke/fleet/membership.py
+++ b/stoneyoke/fleet/membership.py
@@ -118,11 +118,11 @@
         self,
         own: Member,
         seeds: list[Address],
-        chance: random.Random,
+        random_source: random.Random,
         now: int,
         count: Callable[[str], None] = lambda _: None,
     ) -> None:
-        self.own, self.chance, self.count = own, chance, count
+        self.own, self.random_source, self.count = own, random_source, count
         self.seeds = [seed for seed in seeds if seed != own.address]
         self.peers: dict[str, Peer] = {}
         self.out: list[Note] = []  # taken by whoever sends
@@ -206,7 +206,7 @@
         peer = self.peers.get(probe.name)
         if peer and not probe.helpers and age >= DIRECT * scale:
             others = [m for m in self.alive() if m.name != probe.name]
-            helpers = self.chance.sample(others, min(HELPERS, len(others)))
+            helpers = self.random_source.sample(others, min(HELPERS, len(others)))
             self.probe = probe._replace(helpers=tuple(m.name for m in helpers) or ("",))  # noqa: SIM222 -- a tuple of none is false
             for helper in helpers:
                 self.out.append(Note(helper.address, ASK, probe.number, probe.name))
@@ -226,7 +226,7 @@
                 break
         else:
             self.round = [peer.record.name for peer in self.peers.values() if peer.present()]
-            self.chance.shuffle(self.round)
+            self.random_source.shuffle(self.round)
             peer = self.peers[self.round.pop()] if self.round else None
         self.numbers += 1
         self.probe = Probe(peer.record.name if peer else "", self.numbers, now)
@@ -241,7 +241,7 @@
         alone = not self.here
         if (alone or not self.joined) and self.seeds and now - self.pulled >= JOIN:
             self.pulled = now
-            self.pull(self.chance.choice(self.seeds))
+            self.pull(self.random_source.choice(self.seeds))
         if now - self.visited >= REVISIT:
             self.visited = now
             gone = [peer.record for peer in self.peers.values() if peer.record.state == DEAD]
@@ -250,7 +250,7 @@
             known |= {record.address for record in gone}
             lost += [(seed, ()) for seed in self.seeds if seed not in known]
             if lost:
-                address, told = self.chance.choice(lost)
+                address, told = self.random_source.choice(lost)
                 self.out.append(Note(address, PING, 0, members=told))
 
     # ---- what comes ----
@@ -349,7 +349,7 @@
             self.here += 1
             self.count_in(told)
             self.changes.append(told)
-            self.round.insert(self.chance.randint(0, len(self.round)), told.name)
+            self.round.insert(self.random_source.randint(0, len(self.round)), told.name)
             if told.state == SUSPECT:
                 peer.suspecting = {told.by}
             if spread:
@@ -437,5 +437,5 @@
         self.own = msgspec.structs.replace(self.own, state=LEFT)
         self.leaving = True
         present = self.present()
-        for member in self.chance.sample(present, min(2 * HELPERS, len(present))):
+        for member in self.random_source.sample(present, min(2 * HELPERS, len(present))):
             self.out.append(Note(member.address, PING, 0, members=(self.own,)))
--- a/stoneyoke/fleet/transport.py
+++ b/stoneyoke/fleet/transport.py
@@ -7,31 +7,32 @@
 
 from loguru import logger
 
-from stoneyoke.fleet.council import TICK, Council
+from stoneyoke.control.events import KnownBackend, PeerEvidence
+from stoneyoke.control.parameters import AttemptOutcome
+from stoneyoke.fleet.agent import TICK, FleetAgent
 from stoneyoke.fleet.membership import Address
 from stoneyoke.fleet.messages import Member
-from stoneyoke.interface import Hearsay, Known, Outcome
-from stoneyoke.options import FleetTerms
-from stoneyoke.runtime import Clock, Runtime
-from stoneyoke.tally import Tally
+from stoneyoke.runtime.metrics import Metrics
+from stoneyoke.runtime.runtime import Clock, Runtime
+from stoneyoke.single_gateway.options import FleetTerms
 
 STATES = ("is there", "is suspected", "is dead", "has left")
 FLOOD = 100  # datagrams a tick; what comes beyond is dropped unread
 # What an outcome says of its backend; the others say nothing. Only what is quiet is called off.
 GOOD = {
-    Outcome.OK: True,
-    Outcome.ERROR: False,
-    Outcome.TIMED_OUT: False,
-    Outcome.BROKEN: False,
-    Outcome.CALLED_OFF: False,
-    Outcome.NO_CONNECTION: False,
-    Outcome.CUT: False,
+    AttemptOutcome.OK: True,
+    AttemptOutcome.ERROR: False,
+    AttemptOutcome.TIMED_OUT: False,
+    AttemptOutcome.BROKEN: False,
+    AttemptOutcome.CANCELLED: False,
+    AttemptOutcome.NO_CONNECTION: False,
+    AttemptOutcome.CUT: False,
 }
 
 
-def own_member(terms: FleetTerms, zone: str) -> Member:
+def own_member(parameters: FleetTerms, zone: str) -> Member:
     """This gateway, in a life that began now: a restart comes after its earlier life."""
-    return Member(terms.name, *terms.advertise, zone[:64], time.time_ns() // 1_000_000)
+    return Member(parameters.name, *parameters.advertise, zone[:64], time.time_ns() // 1_000_000)
 
 
 class Peers(asyncio.DatagramProtocol):
@@ -45,16 +46,16 @@
         keys: list[bytes],
         runtime: Runtime,
         clock: Clock,
-        tally: Tally,
+        metrics: Metrics,
     ) -> None:
-        self.listen, self.runtime, self.clock, self.tally = listen, runtime, clock, tally
-        soft = max(method.soft_us for method in runtime.terms.methods)
-        self.council = Council(own, seeds, keys, soft * 3 // 5, runtime.terms.seed, clock.now(), tally.add)
+        self.listen, self.runtime, self.clock, self.metrics = listen, runtime, clock, metrics
+        soft = max(method.soft_us for method in runtime.parameters.methods)
+        self.agent = FleetAgent(own, seeds, keys, soft * 3 // 5, runtime.parameters.seed, clock.now(), metrics.add)
         self.transport: asyncio.DatagramTransport | None = None
         self.ticking: asyncio.Task[None] | None = None
         self.names: dict[int, str] = {}  # of backends, by the module's index; renewed by listed()
         self.came = 0  # datagrams since the last tick
-        self.told = Hearsay(frozenset(), frozenset())
+        self.told = PeerEvidence(frozenset(), frozenset())
         self.deposed = False
         runtime.watch = self
 
@@ -63,34 +64,34 @@
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=self.listen)
         self.ticking = loop.create_task(self.tick())
-        logger.info("fleet: {} talks on {}:{}", self.council.members.own.name, *self.listen)
+        logger.info("fleet: {} talks on {}:{}", self.agent.members.own.name, *self.listen)
 
     def reload(self, seeds: list[Address], keys: list[bytes]) -> None:
         """Seeds and keys are as given from now on; who is known stays known."""
-        self.council.seal.renew(keys)
-        self.council.members.seeds = [seed for seed in seeds if seed != self.council.members.own.address]
+        self.agent.seal.renew(keys)
+        self.agent.members.seeds = [seed for seed in seeds if seed != self.agent.members.own.address]
 
     def leave(self) -> None:
         """Says farewell; nothing is heard or told after that."""
         if self.ticking:
             self.ticking.cancel()
-        self.send(self.council.leave(self.clock.now()))
+        self.send(self.agent.leave(self.clock.now()))
         if self.transport:
             self.transport.close()
-        self.advise(Hearsay(frozenset(), frozenset()))
+        self.advise(PeerEvidence(frozenset(), frozenset()))
 
     # ---- from the runtime ----
 
     def sent(self, rpc: int, backend: int) -> None:
-        self.council.evidence.sent(rpc, backend, self.clock.now())
+        self.agent.evidence.sent(rpc, backend, self.clock.now())
 
-    def ended(self, rpc: int, outcome: Outcome) -> None:
-        self.council.evidence.ended(rpc, GOOD.get(outcome), self.clock.now())
+    def ended(self, rpc: int, outcome: AttemptOutcome) -> None:
+        self.agent.evidence.ended(rpc, GOOD.get(outcome), self.clock.now())
 
-    def listed(self, backends: Iterable[Known]) -> None:
+    def listed(self, backends: Iterable[KnownBackend]) -> None:
         rows = list(backends)
         self.names = {row.index: row.name for row in rows}
-        self.council.listed(rows)
+        self.agent.listed(rows)
 
     # ---- from the socket ----
 
@@ -100,15 +101,15 @@
     def datagram_received(self, data: bytes, _: Address) -> None:
         self.came += 1
         if self.came > FLOOD:
-            return self.tally.add("fleet: datagrams too many")
+            return self.metrics.add("fleet: datagrams too many")
         try:
-            self.send(self.council.datagram(data, self.clock.now()))
+            self.send(self.agent.datagram(data, self.clock.now()))
         except Exception:  # a fault here must not cost an RPC
             logger.exception("a datagram could not be taken")
-            self.tally.must(False, "fleet failed")
+            self.metrics.must(False, "fleet failed")
 
     def error_received(self, _: Exception) -> None:
-        self.tally.add("fleet: datagrams not delivered")
+        self.metrics.add("fleet: datagrams not delivered")
 
     def send(self, datagrams: list[tuple[Address, bytes]]) -> None:
         for address, data in datagrams:
@@ -122,27 +123,27 @@
             await asyncio.sleep(TICK / 1_000_000)
             self.came = 0
             try:
-                self.send(self.council.tick(self.clock.now()))
+                self.send(self.agent.tick(self.clock.now()))
                 self.report()
-                self.advise(self.council.advice)
+                self.advise(self.agent.advice)
             except Exception:
                 logger.exception("the fleet part failed")
-                self.tally.must(False, "fleet failed")
+                self.metrics.must(False, "fleet failed")
 
-    def advise(self, advice: Hearsay) -> None:
+    def advise(self, advice: PeerEvidence) -> None:
         if advice != self.told:
             out = advice.left_out | advice.probed
             for index in sorted(out - (self.told.left_out | self.told.probed)):
-                self.tally.report("fleet: left out on hearsay", self.names.get(index, "?"))
+                self.metrics.report("fleet: left out on hearsay", self.names.get(index, "?"))
             for index in sorted((self.told.left_out | self.told.probed) - out):
-                self.tally.report("fleet: back in", self.names.get(index, "?"))
+                self.metrics.report("fleet: back in", self.names.get(index, "?"))
             self.told = advice
             self.runtime.tell(advice)
 
     def report(self) -> None:
-        for member in self.council.changes():
-            self.tally.report(f"fleet: a gateway {STATES[member.state]}", member.name)
-        later = self.council.members.deposed
+        for member in self.agent.changes():
+            self.metrics.report(f"fleet: a gateway {STATES[member.state]}", member.name)
+        later = self.agent.members.deposed
         if later and not self.deposed:
             self.deposed = True
             logger.error(
--- a/stoneyoke/gateway/admission.py
+++ b/stoneyoke/gateway/admission.py
@@ -6,23 +6,26 @@
 from dataclasses import replace
 
 from stoneyoke.control.quotas import Customer, Quotas
-from stoneyoke.interface import Arrival, Effect, Group, Method, Plan, Terms
-from stoneyoke.limits.shares import FEWEST, FIRST, UNTOLD, UNTOLD_S, LocalQuota, spare
-from stoneyoke.limits.stores import SECOND
+from stoneyoke.control.events import Arrival
+from stoneyoke.control.parameters import Idempotency, DeduplicationScope, Method, Plan, GatewayParameters
+from stoneyoke.limits.quota_allocator import FEWEST, FIRST, UNTOLD, UNTOLD_S, LocalQuota, spare
+from stoneyoke.limits.token_bucket import SECOND
 from stoneyoke.gateway.routes import Tenant
 
 LONG_AGO = 3600 * SECOND
 
 
-def terms(seed: int) -> Terms:
+def parameters(seed: int) -> GatewayParameters:
     """Of a stage that sends nothing itself: a request is a unit."""
-    any_method = Method(Effect.NON_IDEMPOTENT, Group.CELL, SECOND, SECOND, 0, 1.0)
-    return Terms(seed, 1, 0, 0, (any_method,), (), 1, False, False, False, True, False, False, 1.0, 1.0, 1, 1.0, 1)
+    any_method = Method(Idempotency.NON_IDEMPOTENT, DeduplicationScope.CELL, SECOND, SECOND, 0, 1.0)
+    return GatewayParameters(
+        seed, 1, 0, 0, (any_method,), (), 1, False, False, False, True, False, False, 1.0, 1.0, 1, 1.0, 1
+    )
 
 
 class Admission(Quotas):
     def __init__(self, seed: int, now: int, bounds: Mapping[str, float]) -> None:
-        super().__init__(terms(seed), now)
+        super().__init__(parameters(seed), now)
         self.bounds, self.heard_at = bounds, now - LONG_AGO
         self.among(FEWEST)
         self.indices: dict[str, int] = {}  # tenants that have come; no more than the operator names
@@ -35,17 +38,17 @@
         plan = Plan(tenant.rate, max(1.0, tenant.burst), 1.0, 0, 0.0, 0.0)
         if tenant.label not in self.local_quotas:
             self.local_quotas[tenant.label] = LocalQuota()
-            self.terms = replace(self.terms, plans=(*self.terms.plans, plan))
-        elif self.terms.plans[index] != plan:  # a configuration has changed it
-            plans = (*self.terms.plans[:index], plan, *self.terms.plans[index + 1 :])
-            self.terms = replace(self.terms, plans=plans)
+            self.parameters = replace(self.parameters, plans=(*self.parameters.plans, plan))
+        elif self.parameters.plans[index] != plan:  # a configuration has changed it
+            plans = (*self.parameters.plans[:index], plan, *self.parameters.plans[index + 1 :])
+            self.parameters = replace(self.parameters, plans=plans)
             if customer := self.customers.get(index):
                 customer.plan = plan
-        return Arrival(0, 0, index, index, index, wait_us, 1.0, self.terms.gateways)
+        return Arrival(0, 0, index, index, index, wait_us, 1.0, self.parameters.gateways)
 
     def among(self, gateways: int) -> None:
         """How many gateways share what is not told."""
-        self.terms = replace(self.terms, gateways=max(1, gateways))
+        self.parameters = replace(self.parameters, gateways=max(1, gateways))
 
     def heard(self, now: int) -> None:
         """The keeper has answered."""
@@ -75,12 +78,12 @@
         """No keeper was heard: from the part of the store that is this gateway's own."""
         now, heard_at = self.now / SECOND, self.heard_at / SECOND
         part, reserve = local_quota.left(heard_at, now)
-        plan, gateways = customer.plan, self.terms.gateways
+        plan, gateways = customer.plan, self.parameters.gateways
         beyond = spare(plan.rate, plan.burst, self.bounds)
         if self.alone_at.get(call.customer, -LONG_AGO) < self.heard_at:
             self.alone_at[call.customer] = self.now
             # Document units, by chance: a part of one lets nothing through, and the parts sum to the same.
-            first = min(2.0, float(int(FIRST * beyond / gateways + self.chance.draw())))
+            first = min(2.0, float(int(FIRST * beyond / gateways + self.random_source.draw())))
             customer.store.level, customer.store.at = max(reserve, first), self.now
         # A new life that has heard nobody: all may have started just now. Those that were told of hardly any part
         # share what the rule allows beyond the store: even slices for small tenants, little of a large one.
--- a/stoneyoke/gateway/config_sync.py
+++ b/stoneyoke/gateway/config_sync.py
@@ -28,18 +28,18 @@
         ip: str,
         zone: str,
         port: int,
-        roster: InstanceDirectory,
+        instance_directory: InstanceDirectory,
         take: Callable[[Configuration], None],
         told: Callable[[], None],
         *,
         clock: Callable[[], float],
         dial: Callable[[tuple[str, int]], PeerClient] = PeerClient,
-        chance: random.Random | None = None,
+        random_source: random.Random | None = None,
     ) -> None:
         self.clock, self.dial = clock, dial
         self.name, self.ip, self.zone, self.port = name, ip, zone, port
-        self.roster, self.take, self.told = roster, take, told
-        self.life = f"{(chance or random.SystemRandom()).getrandbits(48):012x}"
+        self.instance_directory, self.take, self.told = instance_directory, take, told
+        self.incarnation = f"{(random_source or random.SystemRandom()).getrandbits(48):012x}"
         self.version = Version()
         self.ready = False
         self.wires: dict[str, PeerClient] = {}
@@ -47,7 +47,7 @@
         self.fetching = asyncio.Lock()
 
     def follow_all(self) -> None:
-        for name in list(self.roster.sources):
+        for name in list(self.instance_directory.sources):
             if name not in self.wires:
                 self.wires[name] = self.dial((name, self.port))
                 task = asyncio.get_running_loop().create_task(self.follow(name))
@@ -68,28 +68,28 @@
                 await asyncio.sleep(1.0)
 
     async def pull(self, name: str) -> None:
-        source = self.roster.sources[name]
-        beat = name in watchers(self.name, self.roster.sources)
+        source = self.instance_directory.sources[name]
+        beat = name in watchers(self.name, self.instance_directory.sources)
         news = await self.wires[name].call(
             PullRequest(
                 self.name,
                 self.ip,
                 "gateway",
                 self.zone,
-                source.life,
+                source.incarnation,
                 source.seq,
                 (self.version.number, self.version.digest),
                 self.ready,
                 beat,
                 WAIT_MS,
-                self.life,
-                source.roll,
+                self.incarnation,
+                source.membership_version,
             ),
             CALL_S + WAIT_MS / 1000,
         )
         if not isinstance(news, PullResponse):
             raise PeerUnreachable("an answer of another kind")
-        self.roster.hear(name, news, self.clock())
+        self.instance_directory.hear(name, news, self.clock())
         self.follow_all()
         if Version(*news.stamp) > self.version:
             await self.fetch(name)
@@ -97,10 +97,10 @@
 
     async def fetch(self, name: str) -> None:
         async with self.fetching:
-            source = self.roster.sources[name]
+            source = self.instance_directory.sources[name]
             if not source.news or Version(*source.news.stamp) <= self.version:
                 return
-            near = self.roster.holders(Version(*source.news.stamp), self.zone)[0]
+            near = self.instance_directory.holders(Version(*source.news.stamp), self.zone)[0]
             try:
                 bill = await self.wires[near].call(FetchRequest(), CALL_S)
             except PeerUnreachable:
--- a/stoneyoke/gateway/control_client.py
+++ b/stoneyoke/gateway/control_client.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from stoneyoke.api.configuration import Configuration
-from stoneyoke.limits.shares import FEWEST
+from stoneyoke.limits.quota_allocator import FEWEST
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.config_sync import ConfigSync
 from stoneyoke.gateway.instance_directory import InstanceDirectory
@@ -44,23 +44,32 @@
         take: Callable[[Configuration], None],
         told: Callable[[], None],
         dial: Callable[[tuple[str, int]], PeerClient] = PeerClient,
-        chance: random.Random | None = None,
+        random_source: random.Random | None = None,
     ) -> None:
         self.name, self.clock, self.told = name, clock, told
-        chance = chance or random.SystemRandom()
-        self.seed = chance.getrandbits(63)
-        self.roster = InstanceDirectory(seeds)
+        random_source = random_source or random.SystemRandom()
+        self.seed = random_source.getrandbits(63)
+        self.instance_directory = InstanceDirectory(seeds)
         self.admission = Admission(self.seed, self.micros(), bounds)
-        self.lookout = ConfigSync(
-            name, ip, zone, port, self.roster, take, self.hear, clock=clock, dial=dial, chance=chance
+        self.config_sync = ConfigSync(
+            name,
+            ip,
+            zone,
+            port,
+            self.instance_directory,
+            take,
+            self.hear,
+            clock=clock,
+            dial=dial,
+            random_source=random_source,
         )
-        self.teller = QuotaClient(
+        self.quota_client = QuotaClient(
             name,
-            self.lookout.life,
-            lambda: self.roster.keeper(clock()),
-            self.lookout.wires.get,
+            self.config_sync.incarnation,
+            lambda: self.instance_directory.lease_holder(clock()),
+            self.config_sync.wires.get,
             self.admission.local_quotas,
-            lambda: self.admission.heard(int(self.teller.heard_at * 1_000_000)),
+            lambda: self.admission.heard(int(self.quota_client.heard_at * 1_000_000)),
             clock,
         )
         self.born = clock()
@@ -71,21 +80,21 @@
         return int(self.clock() * 1_000_000)
 
     def start(self) -> list[asyncio.Task[None]]:
-        self.lookout.follow_all()
-        return [asyncio.get_running_loop().create_task(self.teller.run())]
+        self.config_sync.follow_all()
+        return [asyncio.get_running_loop().create_task(self.quota_client.run())]
 
     def hear(self) -> None:
         now = self.clock()
-        pilots = self.roster.pilots(now)
-        if self.name in pilots:
+        gateways = self.instance_directory.gateways(now)
+        if self.name in gateways:
             # A new life, or a new life of cores, may not tell of all yet: parts of what all share would be too large.
-            if len(pilots) >= self.most or now - self.most_at > FORGET_S:
-                self.most, self.most_at = len(pilots), now
+            if len(gateways) >= self.most or now - self.most_at > FORGET_S:
+                self.most, self.most_at = len(gateways), now
             fewest = max(self.most, FEWEST if now - self.born < YOUNG_S else 1)
-            self.fleet = Fleet(fewest, pilots.index(self.name))
+            self.fleet = Fleet(fewest, gateways.index(self.name))
             self.admission.among(fewest)
-        if not self.lookout.ready:
-            sure = self.roster.caught_up(now)
-            if sure is not None and sure.number > 0 and self.lookout.version >= sure:
-                self.lookout.ready = True
+        if not self.config_sync.ready:
+            sure = self.instance_directory.caught_up(now)
+            if sure is not None and sure.number > 0 and self.config_sync.version >= sure:
+                self.config_sync.ready = True
         self.told()
--- a/stoneyoke/gateway/instance_directory.py
+++ b/stoneyoke/gateway/instance_directory.py
@@ -6,9 +6,9 @@
 
 from dataclasses import dataclass, field
 
-from stoneyoke.controlplane.consensus import Accepted, Ballot, ReplicaId, VoterSet, newest_view
-from stoneyoke.controlplane.quorum import majority
-from stoneyoke.controlplane.register_rows import read_value
+from stoneyoke.consensus.protocol import Accepted, Ballot, ReplicaId, VoterSet, newest_view
+from stoneyoke.consensus.quorum import majority
+from stoneyoke.consensus.message_rows import read_value
 from stoneyoke.controlplane.instance_registry import Phase, Row
 from stoneyoke.api.configuration import Version
 from stoneyoke.transport.messages import PullResponse
@@ -23,13 +23,13 @@
 class Source:
     """One core, as it told of itself last."""
 
-    life: str = ""
+    incarnation: str = ""
     seq: int = 0
     heard_at: float = -1e9
     news: PullResponse | None = None
     phases: dict[str, int] = field(default_factory=dict)  # by instance, as this core has it
-    roll: int = -1
-    pilots: tuple[str, ...] = ()
+    membership_version: int = -1
+    gateways: tuple[str, ...] = ()
 
 
 @dataclass(slots=True)
@@ -53,11 +53,11 @@
 
     def hear(self, name: str, news: PullResponse, now: float) -> None:
         source = self.sources.setdefault(name, Source())
-        if news.whole or news.life != source.life:
+        if news.whole or news.incarnation != source.incarnation:
             source.phases = {}
-        source.life, source.seq, source.heard_at, source.news = news.life, news.seq, now, news
-        if news.whole or news.roll != source.roll:
-            source.roll, source.pilots = news.roll, tuple(news.pilots)
+        source.incarnation, source.seq, source.heard_at, source.news = news.incarnation, news.seq, now, news
+        if news.whole or news.membership_version != source.membership_version:
+            source.membership_version, source.gateways = news.membership_version, tuple(news.gateways)
         for other in news.cores:
             self.sources.setdefault(other, Source())
         for told in news.rows:
@@ -150,17 +150,17 @@
         newest = newest_view(self.views(now))
         return newest.value.version if newest else None
 
-    def pilots(self, now: float) -> list[str]:
+    def gateways(self, now: float) -> list[str]:
         """Gateways whose beats cores in touch have heard, sorted."""
-        return sorted({name for one in self.near(now) for name in one.pilots})
+        return sorted({name for one in self.near(now) for name in one.gateways})
 
-    def keeper(self, now: float) -> str:
+    def lease_holder(self, now: float) -> str:
         """Who holds the duty of the quotas, by most cores in touch."""
-        said = [one.news.keeper for one in self.near(now) if one.news and one.news.keeper]
+        said = [one.news.lease_holder for one in self.near(now) if one.news and one.news.lease_holder]
         own = [
             name
             for name, one in self.sources.items()
-            if now - one.heard_at < TOUCH_S and one.news and one.news.keeper == name
+            if now - one.heard_at < TOUCH_S and one.news and one.news.lease_holder == name
         ]
         if own:  # its own word is the newest
             return max(own, key=lambda name: self.sources[name].heard_at)
--- a/stoneyoke/gateway/quota_client.py
+++ b/stoneyoke/gateway/quota_client.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from stoneyoke.limits.shares import SILENT_S, LocalQuota, Want, wants_of
+from stoneyoke.limits.quota_allocator import SILENT_S, LocalQuota, Want, wants_of
 from stoneyoke.transport.messages import QuotaRequest, QuotaResponse
 from stoneyoke.transport.peers import PeerUnreachable, PeerClient
 
@@ -24,14 +24,20 @@
     def __init__(
         self,
         name: str,
-        life: str,
-        keeper: Callable[[], str],
+        incarnation: str,
+        lease_holder: Callable[[], str],
         wire: Callable[[str], PeerClient | None],
         local_quotas: dict[str, LocalQuota],
         heard: Callable[[], None],
         clock: Callable[[], float],
     ) -> None:
-        self.name, self.life, self.keeper, self.wire, self.local_quotas = name, life, keeper, wire, local_quotas
+        self.name, self.incarnation, self.lease_holder, self.wire, self.local_quotas = (
+            name,
+            incarnation,
+            lease_holder,
+            wire,
+            local_quotas,
+        )
         self.heard, self.clock = heard, clock
         self.heard_at = -1e9
         self.down = False  # the last message had no answer: nobody waits for the next one's
@@ -72,7 +78,7 @@
             except TimeoutError:
                 pass
             self.wanted.clear()
-            name = self.keeper()
+            name = self.lease_holder()
             wire = self.wire(name) if name else None
             if wire is None:
                 self.fall()
@@ -95,7 +101,7 @@
         deaf_s, full = min(60.0, now - self.heard_at), self.full
         # One that may not know that this gateway hears it gives nothing and takes nothing for told.
         wants = wants_of(self.local_quotas, self.waiting, self.heard_at, full, now) if deaf_s <= SILENT_S else []
-        drawn = await wire.call(QuotaRequest(self.name, self.life, int(deaf_s * 1000), full, wants), ANSWER_S)
+        drawn = await wire.call(QuotaRequest(self.name, self.incarnation, int(deaf_s * 1000), full, wants), ANSWER_S)
         if not isinstance(drawn, QuotaResponse) or not drawn.ok or not answers(drawn, wants):
             self.fall()
             await asyncio.sleep(0.02)
--- a/stoneyoke/gateway/request_handler.py
+++ b/stoneyoke/gateway/request_handler.py
@@ -5,19 +5,20 @@
 import asyncio
 from collections.abc import Callable
 
-from stoneyoke.interface import Abort, CallOut, Outcome, PushBack
+from stoneyoke.control.actions import Abandon, StartAttempt, Reject
+from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.clients import CROSSING_S, Client, Clients
 from stoneyoke.net.http import Message
-from stoneyoke.net.room import Room
+from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.request_head import Request, head_back, head_on
 from stoneyoke.gateway.upstreams import RANKS, Upstream, Upstreams
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 from stoneyoke.gateway.routes import Route, Table, Tenant
 from stoneyoke.gateway.quota_client import QuotaClient
-from stoneyoke.runtime import Clock, Held
-from stoneyoke.tally import Tally
+from stoneyoke.runtime.runtime import Clock, Held
+from stoneyoke.runtime.metrics import Metrics
 
 SLACK_US = 15_000  # before the client's time is up, so that the answer is there
 NO_TABLE_US = 500_000
@@ -49,16 +50,18 @@
     """table: the configuration in force, swapped whole; None before the first."""
 
     admission: Admission
-    teller: QuotaClient
-    piers: Upstreams
-    roster: InstanceDirectory
+    quota_client: QuotaClient
+    upstreams: Upstreams
+    instance_directory: InstanceDirectory
     draw: Callable[[], float]
     table: Table | None = None
     leaving = False  # after SIGTERM: answers say that their connection closes
     body_most = 1 << 24
 
-    def __init__(self, clock: Clock, tally: Tally, room: Room, descriptors: int, backends: Backends) -> None:
-        super().__init__(clock, tally, Steady(clock), backends, None, SLACK_US, room, descriptors)
+    def __init__(
+        self, clock: Clock, metrics: Metrics, descriptor_budget: DescriptorBudget, descriptors: int, backends: Backends
+    ) -> None:
+        super().__init__(clock, metrics, Steady(clock), backends, None, SLACK_US, descriptor_budget, descriptors)
         self.informed.set()
 
     def take(self, table: Table) -> None:
@@ -96,7 +99,7 @@
     async def life(self, client: Client, message: Message) -> Reply:
         """One request, from its head to its answer."""
         request, table = Request(message), self.table
-        self.tally.add("requests")
+        self.metrics.add("requests")
         if table is None:
             return self.own(503, "no configuration yet", request, NO_TABLE_US)
         route = table.find(request.host, request.path)
@@ -114,7 +117,7 @@
         if until <= now:
             return self.own(503, "its time is up", request, route.target_us)
         if tenant.rate > 0 and (refused := await self.admit(tenant, until - now)):
-            self.tally.add("requests: over quota")
+            self.metrics.add("requests: over quota")
             return self.own(429, f"over the quota of {tenant.label}", request, refused)
         if client.gone:
             return 0, b"", b""
@@ -126,16 +129,16 @@
         local_quota = self.admission.local_quotas[tenant.label]
         verdict = self.admission.knock(call, local_quota, self.clock.now())
         if verdict is None:
-            await self.teller.ask(tenant.label)
+            await self.quota_client.ask(tenant.label)
             verdict = self.admission.answered(call, local_quota, self.clock.now())
         return verdict
 
     async def forward(
         self, client: Client, message: Message, request: Request, route: Route, tenant: Tenant, until: int
     ) -> Reply:
-        pier = self.piers.pier(route.service(self.draw()))
-        method = self.piers.method(pier, route)
-        held = client.held = pier.runtime.take_in(method, min(tenant.rank, RANKS - 1), 0, until, 1.0, 1.0, None)
+        upstream = self.upstreams.upstream(route.service(self.draw()))
+        method = self.upstreams.method(upstream, route)
+        held = client.held = upstream.runtime.take_in(method, min(tenant.rank, RANKS - 1), 0, until, 1.0, 1.0, None)
         last: Message | None = None  # a backend's own failure, passed on where nothing better comes
         unrun = True
         try:
@@ -145,37 +148,42 @@
                         return 0, b"", b""
                     case None if unrun:
                         return self.own(503, "no backend in time", request, route.target_us)
-                    case PushBack(_, wait) if unrun:
-                        self.tally.add("requests: pressed")
+                    case Reject(_, wait) if unrun:
+                        self.metrics.add("requests: pressed")
                         return self.own(503, "the service is full", request, wait)
-                    case CallOut(_, backend, _):
+                    case StartAttempt(_, backend, _):
                         n, now = held.calls, self.clock.now()
                         held.calls += 1
                         outcome, answer = await self.call_out(
-                            pier, held, n, backend, message, request, tenant, until, now
+                            upstream, held, n, backend, message, request, tenant, until, now
                         )
-                        if outcome not in (Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.CUT, Outcome.NOT_SENT):
+                        if outcome not in (
+                            AttemptOutcome.REJECTED,
+                            AttemptOutcome.NO_CONNECTION,
+                            AttemptOutcome.CUT,
+                            AttemptOutcome.NOT_SENT,
+                        ):
                             unrun = False
-                        last = answer if outcome is Outcome.ERROR else None
-                        pier.runtime.call_out_ended(held, n, backend, outcome)
+                        last = answer if outcome is AttemptOutcome.ERROR else None
+                        upstream.runtime.attempt_ended(held, n, backend, outcome)
                         if held.gone:
                             return 0, b"", b""
-                        if outcome is Outcome.OK and answer:
+                        if outcome is AttemptOutcome.OK and answer:
                             return answer.status, answer.body, head_back(answer)
-                        if outcome is Outcome.TIMED_OUT:
+                        if outcome is AttemptOutcome.TIMED_OUT:
                             return self.own(504, "no answer in time", request)
                     case wish:
-                        self.tally.must(isinstance(wish, Abort | PushBack) or wish is None, "an unknown wish")
+                        self.metrics.must(isinstance(wish, Abandon | Reject) or wish is None, "an unknown wish")
                         if last:
                             return last.status, last.body, head_back(last)
                         return self.own(502, "it may have run, and no answer came", request)
         finally:
             client.held = None
-            pier.runtime.let_go(held)
+            upstream.runtime.let_go(held)
 
     async def call_out(
         self,
-        pier: Upstream,
+        upstream: Upstream,
         held: Held,
         n: int,
         backend: int,
@@ -184,10 +192,10 @@
         tenant: Tenant,
         until: int,
         now: int,
-    ) -> tuple[Outcome, Message | None]:
-        instance_known = self.piers.at.get(backend)
+    ) -> tuple[AttemptOutcome, Message | None]:
+        instance_known = self.upstreams.at.get(backend)
         if instance_known is None:
-            return Outcome.NOT_SENT, None
+            return AttemptOutcome.NOT_SENT, None
         instance = instance_known.row.instance
         outcome, answer = await self.backends.call_out(
             held,
@@ -198,17 +206,17 @@
             until,
             lambda answer: answers(answer, request),
         )
-        self.tally.add(f"call-outs: {outcome.value}")
-        if outcome is Outcome.TURNED_AWAY and answer and answer.status == 421:
+        self.metrics.add(f"call-outs: {outcome.value}")
+        if outcome is AttemptOutcome.REJECTED and answer and answer.status == 421:
             other = answer.headers.get(b"instance-id", b"").decode("latin-1")
             if other != instance:  # somebody else lives there now
-                self.roster.lost(instance, self.clock.now() / 1_000_000)
-                self.piers.renew()
+                self.instance_directory.lost(instance, self.clock.now() / 1_000_000)
+                self.upstreams.renew()
         return outcome, answer
 
     def own(self, status: int, why: str, request: Request, wait_us: int = 0) -> Reply:
         """This system's own answer; with a wait it says when to come back."""
-        self.tally.add(f"answers: {status}")
+        self.metrics.add(f"answers: {status}")
         more = b"Content-Type: text/plain\r\nAttempt-Id: %s\r\n" % request.id
         if wait_us:
             more += b"Retry-After: %.3f\r\n" % (wait_us / 1_000_000)
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -3,28 +3,25 @@
 import time
 import zlib
 
-from stoneyoke.door import Door
+from stoneyoke.runtime.id_index import IdIndex
 from stoneyoke.controlplane.instance_registry import Phase
-from stoneyoke.interface import (
-    Effect,
-    FleetNews,
-    Group,
-    Hearsay,
-    Listed,
+from stoneyoke.control.events import EndpointsChanged, PeerEvidence, Endpoint, ParametersChanged
+from stoneyoke.control.parameters import (
+    Idempotency,
+    DeduplicationScope,
     Method,
-    NewTerms,
-    Outcome,
+    AttemptOutcome,
     Plan,
-    State,
-    Terms,
+    BackendState,
+    GatewayParameters,
 )
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.http import Message
 from stoneyoke.gateway.control_client import Fleet
 from stoneyoke.gateway.instance_directory import KnownInstance, InstanceDirectory
 from stoneyoke.gateway.routes import Route
-from stoneyoke.runtime import Clock, Runtime
-from stoneyoke.tally import Tally
+from stoneyoke.runtime.runtime import Clock, Runtime
+from stoneyoke.runtime.metrics import Metrics
 
 WARM_UP_US = 3_000_000  # backends say how much longer they are slow; all are taken to begin this long before
 # Aims here are three to four times the work; the module holds a fleet's mean time at a third of the soft deadline,
@@ -37,9 +34,9 @@
 class Upstream:
     """A service as this gateway serves it."""
 
-    def __init__(self, service: str, terms: Terms, clock: Clock, tally: Tally) -> None:
+    def __init__(self, service: str, parameters: GatewayParameters, clock: Clock, metrics: Metrics) -> None:
         self.service = service
-        self.runtime = Runtime(terms, clock, tally)
+        self.runtime = Runtime(parameters, clock, metrics)
         self.methods: dict[tuple[bool, int, int, int], int] = {}  # numbers; a life sees few kinds of routes
 
 
@@ -47,18 +44,18 @@
     def __init__(
         self,
         clock: Clock,
-        tally: Tally,
+        metrics: Metrics,
         backends: Backends,
-        roster: InstanceDirectory,
+        instance_directory: InstanceDirectory,
         zones: tuple[str, ...],
         zone: str,
         seed: int,
         bounds: dict[str, float],
     ) -> None:
-        self.clock, self.tally, self.backends, self.roster = clock, tally, backends, roster
+        self.clock, self.metrics, self.backends, self.instance_directory = clock, metrics, backends, instance_directory
         self.zones, self.zone, self.seed, self.bounds = list(zones), zone, seed, bounds
-        self.piers: dict[str, Upstream] = {}
-        self.indices = Door[str]()  # backends, by instance
+        self.upstreams: dict[str, Upstream] = {}
+        self.indices = IdIndex[str]()  # backends, by instance
         self.at: dict[int, KnownInstance] = {}  # listed backends, by index
         self.fleet, self.turn = Fleet(), -1
         self.backends.takes = self.takes
@@ -68,7 +65,7 @@
         return (
             instance_known is not None
             and instance_known.row.phase != Phase.DRAINING
-            and (instance_known.row.instance not in self.roster.gone)
+            and (instance_known.row.instance not in self.instance_directory.gone)
         )
 
     def zone_of(self, name: str) -> int:
@@ -76,10 +73,10 @@
             self.zones.append(name)
         return self.zones.index(name)
 
-    def terms(self, methods: tuple[Method, ...]) -> Terms:
+    def parameters(self, methods: tuple[Method, ...]) -> GatewayParameters:
         ratio, window = self.bounds["retry_ratio"], self.bounds["retry_window_s"]
         slack = self.bounds["retry_slack"] * BUDGET_PART / self.fleet.gateways
-        return Terms(
+        return GatewayParameters(
             self.seed,
             self.fleet.gateways,
             self.fleet.own,
@@ -103,47 +100,47 @@
             max(1.0, 0.5 * slack),
         )
 
-    def pier(self, service: str) -> Upstream:
-        pier = self.piers.get(service)
-        if pier is None:
-            first = (Method(Effect.IDEMPOTENT, Group.CELL, 1_000_000, 10_000_000, 0, 1.0, 1),)
-            pier = self.piers[service] = Upstream(service, self.terms(first), self.clock, self.tally)
-            self.list_one(pier)
-        return pier
+    def upstream(self, service: str) -> Upstream:
+        upstream = self.upstreams.get(service)
+        if upstream is None:
+            first = (Method(Idempotency.IDEMPOTENT, DeduplicationScope.CELL, 1_000_000, 10_000_000, 0, 1.0, 1),)
+            upstream = self.upstreams[service] = Upstream(service, self.parameters(first), self.clock, self.metrics)
+            self.list_one(upstream)
+        return upstream
 
-    def method(self, pier: Upstream, route: Route) -> int:
+    def method(self, upstream: Upstream, route: Route) -> int:
         """The number under which the module knows requests of this kind."""
         kind = (route.pure, route.target_us, route.timeout_us, min(route.rank, RANKS) * 10_000 + route.tries)
-        number = pier.methods.get(kind)
+        number = upstream.methods.get(kind)
         if number is None:
-            terms = pier.runtime.gateway.terms
+            parameters = upstream.runtime.gateway.parameters
             method = Method(
-                Effect.IDEMPOTENT if route.pure else Effect.NON_IDEMPOTENT,
-                Group.CELL,
+                Idempotency.IDEMPOTENT if route.pure else Idempotency.NON_IDEMPOTENT,
+                DeduplicationScope.CELL,
                 SOFT * route.target_us,
                 route.timeout_us,
                 0,
                 1 / (1 + min(route.rank, RANKS)),
                 route.tries,
             )
-            number = pier.methods[kind] = len(terms.methods)
-            pier.runtime.tell(NewTerms(self.terms((*terms.methods, method))))
+            number = upstream.methods[kind] = len(parameters.methods)
+            upstream.runtime.tell(ParametersChanged(self.parameters((*parameters.methods, method))))
         return number
 
     def among(self, fleet: Fleet) -> None:
         """How many gateways there are has changed."""
         if fleet != self.fleet:
             self.fleet = fleet
-            for pier in self.piers.values():
-                pier.runtime.tell(NewTerms(self.terms(pier.runtime.gateway.terms.methods)))
+            for upstream in self.upstreams.values():
+                upstream.runtime.tell(ParametersChanged(self.parameters(upstream.runtime.gateway.parameters.methods)))
 
     def renew(self) -> None:
         """Tells each module of its backends, if anything has changed."""
-        if self.turn == self.roster.turn:
+        if self.turn == self.instance_directory.turn:
             return
-        self.turn = self.roster.turn
+        self.turn = self.instance_directory.turn
         self.at = {}
-        for instance_known in self.roster.known.values():
+        for instance_known in self.instance_directory.known.values():
             index = self.indices.enter(instance_known.row.instance)
             self.at[index] = instance_known
             host, _, port = instance_known.row.address.rpartition(":")
@@ -151,22 +148,22 @@
         for index in list(self.indices.index.values()):
             if index not in self.at:
                 self.backends.forget(index)
-                if not any(pier.runtime.knows(index) for pier in self.piers.values()):
+                if not any(upstream.runtime.knows(index) for upstream in self.upstreams.values()):
                     self.indices.leave(index)
         for service in {instance_known.row.service for instance_known in self.at.values()}:
-            self.pier(service)
-        for pier in self.piers.values():
-            self.list_one(pier)
+            self.upstream(service)
+        for upstream in self.upstreams.values():
+            self.list_one(upstream)
 
-    def list_one(self, pier: Upstream) -> None:
+    def list_one(self, upstream: Upstream) -> None:
         now = self.clock.now()
         entries = []
         for index, instance_known in self.at.items():
-            if instance_known.row.service == pier.service:
+            if instance_known.row.service == upstream.service:
                 left = int(instance_known.warm_at * 1_000_000 - now)
-                state = State.DRAINING if instance_known.row.phase == Phase.DRAINING else State.READY
+                state = BackendState.DRAINING if instance_known.row.phase == Phase.DRAINING else BackendState.READY
                 entries.append(
-                    Listed(
+                    Endpoint(
                         index,
                         self.zone_of(instance_known.row.zone),
                         0,
@@ -174,24 +171,24 @@
                         state,
                     )
                 )
-        pier.runtime.listed(FleetNews(True, False, entries))
-        doubted = self.roster.doubted(pier.service)
-        pier.runtime.tell(Hearsay(frozenset(self.indices.index[one] for one in doubted), frozenset()))
+        upstream.runtime.listed(EndpointsChanged(True, False, entries))
+        doubted = self.instance_directory.doubted(upstream.service)
+        upstream.runtime.tell(PeerEvidence(frozenset(self.indices.index[one] for one in doubted), frozenset()))
 
 
-def judge(answer: Message | None) -> Outcome:
+def judge(answer: Message | None) -> AttemptOutcome:
     """What a backend's answer tells (PROTOCOL, Answers and Backends). Only Not-Run and 421 say that it has not run;
     a success without its stamp, with two, or that says that it has not run is none."""
     if answer is None:
-        return Outcome.BROKEN
+        return AttemptOutcome.BROKEN
     if 200 <= answer.status < 300:
         whole = answer.headers.get(b"server-stamp") and not answer.repeated & {b"server-stamp"}
-        return Outcome.OK if whole and b"not-run" not in answer.headers else Outcome.BROKEN
+        return AttemptOutcome.OK if whole and b"not-run" not in answer.headers else AttemptOutcome.BROKEN
     if b"not-run" in answer.headers or answer.status == 421:
-        return Outcome.TURNED_AWAY
+        return AttemptOutcome.REJECTED
     if answer.status in (408, 429, 503):  # a promise that only Not-Run backs
-        return Outcome.BROKEN
-    return Outcome.ERROR if answer.status >= 500 else Outcome.OK
+        return AttemptOutcome.BROKEN
+    return AttemptOutcome.ERROR if answer.status >= 500 else AttemptOutcome.OK
 
 
 def seed_of(name: str) -> int:
--- a/stoneyoke/lab/capacity/hollow_fleet.py
+++ b/stoneyoke/lab/capacity/hollow_fleet.py
@@ -87,7 +87,7 @@
             take=self.take,
             told=lambda: None,
             dial=fleet.network.dialler(name),
-            chance=random.Random(name),
+            random_source=random.Random(name),
         )
 
     def take(self, chart: Configuration) -> None:
@@ -100,7 +100,7 @@
         self.client.start()
         while True:
             await asyncio.sleep(0.25)
-            self.client.roster.sweep(self.client.clock())
+            self.client.instance_directory.sweep(self.client.clock())
 
 
 class HollowFleet:
@@ -108,8 +108,8 @@
 
     def __init__(self, shape: Shape, loop: MeteredLoop, folder: str) -> None:
         self.shape, self.loop, self.folder = shape, loop, Path(folder)
-        self.chance = random.Random(11)
-        self.network = MeteredNetwork(self.chance, self.region_of, FAR_S)
+        self.random_source = random.Random(11)
+        self.network = MeteredNetwork(self.random_source, self.region_of, FAR_S)
         self.seeds = tuple(f"10.0.0.{at + 1}" for at in range(shape.controllers))
         self.controllers: dict[str, Controller] = {}
         self.gateways: dict[str, HollowGateway] = {}
@@ -127,7 +127,7 @@
             await self.network.run_on(name, self.start_controller(name))
 
     async def start_controller(self, name: str) -> None:
-        disk = Disk(str(self.folder / name), self.chance)
+        disk = Disk(str(self.folder / name), self.random_source)
         controller = Controller(
             name,
             name,
@@ -141,7 +141,7 @@
             losses=(self.shape.controllers - 1) // 2,
             clock=self.loop.time,
             dial=self.network.dialler(name),
-            chance=random.Random(name),
+            random_source=random.Random(name),
         )
         controller.blocking = disk.blocking  # type: ignore[method-assign, assignment]
         await controller.start()
@@ -205,7 +205,7 @@
                 await asyncio.sleep(POLL_S)
 
     def knows_drain(self, gateway: HollowGateway) -> bool:
-        known = gateway.client.roster.known.get(instance_name(0))
+        known = gateway.client.instance_directory.known.get(instance_name(0))
         return known is not None and known.row.phase == Phase.DRAINING
 
     # ---- what is counted ----
@@ -260,7 +260,7 @@
 
         async def join() -> None:
             self.start_gateway(shape.gateways)
-            await self.until(lambda one: one.client.lookout.ready)
+            await self.until(lambda one: one.client.config_sync.ready)
 
         figures += self.event_figures("a change", await self.cost(change, TAIL_S), steady)
         figures.append(Figure("a change: until acknowledged", "s", acknowledged_s))
@@ -270,7 +270,7 @@
     async def first_load(self) -> None:
         for at in range(self.shape.gateways):
             self.start_gateway(at)
-        await self.until(lambda one: one.client.lookout.ready and one.has(self.version))
+        await self.until(lambda one: one.client.config_sync.ready and one.has(self.version))
 
     def steady_figures(self, cost: Cost) -> list[Figure]:
         gateways, seconds = self.shape.gateways, cost.seconds
--- a/stoneyoke/lab/capacity/hot_paths.py
+++ b/stoneyoke/lab/capacity/hot_paths.py
@@ -20,12 +20,12 @@
 from stoneyoke.lab.capacity.figures import Figure
 from stoneyoke.lab.capacity.meters import heap, processor_once_s, processor_s
 from stoneyoke.lab.capacity.workloads import BOUNDS, configuration, heartbeat, instance_name, row
-from stoneyoke.limits.shares import LocalQuota, QuotaAllocator, Want, wants_of
-from stoneyoke.limits.stores import SECOND
+from stoneyoke.limits.quota_allocator import LocalQuota, QuotaAllocator, Want, wants_of
+from stoneyoke.limits.token_bucket import SECOND
 from stoneyoke.net.backends import Backends
-from stoneyoke.net.room import Room
-from stoneyoke.runtime import Clock
-from stoneyoke.tally import Tally
+from stoneyoke.net.descriptor_budget import DescriptorBudget
+from stoneyoke.runtime.metrics import Metrics
+from stoneyoke.runtime.runtime import Clock
 from stoneyoke.transport.messages import (
     TYPES,
     FetchRequest,
@@ -162,7 +162,9 @@
     """What a controller tells of backends; all that it tells besides is empty."""
     silent = PullResponse(*(empty(kind) for kind in TYPES[PullResponse]))
     told: list[MessageRow] = list(rows)
-    return replace(silent, life="life", seq=registry.seq, whole=whole, rows=told, settled=True, roll=1)
+    return replace(
+        silent, incarnation="life", seq=registry.seq, whole=whole, rows=told, settled=True, membership_version=1
+    )
 
 
 def heard(beat: object) -> Row:
@@ -261,11 +263,11 @@
     """A gateway that tells its modules of decisions of so many backends: at first, and after one of them drains."""
 
     async def renewals() -> list[Figure]:  # the modules set timers
-        known, clock, tally = directory_with([row(at) for at in range(size)]), Clock(), Tally()
+        known, clock, metrics = directory_with([row(at) for at in range(size)]), Clock(), Metrics()
 
         def make() -> Upstreams:
-            backends = Backends(clock, tally, 300_000, 4_000_000, Room(1000, 100))
-            return Upstreams(clock, tally, backends, known, (), "zone-00", 5, BOUNDS)
+            backends = Backends(clock, metrics, 300_000, 4_000_000, DescriptorBudget(1000, 100))
+            return Upstreams(clock, metrics, backends, known, (), "zone-00", 5, BOUNDS)
 
         def renewed_elsewhere() -> Upstreams:
             other = make()
--- a/stoneyoke/lab/capacity/metered_network.py
+++ b/stoneyoke/lab/capacity/metered_network.py
@@ -63,8 +63,8 @@
 class MeteredNetwork(SimulatedNetwork):
     """region_of: machines' regions; far_s: one way between two of them."""
 
-    def __init__(self, chance: random.Random, region_of: Callable[[str], int], far_s: float) -> None:
-        super().__init__(chance)
+    def __init__(self, random_source: random.Random, region_of: Callable[[str], int], far_s: float) -> None:
+        super().__init__(random_source)
         self.region_of, self.far_s = region_of, far_s
         self.traffic = Traffic()
 
--- a/stoneyoke/lab/capacity/workloads.py
+++ b/stoneyoke/lab/capacity/workloads.py
@@ -28,33 +28,33 @@
 }
 
 
-def word(chance: random.Random, length: int) -> str:
-    return "".join(chance.choices(string.ascii_lowercase + string.digits, k=length))
+def word(random_source: random.Random, length: int) -> str:
+    return "".join(random_source.choices(string.ascii_lowercase + string.digits, k=length))
 
 
 def service_name(at: int) -> str:
     return f"service-{at:04d}"
 
 
-def route(chance: random.Random, service: str) -> dict[str, Any]:
+def route(random_source: random.Random, service: str) -> dict[str, Any]:
     """As the operators' example writes them."""
     return {
-        "label": f"r-{word(chance, 7)}",
-        "path_prefix": f"/{word(chance, 7)}/{word(chance, 4)}/",
-        "route_kind": chance.choice(("pure", "effectful")),
-        "timeout_s": chance.choice((2, 5, 6)),
-        "target_s": chance.choice((0.5, 0.8, 1)),
-        "rank": chance.randrange(3),
+        "label": f"r-{word(random_source, 7)}",
+        "path_prefix": f"/{word(random_source, 7)}/{word(random_source, 4)}/",
+        "route_kind": random_source.choice(("pure", "effectful")),
+        "timeout_s": random_source.choice((2, 5, 6)),
+        "target_s": random_source.choice((0.5, 0.8, 1)),
+        "rank": random_source.randrange(3),
         "target_service": service,
         "max_tries": 2,
         "is_public": False,
     }
 
 
-def tenant(chance: random.Random, at: int) -> dict[str, Any]:
+def tenant(random_source: random.Random, at: int) -> dict[str, Any]:
     return {
         "label": f"tenant-{at:07d}",
-        "api_keys": [word(chance, KEY_CHARACTERS) for _ in range(KEYS_PER_TENANT)],
+        "api_keys": [word(random_source, KEY_CHARACTERS) for _ in range(KEYS_PER_TENANT)],
         "rank": at % 3,
         "rate_per_s": 33,
         "burst_size": 33,
@@ -63,9 +63,9 @@
 
 def configuration(routes: int = 20, tenants: int = 8, number: int = 1, routes_per_host: int = ROUTES_PER_HOST) -> bytes:
     """The operator's text."""
-    chance = random.Random(7)
+    random_source = random.Random(7)
     services = max(1, routes // ROUTES_PER_SERVICE)
-    rows = [route(chance, service_name(at % services)) for at in range(routes)]
+    rows = [route(random_source, service_name(at % services)) for at in range(routes)]
     return json.dumps(
         {
             "generation": f"r{number}",
@@ -85,7 +85,7 @@
                 "header_timeout_s": 3,
                 "idle_timeout_s": 15,
             },
-            "tenant_list": [tenant(chance, at) for at in range(tenants)],
+            "tenant_list": [tenant(random_source, at) for at in range(tenants)],
             "host_map": [
                 {
                     "hostname": f"host-{first // routes_per_host}.example",
--- a/stoneyoke/lab/clients.py
+++ b/stoneyoke/lab/clients.py
@@ -63,26 +63,26 @@
 
     async def client(self, number: int, customer: int, method: int, gateway: int, wait_us: int, tries: int = 0) -> None:
         """One client's RPC with its later tries: its time runs from its first."""
-        chance = random.Random(f"{self.given['seed']} {number}")
+        random_source = random.Random(f"{self.given['seed']} {number}")
         until, last = self.ledger.now() + wait_us, tries + 2
         while True:
             status, wait_s = await self.ask(
-                f"{number:010x}{tries:02x}", number, customer, method, gateway, until, tries, chance
+                f"{number:010x}{tries:02x}", number, customer, method, gateway, until, tries, random_source
             )
             tries += 1
             if status not in (429, 503, 0):
                 return
-            if tries > last or chance.random() >= self.clients["retries"]:
+            if tries > last or random_source.random() >= self.clients["retries"]:
                 self.turned_away.append((number, customer, method, gateway, wait_us))
                 return
-            pause = self.clients["backoff_ms"] / 1000 * (0.5 + chance.random())
-            if chance.random() < self.clients["honour"]:
+            pause = self.clients["backoff_ms"] / 1000 * (0.5 + random_source.random())
+            if random_source.random() < self.clients["honour"]:
                 pause = min(wait_s, self.clients["longest_wait_ms"] / 1000)
             await asyncio.sleep(pause)
             if until - self.ledger.now() < 50_000:
                 return
             first, width = self.given["customers"][customer][2:4]
-            gateway = (first + chance.randrange(width)) % len(self.names)
+            gateway = (first + random_source.randrange(width)) % len(self.names)
 
     def up(self, gateway: int, customer: int) -> int:
         """The next gateway of the customer's set that is not known to be down."""
@@ -103,13 +103,13 @@
         gateway: int,
         until: int,
         tries: int,
-        chance: random.Random,
+        random_source: random.Random,
     ) -> tuple[int, float]:
         gateway = self.up(gateway, customer)
         account, plan, first, width = self.given["customers"][customer]
         row, key = self.given["methods"][method], f"{number:012x}"
         deadline = (until - self.ledger.now()) / 1e6
-        give_up = self.clients["give_up"] and chance.random() < self.clients["give_up"]
+        give_up = self.clients["give_up"] and random_source.random() < self.clients["give_up"]
         safe = row["effect"] == "idempotent"
         head = (
             f"{'GET' if safe else 'POST'} /{row['name']}/x HTTP/1.1\r\nHost: lab\r\nReq-Id: {id_}\r\n"
--- a/stoneyoke/lab/cluster.py
+++ b/stoneyoke/lab/cluster.py
@@ -207,8 +207,8 @@
 class Client:
     """Sends requests to gateways by chance; tries again as PROTOCOL says, each try with an id of its own."""
 
-    def __init__(self, cluster: Cluster, ledger: Ledger, chance: random.Random) -> None:
-        self.cluster, self.ledger, self.chance = cluster, ledger, chance
+    def __init__(self, cluster: Cluster, ledger: Ledger, random_source: random.Random) -> None:
+        self.cluster, self.ledger, self.random_source = cluster, ledger, random_source
         self.marks = itertools.count(1)
         self.served = self.given_up = 0
 
@@ -222,7 +222,7 @@
                 b"%s %s HTTP/1.1\r\nHost: meter.example\r\nAttempt-Id: %s\r\nDeadline-Ms: 2000\r\n"
                 b"Api-Key: bureau-key\r\n" % (b"POST" if order else b"GET", path, mark.encode())
             )
-            ip = self.chance.choice(list(self.cluster.gateways.values()))
+            ip = self.random_source.choice(list(self.cluster.gateways.values()))
             answer = await ask((ip, 8782), head, b"order" if order else b"")
             status = self.ledger.answers[mark] = answer.status if answer else 0
             if status == 200 and answer:
@@ -240,11 +240,11 @@
         loop = asyncio.get_running_loop()
         until, out = loop.time() + seconds, set[asyncio.Task[None]]()
         while loop.time() < until:
-            order = self.chance.random() < 0.2
+            order = self.random_source.random() < 0.2
             task = loop.create_task(self.one(order, b"/switch/x" if order else b"/usage/x"))
             out.add(task)
             task.add_done_callback(out.discard)
-            await asyncio.sleep(self.chance.expovariate(rate))
+            await asyncio.sleep(self.random_source.expovariate(rate))
         await asyncio.gather(*out)
 
 
@@ -264,17 +264,17 @@
 
     block: the second part of all addresses, so that trials beside each other don't meet.
     """
-    ledger, chance = Ledger(), random.Random(seed)
+    ledger, random_source = Ledger(), random.Random(seed)
     with tempfile.TemporaryDirectory() as folder:
         cluster = Cluster(Path(folder), gateways, block)
-        client = Client(cluster, ledger, chance)
+        client = Client(cluster, ledger, random_source)
         tasks: list[asyncio.Task[None]] = []
         try:
             tasks = await bring_up(cluster, ledger)
             traffic = asyncio.create_task(client.press(seconds, rate))
             await asyncio.sleep(seconds / 5)
             await cluster.put(2)
-            for name in (chance.choice(list(cluster.controllers)), chance.choice(list(cluster.gateways))):
+            for name in (random_source.choice(list(cluster.controllers)), random_source.choice(list(cluster.gateways))):
                 await asyncio.sleep(seconds / 10)
                 await cluster.kill(name)
                 await asyncio.sleep(min(DOWN_S, seconds / 10))
--- a/stoneyoke/lab/links.py
+++ b/stoneyoke/lab/links.py
@@ -79,7 +79,7 @@
     def keep(self, data: bytes | None) -> None:
         loop, state = asyncio.get_running_loop(), self.link.state
         self.kept.append(data)
-        wait = state.delay_s + (self.link.chance.random() * state.jitter_s if state.jitter_s else 0.0)
+        wait = state.delay_s + (self.link.random_source.random() * state.jitter_s if state.jitter_s else 0.0)
         if state.bytes_s and data:
             wait += len(data) / state.bytes_s
         self.free_at = max(self.free_at, loop.time()) + wait if state.bytes_s else max(self.free_at, loop.time() + wait)
@@ -113,7 +113,7 @@
     def __init__(self, start: str, end: str, entry: tuple[str, int], to: tuple[str, int]) -> None:
         self.start, self.end, self.entry, self.to = start, end, entry, to
         self.state, self.ends = State(), set[End]()
-        self.chance = random.Random(f"{start} {end}")
+        self.random_source = random.Random(f"{start} {end}")
         self.sock: socket.socket | None = None
         self.fillers: list[socket.socket] = []
         self.tasks: set[asyncio.Task[None]] = set()
@@ -214,7 +214,7 @@
     def __init__(self, end: str, to: tuple[str, int], senders: dict[tuple[str, int], str], seed: int = 0) -> None:
         self.end, self.to, self.senders = end, to, senders
         self.states: dict[str, State] = {}  # by sender
-        self.chance = random.Random(f"{seed} {end}")
+        self.random_source = random.Random(f"{seed} {end}")
         self.bytes = self.messages = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -224,9 +224,9 @@
         state = self.states.setdefault(self.senders.get(source, "?"), State())
         self.bytes += len(data)
         self.messages += 1
-        if state.silent[0] or self.chance.random() < state.lose:
+        if state.silent[0] or self.random_source.random() < state.lose:
             return
-        wait = state.delay_s + self.chance.random() * state.jitter_s
+        wait = state.delay_s + self.random_source.random() * state.jitter_s
         if wait:
             asyncio.get_running_loop().call_later(wait, self.transport.sendto, data, self.to)
         else:
--- a/stoneyoke/lab/plan.py
+++ b/stoneyoke/lab/plan.py
@@ -57,12 +57,14 @@
 
 def draw(scenario: Scenario, seed: int) -> Drawn:
     """The customers, arrivals and strikes of a scenario with a seed."""
-    chance = np.random.Generator(np.random.PCG64(seed))
-    customers = draw_customers(scenario, chance)
-    return Drawn(seed, customers, draw_arrivals(scenario, customers, chance), draw_strikes(scenario, chance))
+    random_source = np.random.Generator(np.random.PCG64(seed))
+    customers = draw_customers(scenario, random_source)
+    return Drawn(
+        seed, customers, draw_arrivals(scenario, customers, random_source), draw_strikes(scenario, random_source)
+    )
 
 
-def draw_customers(scenario: Scenario, chance: np.random.Generator) -> list[Customer]:
+def draw_customers(scenario: Scenario, random_source: np.random.Generator) -> list[Customer]:
     """Customers of all plans, each with its set of gateways."""
     units = sum(m.units * m.share for m in scenario.method) / sum(m.share for m in scenario.method)
     shares = sum(plan.share for plan in scenario.plan)
@@ -70,15 +72,17 @@
     for at, plan in enumerate(scenario.plan):
         left = clients.rps * units * plan.share / shares
         while left > 0:
-            greedy = bool(chance.random() < clients.greedy)
-            use = clients.greed if greedy else float(chance.uniform(0.5, 1.5)) * clients.use
+            greedy = bool(random_source.random() < clients.greedy)
+            use = clients.greed if greedy else float(random_source.uniform(0.5, 1.5)) * clients.use
             width = max(1, min(count, round(plan.spread * count)))
-            customers.append(Customer(int(chance.integers(1 << 33)), at, int(chance.integers(count)), width, use))
+            customers.append(
+                Customer(int(random_source.integers(1 << 33)), at, int(random_source.integers(count)), width, use)
+            )
             left -= plan.rate * min(1.0, use)
     return customers
 
 
-def draw_arrivals(scenario: Scenario, customers: list[Customer], chance: np.random.Generator) -> list[Arrival]:
+def draw_arrivals(scenario: Scenario, customers: list[Customer], random_source: np.random.Generator) -> list[Arrival]:
     """Poisson for each customer; its gateways take shares of 1 / place ** skew, in an order of its own."""
     methods, clients, rows = scenario.method, scenario.clients, []
     share = np.array([m.share for m in methods]) / sum(m.share for m in methods)
@@ -90,13 +94,13 @@
     for index, customer in enumerate(customers):
         rate = customer.use * scenario.plan[customer.plan].rate / units
         peak = rate * max([1.0, *(f.factor for f in bursts)])
-        n = int(chance.poisson(peak * scenario.seconds))
-        times = np.sort(chance.uniform(0, scenario.seconds, n))
-        kept = chance.random(n)
+        n = int(random_source.poisson(peak * scenario.seconds))
+        times = np.sort(random_source.uniform(0, scenario.seconds, n))
+        kept = random_source.random(n)
         weights = 1 / np.arange(1, customer.width + 1) ** scenario.gateways.skew
-        orders = [chance.permutation(customer.width) for _ in range(len(shifts) + 1)]
-        places = chance.choice(customer.width, size=n, p=weights / weights.sum())
-        kinds = chance.choice(len(methods), size=n, p=share)
+        orders = [random_source.permutation(customer.width) for _ in range(len(shifts) + 1)]
+        places = random_source.choice(customer.width, size=n, p=weights / weights.sum())
+        kinds = random_source.choice(len(methods), size=n, p=share)
         for at_s, keep, place, kind in zip(times, kept, places, kinds, strict=True):
             factor = max([1.0, *(f.factor for f in bursts if f.at_s <= at_s < f.at_s + f.for_s)])
             if keep > rate * factor / peak:
@@ -111,15 +115,15 @@
     ]
 
 
-def draw_strikes(scenario: Scenario, chance: np.random.Generator) -> list[Strike]:
+def draw_strikes(scenario: Scenario, random_source: np.random.Generator) -> list[Strike]:
     """The scenario's faults, and those drawn by chance, as strikes in the order of time."""
     faults = list(scenario.fault)
     if scenario.random:
         for _ in range(scenario.random.faults):
-            kind = scenario.random.kinds[int(chance.integers(len(scenario.random.kinds)))]
-            at = round(float(chance.uniform(0.1, 0.7)) * scenario.seconds, 2)
-            long = round(float(chance.uniform(0.2, 1.0)) * scenario.random.longest_s, 2)
-            zone = scenario.zones()[int(chance.integers(len(scenario.zones())))]
+            kind = scenario.random.kinds[int(random_source.integers(len(scenario.random.kinds)))]
+            at = round(float(random_source.uniform(0.1, 0.7)) * scenario.seconds, 2)
+            long = round(float(random_source.uniform(0.2, 1.0)) * scenario.random.longest_s, 2)
+            zone = scenario.zones()[int(random_source.integers(len(scenario.zones())))]
             start = f"{zone}/*" if targets(kind) == "link" else ""
             faults.append(
                 Fault(
@@ -155,9 +159,9 @@
             continue
         pool = matching(scenario, fault)
         few = max(1, round(len(pool) * fault.part)) if pool else 0
-        struck = sorted(chance.choice(pool, size=few, replace=False).tolist()) if few < len(pool) else pool
+        struck = sorted(random_source.choice(pool, size=few, replace=False).tolist()) if few < len(pool) else pool
         for name in struck:
-            at = begin + int(float(chance.uniform(0, fault.over_s)) * 1e6) if fault.over_s else begin
+            at = begin + int(float(random_source.uniform(0, fault.over_s)) * 1e6) if fault.over_s else begin
             strikes.append(Strike(at, fault.kind, True, [name], "", "", fault, number))
             if fault.for_s:
                 strikes.append(Strike(at + int(fault.for_s * 1e6), fault.kind, False, [name], "", "", fault, number))
--- a/stoneyoke/lab/simulation/__main__.py
+++ b/stoneyoke/lab/simulation/__main__.py
@@ -45,26 +45,26 @@
 
 
 def run() -> int:
-    tally = count(play_many(seeds(), JOBS.value))
+    metrics = count(play_many(seeds(), JOBS.value))
     if JSON.value:
         print(
             json.dumps(
                 {
-                    "scenarios": tally.scenarios,
-                    "broken": {one.seed: one.broken for one in tally.broken},
-                    "met": tally.met,
-                    "trace": tally.trace,
-                    "seconds": round(tally.seconds, 1),
-                    "refused_inside": tally.refused_inside,
-                    "asked_inside": tally.asked_inside,
+                    "scenarios": metrics.scenarios,
+                    "broken": {one.seed: one.broken for one in metrics.broken},
+                    "met": metrics.met,
+                    "trace": metrics.trace,
+                    "seconds": round(metrics.seconds, 1),
+                    "refused_inside": metrics.refused_inside,
+                    "asked_inside": metrics.asked_inside,
                 }
             )
         )
     else:
-        for outcome in tally.broken:
+        for outcome in metrics.broken:
             print(told(outcome))
-        print(tally.text())
-    return bool(tally.broken)
+        print(metrics.text())
+    return bool(metrics.broken)
 
 
 def show(what: str) -> int:
--- a/stoneyoke/lab/simulation/backends.py
+++ b/stoneyoke/lab/simulation/backends.py
@@ -48,7 +48,7 @@
     async def beat_until(self, ends_at: float) -> None:
         while self.scenario.now() < ends_at:
             await self.beat("ready")
-            await asyncio.sleep(BEAT_S * self.scenario.chance.uniform(0.9, 1.1))
+            await asyncio.sleep(BEAT_S * self.scenario.random_source.uniform(0.9, 1.1))
 
     async def drain(self, then_s: float) -> None:
         scenario = self.scenario
@@ -66,10 +66,10 @@
     number = 0
     while True:
         number += 1
-        life = BackendLife(scenario, f"i-{at}-{number}", f"10.9.0.{at + 1}:80")
-        await life.beat_until(scenario.now() + scenario.chance.uniform(3, 25))
-        if scenario.chance.random() < 0.7:
-            await life.drain(scenario.chance.choice(DRAIN_S))
+        incarnation = BackendLife(scenario, f"i-{at}-{number}", f"10.9.0.{at + 1}:80")
+        await incarnation.beat_until(scenario.now() + scenario.random_source.uniform(3, 25))
+        if scenario.random_source.random() < 0.7:
+            await incarnation.drain(scenario.random_source.choice(DRAIN_S))
         await asyncio.sleep(PAUSE_S)
 
 
@@ -78,9 +78,9 @@
 
     async def several(first: int) -> None:
         for number in range(first, count, at_once):
-            life = BackendLife(scenario, f"short-{number}", f"10.8.{number // 250}.{number % 250 + 1}:80")
-            await life.beat("ready")
-            await life.drain(0.0)
+            incarnation = BackendLife(scenario, f"short-{number}", f"10.8.{number // 250}.{number % 250 + 1}:80")
+            await incarnation.beat("ready")
+            await incarnation.drain(0.0)
             scenario.met["instances come and gone"] += 1
 
     await asyncio.gather(*(several(first) for first in range(at_once)))
--- a/stoneyoke/lab/simulation/consensus_defects.py
+++ b/stoneyoke/lab/simulation/consensus_defects.py
@@ -7,9 +7,10 @@
 
 from stoneyoke.api.calls import Acknowledged, Answer, Rejected
 from stoneyoke.api.configuration import Configuration
-from stoneyoke.controlplane import configuration_service, consensus, replica, voter_set
-from stoneyoke.controlplane.consensus import Accepted, Acceptor, Ballot, Query, RegisterValue, ReplicaId, Round
-from stoneyoke.controlplane.quorum import majority
+from stoneyoke.consensus import protocol, replica, voter_set
+from stoneyoke.consensus.protocol import Accepted, Acceptor, Ballot, Query, RegisterValue, ReplicaId, Round
+from stoneyoke.consensus.quorum import majority
+from stoneyoke.controlplane import configuration_service
 from stoneyoke.lab.simulation.exhaustive import explore, failures, operations, reads, state
 
 MOST = 20_000  # states in which a defect has to be found
@@ -23,7 +24,7 @@
     def short(voters: int) -> int:
         return max(1, voters // 2)
 
-    return [(consensus, "majority", short)]
+    return [(protocol, "majority", short)]
 
 
 def own_wish_first() -> list[Patch]:
@@ -74,14 +75,14 @@
             return real(self, found)
         return replace(proposal, previous=found.voters.members)
 
-    def change(chosen: RegisterValue, wanted: tuple[ReplicaId, ...]) -> consensus.Change | None:
+    def change(chosen: RegisterValue, wanted: tuple[ReplicaId, ...]) -> protocol.Change | None:
         if wanted == chosen.voters.members:
             return None
 
         def with_members(found: RegisterValue) -> RegisterValue:
             if wanted == found.voters.members:
                 return found
-            return replace(found, voters=consensus.VoterSet(found.voters.number + 1, wanted))
+            return replace(found, voters=protocol.VoterSet(found.voters.number + 1, wanted))
 
         return with_members
 
@@ -181,7 +182,7 @@
 
     def newest_view(views: Mapping[ReplicaId, Accepted]) -> Accepted | None:
         newest = max(views.values(), key=lambda view: view.ballot)
-        return newest if consensus.has_copies(newest.value.voters.members, views) else None
+        return newest if protocol.has_copies(newest.value.voters.members, views) else None
 
     return [(reads, "newest_view", newest_view)]
 
@@ -195,7 +196,7 @@
     """A proposal counts as chosen once its proposer has sent it."""
 
     def accepted(self: Round, voter: ReplicaId) -> None:
-        self.phase = consensus.Phase.CHOSEN
+        self.phase = protocol.Phase.CHOSEN
 
     return [(Round, "accepted", accepted)]
 
@@ -215,7 +216,7 @@
     def has_majority(group: Iterable[ReplicaId], heard: Iterable[ReplicaId]) -> bool:
         return len(set(heard)) >= majority(len(set(group)))
 
-    return [(consensus, "has_majority", has_majority)]
+    return [(protocol, "has_majority", has_majority)]
 
 
 CONSENSUS_DEFECTS: dict[str, Callable[[], list[Patch]]] = {
--- a/stoneyoke/lab/simulation/disks.py
+++ b/stoneyoke/lab/simulation/disks.py
@@ -90,23 +90,23 @@
         self.state.removed.setdefault(name, []).append(FileState(content, self.state.contents.pop(name, None)))
         super().remove(path)
 
-    def lose_power(self, chance: random.Random) -> None:
+    def lose_power(self, random_source: random.Random) -> None:
         """Writes after a file's last sync are there, missing or torn; each name made or removed since the folder's
         last sync is kept or lost by itself. At some losses all that was not synced is gone."""
-        all_gone = chance.random() < 0.25
+        all_gone = random_source.random() < 0.25
         state, after = self.state, dict[str, bytes]()
         for name in sorted({*os.listdir(self.folder), *state.names, *state.removed}):
             content, removed = self.content(name), state.removed.get(name, [])
             files = [*removed, *([FileState(content, state.contents.get(name))] if content is not None else [])]
             if files and name in state.names and (all_gone or not removed):
                 left = files[0]
-            elif all_gone or (not removed and chance.random() < 0.5):
+            elif all_gone or (not removed and random_source.random() < 0.5):
                 continue  # a name that was made is lost
-            elif (at := chance.randrange(len(files) + 1)) < len(files):
+            elif (at := random_source.randrange(len(files) + 1)) < len(files):
                 left = files[at]
             else:
                 continue
-            after[name] = (left.synced or b"") if all_gone else torn(left, chance)
+            after[name] = (left.synced or b"") if all_gone else torn(left, random_source)
         shutil.rmtree(self.folder)
         os.makedirs(self.folder)
         for name, data in after.items():
@@ -115,22 +115,22 @@
         self.state = SyncedState(after, set(after))
 
 
-def torn(file: FileState, chance: random.Random) -> bytes:
+def torn(file: FileState, random_source: random.Random) -> bytes:
     """Writes after the last sync: missing, there, or there up to some byte, with zeros or nothing after it."""
     content, synced = file.content, file.synced or b""
-    if content == synced or chance.random() < 0.4:
+    if content == synced or random_source.random() < 0.4:
         return synced
-    if chance.random() < 0.5:
+    if random_source.random() < 0.5:
         return content
-    cut = chance.randrange(len(content) + 1)
-    return content[:cut] + (b"\0" * (len(content) - cut) if chance.random() < 0.5 else b"")
+    cut = random_source.randrange(len(content) + 1)
+    return content[:cut] + (b"\0" * (len(content) - cut) if random_source.random() < 0.5 else b"")
 
 
 class Disk:
     """A machine's disk, whatever runs on it. write_s: of each write; hangs: until it doesn't."""
 
-    def __init__(self, folder: str, chance: random.Random) -> None:
-        self.folder, self.chance = folder, chance
+    def __init__(self, folder: str, random_source: random.Random) -> None:
+        self.folder, self.random_source = folder, random_source
         self.write_s, self.hangs, self.refuses = WRITE_S, False, False
         self.store = SimulatedRecordStore(folder)
         self.writing: Callable[[], Any] | None = None
@@ -145,20 +145,20 @@
         """In place of a thread that the disk makes wait."""
         self.writing = lambda: work(*args)
         try:
-            await asyncio.sleep(self.write_s * (0.5 + self.chance.random()))
+            await asyncio.sleep(self.write_s * (0.5 + self.random_source.random()))
             while self.hangs:
                 await asyncio.sleep(STALL_STEP_S)
             self.writing = None
             done = work(*args)
-            await asyncio.sleep(self.write_s * self.chance.random())
+            await asyncio.sleep(self.write_s * self.random_source.random())
             return done
         finally:
             self.writing = None
 
     def end(self, power: bool) -> None:
         """The process there ends, maybe within a write."""
-        if self.writing and self.chance.random() < 0.6:
-            self.store.steps_left = self.chance.randrange(8)  # a record's syncs and what is removed after them
+        if self.writing and self.random_source.random() < 0.6:
+            self.store.steps_left = self.random_source.randrange(8)  # a record's syncs and what is removed after them
             try:
                 self.writing()
             except (PowerLost, StorageError):
@@ -166,7 +166,7 @@
         self.writing = None
         self.store.steps_left = -1
         if power:
-            self.store.lose_power(self.chance)
+            self.store.lose_power(self.random_source)
 
     def wipe(self) -> None:
         shutil.rmtree(self.folder)
--- a/stoneyoke/lab/simulation/exhaustive/checks.py
+++ b/stoneyoke/lab/simulation/exhaustive/checks.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from stoneyoke.api.configuration import Version
-from stoneyoke.controlplane.consensus import Accepted, Ballot, RegisterValue, ReplicaId
+from stoneyoke.consensus.protocol import Accepted, Ballot, RegisterValue, ReplicaId
 from stoneyoke.lab.simulation.exhaustive.state import Floor, Ghost, State, voters_text
 
 
--- a/stoneyoke/lab/simulation/exhaustive/explore.py
+++ b/stoneyoke/lab/simulation/exhaustive/explore.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from stoneyoke.controlplane.consensus import Accepted
+from stoneyoke.consensus.protocol import Accepted
 from stoneyoke.lab.simulation.exhaustive.state import State
 from stoneyoke.lab.simulation.exhaustive.steps import begin, steps
 from stoneyoke.lab.simulation.exhaustive.worlds import WORLDS, World
--- a/stoneyoke/lab/simulation/exhaustive/failures.py
+++ b/stoneyoke/lab/simulation/exhaustive/failures.py
@@ -21,9 +21,9 @@
 def restart(world: World, state: State, process: Process, disk: str) -> State:
     """The process ends and comes back. disk: of the new, empty one; "": it has the old one."""
     address = process.replica.address
-    after = process._replace(life=process.life + 1, chosen=None, counter=0)
+    after = process._replace(incarnation=process.incarnation + 1, chosen=None, counter=0)
     if disk:
-        after = Process(process.replica._replace(disk=disk), life=process.life + 1)
+        after = Process(process.replica._replace(disk=disk), incarnation=process.incarnation + 1)
     running = tuple(one for one in state.running if world.operations[one.operation].at != address)
     own = {one for one in state.requests if one.to == address and one.sender == process.proposer()}
     return with_process(state, after)._replace(running=running, requests=state.requests - own)
--- a/stoneyoke/lab/simulation/exhaustive/operations.py
+++ b/stoneyoke/lab/simulation/exhaustive/operations.py
@@ -3,10 +3,11 @@
 import functools
 
 from stoneyoke.api.calls import Acknowledged, Rejected
-from stoneyoke.controlplane import configuration_service, voter_set
-from stoneyoke.controlplane.consensus import Accepted, Change, ReplicaId
-from stoneyoke.controlplane.replication import unchanged
-from stoneyoke.controlplane.voter_set import MemberReport
+from stoneyoke.consensus import voter_set
+from stoneyoke.consensus.protocol import Accepted, Change, ReplicaId
+from stoneyoke.consensus.replication import unchanged
+from stoneyoke.consensus.voter_set import MemberReport
+from stoneyoke.controlplane import configuration_service
 from stoneyoke.lab.simulation.exhaustive import checks
 from stoneyoke.lab.simulation.exhaustive.state import Kind, Operation, Process, State, Wish, configuration
 from stoneyoke.lab.simulation.exhaustive.worlds import World
--- a/stoneyoke/lab/simulation/exhaustive/reads.py
+++ b/stoneyoke/lab/simulation/exhaustive/reads.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from stoneyoke.controlplane.consensus import Accepted, Query, newest_view
+from stoneyoke.consensus.protocol import Accepted, Query, newest_view
 from stoneyoke.lab.simulation.exhaustive import checks
 from stoneyoke.lab.simulation.exhaustive.rounds import check_known, decided
 from stoneyoke.lab.simulation.exhaustive.state import (
--- a/stoneyoke/lab/simulation/exhaustive/rounds.py
+++ b/stoneyoke/lab/simulation/exhaustive/rounds.py
@@ -3,8 +3,8 @@
 
 from collections.abc import Iterator
 
-from stoneyoke.controlplane.consensus import Accepted, Ballot, Phase, Round
-from stoneyoke.controlplane.replica import Replica
+from stoneyoke.consensus.protocol import Accepted, Ballot, Phase, Round
+from stoneyoke.consensus.replica import Replica
 from stoneyoke.lab.simulation.exhaustive import checks, operations
 from stoneyoke.lab.simulation.exhaustive.state import (
     Reply,
--- a/stoneyoke/lab/simulation/exhaustive/state.py
+++ b/stoneyoke/lab/simulation/exhaustive/state.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 from stoneyoke.api.configuration import Configuration, Version
-from stoneyoke.controlplane.consensus import (
+from stoneyoke.consensus.protocol import (
     NO_BALLOT,
     Accepted,
     Acceptor,
@@ -18,7 +18,7 @@
     Round,
     VoterSet,
 )
-from stoneyoke.controlplane.replica import Replica
+from stoneyoke.consensus.replica import Replica
 
 
 class Kind(Enum):
@@ -51,12 +51,12 @@
     replica: ReplicaId
     promised: Ballot = NO_BALLOT
     accepted: Accepted | None = None
-    life: int = 0
+    incarnation: int = 0
     chosen: Accepted | None = None
     counter: int = 0  # of the last ballot that it has used
 
     def proposer(self) -> str:
-        return f"{self.replica.address}.{self.life}"
+        return f"{self.replica.address}.{self.incarnation}"
 
 
 class FrozenRound(NamedTuple):
--- a/stoneyoke/lab/simulation/exhaustive/steps.py
+++ b/stoneyoke/lab/simulation/exhaustive/steps.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterator
 
-from stoneyoke.controlplane.consensus import Acceptor, Phase
+from stoneyoke.consensus.protocol import Acceptor, Phase
 from stoneyoke.lab.simulation.exhaustive import operations
 from stoneyoke.lab.simulation.exhaustive.failures import failures
 from stoneyoke.lab.simulation.exhaustive.reads import answers_to_queries, begin_query, views
--- a/stoneyoke/lab/simulation/exhaustive/worlds.py
+++ b/stoneyoke/lab/simulation/exhaustive/worlds.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from stoneyoke.api.configuration import Version
-from stoneyoke.controlplane.consensus import NO_BALLOT, ReplicaId, initial_value
+from stoneyoke.consensus.protocol import NO_BALLOT, ReplicaId, initial_value
 from stoneyoke.lab.simulation.exhaustive.state import Floor, Gateway, Ghost, Kind, Operation, Process, State
 
 EMPTY_DISK = "empty"
--- a/stoneyoke/lab/simulation/faults.py
+++ b/stoneyoke/lab/simulation/faults.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from stoneyoke.controlplane.quorum import majority
+from stoneyoke.consensus.quorum import majority
 from stoneyoke.lab.simulation.bounds import BOUNDS
 from stoneyoke.lab.simulation.machines import ControllerMachine, GatewayMachine, simulated_loop
 from stoneyoke.lab.simulation.network import Trap
@@ -70,7 +70,7 @@
     def acknowledged(self, kind: str, name: str) -> None:
         fault = self.armed.pop(kind, None)
         if fault and self.scenario.now() + fault.for_s < self.calm_from:
-            after = self.scenario.chance.uniform(0, STRIKE_WITHIN_S)
+            after = self.scenario.random_source.uniform(0, STRIKE_WITHIN_S)
             self.network.run_on("", self.strike_later(replace(fault, kind=fault.how, how="", who=(name,)), after))
 
     async def strike_later(self, fault: Fault, after_s: float) -> None:
@@ -134,7 +134,7 @@
     async def wipe_some(self, fault: Fault) -> None:
         """Disks are lost, at times while all other controllers lose power."""
         others = tuple(name for name in self.scenario.controllers if name not in fault.who)
-        everyone = self.scenario.chance.random() < 0.5
+        everyone = self.scenario.random_source.random() < 0.5
         await self.down(replace(fault, who=fault.who + others if everyone else fault.who), power=True, wiped=fault.who)
 
     async def kill_lease_holder(self, fault: Fault) -> None:
@@ -195,7 +195,7 @@
         self.disturb(fault.who, 0.0)
         for name in fault.who:
             machine = self.scenario.controllers[name]
-            if not machine.up() and not machine.lives:
+            if not machine.up() and not machine.incarnations:
                 await machine.start(first=False)
 
     # ---- links, clocks, disks ----
@@ -247,12 +247,12 @@
         self.excuse(fault)
         for name in up:
             simulated_loop().freeze(name)
-        return {name: self.machine(name).lives for name in up}
+        return {name: self.machine(name).incarnations for name in up}
 
-    async def thaw_after(self, lives: dict[str, int], for_s: float) -> None:
+    async def thaw_after(self, incarnations: dict[str, int], for_s: float) -> None:
         await asyncio.sleep(for_s)
-        for name, life in lives.items():
-            if self.machine(name).lives == life:
+        for name, incarnation in incarnations.items():
+            if self.machine(name).incarnations == incarnation:
                 simulated_loop().thaw(name)
 
     async def trouble_disk(self, fault: Fault) -> None:
--- a/stoneyoke/lab/simulation/fleet_defects.py
+++ b/stoneyoke/lab/simulation/fleet_defects.py
@@ -5,15 +5,11 @@
 
 from stoneyoke.api.calls import Acknowledged
 from stoneyoke.api.configuration import Version, read_configuration
-from stoneyoke.controlplane import (
-    consensus,
-    discovery_service,
-    instance_registry,
-    leases,
-)
+from stoneyoke.consensus import protocol
+from stoneyoke.controlplane import discovery_service, instance_registry, leases
 from stoneyoke.gateway import admission, config_sync, instance_directory
 from stoneyoke.lab.simulation.register_defects import Patch
-from stoneyoke.limits import shares
+from stoneyoke.limits import quota_allocator
 from stoneyoke.transport.messages import FetchRequest, FetchResponse
 
 
@@ -38,9 +34,9 @@
 
     def answer(
         self: leases.LeaseHolder,
-        voter: consensus.ReplicaId,
+        voter: protocol.ReplicaId,
         ok: bool,
-        voters: tuple[consensus.ReplicaId, ...],
+        voters: tuple[protocol.ReplicaId, ...],
         began: float,
         now: float,
     ) -> None:
@@ -53,52 +49,56 @@
 
 def alone_not_told() -> list[Patch]:
     """What gateways use alone is never counted."""
-    real = shares.QuotaAllocator.give
+    real = quota_allocator.QuotaAllocator.give
 
-    def give(self: shares.QuotaAllocator, name: str, wants: shares.Want, silent: Any, now: float) -> shares.Give:
+    def give(
+        self: quota_allocator.QuotaAllocator, name: str, wants: quota_allocator.Want, silent: Any, now: float
+    ) -> quota_allocator.Give:
         return real(self, name, (wants[0], wants[1], wants[2], 0.0, wants[4]), silent, now)
 
-    return [(shares.QuotaAllocator, "give", give)]
+    return [(quota_allocator.QuotaAllocator, "give", give)]
 
 
 def silent_not_lent() -> list[Patch]:
     """What silent gateways may be using is not taken off the store."""
-    real = shares.Pool.fill
+    real = quota_allocator.Pool.fill
 
-    def fill(self: shares.Pool, withheld: float, silent: Any, now: float) -> None:
+    def fill(self: quota_allocator.Pool, withheld: float, silent: Any, now: float) -> None:
         real(self, withheld, {}, now)
 
-    return [(shares.Pool, "fill", fill)]
+    return [(quota_allocator.Pool, "fill", fill)]
 
 
 def new_keeper_trusts() -> list[Patch]:
     """A new keeper holds nothing back for gateways that it has not heard."""
-    return [(shares.QuotaAllocator, "withheld", lambda self, pool: 0.0)]
+    return [(quota_allocator.QuotaAllocator, "withheld", lambda self, pool: 0.0)]
 
 
 def new_keeper_full() -> list[Patch]:
     """A new keeper's stores begin full."""
-    return [(shares, "START", 20.0)]
+    return [(quota_allocator, "START", 20.0)]
 
 
 def parts_over_one() -> list[Patch]:
     """Parts are told by demand alone, whatever others hold; each is floored at half of the even one."""
-    real = shares.QuotaAllocator.give
+    real = quota_allocator.QuotaAllocator.give
 
-    def give(self: shares.QuotaAllocator, name: str, wants: shares.Want, silent: Any, now: float) -> shares.Give:
+    def give(
+        self: quota_allocator.QuotaAllocator, name: str, wants: quota_allocator.Want, silent: Any, now: float
+    ) -> quota_allocator.Give:
         tenant, units, wait, part, reserve = real(self, name, wants, silent, now)
         return tenant, units, wait, max(part, 0.9), max(reserve, 10.0)
 
-    return [(shares.QuotaAllocator, "give", give)]
+    return [(quota_allocator.QuotaAllocator, "give", give)]
 
 
 def part_for_ever() -> list[Patch]:
     """A gateway's part has no end, though its keeper counts on one."""
 
-    def left(self: shares.LocalQuota, heard_at: float, now: float) -> tuple[float, float]:
+    def left(self: quota_allocator.LocalQuota, heard_at: float, now: float) -> tuple[float, float]:
         return (self.part, self.reserve) if self.part else (0.5, 0.0)
 
-    return [(shares.LocalQuota, "left", left)]
+    return [(quota_allocator.LocalQuota, "left", left)]
 
 
 def pull_from_one() -> list[Patch]:
@@ -123,7 +123,7 @@
 
     async def pull(self: config_sync.ConfigSync, name: str) -> None:
         await real(self, name)
-        news = self.roster.sources[name].news
+        news = self.instance_directory.sources[name].news
         if news and news.stamp[0] and Version(*news.stamp) != self.version:
             await fetch(self, name)
 
@@ -166,12 +166,14 @@
     """A round of asking for a duty has no number: a late one that gives back undoes a newer grant."""
     real = leases.LeaseGranter.ask
 
-    def ask(self: leases.LeaseGranter, duty: str, holder: str, life: str, ttl_s: float, now: float, number: int) -> Any:
-        return real(self, duty, holder, life, ttl_s, now, 0)
+    def ask(
+        self: leases.LeaseGranter, duty: str, holder: str, incarnation: str, ttl_s: float, now: float, number: int
+    ) -> Any:
+        return real(self, duty, holder, incarnation, ttl_s, now, 0)
 
     return [(leases.LeaseGranter, "ask", ask)]
 
 
 def first_whole() -> list[Patch]:
     """Each gateway that falls silent begins with what all together may."""
-    return [(admission, "FIRST", 6.0), (shares, "FIRST", 6.0)]
+    return [(admission, "FIRST", 6.0), (quota_allocator, "FIRST", 6.0)]
--- a/stoneyoke/lab/simulation/invariants.py
+++ b/stoneyoke/lab/simulation/invariants.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from stoneyoke.controlplane.consensus import FIRST_DISK, Accepted
+from stoneyoke.consensus.protocol import FIRST_DISK, Accepted
 from stoneyoke.controlplane.controller import Controller
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.lab.simulation.bounds import BOUNDS, CONVERGE_S, TICK_S
@@ -65,9 +65,9 @@
         judge.must(held.number >= needed, now, f"CONFIG: {name} has {held} only, r{needed} was acknowledged")
         # No rule, a duty: controllers that start at once need three seconds, and a gateway hears of it then.
         expected = judge.register.newest_acknowledged(now - 4) and judge.in_touch(name, now - READY_S)
-        judge.must(client.lookout.ready or not expected, now, f"{name} is not ready")
+        judge.must(client.config_sync.ready or not expected, now, f"{name} is not ready")
         for drained in judge.drained:
-            known = client.roster.known.get(drained.instance)
+            known = client.instance_directory.known.get(drained.instance)
             gone = known is None or known.row.phase == Phase.DRAINING or now - drained.at < BOUNDS["drain_s"]
             judge.must(gone, now, f"DRAIN: {name} takes {drained.instance} for ready")
 
@@ -88,7 +88,7 @@
         judge.must(len(voters) == 1, now, f"voters differ at the end: {voters}")
         judge.must(sum(one.lease.holds() for one in up.values()) == 1, now, "LEASE: nobody holds it at the end")
         for name, gateway in scenario.gateways.items():
-            ready = gateway.client is not None and gateway.client.lookout.ready
+            ready = gateway.client is not None and gateway.client.config_sync.ready
             judge.must(ready, now, f"{name} is not ready at the end")
         for name in up:
             told = any([await scenario.operators.read_back(name) or await scenario.operators.read_back(name)])
--- a/stoneyoke/lab/simulation/machines.py
+++ b/stoneyoke/lab/simulation/machines.py
@@ -37,28 +37,28 @@
 
     def __init__(self, scenario: "Scenario", name: str) -> None:
         self.scenario, self.name = scenario, name
-        self.disk = Disk(str(Path(scenario.folder) / name), scenario.chance)
+        self.disk = Disk(str(Path(scenario.folder) / name), scenario.random_source)
         self.controller: Controller | None = None
-        self.lives = 0
+        self.incarnations = 0
         self.wiped = self.removed = self.leaving = False
         self.started_at = 0.0
         self.seeds: tuple[str, ...] = ()  # as its settings name them
 
     def listed(self) -> bool:
         """Whether operators and backends know of it."""
-        return self.lives > 0 and not self.removed
+        return self.incarnations > 0 and not self.removed
 
     async def start(self, first: bool) -> None:
         """Returns once it answers, or has ended before."""
-        if not self.lives:
+        if not self.incarnations:
             self.seeds = self.scenario.first_seeds if first else self.scenario.seeds()
-        self.lives += 1
+        self.incarnations += 1
         self.leaving = self.removed = False
         await asyncio.wait([self.scenario.network.run_on(self.name, self.run(first))])
 
     async def run(self, first: bool) -> None:
         scenario, loop = self.scenario, asyncio.get_running_loop()
-        offset = scenario.chance.uniform(-CLOCK_OFFSET_S, CLOCK_OFFSET_S)
+        offset = scenario.random_source.uniform(-CLOCK_OFFSET_S, CLOCK_OFFSET_S)
         controller = Controller(
             self.name,
             self.name,
@@ -72,7 +72,7 @@
             losses=scenario.plan.losses,
             clock=lambda: loop.time() + offset,
             dial=scenario.network.dialler(self.name),
-            chance=random.Random(f"{scenario.plan.seed} {self.name} {self.lives}"),
+            random_source=random.Random(f"{scenario.plan.seed} {self.name} {self.incarnations}"),
         )
         controller.blocking = self.disk.blocking  # type: ignore[method-assign, assignment]
         try:
@@ -107,7 +107,7 @@
         self.client: ControlClient | None = None
         self.table: Table | None = None
         self.tasks: list[asyncio.Task[Any]] = []
-        self.lives = 0
+        self.incarnations = 0
         self.started_at, self.readied = 0.0, False
 
     def up(self) -> bool:
@@ -118,8 +118,8 @@
 
     def run(self) -> None:
         scenario, loop = self.scenario, asyncio.get_running_loop()
-        self.lives += 1
-        offset = scenario.chance.uniform(-CLOCK_OFFSET_S, CLOCK_OFFSET_S)
+        self.incarnations += 1
+        offset = scenario.random_source.uniform(-CLOCK_OFFSET_S, CLOCK_OFFSET_S)
         self.table, self.started_at, self.readied = None, loop.time(), False
         self.client = ControlClient(
             self.name,
@@ -132,7 +132,7 @@
             take=self.take,
             told=self.told,
             dial=scenario.network.dialler(self.name),
-            chance=random.Random(f"{scenario.plan.seed} {self.name} {self.lives}"),
+            random_source=random.Random(f"{scenario.plan.seed} {self.name} {self.incarnations}"),
         )
         self.tasks = self.client.start()
         self.tasks.append(loop.create_task(self.sweep(self.client)))
@@ -140,7 +140,7 @@
     async def sweep(self, client: ControlClient) -> None:
         while True:
             await asyncio.sleep(SWEEP_S)
-            client.roster.sweep(client.clock())
+            client.instance_directory.sweep(client.clock())
 
     def take(self, configuration: Configuration) -> None:
         judge, now = self.scenario.judge, self.scenario.now()
@@ -152,7 +152,7 @@
 
     def told(self) -> None:
         """The first moment at which it serves: it has all that was acknowledged before it started."""
-        if self.client is None or self.readied or not self.client.lookout.ready:
+        if self.client is None or self.readied or not self.client.config_sync.ready:
             return
         self.readied = True
         judge, now = self.scenario.judge, self.scenario.now()
@@ -167,7 +167,7 @@
         self.scenario.network.end_machine(self.name, power)
         client, self.client, self.table = self.client, None, None
         if client:
-            client.lookout.close()
+            client.config_sync.close()
             for task in self.tasks:
                 task.cancel()
         simulated_loop().thaw(self.name)
--- a/stoneyoke/lab/simulation/network.py
+++ b/stoneyoke/lab/simulation/network.py
@@ -39,8 +39,8 @@
     cuts: pairs (from, to) that carry nothing. held: machines whose links stand still. late, doubled: shares of
     messages. answers_lost: share of the answers to operators and backends that never come."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
+    def __init__(self, random_source: random.Random) -> None:
+        self.random_source = random_source
         self.ports: dict[str, Serve | None] = {}
         self.tasks: dict[str, set[asyncio.Task[Any]]] = {}  # what runs on a machine; ended with it
         self.ended: Counter[str] = Counter()  # how often all that ran on a machine has ended
@@ -85,14 +85,14 @@
 
     async def cross(self, own: str, other: str) -> bool:
         """One message's way; whether it arrives. One that can't come through is sent again until its sender ends."""
-        wait = DELAY_S * (0.7 + 0.6 * self.chance.random())
-        if self.late and self.chance.random() < self.late:
-            wait += self.chance.choice(LATE_S)
+        wait = DELAY_S * (0.7 + 0.6 * self.random_source.random())
+        if self.late and self.random_source.random() < self.late:
+            wait += self.random_source.choice(LATE_S)
         await asyncio.sleep(wait)
         ended = self.ended[own]
         while self.blocked(own, other):
             await self.opened.wait()
-            await asyncio.sleep(self.chance.uniform(0.0, SCATTER_S))  # what waited comes in any order
+            await asyncio.sleep(self.random_source.uniform(0.0, SCATTER_S))  # what waited comes in any order
         return self.ended[own] == ended
 
     def dialler(self, own: str) -> Callable[[tuple[str, int]], Any]:
@@ -120,7 +120,7 @@
             if not answer.done():
                 answer.set_exception(PeerUnreachable("nothing listens"))
             return
-        times = 2 if self.doubled and self.chance.random() < self.doubled else 1
+        times = 2 if self.doubled and self.random_source.random() < self.doubled else 1
         for _ in range(times):
             self.run_on(other, self.serve(serve, own, other, data, answer))
 
--- a/stoneyoke/lab/simulation/operators.py
+++ b/stoneyoke/lab/simulation/operators.py
@@ -43,7 +43,7 @@
 
 class Operators:
     def __init__(self, scenario: "Scenario") -> None:
-        self.scenario, self.judge, self.chance = scenario, scenario.judge, scenario.chance
+        self.scenario, self.judge, self.random_source = scenario, scenario.judge, scenario.random_source
         self.keys = itertools.count()
 
     def text(self, number: int, twist: str = "") -> bytes:
@@ -73,7 +73,7 @@
         self.judge.register.order(self.scenario.now(), version, body)
         taken = await self.put_until_clear(version, body)
         for _ in range(again if taken else 0):
-            await asyncio.sleep(self.chance.uniform(0.0, 4.0))
+            await asyncio.sleep(self.random_source.uniform(0.0, 4.0))
             await self.put_until_clear(version, body)
 
     async def put_until_clear(self, version: Version, body: bytes) -> bool:
@@ -114,8 +114,8 @@
     async def read_back_often(self) -> None:
         """Reads back, now and then, from any controller."""
         while True:
-            await asyncio.sleep(self.chance.uniform(0.2, 0.8))
-            await self.read_back(self.chance.choice(self.scenario.outside.choices()))
+            await asyncio.sleep(self.random_source.uniform(0.2, 0.8))
+            await self.read_back(self.random_source.choice(self.scenario.outside.choices()))
 
     async def read_back(self, name: str) -> bool:
         """Whether a configuration was told."""
--- a/stoneyoke/lab/simulation/outside.py
+++ b/stoneyoke/lab/simulation/outside.py
@@ -26,7 +26,7 @@
     def choices(self) -> list[str]:
         """Controllers that callers know of, in an order by chance: one after the other is asked."""
         names = [name for name, machine in self.scenario.controllers.items() if machine.listed()]
-        self.scenario.chance.shuffle(names)
+        self.scenario.random_source.shuffle(names)
         return names
 
     async def call(self, name: str, asked: Asked | Rejected, within_s: float = CALL_S) -> Answer | None:
@@ -49,17 +49,17 @@
 
     async def carry(self, machine: ControllerMachine, asked: Asked, answer: "asyncio.Future[Answer]") -> None:
         """It is carried out whether or not its caller waits, maybe late or twice, for as long as the process lives."""
-        network, chance = self.scenario.network, self.scenario.chance
+        network, random_source = self.scenario.network, self.scenario.random_source
         await asyncio.sleep(WAY_S)
-        if network.late and chance.random() < network.late:
-            await asyncio.sleep(chance.choice(LATE_S))
-        for _ in range(2 if network.doubled and chance.random() < network.doubled else 1):
+        if network.late and random_source.random() < network.late:
+            await asyncio.sleep(random_source.choice(LATE_S))
+        for _ in range(2 if network.doubled and random_source.random() < network.doubled else 1):
             controller = machine.controller
             if controller is None or network.held[machine.name] > 0:
                 return
             said = await asyncio.shield(network.run_on(machine.name, controller.call(asked)))
         await asyncio.sleep(WAY_S)
-        lost = network.answers_lost and chance.random() < network.answers_lost
+        lost = network.answers_lost and random_source.random() < network.answers_lost
         if lost:
             self.excused[machine.name] = self.scenario.now()
         if not answer.done() and not lost and not network.held[machine.name]:
--- a/stoneyoke/lab/simulation/register_defects.py
+++ b/stoneyoke/lab/simulation/register_defects.py
@@ -1,19 +1,12 @@
-"""Defects of the register: of consensus, its records, its voters, and what operators are told."""
+"""Defects of the register: of protocol, its records, its voters, and what operators are told."""
 
 from dataclasses import replace
 from typing import Any
 
 from stoneyoke.api.calls import Acknowledged, Rejected
-from stoneyoke.controlplane import (
-    configuration_service,
-    consensus,
-    leases,
-    membership,
-    peers,
-    replica,
-    replication,
-)
-from stoneyoke.controlplane.record_formats import PROMISE
+from stoneyoke.consensus import protocol, replica, replication
+from stoneyoke.consensus.record_formats import PROMISE
+from stoneyoke.controlplane import configuration_service, leases, membership, peers
 from stoneyoke.storage import record_store
 
 Patch = tuple[Any, str, Any]
@@ -25,7 +18,7 @@
     def short(voters: int) -> int:
         return max(1, voters // 2)
 
-    return [(consensus, "majority", short)]
+    return [(protocol, "majority", short)]
 
 
 def copies_short() -> list[Patch]:
@@ -34,16 +27,16 @@
     def short(voters: int) -> int:
         return max(1, (voters + 1) // 2 - 1)
 
-    return [(consensus, "copies", short)]
+    return [(protocol, "copies", short)]
 
 
 def lost_disk_votes() -> list[Patch]:
     """A machine that lost its disk comes back as the member that it was."""
     real = replica.Replica.load
 
-    async def load(self: replica.Replica, seeds: tuple[str, ...], first_start: bool, chance: Any) -> None:
-        await real(self, seeds, first_start, chance)
-        self.identity = self.identity._replace(disk=consensus.FIRST_DISK)
+    async def load(self: replica.Replica, seeds: tuple[str, ...], first_start: bool, random_source: Any) -> None:
+        await real(self, seeds, first_start, random_source)
+        self.identity = self.identity._replace(disk=protocol.FIRST_DISK)
 
     return [(replica.Replica, "load", load)]
 
@@ -63,12 +56,12 @@
 
 def accepts_any() -> list[Patch]:
     """A voter accepts whatever it has promised."""
-    return [(consensus.Acceptor, "may_accept", lambda self, ballot: True)]
+    return [(protocol.Acceptor, "may_accept", lambda self, ballot: True)]
 
 
 def joint_ignored() -> list[Patch]:
     """A change of voters is decided by the new ones alone."""
-    return [(consensus.RegisterValue, "groups", lambda self: (self.voters.members,))]
+    return [(protocol.RegisterValue, "groups", lambda self: (self.voters.members,))]
 
 
 def highest_digest_wins() -> list[Patch]:
@@ -130,20 +123,20 @@
 
     async def accept_at(self: replication.Replication, current: Any, address: str) -> None:
         await real(self, current, address)
-        if address == self.peers.own and current.phase is consensus.Phase.ACCEPT:
-            current.phase = consensus.Phase.CHOSEN
+        if address == self.peers.own and current.phase is protocol.Phase.ACCEPT:
+            current.phase = protocol.Phase.CHOSEN
 
     return [(replication.Replication, "accept_at", accept_at)]
 
 
 def replaced_singly() -> list[Patch]:
     """The voters before are forgotten at once: a change needs a majority of the new ones only."""
-    real = consensus.Round.build
+    real = protocol.Round.build
 
-    def build(self: consensus.Round, found: consensus.RegisterValue) -> consensus.RegisterValue:
+    def build(self: protocol.Round, found: protocol.RegisterValue) -> protocol.RegisterValue:
         return replace(real(self, found), previous=())
 
-    return [(consensus.Round, "build", build)]
+    return [(protocol.Round, "build", build)]
 
 
 def never_caught_up() -> list[Patch]:
--- a/stoneyoke/lab/simulation/register_history.py
+++ b/stoneyoke/lab/simulation/register_history.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from stoneyoke.api.configuration import Configuration, Version
-from stoneyoke.controlplane.consensus import Accepted, Ballot, RegisterValue
+from stoneyoke.consensus.protocol import Accepted, Ballot, RegisterValue
 
 Must = Callable[[bool, float, str], None]
 
--- a/stoneyoke/lab/simulation/runs.py
+++ b/stoneyoke/lab/simulation/runs.py
@@ -18,7 +18,7 @@
 
 
 @dataclass
-class Tally:
+class Metrics:
     """Of many scenarios. trace: a digest of all of theirs, in the order of their seeds."""
 
     scenarios: int = 0
@@ -64,19 +64,19 @@
         yield from pool.map(play_seed, seeds, chunksize=4)
 
 
-def count(outcomes: Iterable[Outcome]) -> Tally:
-    tally, sums, begun = Tally(), blake2b(digest_size=12), time.monotonic()
+def count(outcomes: Iterable[Outcome]) -> Metrics:
+    metrics, sums, begun = Metrics(), blake2b(digest_size=12), time.monotonic()
     for outcome in outcomes:
-        tally.scenarios += 1
-        tally.met += outcome.met
-        tally.sent += outcome.sent
-        tally.refused_inside += outcome.refused_inside
-        tally.asked_inside += outcome.asked_inside
+        metrics.scenarios += 1
+        metrics.met += outcome.met
+        metrics.sent += outcome.sent
+        metrics.refused_inside += outcome.refused_inside
+        metrics.asked_inside += outcome.asked_inside
         sums.update(f"{outcome.seed} {outcome.trace}\n".encode())
         if outcome.broken:
-            tally.broken.append(outcome)
-    tally.seconds, tally.trace = time.monotonic() - begun, sums.hexdigest()
-    return tally
+            metrics.broken.append(outcome)
+    metrics.seconds, metrics.trace = time.monotonic() - begun, sums.hexdigest()
+    return metrics
 
 
 class KeptCase(NamedTuple):
--- a/stoneyoke/lab/simulation/scenario.py
+++ b/stoneyoke/lab/simulation/scenario.py
@@ -39,8 +39,8 @@
     """met: what came about, and how often."""
 
     def __init__(self, plan: Plan) -> None:
-        self.plan, self.chance = plan, random.Random(plan.seed * 7 + 1)
-        self.judge, self.network = Judge(plan.losses), SimulatedNetwork(self.chance)
+        self.plan, self.random_source = plan, random.Random(plan.seed * 7 + 1)
+        self.judge, self.network = Judge(plan.losses), SimulatedNetwork(self.random_source)
         self.met: Counter[str] = Counter()
         self.disk_bytes = 0
         self.outside, self.operators = Outside(self), Operators(self)
--- a/stoneyoke/lab/simulation/tenants.py
+++ b/stoneyoke/lab/simulation/tenants.py
@@ -7,7 +7,7 @@
 from stoneyoke.gateway.routes import Table
 from stoneyoke.lab.simulation.bounds import TICK_S
 from stoneyoke.lab.simulation.machines import GatewayMachine
-from stoneyoke.limits.stores import SECOND
+from stoneyoke.limits.token_bucket import SECOND
 
 if TYPE_CHECKING:
     from stoneyoke.lab.simulation.scenario import Scenario
@@ -33,14 +33,14 @@
 
     async def ask_often(self) -> None:
         scenario, begun = self.scenario, self.scenario.now()
-        names, chance = list(scenario.gateways), scenario.chance
+        names, random_source = list(scenario.gateways), scenario.random_source
         while True:
             await asyncio.sleep(TICK_S)
             for tenant in scenario.plan.tenants:
                 times = [share for at, share in tenant.asks if at <= scenario.now() - begun]
                 rate = tenant.rate * times[-1] * TICK_S if times else 0.0
-                while chance.random() < rate / (1 + rate):
-                    gateway = scenario.gateways[chance.choices(names, self.weights)[0]]
+                while random_source.random() < rate / (1 + rate):
+                    gateway = scenario.gateways[random_source.choices(names, self.weights)[0]]
                     if gateway.client and gateway.table and not scenario.frozen(gateway.name):
                         self.request(gateway, gateway.client, gateway.table, tenant.label, times)
 
@@ -69,7 +69,7 @@
                 self.refused_inside += inside
 
         async def waits() -> None:
-            await client.teller.ask(label)
+            await client.quota_client.ask(label)
             if gateway.client is client:
                 settle(client.admission.answered(call, local_quota, client.micros()))
 
--- a/stoneyoke/lab/stand_in_backends.py
+++ b/stoneyoke/lab/stand_in_backends.py
@@ -114,9 +114,9 @@
                 self.ledger.add("ran", id_.decode(), self.name, key.decode())
             if self.fault("hang"):
                 continue  # it has run, and nothing is ever said; the slot is not taken, as nobody waits in it
-            chance = random.Random(f"{self.given['seed']} {id_!r} {self.name}")
+            random_source = random.Random(f"{self.given['seed']} {id_!r} {self.name}")
             mean = (method["work_ms"] if method else 50.0) / 1000
-            took = mean * chance.lognormvariate(-0.125, 0.5) / self.speed / self.warmth()
+            took = mean * random_source.lognormvariate(-0.125, 0.5) / self.speed / self.warmth()
             for kind in ("slow", "age"):
                 if fault := self.fault(kind):
                     part = 1.0 if kind == "slow" else min(1.0, (loop.time() - fault["since"]) / max(1, fault["for_s"]))
--- a/stoneyoke/lab/stand_in_counter.py
+++ b/stoneyoke/lab/stand_in_counter.py
@@ -75,8 +75,8 @@
             case "crawl":
                 self.factor = fault["factor"] if begins else 1.0
             case "wipe" if begins:
-                chance = random.Random(order["number"])
-                for name in [n for n in sorted(self.values[0]) if chance.random() < fault["part"]]:
+                random_source = random.Random(order["number"])
+                for name in [n for n in sorted(self.values[0]) if random_source.random() < fault["part"]]:
                     del self.values[0][name]
             case "empty":
                 self.silent = begins
--- a/stoneyoke/lab/stand_in_discovery.py
+++ b/stoneyoke/lab/stand_in_discovery.py
@@ -52,9 +52,9 @@
         elif fault["kind"] == "reorder":
             self.reorder = begins
         else:
-            chance = random.Random(order["number"])
+            random_source = random.Random(order["number"])
             for agent in self.agents:
-                if chance.random() < fault["part"]:
+                if random_source.random() < fault["part"]:
                     agent.frozen_at = asyncio.get_running_loop().time() if begins else math.inf
         for agent in self.agents:
             agent.stir()
--- a/stoneyoke/lab/worker_terms.py
+++ b/stoneyoke/lab/worker_terms.py
@@ -89,8 +89,10 @@
 def discovery_terms(scenario: Scenario, places: Places, seed: int) -> WorkerTerms:
     """What discovery's stand-in is told: the list, and how late each gateway's agent is."""
     given = scenario.backends
-    chance = np.random.Generator(np.random.PCG64(seed + 1))
-    late = (scenario.discovery.notice_ms + scenario.discovery.spread_ms * chance.random(scenario.gateways.count)) / 1000
+    random_source = np.random.Generator(np.random.PCG64(seed + 1))
+    late = (
+        scenario.discovery.notice_ms + scenario.discovery.spread_ms * random_source.random(scenario.gateways.count)
+    ) / 1000
     return WorkerTerms(
         "discovery",
         "discovery",
--- a/stoneyoke/limits/common.py
+++ b/stoneyoke/limits/common_store.py
@@ -12,7 +12,7 @@
 import math
 from collections.abc import Generator
 
-from stoneyoke.interface import Plan
+from stoneyoke.control.parameters import Plan
 
 SECOND = 1_000_000
 EPOCH = 40 * SECOND  # a name lives for 60 s at most, and is read for a moment after its epoch
@@ -26,7 +26,7 @@
 GUARDED_SPILL = 0.25  # of the burst; more would leave less of the ceiling to be parted
 
 
-class Common:
+class SharedBucket:
     """One customer's common store, as this gateway heard of it last."""
 
     def __init__(self, plan: Plan, account: int, even: float, lump: float) -> None:
@@ -95,7 +95,7 @@
         return min(self.burst, self.level + self.rate * (now - self.heard_at) / SECOND)
 
 
-def guarded_part(plan: Plan, even: float, largest: float, own: int) -> tuple[float, float]:
+def guarded_share(plan: Plan, even: float, largest: float, own: int) -> tuple[float, float]:
     """Rate and burst of this gateway's part of what the common store can't use up of a ceiling, for RPCs that
     it does not hold. Where an even part takes none of the largest RPCs, as many gateways as can have a whole
     one do: a customer's gateways stand in a row, so by their numbers they all know which."""
--- a/stoneyoke/limits/shares.py
+++ b/stoneyoke/limits/quota_allocator.py
@@ -117,7 +117,7 @@
         self.pools: dict[str, Pool] = {}
         self.heard = dict.fromkeys(expected, now - SILENT_S)  # gateways; emptied by forgetting
         self.unknown = set(self.heard)  # of them, those that have not told their parts yet
-        self.lives: dict[str, str] = {}
+        self.incarnations: dict[str, str] = {}
         self.now = self.born = now
         self.told: Any = None
 
@@ -159,7 +159,9 @@
         """Gateways not heard of late, and since when."""
         return {name: at for name, at in self.heard.items() if now - at > SILENT_S}
 
-    def draw(self, name: str, life: str, deaf_s: float, full: bool, wants: Iterable[Want], now: float) -> list[Give]:
+    def draw(
+        self, name: str, incarnation: str, deaf_s: float, full: bool, wants: Iterable[Want], now: float
+    ) -> list[Give]:
         """deaf_s: since it heard an answer. full: wants has a row of each part that it holds. Nothing is given
         to one that may not hear it, nor taken for told."""
         self.now = now
@@ -169,9 +171,9 @@
         for pool in self.pools.values():
             if now - pool.at > 0.05:
                 pool.fill(self.withheld(pool), silent, now)
-        if self.lives.get(name, life) != life:  # what its earlier life was told ended with that
+        if self.incarnations.get(name, incarnation) != incarnation:  # what its earlier life was told ended with that
             self.gone(name)
-        self.lives[name] = life
+        self.incarnations[name] = incarnation
         for late in [one for one, at in self.heard.items() if now - at > FORGET_S]:
             self.gone(late)
         if deaf_s > SILENT_S:
--- a/stoneyoke/limits/stores.py
+++ b/stoneyoke/limits/token_bucket.py
@@ -6,7 +6,7 @@
 LONGEST_WAIT = 20 * SECOND  # the design's cap on advised wait and jitter
 
 
-class Chance:
+class RandomSource:
     """A linear congruential generator (Knuth's constants); the high bits are used."""
 
     def __init__(self, seed: int) -> None:
@@ -17,7 +17,7 @@
         return (self.state >> 32) / 2**32
 
 
-class Store:
+class TokenBucket:
     """Units that time refills up to a depth."""
 
     def __init__(self, rate: float, depth: float, level: float, now: int) -> None:
--- a/stoneyoke/net/backends.py
+++ b/stoneyoke/net/backends.py
@@ -7,11 +7,11 @@
 from collections import deque
 from collections.abc import Callable
 
-from stoneyoke.interface import Outcome
+from stoneyoke.control.parameters import AttemptOutcome
+from stoneyoke.net.descriptor_budget import DescriptorBudget, Victim
 from stoneyoke.net.http import BODY_TOP, Line, Malformed, Message, Messages, RequestWrite, connect, readable
-from stoneyoke.net.room import Room, Victim
-from stoneyoke.runtime import Clock, Held
-from stoneyoke.tally import Tally
+from stoneyoke.runtime.metrics import Metrics
+from stoneyoke.runtime.runtime import Clock, Held
 
 # A backend closes an idle connection when the settings' time is up; one idle for this part of it isn't used.
 IDLE_PART = 0.75
@@ -63,42 +63,53 @@
         self.request.start(head, body)
         await self.request.finish()
 
-    async def answer(self, ours: Callable[[Message], bool] | None, tally: Tally) -> Message | None:
+    async def answer(self, ours: Callable[[Message], bool] | None, metrics: Metrics) -> Message | None:
         """The answer to this request, or None where the stream ended in its place."""
         if self.link is None:
             return None
         while (answer := await self.link.answers.next()) and ours and not ours(answer):
             self.link.doubted = True
-            tally.add("answers of backends: to something else")
+            metrics.add("answers of backends: to something else")
         return answer
 
-    def failed(self, bad: OSError, time_up: bool, called_off: bool) -> Outcome:
+    def failed(self, bad: OSError, time_up: bool, called_off: bool) -> AttemptOutcome:
         """What its end tells. Its connection is aborted before the loop turns again (see RequestWrite)."""
         ended_here = time_up and isinstance(bad, TimeoutError)
         if self.request and self.request.may_have_left():
             if ended_here:
-                return Outcome.CALLED_OFF if called_off else Outcome.TIMED_OUT
-            return Outcome.BROKEN
+                return AttemptOutcome.CANCELLED if called_off else AttemptOutcome.TIMED_OUT
+            return AttemptOutcome.BROKEN
         if ended_here:
-            return Outcome.NOT_SENT
+            return AttemptOutcome.NOT_SENT
         if self.link is None and isinstance(bad, TimeoutError):
-            return Outcome.NO_CONNECTION
+            return AttemptOutcome.NO_CONNECTION
         # With a process all its connections go. As long as one is up, only this one was refused or cut.
-        return Outcome.CUT if self.link or self.site.idle or self.site.busy else Outcome.NO_CONNECTION
+        return AttemptOutcome.CUT if self.link or self.site.idle or self.site.busy else AttemptOutcome.NO_CONNECTION
 
 
 class Backends:
     may_call_off = True  # False once this process is to end: what a backend is at work on is not broken off any more
 
     def __init__(
-        self, clock: Clock, tally: Tally, dial_us: int, idle_us: int, room: Room, answer_top: int = BODY_TOP
+        self,
+        clock: Clock,
+        metrics: Metrics,
+        dial_us: int,
+        idle_us: int,
+        descriptor_budget: DescriptorBudget,
+        answer_top: int = BODY_TOP,
     ) -> None:
-        self.clock, self.tally, self.room, self.answer_top = clock, tally, room, answer_top
+        self.clock, self.metrics, self.descriptor_budget, self.answer_top = (
+            clock,
+            metrics,
+            descriptor_budget,
+            answer_top,
+        )
         self.dial_s, self.idle_us = dial_us / 1_000_000, int(idle_us * IDLE_PART)
         self.sites: dict[int, Site] = {}  # by backend; emptied by forget()
         self.judge = outcome  # what an answer, or the end of the stream in its place, tells
         self.takes: Callable[[int], bool] = lambda _: True  # new work; set by whoever knows discovery's list
-        room.victims.append(self.idle_longest)
+        descriptor_budget.victims.append(self.idle_longest)
 
     def place(self, backend: int, address: tuple[str, int]) -> None:
         """Where a backend is from now on; connections to where it was are not used again."""
@@ -119,7 +130,7 @@
                 self.drop(site.idle.popleft())
 
     def drop(self, link: Link) -> None:
-        self.room.free()
+        self.descriptor_budget.free()
         link.close()
 
     async def call_out(
@@ -131,14 +142,14 @@
         body: bytes,
         until: int,
         ours: Callable[[Message], bool] | None = None,
-    ) -> tuple[Outcome, Message | None]:
+    ) -> tuple[AttemptOutcome, Message | None]:
         """One call-out, ended by an answer, a fault, the module's call-off or the given time.
 
         ours: whether an answer belongs to this request. One that does not came late or was sent twice: the next one
         on the connection may be."""
         site = self.sites.get(backend)
         if site is None or self.clock.now() >= until:
-            return Outcome.NOT_SENT, None
+            return AttemptOutcome.NOT_SENT, None
         called_off = False
         scope = asyncio.timeout_at(self.clock.loop_time(until))
 
@@ -153,14 +164,14 @@
         try:
             async with scope:
                 if not await self.reach(attempt, backend):
-                    return Outcome.NOT_SENT, None
+                    return AttemptOutcome.NOT_SENT, None
                 await attempt.send(head, body)
-                answer = await attempt.answer(ours, self.tally)
+                answer = await attempt.answer(ours, self.metrics)
         except OSError as bad:  # a TimeoutError is one: the scope's, the dial's, or the kernel's own
             return attempt.failed(bad, scope.expired(), called_off), None
         except Malformed as bad:
-            self.tally.report("answers of backends: malformed", f"{site.address}: {bad}")
-            return Outcome.BROKEN, None
+            self.metrics.report("answers of backends: malformed", f"{site.address}: {bad}")
+            return AttemptOutcome.BROKEN, None
         finally:
             held.stop = None
             self.release(attempt, backend, answer)
@@ -171,14 +182,14 @@
         site = attempt.site
         link = self.take_idle(site)
         if link is None:
-            if not self.room.take():
-                self.tally.add("call-outs: no descriptor left")
+            if not self.descriptor_budget.take():
+                self.metrics.add("call-outs: no descriptor left")
                 return False
             link = await self.connect(site)
         attempt.link = link
         site.busy += 1
         if not self.takes(backend) or self.sites.get(backend) is not site:  # told so while it was dialled, say
-            self.tally.add("call-outs: backend left meanwhile")
+            self.metrics.add("call-outs: backend left meanwhile")
             return False
         return True
 
@@ -197,9 +208,9 @@
         try:
             line, writer = await connect(site.address, self.dial_s)
         except BaseException:
-            self.room.free()
+            self.descriptor_budget.free()
             raise
-        self.tally.add("connections to backends")
+        self.metrics.add("connections to backends")
         return Link(line, writer, self.answer_top)
 
     def take_idle(self, site: Site) -> Link | None:
@@ -232,12 +243,12 @@
         return False, site.idle[0].used_at, lambda: self.drop(site.idle.popleft())
 
 
-def outcome(answer: Message | None) -> Outcome:
+def outcome(answer: Message | None) -> AttemptOutcome:
     """The protocol page's table, where an answer, or the end of the stream in its place, has come."""
     if answer is None:
-        return Outcome.BROKEN
+        return AttemptOutcome.BROKEN
     if answer.status == 200:
-        return Outcome.OK
+        return AttemptOutcome.OK
     if answer.status in (503, 504) and answer.headers.get(b"srv-declined") == b"1":
-        return Outcome.TURNED_AWAY
-    return Outcome.ERROR
+        return AttemptOutcome.REJECTED
+    return AttemptOutcome.ERROR
