--- a/stoneyoke/net/clients.py
+++ b/stoneyoke/net/clients.py
@@ -8,9 +8,10 @@
 
 from loguru import logger
 
-from stoneyoke.interface import Abort, CallOut, Outcome, PushBack
-from stoneyoke.net.asked import TEXT, Asked, Names
+from stoneyoke.control.actions import Abandon, Reject, StartAttempt
+from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.backends import Backends
+from stoneyoke.net.descriptor_budget import DescriptorBudget, Victim
 from stoneyoke.net.http import (
     BODY_TOP,
     HEAD_TOP,
@@ -22,9 +23,9 @@
     unread,
     write_message,
 )
-from stoneyoke.net.room import Room, Victim
-from stoneyoke.runtime import Clock, Held, Runtime
-from stoneyoke.tally import Tally
+from stoneyoke.runtime.metrics import Metrics
+from stoneyoke.runtime.runtime import Clock, Held, Runtime
+from stoneyoke.single_gateway.request_head import TEXT, Asked, Names
 
 # The operators' page: whoever connects is owed an error or a close within 3 s, and a connection may be closed
 # 2 s after its last RPC. A message's time runs from its first byte, the first one's from the connection's.
@@ -82,20 +83,20 @@
     def __init__(
         self,
         clock: Clock,
-        tally: Tally,
+        metrics: Metrics,
         runtime: Runtime | Any,
         backends: Backends,
         names: Names | Any,
         slack_us: int,
-        room: Room,
+        descriptor_budget: DescriptorBudget,
         descriptors: int,
     ) -> None:
-        self.clock, self.tally, self.runtime, self.backends = clock, tally, runtime, backends
-        self.names, self.slack_us, self.room = names, slack_us, room
+        self.clock, self.metrics, self.runtime, self.backends = clock, metrics, runtime, backends
+        self.names, self.slack_us, self.descriptor_budget = names, slack_us, descriptor_budget
         # The operators' page: clients open a third of the descriptors at most for RPCs. What is kept open, by
         # fronts for later and by those who ask once for good, leaves them a quarter of that.
-        self.fresh_most, self.asked_most = max(1, room.most // 3), max(1, descriptors // 4)
-        room.victims.append(self.idle_longest)
+        self.fresh_most, self.asked_most = max(1, descriptor_budget.most // 3), max(1, descriptors // 4)
+        descriptor_budget.victims.append(self.idle_longest)
         self.open: dict[asyncio.StreamWriter, Client] = {}  # emptied as connections close
         self.fresh: dict[Client, None] = {}  # the oldest first; emptied by a first whole message or a close
         self.idle: dict[Client, None] = {}  # after an answer, the longest first; emptied by a byte or a close
@@ -106,7 +107,7 @@
         self.head_top, self.body_top = HEAD_TOP, BODY_TOP
         self.longest_s = SHORTEST_S  # the longest deadline
         if isinstance(runtime, Runtime):
-            self.longest_s = max(method.deadline_us for method in runtime.terms.methods) / 1_000_000
+            self.longest_s = max(method.deadline_us for method in runtime.parameters.methods) / 1_000_000
         self.last_at = sys.maxsize  # by when all must be answered; set by SIGTERM
 
     def line(self) -> Line:
@@ -119,8 +120,8 @@
         if len(self.fresh) >= self.fresh_most:  # those that say nothing go first, whoever else is idle
             if silent := next((client for client in self.fresh if client.quiet()), None):
                 self.close_for_room(silent)
-        if not self.room.take(spare=True):
-            self.tally.add("connections of clients: no descriptor left")
+        if not self.descriptor_budget.take(spare=True):
+            self.metrics.add("connections of clients: no descriptor left")
             return writer.transport.abort()
         client = self.open[writer] = Client(line, writer, self.runtime.came())
         client.messages.head_top, client.messages.body_top = self.head_top, self.body_top
@@ -139,7 +140,7 @@
             if client.held:
                 client.held.home.client_gone(client.held)
 
-        self.tally.add("connections of clients")
+        self.metrics.add("connections of clients")
         line.on_bytes, line.on_close = came, gone
         try:
             while message := await client.messages.next():
@@ -160,23 +161,23 @@
         except Malformed as bad:
             await self.complain(client, bad)
         except OSError:
-            self.tally.add("connections of clients: broken")
+            self.metrics.add("connections of clients: broken")
         except asyncio.CancelledError:  # the program ends
             writer.transport.abort()
         except Exception:  # a fault here costs this one connection, never the gateway
             logger.exception("a client's connection failed")
-            self.tally.must(False, "connection failed")
+            self.metrics.must(False, "connection failed")
         finally:
             line.on_bytes = line.on_close = None
             del self.open[writer]
             self.fresh.pop(client, None)
             self.idle.pop(client, None)
-            self.room.free()
+            self.descriptor_budget.free()
             writer.close()
 
     async def complain(self, client: Client, bad: Malformed) -> None:
         """A plain 4xx or 5xx. Closing at once would reset it away where more is still on its way."""
-        self.tally.report(f"bad input: {bad.status}", str(bad))
+        self.metrics.report(f"bad input: {bad.status}", str(bad))
         body = str(bad).encode()[:200] + b"\n"
         more = b"Content-Type: text/plain\r\nConnection: close\r\nContent-Length: %d\r\n" % len(body)
         write_message(client.writer, [status_line(bad.status), more], body)
@@ -196,13 +197,13 @@
 
     async def answer(self, client: Client, message: Message) -> None:
         if message.target == b"/healthz" and message.method == b"GET":
-            self.tally.add("health checks")
+            self.metrics.add("health checks")
             ending = self.last_at < sys.maxsize
             status, body, more = (503, b"ending\n", b"") if ending else (200, b"ok\n", b"")
         else:
             status, body, more = await self.life(client, message)
             if status == 0 or client.writer.is_closing():
-                self.tally.add("RPCs: client gone")
+                self.metrics.add("RPCs: client gone")
                 return
         if not message.keeps or self.ending and not client.more_came():
             message.keeps = False
@@ -214,7 +215,7 @@
         """One RPC, from its head to its answer: status, body, more headers. Status 0: nobody waits."""
         asked = Asked(message, self.names)
         if not self.informed.is_set():
-            self.tally.add("RPCs: waited for the first list")
+            self.metrics.add("RPCs: waited for the first list")
             await self.informed.wait()
         await self.runtime.catch_up()
         if client.gone:
@@ -224,7 +225,7 @@
         self.ids.add(asked.id)
         until = min(client.since + asked.wait_us, self.last_at)
         give_up_at = until - self.slack_us  # so that the answer is there when the client's time is up
-        self.tally.add("RPCs")
+        self.metrics.add("RPCs")
         held = client.held = self.runtime.take_in(
             asked.method, asked.plan, asked.account, until, asked.units, asked.width, asked.repeat
         )
@@ -233,28 +234,28 @@
                 match await held.wish(give_up_at):
                     case None if held.gone:
                         return 0, b"", b""
-                    case PushBack(_, wait_us):
-                        self.tally.add("RPCs: pushed back")
+                    case Reject(_, wait_us):
+                        self.metrics.add("RPCs: pushed back")
                         advice = b"Retry-After: %.3f\r\n" % (wait_us / 1_000_000)
-                        return 429, b"", advice if self.runtime.terms.advises else b""
-                    case CallOut(_, backend, limit_us):
+                        return 429, b"", advice if self.runtime.parameters.advises else b""
+                    case StartAttempt(_, backend, limit_us):
                         n, now = held.calls, self.clock.now()
                         held.calls += 1
                         end = min(give_up_at, now + limit_us) if limit_us else give_up_at
                         outcome, answer = await self.backends.call_out(
                             held, n, backend, head(message, end - now), message.body, end
                         )
-                        self.tally.add(f"call-outs: {outcome.value}")
+                        self.metrics.add(f"call-outs: {outcome.value}")
                         await self.runtime.catch_up()
-                        self.runtime.call_out_ended(held, n, backend, outcome)
-                        if outcome is Outcome.OK and answer and not held.gone:
-                            self.tally.add("RPCs: ok")
+                        self.runtime.attempt_ended(held, n, backend, outcome)
+                        if outcome is AttemptOutcome.OK and answer and not held.gone:
+                            self.metrics.add("RPCs: ok")
                             kind = answer.headers.get(b"content-type", b"")
                             more = b"Content-Type: %s\r\n" % kind if kind and TEXT(kind) else b""
                             return 200, answer.body, more
                     case wish:
-                        self.tally.must(isinstance(wish, Abort), "RPC without an answer from the module")
-                        self.tally.add("RPCs: aborted")
+                        self.metrics.must(isinstance(wish, Abandon), "RPC without an answer from the module")
+                        self.metrics.add("RPCs: aborted")
                         return 502, b"", b""
         finally:
             client.held = None
@@ -275,7 +276,7 @@
                 self.close_for_room(client)
 
     def close_for_room(self, client: Client) -> None:
-        self.tally.add("connections of clients: closed for room")
+        self.metrics.add("connections of clients: closed for room")
         self.fresh.pop(client, None)
         self.idle.pop(client, None)
         client.writer.transport.abort()
@@ -292,14 +293,14 @@
                 continue
             if client.whole:
                 if age >= UNTAKEN_US:
-                    self.tally.add("connections of clients: stuck")
+                    self.metrics.add("connections of clients: stuck")
                     client.writer.transport.abort()
             elif client.idle:
                 if client.quiet():
-                    self.tally.add("connections of clients: closed as idle")
+                    self.metrics.add("connections of clients: closed as idle")
                     client.writer.transport.abort()
             elif client.quiet():
-                self.tally.add("connections of clients: stuck")
+                self.metrics.add("connections of clients: stuck")
                 client.line.deafen()
                 client.messages.stop(Malformed("a message that does not come whole", 408))
 
--- a/stoneyoke/net/room.py
+++ b/stoneyoke/net/descriptor_budget.py
@@ -5,7 +5,7 @@
 Victim = tuple[bool, int, Callable[[], None]]  # half way (idle ones go first), since when, what closes it
 
 
-class Room:
+class DescriptorBudget:
     """The budget, shared by those who hold connections; each names the next of its own to close."""
 
     def __init__(self, most: int, spare: int) -> None:
--- a/stoneyoke/programs/gateway.py
+++ b/stoneyoke/programs/gateway.py
@@ -17,12 +17,12 @@
 from stoneyoke.gateway.routes import table_of
 from stoneyoke.gateway.upstreams import Upstreams, judge
 from stoneyoke.net.backends import Backends
+from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.net.http import Line, Messages, status_line, write_message
-from stoneyoke.net.room import Room
 from stoneyoke.programs.log_buffer import LogBuffer, set_up
 from stoneyoke.programs.settings import BadSettings, Settings, read_settings
-from stoneyoke.runtime import Clock
-from stoneyoke.tally import Tally
+from stoneyoke.runtime.metrics import Metrics
+from stoneyoke.runtime.runtime import Clock
 
 SETTINGS = flags.DEFINE_string("settings", None, "The settings file; else the one that the environment names.")
 DIAL_US = 300_000
@@ -39,14 +39,14 @@
         if settings.front is None or settings.ready is None:
             raise BadSettings("network.binds.front_addr or ready_addr is missing")
         self.settings, self.front_at, self.ready_at = settings, settings.front, settings.ready
-        self.clock, self.tally = Clock(), Tally()
+        self.clock, self.metrics = Clock(), Metrics()
         free = settings.descriptors - OWN_DESCRIPTORS
         part = max(1, free // 8)
-        room = Room(free - 2 * part, part)
+        descriptor_budget = DescriptorBudget(free - 2 * part, part)
         body_most = settings.memory // ANSWER_PART
-        self.backends = Backends(self.clock, self.tally, DIAL_US, IDLE_US, room, body_most)
+        self.backends = Backends(self.clock, self.metrics, DIAL_US, IDLE_US, descriptor_budget, body_most)
         self.backends.judge = judge
-        self.bridge = ControlClient(
+        self.control_client = ControlClient(
             settings.name,
             settings.ip,
             settings.zone,
@@ -57,14 +57,25 @@
             take=self.take,
             told=self.told,
         )
-        self.roster, seed = self.bridge.roster, self.bridge.seed
-        self.piers = Upstreams(
-            self.clock, self.tally, self.backends, self.roster, settings.zones, settings.zone, seed, settings.bounds
+        self.instance_directory, seed = self.control_client.instance_directory, self.control_client.seed
+        self.upstreams = Upstreams(
+            self.clock,
+            self.metrics,
+            self.backends,
+            self.instance_directory,
+            settings.zones,
+            settings.zone,
+            seed,
+            settings.bounds,
         )
-        self.front = RequestHandler(self.clock, self.tally, room, free, self.backends)
+        self.front = RequestHandler(self.clock, self.metrics, descriptor_budget, free, self.backends)
         self.front.body_most = body_most
-        self.front.admission, self.front.teller = self.bridge.admission, self.bridge.teller
-        self.front.piers, self.front.roster, self.front.draw = self.piers, self.roster, random.Random(seed).random
+        self.front.admission, self.front.quota_client = self.control_client.admission, self.control_client.quota_client
+        self.front.upstreams, self.front.instance_directory, self.front.draw = (
+            self.upstreams,
+            self.instance_directory,
+            random.Random(seed).random,
+        )
         self.leaving = False
         self.seen = self.stamp()
 
@@ -74,8 +85,8 @@
         self.front.take(table_of(chart))
 
     def told(self) -> None:
-        self.piers.among(self.bridge.fleet)
-        self.piers.renew()
+        self.upstreams.among(self.control_client.fleet)
+        self.upstreams.renew()
 
     # ---- readiness ----
 
@@ -83,7 +94,7 @@
         messages = Messages(reader, answers=False)
         try:
             while message := await messages.next():
-                ready = self.bridge.lookout.ready and not self.leaving
+                ready = self.control_client.config_sync.ready and not self.leaving
                 status, body = (200, b"ready\n") if ready else (503, b"not ready\n")
                 write_message(writer, [status_line(status), b"Content-Length: %d\r\n" % len(body)], body)
                 if not message.keeps:
@@ -111,8 +122,8 @@
             logger.error("reload: {}", bad)
             return
         for seed in settings.seeds:
-            self.roster.meet(seed)
-        self.bridge.lookout.follow_all()
+            self.instance_directory.meet(seed)
+        self.control_client.config_sync.follow_all()
 
     async def sweep(self) -> None:
         looks = 0
@@ -121,8 +132,8 @@
             looks += 1
             self.backends.sweep()
             self.front.sweep()
-            self.roster.sweep(self.bridge.clock())
-            self.piers.renew()
+            self.instance_directory.sweep(self.control_client.clock())
+            self.upstreams.renew()
             if looks % 4 == 0 and self.stamp() != self.seen:
                 self.reload()
 
@@ -135,7 +146,7 @@
         ready = await loop.create_server(lambda: Line(self.answer_ready), *self.ready_at, backlog=64)
         listener = socket.create_server(self.front_at)
         front = await loop.create_server(self.front.line, sock=listener, backlog=256)
-        tasks = [loop.create_task(self.sweep()), *self.bridge.start()]
+        tasks = [loop.create_task(self.sweep()), *self.control_client.start()]
         gc.collect()
         gc.freeze()
         await ended.wait()
@@ -144,11 +155,11 @@
         ready.close()
         for task in tasks:
             task.cancel()
-        self.bridge.lookout.close()
-        logger.info("counts: {}", self.tally.line())
+        self.control_client.config_sync.close()
+        logger.info("counts: {}", self.metrics.line())
 
     def report(self, ring: LogBuffer) -> None:
-        logger.info("counts: {}", self.tally.line())
+        logger.info("counts: {}", self.metrics.line())
         ring.dump()
 
 
--- a/stoneyoke/programs/stoneyokectl.py
+++ b/stoneyoke/programs/stoneyokectl.py
@@ -23,8 +23,8 @@
 from stoneyoke.api.calls import addressed
 from stoneyoke.api.configuration import NUMBER, Configuration, read_configuration
 from stoneyoke.api.schema import InvalidField
-from stoneyoke.controlplane.consensus import NO_BALLOT, ReplicaId
-from stoneyoke.controlplane.record_formats import (
+from stoneyoke.consensus.protocol import NO_BALLOT, ReplicaId
+from stoneyoke.consensus.record_formats import (
     IDENTITY,
     OLD_CONFIGURATION,
     OLD_VOTERS,
@@ -36,7 +36,7 @@
     read_register,
     register_record,
 )
-from stoneyoke.controlplane.recovery import recovered
+from stoneyoke.consensus.recovery import recovered
 from stoneyoke.storage.record_store import RecordStore, StorageError
 
 CORES = flags.DEFINE_list("core", [], "Addresses of core machines (control_addr), asked in turn.")
@@ -170,7 +170,7 @@
         f"{'votes' if seen['votes'] else 'does not vote'}, "
         f"{'in touch' if seen['in_touch'] else 'NOT in touch'} with most voters",
         f"voters {seen['voters']['number']}: {', '.join(seen['voters']['members'])}; "
-        f"lease of the quotas: {seen['keeper'] or '-'}",
+        f"lease of the quotas: {seen['lease_holder'] or '-'}",
     ]
     lines += [
         f"controller {name}: {one['version']}, {'votes' if one['votes'] else 'no vote'}, silent {one['silent_s']} s"
--- a/stoneyoke/door.py
+++ b/stoneyoke/runtime/id_index.py
@@ -6,7 +6,7 @@
 Name = TypeVar("Name", bound=Hashable)
 
 
-class Door(Generic[Name]):
+class IdIndex(Generic[Name]):
     """Holds an entry for each id inside; leave() empties it."""
 
     def __init__(self) -> None:
--- a/stoneyoke/tally.py
+++ b/stoneyoke/runtime/metrics.py
@@ -8,7 +8,7 @@
 LINES_A_SECOND = 5  # of reports: a flood of bad input must not become a flood of lines
 
 
-class Tally:
+class Metrics:
     """Counts by a word or two; the words come from the code, so it grows no further than they do."""
 
     def __init__(self) -> None:
--- a/stoneyoke/runtime.py
+++ b/stoneyoke/runtime/runtime.py
@@ -13,33 +13,34 @@
 from loguru import logger
 
 from stoneyoke.control import Gateway
-from stoneyoke.door import Door
-from stoneyoke.interface import (
-    Abort,
+from stoneyoke.control.actions import (
+    Abandon,
     Action,
-    AddCount,
+    AddToCounter,
+    CancelAttempt,
+    ForgetCustomer,
+    Reject,
+    SetTimer,
+    StartAttempt,
+)
+from stoneyoke.control.events import (
     Arrival,
-    CallOff,
-    CallOut,
-    CallOutEnded,
+    AttemptEnded,
     ClientGone,
-    CountAnswer,
+    CounterReply,
+    EndpointsChanged,
     Event,
-    FleetNews,
-    Forget,
-    Outcome,
-    PushBack,
-    SetTimer,
-    Terms,
     TimerFired,
 )
-from stoneyoke.tally import Tally
+from stoneyoke.control.parameters import AttemptOutcome, GatewayParameters
+from stoneyoke.runtime.id_index import IdIndex
+from stoneyoke.runtime.metrics import Metrics
 
 STOOD_US = 100_000  # a timer overdue by this tells that the process stood still; a busy loop is late by 20 ms
 WAKING_US = 50_000  # connections made meanwhile are accepted within this after it woke
 CATCH_UP_TURNS = 8  # of the loop: 64 KiB of news, the most there can be, are read in four
 
-Wish = CallOut | PushBack | Abort
+Wish = StartAttempt | Reject | Abandon
 
 
 class Clock:
@@ -90,21 +91,21 @@
 
     def sent(self, rpc: int, backend: int) -> None: ...
 
-    def ended(self, rpc: int, outcome: Outcome) -> None: ...
+    def ended(self, rpc: int, outcome: AttemptOutcome) -> None: ...
 
 
 class Runtime:
     """Drives the decisions: events in, actions out, timers and the clock."""
 
-    def __init__(self, terms: Terms, clock: Clock, tally: Tally) -> None:
-        self.terms, self.clock, self.tally = terms, clock, tally
-        self.gateway = Gateway(terms, clock.now())
+    def __init__(self, parameters: GatewayParameters, clock: Clock, metrics: Metrics) -> None:
+        self.parameters, self.clock, self.metrics = parameters, clock, metrics
+        self.gateway = Gateway(parameters, clock.now())
         self.held: dict[int, Held] = {}  # emptied by let_go()
         self.rpcs = 0
-        self.customers = Door[int]()  # emptied by the module's Forget
+        self.customers = IdIndex[int]()  # emptied by the module's Forget
         self.due = self.gateway.born  # when the timer asked for last should fire
         self.stood = self.woke = 0  # the last time that this process stood still: from when, until when
-        self.add_count: Callable[[AddCount], None] = lambda _: None  # set by whoever speaks to the counter
+        self.add_count: Callable[[AddToCounter], None] = lambda _: None  # set by whoever speaks to the counter
         self.watch: Watch | None = None  # set by the fleet part
 
     def came(self) -> int:
@@ -126,7 +127,7 @@
         now = self.clock.now()
         if now - due > STOOD_US:
             self.stood, self.woke = due, now
-            self.tally.report("stood still", f"for {(now - due) // 1000} ms")
+            self.metrics.report("stood still", f"for {(now - due) // 1000} ms")
         self.tell(TimerFired(token))
 
     # ---- events in ----
@@ -136,14 +137,14 @@
             actions = self.gateway.handle(event, self.clock.now())
         except Exception:  # a fault in the decisions costs this one event, never the gateway
             logger.exception("the module failed on {}", event)
-            self.tally.must(False, "module failed")
+            self.metrics.must(False, "module failed")
             actions = self.gateway.actions
         for action in actions:
             try:
                 self.carry_out(action)
             except Exception:  # nor does a fault in a front's part keep the other actions from being done
                 logger.exception("{} could not be carried out", action)
-                self.tally.must(False, "action failed")
+                self.metrics.must(False, "action failed")
 
     def take_in(
         self, method: int, plan: int, account: int, until: int, units: float, width: float, repeat: bool | None
@@ -165,11 +166,11 @@
         )
         return held
 
-    def call_out_ended(self, held: Held, n: int, backend: int, outcome: Outcome) -> None:
-        closed = outcome is Outcome.OK or held.gone
+    def attempt_ended(self, held: Held, n: int, backend: int, outcome: AttemptOutcome) -> None:
+        closed = outcome is AttemptOutcome.OK or held.gone
         if self.watch:
             self.watch.ended(held.index, outcome)
-        self.tell(CallOutEnded(held.index, n, backend, outcome, closed, 0.0))
+        self.tell(AttemptEnded(held.index, n, backend, outcome, closed, 0.0))
 
     def client_gone(self, held: Held) -> None:
         if not held.gone:
@@ -180,40 +181,40 @@
     def let_go(self, held: Held) -> None:
         """Its answer is decided, or nobody waits. What the module still wished for it was never sent."""
         while held.wishes:
-            if isinstance(wish := held.wishes.popleft(), CallOut):
+            if isinstance(wish := held.wishes.popleft(), StartAttempt):
                 held.calls += 1
-                self.call_out_ended(held, held.calls - 1, wish.backend, Outcome.NOT_SENT)
+                self.attempt_ended(held, held.calls - 1, wish.backend, AttemptOutcome.NOT_SENT)
         self.held.pop(held.index, None)
-        self.tally.must(held.gone or not self.gateway.holds(held.index), "RPC let go, held by the module")
+        self.metrics.must(held.gone or not self.gateway.holds(held.index), "RPC let go, held by the module")
 
     def counted(self, name: int, added: bool, total: float) -> None:
-        self.tell(CountAnswer(name, added, total))
+        self.tell(CounterReply(name, added, total))
 
     def knows(self, backend: int) -> bool:
         return backend in self.gateway.backends
 
-    def listed(self, news: FleetNews) -> None:
+    def listed(self, news: EndpointsChanged) -> None:
         self.tell(news)
 
     # ---- actions out ----
 
     def carry_out(self, action: Action) -> None:
         match action:
-            case CallOut() | PushBack() | Abort():
+            case StartAttempt() | Reject() | Abandon():
                 if held := self.held.get(action.rpc):
-                    if self.watch and isinstance(action, CallOut):
+                    if self.watch and isinstance(action, StartAttempt):
                         self.watch.sent(action.rpc, action.backend)
                     held.wishes.append(action)
                     held.wake()
             case SetTimer(delay, token):
                 self.due = self.clock.now() + delay
                 asyncio.get_running_loop().call_later(delay / 1_000_000, self.timer, self.due, token)
-            case CallOff(rpc, n):
+            case CancelAttempt(rpc, n):
                 if (held := self.held.get(rpc)) and held.stop:
                     held.stop(n)
-            case AddCount():
+            case AddToCounter():
                 self.add_count(action)
-            case Forget(customer):
+            case ForgetCustomer(customer):
                 self.customers.leave(customer)
             case _:  # Subscribe: news comes by itself here
                 pass
--- a/stoneyoke/simhost/host.py
+++ b/stoneyoke/simhost/host.py
@@ -4,42 +4,42 @@
 from typing import Any, BinaryIO
 
 from stoneyoke.control import Gateway
-from stoneyoke.door import Door
-from stoneyoke.interface import (
-    Abort,
+from stoneyoke.control.actions import (
+    Abandon,
     Action,
-    AddCount,
+    AddToCounter,
+    CancelAttempt,
+    ForgetCustomer,
+    Reject,
+    SetTimer,
+    StartAttempt,
+    Subscribe,
+)
+from stoneyoke.control.events import (
+    AnswerStarted,
     Arrival,
-    CallOff,
-    CallOut,
-    CallOutEnded,
+    AttemptEnded,
     ClientGone,
-    CountAnswer,
+    CounterReply,
+    Endpoint,
+    EndpointsChanged,
     Event,
-    FleetNews,
-    Forget,
-    Listed,
-    Outcome,
-    PushBack,
-    SetTimer,
-    State,
-    StreamBegun,
-    Subscribe,
-    Terms,
     TimerFired,
 )
+from stoneyoke.control.parameters import AttemptOutcome, BackendState, GatewayParameters
+from stoneyoke.runtime.id_index import IdIndex
 from stoneyoke.simhost import wire
-from stoneyoke.startup import BadStart, read_terms
+from stoneyoke.single_gateway.parameters import BadStart, read_terms
 
 OUTCOMES = {
-    200: Outcome.OK,
-    500: Outcome.ERROR,
-    503: Outcome.TURNED_AWAY,
-    504: Outcome.TIMED_OUT,
-    502: Outcome.NO_CONNECTION,
-    598: Outcome.BROKEN,
-    499: Outcome.CALLED_OFF,
-    410: Outcome.NOT_SENT,
+    200: AttemptOutcome.OK,
+    500: AttemptOutcome.ERROR,
+    503: AttemptOutcome.REJECTED,
+    504: AttemptOutcome.TIMED_OUT,
+    502: AttemptOutcome.NO_CONNECTION,
+    598: AttemptOutcome.BROKEN,
+    499: AttemptOutcome.CANCELLED,
+    410: AttemptOutcome.NOT_SENT,
 }
 MOST_US = 2**32 - 1
 
@@ -47,15 +47,15 @@
 class Instance:
     """One gateway on the wire. RPC and customer indices are taken back when the gateway lets go of them."""
 
-    def __init__(self, who: int, terms: Terms, now: int) -> None:
+    def __init__(self, who: int, parameters: GatewayParameters, now: int) -> None:
         self.who = who
-        self.rpcs, self.backends, self.customers = Door[int](), Door[int](), Door[int]()
-        self.gateway = Gateway(terms, now)
+        self.rpcs, self.backends, self.customers = IdIndex[int](), IdIndex[int](), IdIndex[int]()
+        self.gateway = Gateway(parameters, now)
 
     def tell(self, event: Event, now: int, reply: wire.Reply) -> None:
         for action in self.gateway.handle(event, now):
             self.put(action, reply)
-            if isinstance(action, PushBack | Abort) and not self.gateway.holds(action.rpc):
+            if isinstance(action, Reject | Abandon) and not self.gateway.holds(action.rpc):
                 self.rpcs.leave(action.rpc)
 
     def tell_rpc(self, number: int, event: Event, now: int, reply: wire.Reply) -> None:
@@ -67,22 +67,22 @@
     def put(self, action: Action, reply: wire.Reply) -> None:
         who = self.who
         match action:
-            case CallOut(rpc, backend, limit):
+            case StartAttempt(rpc, backend, limit):
                 to = self.backends.names[backend]
                 reply.add(wire.SEND, who, self.rpcs.names[rpc], to, min(limit, MOST_US))
-            case PushBack(rpc, wait):
+            case Reject(rpc, wait):
                 reply.add(wire.DECLINE, who, self.rpcs.names[rpc], min(wait, MOST_US))
-            case Abort(rpc):
+            case Abandon(rpc):
                 reply.add(wire.REPORT_FAILURE, who, self.rpcs.names[rpc])
-            case CallOff(rpc, n):
+            case CancelAttempt(rpc, n):
                 reply.add(wire.CALL_OFF, who, self.rpcs.names[rpc], n)
             case SetTimer(delay, token):
                 reply.add(wire.TIMER, who, delay, token)
-            case AddCount(name, life, amount):
+            case AddToCounter(name, life, amount):
                 reply.add(wire.BUMP, who, name, life, amount)
             case Subscribe():
                 reply.add(wire.OBSERVE, who, 1)
-            case Forget(customer):
+            case ForgetCustomer(customer):
                 self.customers.leave(customer)
 
 
@@ -117,8 +117,8 @@
                 settings = json.loads(batch.piece(*fields[2:]))
             except ValueError as bad:
                 raise BadStart(f"start message is not JSON: {bad}") from bad
-            terms = read_terms(fields[1], settings)
-            self.instances[who] = Instance(who, terms, now)
+            parameters = read_terms(fields[1], settings)
+            self.instances[who] = Instance(who, parameters, now)
             return
         if code == wire.KILLED:
             self.instances.pop(who, None)
@@ -139,7 +139,7 @@
                     wait,
                     units,
                     width,
-                    bool(bits & wire.REPEAT) if inst.gateway.terms.marks_repeats else None,
+                    bool(bits & wire.REPEAT) if inst.gateway.parameters.marks_repeats else None,
                 ),
                 now,
                 reply,
@@ -152,7 +152,7 @@
             if rpc is not None:
                 inst.tell_rpc(
                     req,
-                    CallOutEnded(
+                    AttemptEnded(
                         rpc,
                         n,
                         inst.backends.enter(backend),
@@ -166,25 +166,25 @@
         elif code in (wire.GONE, wire.FIRST):
             rpc = inst.rpcs.index.get(fields[1])
             if rpc is not None:
-                event = ClientGone(rpc) if code == wire.GONE else StreamBegun(rpc)
+                event = ClientGone(rpc) if code == wire.GONE else AnswerStarted(rpc)
                 inst.tell_rpc(fields[1], event, now, reply)
         elif code == wire.WAKEUP:
             inst.tell(TimerFired(fields[1]), now, reply)
         elif code == wire.COUNTED:
             _, name, _, outcome, total = fields
-            inst.tell(CountAnswer(name, OUTCOMES.get(outcome) is Outcome.OK, total), now, reply)
+            inst.tell(CounterReply(name, OUTCOMES.get(outcome) is AttemptOutcome.OK, total), now, reply)
         elif code == wire.LIST_NEWS:
             _, mode, _, bank = fields
             if mode == 3:
-                inst.tell(FleetNews(False, True), now, reply)
+                inst.tell(EndpointsChanged(False, True), now, reply)
                 return
             if bank not in self.banks:
                 raise wire.Malformed(f"frame {batch.number}: list {bank} was never given")
             entries = [
-                Listed(inst.backends.enter(backend), zone, cell, started, State(state))
+                Endpoint(inst.backends.enter(backend), zone, cell, started, BackendState(state))
                 for cell, zone, _, _, backend, started, state in self.banks[bank]
             ]
-            inst.tell(FleetNews(mode != 0, False, entries), now, reply)
+            inst.tell(EndpointsChanged(mode != 0, False, entries), now, reply)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
--- a/stoneyoke/cli.py
+++ b/stoneyoke/single_gateway/cli.py
@@ -44,7 +44,7 @@
 @click.argument("file", required=False, type=click.Path(path_type=Path))
 def serve(file: Path | None) -> None:
     """One gateway, as FILE or the file that NODE_CONFIG names describes it, until SIGTERM."""
-    from stoneyoke.__main__ import main as run
+    from stoneyoke.single_gateway.program import main as run
 
     if file:
         os.environ["NODE_CONFIG"] = str(file)
@@ -55,13 +55,13 @@
 @click.argument("file", type=click.Path(path_type=Path))
 def check(file: Path) -> None:
     """Whether a gateway could start with the configuration FILE."""
-    from stoneyoke.__main__ import Charter, read_given, read_options, terms_of_fleet
-    from stoneyoke.startup import BadStart
+    from stoneyoke.single_gateway.parameters import BadStart
+    from stoneyoke.single_gateway.program import GatewaySettings, read_given, read_options, terms_of_fleet
 
     os.environ["NODE_CONFIG"] = str(file)
     try:
         given: dict[str, Any] = read_given()
-        Charter(given)
+        GatewaySettings(given)
         terms_of_fleet(read_options(given), given)
     except BadStart as bad:
         click.echo(f"stoneyoke: {bad}", err=True)
--- a/stoneyoke/net/counter.py
+++ b/stoneyoke/single_gateway/counter.py
@@ -5,10 +5,10 @@
 import re
 from collections import deque
 
-from stoneyoke.interface import AddCount
+from stoneyoke.control.actions import AddToCounter
 from stoneyoke.net.http import Malformed, Messages, connect
-from stoneyoke.runtime import Clock, Runtime
-from stoneyoke.tally import Tally
+from stoneyoke.runtime.metrics import Metrics
+from stoneyoke.runtime.runtime import Clock, Runtime
 
 # Of the 32 that the protocol page has the counter hold. A call goes where none is out, if it can: whatever
 # ends a connection takes all calls on it along. Those gone silent are replaced.
@@ -42,8 +42,10 @@
 class Counter:
     """The calls to the counter, over one connection that is made anew when it falls silent."""
 
-    def __init__(self, clock: Clock, tally: Tally, runtime: Runtime, address: tuple[str, int], limit_us: int) -> None:
-        self.clock, self.tally, self.runtime = clock, tally, runtime
+    def __init__(
+        self, clock: Clock, metrics: Metrics, runtime: Runtime, address: tuple[str, int], limit_us: int
+    ) -> None:
+        self.clock, self.metrics, self.runtime = clock, metrics, runtime
         self.limit_us = limit_us
         self.links: list[Link] = []  # to where the counter is; a link leaves as it ends, all with a move
         self.tasks: set[asyncio.Task[None]] = set()  # one a connection
@@ -60,7 +62,7 @@
             else:
                 self.end(link)
 
-    def add(self, action: AddCount) -> None:
+    def add(self, action: AddToCounter) -> None:
         now = self.clock.now()
         call = Call(action.name, now)
         link = self.pick(now)
@@ -75,7 +77,7 @@
             link.writer.writelines((head, b"Content-Length: 0\r\n", self.host))
         else:
             link.unsent += (head, b"Content-Length: 0\r\n", self.host)
-        self.tally.add("counter calls")
+        self.metrics.add("counter calls")
         asyncio.get_running_loop().call_later(self.limit_us / 1_000_000, self.give_up, call)
 
     def pick(self, now: int) -> Link:
@@ -107,7 +109,7 @@
         broke, which says nothing of the counter."""
         if not call.done:
             call.done = True
-            self.tally.add(f"counter calls: {ending}")
+            self.metrics.add(f"counter calls: {ending}")
             self.runtime.counted(call.name, added, total)
 
     def end(self, link: Link) -> None:
@@ -140,9 +142,9 @@
                 if not answer.keeps or not link.calls and link not in self.links:
                     break
         except OSError:
-            self.tally.add("counter: connections lost")
+            self.metrics.add("counter: connections lost")
         except Malformed as bad:
-            self.tally.report("counter: malformed answers", str(bad))
+            self.metrics.report("counter: malformed answers", str(bad))
             if link.calls:  # it was carried out, and its total can't be read
                 self.answer(link.calls.popleft(), "answered unreadably", True, math.nan)
         finally:
--- a/stoneyoke/net/discovery.py
+++ b/stoneyoke/single_gateway/discovery.py
@@ -8,10 +8,11 @@
 
 from loguru import logger
 
-from stoneyoke.door import Door
-from stoneyoke.interface import FleetNews, Known, Listed, State
+from stoneyoke.control.events import Endpoint, EndpointsChanged, KnownBackend
+from stoneyoke.control.parameters import BackendState
 from stoneyoke.net.http import BODY_TOP, Malformed, Messages, connect, write_message
-from stoneyoke.tally import Tally
+from stoneyoke.runtime.id_index import IdIndex
+from stoneyoke.runtime.metrics import Metrics
 
 # A watch's wait: all counts as told 2 s after its end (protocol page). A connection that has fallen silent
 # tells nothing for as long as this and ANSWER_S, by which an answer may be later; so both are short.
@@ -25,7 +26,7 @@
 AGAIN_S = 0.1  # pause after a failure: inside the 200 ms within which the protocol page lets a watch go on
 LIST_TOP = 16 * BODY_TOP  # of a list of thousands; the protocol page's 64 KiB hold some 400 entries
 HOST = re.compile(r"[0-9A-Za-z._:-]{1,253}").fullmatch  # what a name or number can be made of
-STATES = {"active": State.READY, "leaving": State.DRAINING, "left": State.GONE}
+STATES = {"active": BackendState.READY, "leaving": BackendState.DRAINING, "left": BackendState.GONE}
 
 
 class Entry:
@@ -41,7 +42,7 @@
             self.started_us = max(0, int(row.get("since_ms", 0))) * 1000
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as bad:
             raise Malformed(f"an entry that can't be used: {row!r}") from bad
-        if self.state is not State.GONE and not named:
+        if self.state is not BackendState.GONE and not named:
             raise Malformed(f"an entry without an address of use: {row!r}")
 
 
@@ -67,8 +68,8 @@
 class Discovery:
     """Watches one address; after a move the old one too, until the new one has told its list."""
 
-    def __init__(self, tally: Tally, told: Callable[[News], None]) -> None:
-        self.tally, self.told = tally, told
+    def __init__(self, metrics: Metrics, told: Callable[[News], None]) -> None:
+        self.metrics, self.told = metrics, told
         self.heard = True  # the last call was answered
         self.spoke = asyncio.Event()  # set by the first answer, or by its failure
         self.watches: list[asyncio.Task[None]] = []  # the newest last; emptied from the front by answered()
@@ -94,15 +95,15 @@
                 await self.watch(address)
             except OSError as bad:
                 if self.heard:  # one line an outage
-                    self.tally.report("discovery: no answer", f"{type(bad).__name__} {bad}")
+                    self.metrics.report("discovery: no answer", f"{type(bad).__name__} {bad}")
                 else:
-                    self.tally.add("discovery: no answer")
+                    self.metrics.add("discovery: no answer")
                 self.heard = False
             except Malformed as bad:
-                self.tally.report("discovery: malformed answers", str(bad))
+                self.metrics.report("discovery: malformed answers", str(bad))
             except Exception:  # a fault here must not end the watch
                 logger.exception("discovery failed")
-                self.tally.must(False, "discovery failed")
+                self.metrics.must(False, "discovery failed")
             self.spoke.set()
             await asyncio.sleep(AGAIN_S)
 
@@ -124,9 +125,9 @@
                     news = News(json.loads(answer.body))
                 except ValueError as bad:
                     raise Malformed("an answer that is no JSON") from bad
-                self.tally.add("discovery: answers")
+                self.metrics.add("discovery: answers")
                 if news.left_out:
-                    self.tally.report("discovery: entries left out", news.left_out)
+                    self.metrics.report("discovery: entries left out", news.left_out)
                 self.heard = True
                 self.answered()
                 self.told(news)
@@ -150,31 +151,31 @@
         known: Callable[[int], bool],
     ) -> None:
         self.zones, self.place, self.forget, self.known = zones, place, forget, known
-        self.door = Door[str]()  # emptied by sweep()
+        self.door = IdIndex[str]()  # emptied by sweep()
         self.where: dict[str, tuple[str, int]] = {}  # emptied, as is the next, by lose()
         self.holders: dict[tuple[str, int], Entry] = {}  # who is reached there
 
-    def news(self, news: News) -> FleetNews:
-        listed: dict[str, Listed] = {}
+    def news(self, news: News) -> EndpointsChanged:
+        listed: dict[str, Endpoint] = {}
         if news.whole:
             for name in self.where.keys() - {entry.name for entry in news.entries}:
                 self.lose(name)
         for entry in news.entries:
             # One address, one backend: whoever started there last, and a ready one before one that leaves.
             if (
-                entry.state is not State.GONE
+                entry.state is not BackendState.GONE
                 and (holder := self.holders.get(entry.address))
                 and (holder.name != entry.name)
             ):
-                if (entry.state is not State.READY, -entry.started_us) > (
-                    holder.state is not State.READY,
+                if (entry.state is not BackendState.READY, -entry.started_us) > (
+                    holder.state is not BackendState.READY,
                     -holder.started_us,
                 ):
-                    entry.state = State.GONE
+                    entry.state = BackendState.GONE
                 else:
-                    holder.state = State.GONE
+                    holder.state = BackendState.GONE
                     listed[holder.name] = self.listed(holder)
-            if entry.state is State.GONE:
+            if entry.state is BackendState.GONE:
                 if entry.name in self.door.index:
                     listed[entry.name] = self.listed(entry)
                 continue
@@ -183,25 +184,25 @@
             self.where[entry.name], self.holders[entry.address] = entry.address, entry
             self.place(self.door.enter(entry.name), entry.address)
             listed[entry.name] = self.listed(entry)
-        return FleetNews(news.whole, False, list(listed.values()))
+        return EndpointsChanged(news.whole, False, list(listed.values()))
 
-    def listed(self, entry: Entry) -> Listed:
-        if entry.state is State.GONE:
+    def listed(self, entry: Entry) -> Endpoint:
+        if entry.state is BackendState.GONE:
             self.lose(entry.name)
         zone = self.zones.index(entry.zone) if entry.zone in self.zones else len(self.zones)
-        return Listed(self.door.index[entry.name], zone, entry.cell, entry.started_us, entry.state)
+        return Endpoint(self.door.index[entry.name], zone, entry.cell, entry.started_us, entry.state)
 
     def takes(self, backend: int) -> bool:
         """Whether a backend takes new work, as discovery told last."""
         address = self.where.get(self.door.names[backend])
-        return address is not None and self.holders[address].state is State.READY
+        return address is not None and self.holders[address].state is BackendState.READY
 
-    def ready(self) -> list[Known]:
+    def ready(self) -> list[KnownBackend]:
         """All backends that take new work, as discovery told of them."""
         return [
-            Known(self.door.index[entry.name], entry.name, entry.zone, entry.started_us)
+            KnownBackend(self.door.index[entry.name], entry.name, entry.zone, entry.started_us)
             for entry in self.holders.values()
-            if entry.state is State.READY
+            if entry.state is BackendState.READY
         ]
 
     def lose(self, name: str) -> None:
--- a/stoneyoke/options.py
+++ b/stoneyoke/single_gateway/options.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from stoneyoke.startup import BadStart
+from stoneyoke.single_gateway.parameters import BadStart
 
 
 class Log(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
--- a/stoneyoke/startup.py
+++ b/stoneyoke/single_gateway/parameters.py
@@ -3,12 +3,12 @@
 import math
 from typing import Any
 
-from stoneyoke.interface import Effect, Group, Method, Plan, Terms
+from stoneyoke.control.parameters import DeduplicationScope, GatewayParameters, Idempotency, Method, Plan
 
 EFFECTS = {
-    "idempotent": Effect.IDEMPOTENT,
-    "deduplicated": Effect.DEDUPLICATED,
-    "at_most_once": Effect.NON_IDEMPOTENT,
+    "idempotent": Idempotency.IDEMPOTENT,
+    "deduplicated": Idempotency.DEDUPLICATED,
+    "at_most_once": Idempotency.NON_IDEMPOTENT,
 }
 
 
@@ -28,7 +28,7 @@
     raise BadStart(f"{key!r} is missing or unusable: {value!r}")
 
 
-def read_terms(seed: int, top: Any) -> Terms:
+def read_terms(seed: int, top: Any) -> GatewayParameters:
     """Terms out of the settings. Raises BadStart, which names the key."""
     caps, rules, extra = (field(top, key, dict) for key in ("caps", "rules", "extra"))
     methods = []
@@ -37,12 +37,12 @@
         if effect not in EFFECTS:
             raise BadStart(f"'effect' is unusable: {effect!r}")
         group = row.get("group", "cell")
-        if effect == "deduplicated" and group not in {g.value for g in Group}:
+        if effect == "deduplicated" and group not in {g.value for g in DeduplicationScope}:
             raise BadStart(f"'group' is unusable: {group!r}")
         methods.append(
             Method(
                 EFFECTS[effect],
-                Group(group) if effect == "deduplicated" else Group.CELL,
+                DeduplicationScope(group) if effect == "deduplicated" else DeduplicationScope.CELL,
                 field(row, "aim-us", int, 1),
                 field(row, "deadline-us", int, 1),
                 field(row, "memory-span-us", int) if effect == "deduplicated" else 0,
@@ -60,7 +60,7 @@
         )
         for row in field(top, "tariffs", list)
     ]
-    return Terms(
+    return GatewayParameters(
         seed,
         field(top, "balancers", int, 1),
         field(top, "self-index", int),
--- a/stoneyoke/net/asked.py
+++ b/stoneyoke/single_gateway/request_head.py
@@ -3,7 +3,7 @@
 import math
 import re
 
-from stoneyoke.interface import Effect, Terms
+from stoneyoke.control.parameters import GatewayParameters, Idempotency
 from stoneyoke.net.http import Malformed, Message
 
 LONGEST_S = 3600.0  # a deadline beyond this is absurd
@@ -32,12 +32,12 @@
 class Names:
     """What a head can name: methods, plans, and gateways by their number."""
 
-    def __init__(self, methods: list[str], plans: list[str], terms: Terms) -> None:
+    def __init__(self, methods: list[str], plans: list[str], parameters: GatewayParameters) -> None:
         self.methods = {name.encode(): at for at, name in enumerate(methods)}
         self.plans = {name.encode(): at for at, name in enumerate(plans)}
-        self.effects = [method.effect for method in terms.methods]
-        self.gateways, self.marks = terms.gateways, terms.marks_repeats
-        self.units_top = terms.units_top or math.inf
+        self.effects = [method.effect for method in parameters.methods]
+        self.gateways, self.marks = parameters.gateways, parameters.marks_repeats
+        self.units_max = parameters.units_max or math.inf
 
 
 class Asked:
@@ -58,13 +58,13 @@
         if not path.startswith(b"/") or path.split(b"/", 2)[1] != kind or not TARGET(message.target):
             raise Malformed(f"a path that is not one of {kind[:40]!r}")
         effect = names.effects[method]
-        if message.method != (b"GET" if effect is Effect.IDEMPOTENT else b"POST"):
+        if message.method != (b"GET" if effect is Idempotency.IDEMPOTENT else b"POST"):
             raise Malformed(f"{message.method[:20]!r} is not taken", 405)
-        if message.body and effect is Effect.IDEMPOTENT:
+        if message.body and effect is Idempotency.IDEMPOTENT:
             raise Malformed("a body where none belongs")
         self.id = needed(message, b"req-id")
         needed(message, b"host")
-        if effect is Effect.DEDUPLICATED:
+        if effect is Idempotency.DEDUPLICATED:
             needed(message, b"idempotency-key")
         customer, wait = needed(message, b"x-customer"), needed(message, b"req-deadline")
         if not HEX_16(customer) or (account := int(customer, 16)) >= 1 << 33:
@@ -94,6 +94,6 @@
         and (PLAIN(fields[b"units"]) and WHOLE(fields[b"spread"]) and WHOLE(fields[b"first"]))
     ):
         units, spread, first = float(fields[b"units"]), int(fields[b"spread"]), int(fields[b"first"])
-        if 0 < units <= names.units_top * ROUNDING and 1 <= spread <= names.gateways > first:
+        if 0 < units <= names.units_max * ROUNDING and 1 <= spread <= names.gateways > first:
             return units, float(spread)
     raise Malformed(f"no quota of these settings: {text[:60]!r}")
--- a/stoneyoke/transport/messages.py
+++ b/stoneyoke/transport/messages.py
@@ -35,14 +35,14 @@
     ip: str
     kind: str  # "gateway" or "controller"
     zone: str
-    life: str
+    incarnation: str
     seq: int
     stamp: Stamp  # of the configuration in force at the asker
     ready: bool
     beat: bool
     wait_ms: int
-    own_life: str
-    roll: int  # the number of that core's roll that the asker has
+    own_incarnation: str
+    membership_version: int  # the number of that core's roll that the asker has
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     which are told only to those that lack them. pilots: names of the gateways whose heartbeats were heard. keeper: who
     holds the lease of the quotas, "" if not known."""
 
-    life: str
+    incarnation: str
     seq: int
     whole: bool
     rows: list[Row]
@@ -62,12 +62,12 @@
     chosen_ballot: BallotRow  # of the newest value that is known there to be chosen
     stamp: Stamp  # of that value's configuration: what may be put in force
     settled: bool  # it has asked others for the instances that it may have known in an earlier life
-    keeper: str
+    lease_holder: str
     leaving: bool  # it was told to end
     zone: str
-    roll: int
+    membership_version: int
     cores: list[str]
-    pilots: list[str]
+    gateways: list[str]
 
 
 @dataclass(frozen=True, slots=True)
@@ -190,7 +190,7 @@
 
     duty: str
     holder: str
-    life: str
+    incarnation: str
     ttl_ms: int
     number: int  # of the holder's round of asking
     voters_number: int  # of the voter set that is asked
@@ -214,7 +214,7 @@
     full: there is a row for each part that it holds."""
 
     name: str
-    life: str
+    incarnation: str
     deaf_ms: int
     full: bool
     wants: list[tuple[str, float, float, float, float]]
--- a/tests/fleet/test_councils.py
+++ b/tests/fleet/test_councils.py
@@ -87,8 +87,8 @@
 
 def test_answers_lost_at_random_bring_no_verdict():
     town = Town(60, backends=20, rate=3.0)
-    chance = town.chance
-    town.answers = lambda node, backend, now: chance.random() > 0.1
+    random_source = town.random_source
+    town.answers = lambda node, backend, now: random_source.random() > 0.1
     worst = 0.0
 
     def look():
@@ -111,8 +111,8 @@
     town.answers = lambda node, backend, now: True if backend not in (0, 7) or node.number % 2 else None
     odd = [n for n in town.nodes if n.number % 2]
     town.run(20)
-    assert all(not n.council.advice.left_out for n in odd)
-    assert sum(0 in n.council.advice.left_out for n in town.nodes if n.number % 2 == 0) >= 15
+    assert all(not n.agent.advice.left_out for n in odd)
+    assert sum(0 in n.agent.advice.left_out for n in town.nodes if n.number % 2 == 0) >= 15
     town.cut, town.answers = lambda a, b: False, lambda node, backend, now: True
     town.until(lambda: all(town.leave_out(b) == 0 for b in range(12)), 40)
 
@@ -125,7 +125,7 @@
     forged = Seal([b"not the key of it"]).close(Message(record("evil"), 1, node.clock(), PING, 1))
     whole = Seal([KEY]).close(Message(record("g3", life=1), 1, node.clock(), PING, 1))
     for data in (forged, forged[:40], b"", bytes(5000), whole):
-        for to, _ in node.council.datagram(data, node.clock()):
+        for to, _ in node.agent.datagram(data, node.clock()):
             assert to != ("10.9.9.9", 7000) or data is whole
     assert node.members() == before and sum(node.counts.values()) > 4
     assert {what for what in node.counts if what != "fleet: datagrams"} == {
--- a/tests/fleet/test_evidence.py
+++ b/tests/fleet/test_evidence.py
@@ -3,6 +3,7 @@
 import pytest
 from town import SECOND, SILENT, START
 
+from stoneyoke.control.events import KnownBackend
 from stoneyoke.fleet.evidence import (
     AGE,
     ASKED,
@@ -17,9 +18,8 @@
     identity,
 )
 from stoneyoke.fleet.messages import NEVER, Entry
-from stoneyoke.interface import Known
 
-BACKENDS = [Known(b, f"b{b}", "a", 1) for b in range(12)]
+BACKENDS = [KnownBackend(b, f"b{b}", "a", 1) for b in range(12)]
 ID = [identity(known) for known in BACKENDS]
 
 
@@ -170,7 +170,7 @@
     one = evidence()
     hear(one, 20, [bad(3), bad(4)])
     assert left_out(one) == {3, 4}
-    again = [Known(3, "b3", "a", 9) if k.index == 3 else k for k in BACKENDS if k.index != 4]
+    again = [KnownBackend(3, "b3", "a", 9) if k.index == 3 else k for k in BACKENDS if k.index != 4]
     one.listed(again)
     assert left_out(one) == set()
 
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -50,7 +50,7 @@
     town = Town(20)
     known(town)
     node = town.nodes[3]
-    town.send(node, node.council.leave(node.clock()))
+    town.send(node, node.agent.leave(node.clock()))
     town.kill(node)
     assert town.until(dead_for(town, {"g3"}), 5) < 3
     said = [m.state for n in town.lives() for _, m in n.logged if m.name == "g3" and m.state > SUSPECT]
@@ -65,7 +65,7 @@
     town.start(4)
     town.until(
         lambda: all(
-            n.council.members.peers["g4"].record.life == town.nodes[-1].council.members.own.life
+            n.agent.members.peers["g4"].record.life == town.nodes[-1].agent.members.own.life
             for n in town.lives()
             if n.name != "g4"
         ),
@@ -89,7 +89,7 @@
     town = Town(8)
     known(town)
     town.kill(town.nodes[5])
-    town.start(5, life=town.nodes[5].council.members.own.life - 60_000)
+    town.start(5, life=town.nodes[5].agent.members.own.life - 60_000)
     known(town, 40)
 
 
@@ -166,8 +166,8 @@
     town.run(1)
     town.start(11, name="g6")
     first = town.nodes[6]
-    town.until(lambda: first.council.members.deposed is not None, 10)
-    assert first.council.members.deposed.address == ("10.0.0.12", 7000)
+    town.until(lambda: first.agent.members.deposed is not None, 10)
+    assert first.agent.members.deposed.address == ("10.0.0.12", 7000)
     town.nodes.remove(first)
     known(town, 10)
     sent = first.sent
@@ -189,9 +189,9 @@
     known(town)
     town.kill(town.nodes[2])
     town.run(FORGET / SECOND - 30)
-    assert "g2" in town.nodes[0].council.members.peers
+    assert "g2" in town.nodes[0].agent.members.peers
     town.run(60)
-    assert "g2" not in town.nodes[0].council.members.peers
+    assert "g2" not in town.nodes[0].agent.members.peers
 
 
 def test_keys_are_exchanged_while_the_fleet_is_split():
@@ -201,12 +201,12 @@
     town.cut = lambda a, b: a.number % 2 != b.number % 2
     for keys in ([old, new], [new, old]):
         for node in town.nodes:
-            node.council.seal.renew(keys)
+            node.agent.seal.renew(keys)
             town.run(2)
     town.cut = lambda a, b: False
     known(town, 40)
     for node in town.nodes:
-        node.council.seal.renew([new])
+        node.agent.seal.renew([new])
     town.keys = [new]
     town.run(20)
     assert town.whole()
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -11,10 +11,10 @@
 import pytest
 from helpers import SETTINGS, Town, free_port, on_loop, until
 
-from stoneyoke.__main__ import Charter, Program
-from stoneyoke.interface import Hearsay
-from stoneyoke.options import Fleet, FleetTerms, fleet_terms
-from stoneyoke.startup import BadStart
+from stoneyoke.control.events import PeerEvidence
+from stoneyoke.single_gateway.options import Fleet, FleetTerms, fleet_terms
+from stoneyoke.single_gateway.parameters import BadStart
+from stoneyoke.single_gateway.program import GatewaySettings, Program
 
 ENV = os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)}
 
@@ -22,7 +22,18 @@
 def test_gateways_share_what_they_learn_of_a_silent_backend_over_faults_of_all_kinds(tmp_path):
     out = tmp_path / "run"
     ran = subprocess.run(
-        [sys.executable, "-m", "stoneyoke.cli", "lab", "run", "fleet", "--out", str(out), "--port", str(free_port())],
+        [
+            sys.executable,
+            "-m",
+            "stoneyoke.single_gateway.cli",
+            "lab",
+            "run",
+            "fleet",
+            "--out",
+            str(out),
+            "--port",
+            str(free_port()),
+        ],
         env=ENV,
         capture_output=True,
         text=True,
@@ -49,7 +60,7 @@
         assert len(missing) <= 1, (name, missing)
 
 
-def terms(town, name, own, others, keys=(b"0123456789abcdef",)):
+def parameters(town, name, own, others, keys=(b"0123456789abcdef",)):
     return FleetTerms(name, own, own, list(others), list(keys))
 
 
@@ -65,8 +76,8 @@
         given["settings"] = SETTINGS | {"self-index": 2}
         one, two = (("127.0.0.1", free_port("127.0.0.1", socket.SOCK_DGRAM)) for _ in range(2))
         self.programs = [
-            Program(Charter(given), terms(self.town, "g1", one, [two])),
-            Program(Charter(given), terms(self.town, "g2", two, [one])),
+            Program(GatewaySettings(given), parameters(self.town, "g1", one, [two])),
+            Program(GatewaySettings(given), parameters(self.town, "g2", two, [one])),
         ]
         for program in self.programs:
             await program.start()
@@ -86,7 +97,7 @@
 @on_loop
 async def test_two_programs_find_each_other_and_one_says_farewell():
     async with Two() as two:
-        first, second = (program.peers.council.members for program in two.programs)
+        first, second = (program.peers.agent.members for program in two.programs)
         await until(lambda: first.size() == second.size() == 2)
         two.programs[0].peers.leave()
         await until(lambda: second.size() == 1)
@@ -97,15 +108,15 @@
 async def test_junk_and_a_flood_of_it_cost_counts_and_the_rest_goes_on():
     async with Two() as two:
         peers = two.programs[0].peers
-        await until(lambda: peers.council.members.size() == 2)
+        await until(lambda: peers.agent.members.size() == 2)
         for _ in range(1000):
             peers.datagram_received(b"\x01junk" * 10, ("127.0.0.1", 1))
-        counts = two.programs[0].tally.counts
+        counts = two.programs[0].metrics.counts
         assert counts["fleet: datagrams too many"] >= 800
         assert counts["fleet: datagrams of an unknown key"] <= 200
         before = counts["fleet: datagrams"]
         await until(lambda: counts["fleet: datagrams"] > before)
-        assert not two.programs[0].tally.broken
+        assert not two.programs[0].metrics.broken
 
 
 @on_loop
@@ -113,11 +124,11 @@
     async with Two() as two:
         program = two.programs[0]
         (index,) = program.runtime.gateway.backends
-        program.peers.advise(Hearsay(frozenset([index]), frozenset()))
-        assert program.runtime.gateway.hearsay.left_out == {index}
-        assert program.tally.counts["fleet: left out on hearsay"] == 1
+        program.peers.advise(PeerEvidence(frozenset([index]), frozenset()))
+        assert program.runtime.gateway.peer_evidence.left_out == {index}
+        assert program.metrics.counts["fleet: left out on hearsay"] == 1
         program.peers.leave()
-        assert program.runtime.gateway.hearsay.left_out == frozenset()
+        assert program.runtime.gateway.peer_evidence.left_out == frozenset()
 
 
 @pytest.mark.parametrize(
@@ -145,6 +156,6 @@
 
 
 def test_a_gateway_without_the_option_loads_no_fleet_part():
-    code = "import sys, stoneyoke.__main__; print([m for m in sys.modules if 'stoneyoke.fleet' in m])"
+    code = "import sys, stoneyoke.single_gateway.program; print([m for m in sys.modules if 'stoneyoke.fleet' in m])"
     ran = subprocess.run([sys.executable, "-c", code], env=ENV, capture_output=True, text=True)
     assert ran.stdout.strip() == "[]", ran.stderr
--- a/tests/fleet/town.py
+++ b/tests/fleet/town.py
@@ -5,9 +5,9 @@
 import itertools
 import random
 
-from stoneyoke.fleet.council import TICK, Council
+from stoneyoke.control.events import KnownBackend
+from stoneyoke.fleet.agent import TICK, FleetAgent
 from stoneyoke.fleet.messages import ALIVE, Member
-from stoneyoke.interface import Known
 
 SECOND = 1_000_000
 START = 1_700_000_000 * SECOND
@@ -27,9 +27,9 @@
         self.logged = []  # (time, member)
         seeds = town.seeds
         own = Member(name, *self.address, "abc"[number % 3], life)
-        seed = town.chance.getrandbits(60)
-        self.council = Council(own, seeds, town.keys, SILENT, seed, self.clock(), self.count)
-        self.council.listed(town.backends)
+        seed = town.random_source.getrandbits(60)
+        self.agent = FleetAgent(own, seeds, town.keys, SILENT, seed, self.clock(), self.count)
+        self.agent.listed(town.backends)
         self.rpcs = itertools.count(1)
         self.calls = []  # (time, backend)
 
@@ -40,22 +40,22 @@
         return self.town.now + self.skew
 
     def members(self):
-        return {m.name for m in self.council.members.present()}
+        return {m.name for m in self.agent.members.present()}
 
     def alive(self):
-        return {m.name for m in self.council.members.alive()}
+        return {m.name for m in self.agent.members.alive()}
 
 
 class Town:
     def __init__(self, count, seed=1, seeds=2, backends=0, loss=0.0, rate=0.0, answers=None, delay=(1_000, 5_000)):
-        self.chance = random.Random(seed)
+        self.random_source = random.Random(seed)
         self.now, self.queue, self.order = START, [], itertools.count()
         self.loss, self.delay, self.rate = loss, delay, rate
         self.keys = [KEY]
         self.doubled = 0.0
         self.cut = lambda a, b: False
         self.answers = answers or (lambda node, backend, now: True)  # True, False, or None: silence
-        self.backends = [Known(b, f"b{b}", "abc"[b % 3], 1) for b in range(backends)]
+        self.backends = [KnownBackend(b, f"b{b}", "abc"[b % 3], 1) for b in range(backends)]
         self.nodes = []
         self.seeds = [(f"10.0.0.{n + 1}", 7000) for n in range(seeds)]
         self.by_address = {}
@@ -69,7 +69,7 @@
             node.address = at
         self.nodes.append(node)
         self.by_address[node.address] = node
-        self.at(self.chance.randrange(TICK), self.tick, node)
+        self.at(self.random_source.randrange(TICK), self.tick, node)
         if self.rate:
             self.at(self.pause(), self.call, node)
         return node
@@ -119,10 +119,10 @@
             node.sent_bytes += len(data)
             node.sent += 1
             to = self.by_address.get(address)
-            if to is None or self.chance.random() < self.loss or self.cut(node, to):
+            if to is None or self.random_source.random() < self.loss or self.cut(node, to):
                 continue
-            for _ in range(2 if self.chance.random() < self.doubled else 1):
-                self.at(self.chance.randrange(*self.delay), self.deliver, to, data)
+            for _ in range(2 if self.random_source.random() < self.doubled else 1):
+                self.at(self.random_source.randrange(*self.delay), self.deliver, to, data)
 
     def deliver(self, node, data):
         if not node.up:
@@ -130,22 +130,22 @@
         if node.frozen:
             node.waiting.append(data)
             return
-        self.send(node, node.council.datagram(data, node.clock()))
+        self.send(node, node.agent.datagram(data, node.clock()))
 
     def tick(self, node):
         if not node.up:
             return
         if not node.frozen:
-            self.send(node, node.council.tick(node.clock()))
-            node.logged += [(self.now, m) for m in node.council.changes()]
+            self.send(node, node.agent.tick(node.clock()))
+            node.logged += [(self.now, m) for m in node.agent.changes()]
             if node.liar:
-                node.council.evidence.own = lambda now, asked=(): node.liar(node, now)
+                node.agent.evidence.own = lambda now, asked=(): node.liar(node, now)
         self.at(TICK, self.tick, node)
 
     # ---- call-outs ----
 
     def pause(self):
-        return int(self.chance.expovariate(self.rate) * SECOND) + 1
+        return int(self.random_source.expovariate(self.rate) * SECOND) + 1
 
     def call(self, node):
         """A call-out to some backend that is not left out, to one that is probed first."""
@@ -154,18 +154,18 @@
         self.at(self.pause(), self.call, node)
         if node.frozen:
             return
-        advice = node.council.advice
+        advice = node.agent.advice
         free = [b.index for b in self.backends if b.index not in advice.left_out]
-        backend = min(advice.probed) if advice.probed else self.chance.choice(free)
+        backend = min(advice.probed) if advice.probed else self.random_source.choice(free)
         rpc = next(node.rpcs)
         node.calls.append((self.now, backend))
-        node.council.evidence.sent(rpc, backend, node.clock())
+        node.agent.evidence.sent(rpc, backend, node.clock())
         good = self.answers(node, backend, self.now)
         self.at(50_000 if good is not None else 2 * SILENT, self.answer, node, rpc, good)
 
     def answer(self, node, rpc, good):
         if node.up and not node.frozen:
-            node.council.evidence.ended(rpc, bool(good), node.clock())
+            node.agent.evidence.ended(rpc, bool(good), node.clock())
 
     # ---- looks ----
 
@@ -180,7 +180,7 @@
     def leave_out(self, backend):
         """The part of the gateways that leave a backend out, or only probe it."""
         nodes = self.lives()
-        return sum(backend in n.council.advice.left_out | n.council.advice.probed for n in nodes) / len(nodes)
+        return sum(backend in n.agent.advice.left_out | n.agent.advice.probed for n in nodes) / len(nodes)
 
 
 def record(name="x", state=ALIVE, life=5, incarnation=0, by=""):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,25 +8,19 @@
 from collections.abc import Awaitable, Callable, Iterable
 from typing import Any, Self, TypeVar
 
-from stoneyoke.__main__ import Charter, Program
 from stoneyoke.control import Gateway
-from stoneyoke.interface import (
-    Action,
-    Arrival,
-    CallOut,
-    CallOutEnded,
-    Effect,
-    Event,
-    FleetNews,
-    Group,
-    Listed,
+from stoneyoke.control.actions import Action, StartAttempt
+from stoneyoke.control.events import Arrival, AttemptEnded, Endpoint, EndpointsChanged, Event, TimerFired
+from stoneyoke.control.parameters import (
+    AttemptOutcome,
+    BackendState,
+    DeduplicationScope,
+    GatewayParameters,
+    Idempotency,
     Method,
-    Outcome,
     Plan,
-    State,
-    Terms,
-    TimerFired,
 )
+from stoneyoke.single_gateway.program import GatewaySettings, Program
 
 Heard = tuple[list[bytes], bytes]  # a message: its head's lines and its body
 Answer = tuple[int, dict[bytes, bytes], bytes]  # status, headers, body
@@ -34,10 +28,10 @@
 
 START = 1_000_000_000_000
 METHODS = (
-    Method(Effect.IDEMPOTENT, Group.CELL, 1_000_000, 2_500_000, 0, 1.0),
-    Method(Effect.DEDUPLICATED, Group.ZONE, 1_000_000, 2_500_000, 2_000_000, 1.0),
-    Method(Effect.NON_IDEMPOTENT, Group.CELL, 1_000_000, 2_500_000, 0, 1.0),
-    Method(Effect.DEDUPLICATED, Group.ALL, 1_000_000, 2_500_000, 2_000_000, 1.0),
+    Method(Idempotency.IDEMPOTENT, DeduplicationScope.CELL, 1_000_000, 2_500_000, 0, 1.0),
+    Method(Idempotency.DEDUPLICATED, DeduplicationScope.ZONE, 1_000_000, 2_500_000, 2_000_000, 1.0),
+    Method(Idempotency.NON_IDEMPOTENT, DeduplicationScope.CELL, 1_000_000, 2_500_000, 0, 1.0),
+    Method(Idempotency.DEDUPLICATED, DeduplicationScope.ALL, 1_000_000, 2_500_000, 2_000_000, 1.0),
 )
 
 
@@ -52,7 +46,7 @@
     return Plan(rate, burst, price, parallel, ceiling_rate, ceiling_burst)
 
 
-def terms(plans: tuple[Plan, ...] | None = None, **changes: Any) -> Terms:
+def parameters(plans: tuple[Plan, ...] | None = None, **changes: Any) -> GatewayParameters:
     values: dict[str, Any] = {
         "seed": 7,
         "gateways": 3,
@@ -60,20 +54,20 @@
         "zone": 0,
         "methods": METHODS,
         "plans": plans or (plan(),),
-        "call_outs_max": 5,
-        "can_call_off": True,
+        "attempts_max": 5,
+        "can_cancel_attempts": True,
         "has_counter": True,
         "marks_repeats": False,
         "advises": True,
         "settles": False,
         "must_subscribe": False,
-        "units_top": 0.5,
+        "units_max": 0.5,
         "cold_share": 0.25,
         "warm_up_us": 10_000_000,
-        "push_over_factor": 2.0,
-        "push_over_us": 1_500_000,
+        "overload_factor": 2.0,
+        "overload_window_us": 1_500_000,
     }
-    return Terms(**(values | changes))
+    return GatewayParameters(**(values | changes))
 
 
 class Bench:
@@ -82,10 +76,12 @@
     def __init__(self, fleet: int = 6, started: dict[int, int] | None = None, **changes: Any) -> None:
         self.now, self.next_rpc = START, 0
         self.log: list[tuple[int, Action]] = []
-        self.gateway = Gateway(terms(**changes), START)
+        self.gateway = Gateway(parameters(**changes), START)
         started = started or {}
         self.tell(
-            FleetNews(True, False, [Listed(i, i % 2, i % 3, started.get(i, 0), State.READY) for i in range(fleet)])
+            EndpointsChanged(
+                True, False, [Endpoint(i, i % 2, i % 3, started.get(i, 0), BackendState.READY) for i in range(fleet)]
+            )
         )
 
     def tell(self, event: Event) -> list[Action]:
@@ -111,12 +107,12 @@
         rpc: int,
         n: int,
         backend: int,
-        outcome: Outcome = Outcome.OK,
+        outcome: AttemptOutcome = AttemptOutcome.OK,
         closed: bool | None = None,
         units: float = 0.0,
     ) -> list[Action]:
-        closed = outcome is Outcome.OK if closed is None else closed
-        return self.tell(CallOutEnded(rpc, n, backend, outcome, closed, units))
+        closed = outcome is AttemptOutcome.OK if closed is None else closed
+        return self.tell(AttemptEnded(rpc, n, backend, outcome, closed, units))
 
     def pass_time(self, microseconds: int, answer: Callable[[Action], Event | None] | None = None) -> list[Action]:
         """Beats on the way; answer(action) may return an event for an action."""
@@ -135,8 +131,8 @@
     return [a for a in actions if isinstance(a, kind)]
 
 
-def sent(actions: Iterable[Any]) -> list[CallOut]:
-    return of(CallOut, actions)
+def sent(actions: Iterable[Any]) -> list[StartAttempt]:
+    return of(StartAttempt, actions)
 
 
 # ---- the gateway on loopback sockets, between stand-ins of the systems around it ----
@@ -360,7 +356,7 @@
             "known": self.list,
             "settings": SETTINGS | {"caps": self.caps},
         }
-        self.program = Program(Charter(self.given))
+        self.program = Program(GatewaySettings(self.given))
         await self.program.start()
         self.address = self.program.server.sockets[0].getsockname()
         return self
@@ -376,4 +372,4 @@
         return Caller(self.address, buffer)
 
     def count(self, what: str) -> int:
-        return self.program.tally.counts[what]
+        return self.program.metrics.counts[what]
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -18,7 +18,7 @@
 from stoneyoke.lab.scenario import read
 
 ENV = os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)}
-LAB = [sys.executable, "-m", "stoneyoke.cli", "lab"]
+LAB = [sys.executable, "-m", "stoneyoke.single_gateway.cli", "lab"]
 
 # Each run starts some twenty processes and times them: one run after another, in one worker of a parallel run.
 pytestmark = pytest.mark.xdist_group("lab runs")
@@ -184,7 +184,7 @@
 
 def test_what_serves_imports_neither_the_command_line_s_library_nor_the_lab():
     code = (
-        "import sys, stoneyoke.__main__; print([m for m in sys.modules if m.split('.')[0] in "
+        "import sys, stoneyoke.single_gateway.program; print([m for m in sys.modules if m.split('.')[0] in "
         "('click', 'msgspec', 'numpy', 'psutil', 'matplotlib') or m.startswith('stoneyoke.lab')])"
     )
     ran = subprocess.run([sys.executable, "-c", code], env=ENV, capture_output=True, text=True)
@@ -195,6 +195,9 @@
     file = tmp_path / "config.json"
     file.write_text("{}")
     ran = subprocess.run(
-        [sys.executable, "-m", "stoneyoke.cli", "check", str(file)], env=ENV, capture_output=True, text=True
+        [sys.executable, "-m", "stoneyoke.single_gateway.cli", "check", str(file)],
+        env=ENV,
+        capture_output=True,
+        text=True,
     )
     assert ran.returncode == 2 and "'settings' is missing" in ran.stderr
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -59,7 +59,7 @@
     here = draw(scenario, 5).digest()
     assert here == draw(scenario, 5).digest() != draw(scenario, 6).digest()
     there = subprocess.run(
-        [sys.executable, "-m", "stoneyoke.cli", "lab", "run", "small", "--seed", "5", "--plan"],
+        [sys.executable, "-m", "stoneyoke.single_gateway.cli", "lab", "run", "small", "--seed", "5", "--plan"],
         env=os.environ | {"PYTHONHASHSEED": "77", "PYTHONPATH": os.pathsep.join(sys.path)},
         capture_output=True,
         text=True,
--- a/tests/limits/fleet.py
+++ b/tests/limits/fleet.py
@@ -11,30 +11,20 @@
 from dataclasses import dataclass, field
 
 from stoneyoke.control import Gateway
-from stoneyoke.interface import (
-    Abort,
-    AddCount,
-    Arrival,
-    CallOut,
-    CallOutEnded,
-    CountAnswer,
-    Effect,
-    FleetNews,
-    Forget,
-    Group,
-    Listed,
+from stoneyoke.control.actions import Abandon, AddToCounter, ForgetCustomer, Reject, SetTimer, StartAttempt
+from stoneyoke.control.events import Arrival, AttemptEnded, CounterReply, Endpoint, EndpointsChanged, TimerFired
+from stoneyoke.control.parameters import (
+    AttemptOutcome,
+    BackendState,
+    DeduplicationScope,
+    GatewayParameters,
+    Idempotency,
     Method,
-    Outcome,
-    PushBack,
-    SetTimer,
-    State,
-    Terms,
-    TimerFired,
 )
 
 SECOND = 1_000_000
 START = 1_000_000_000 * SECOND
-METHODS = (Method(Effect.IDEMPOTENT, Group.CELL, SECOND, 4 * SECOND, 0, 1.0),)
+METHODS = (Method(Idempotency.IDEMPOTENT, DeduplicationScope.CELL, SECOND, 4 * SECOND, 0, 1.0),)
 
 
 class Reference:
@@ -84,7 +74,7 @@
         self.calls += 1
 
         def tell(after, added, total):
-            fleet.after(after, lambda: fleet.tell(gateway, life, CountAnswer(action.name, added, total)))
+            fleet.after(after, lambda: fleet.tell(gateway, life, CounterReply(action.name, added, total)))
 
         def come():
             late = sent + self.limit - fleet.now
@@ -118,10 +108,10 @@
 class Fleet:
     """plans: (plan, gateways of each customer, uses of its customers, as parts of the rate) for each plan."""
 
-    def __init__(self, gateways, plans, per_s=5000, seed=1, units=1.0, skew=0.7, **terms):
+    def __init__(self, gateways, plans, per_s=5000, seed=1, units=1.0, skew=0.7, **parameters):
         self.rng, self.now, self.heap, self.order = random.Random(seed), START, [], itertools.count()
         self.units, self.skew = units, skew
-        self.terms = {"units_top": units, "has_counter": True} | terms
+        self.parameters = {"units_max": units, "has_counter": True} | parameters
         self.plans = tuple(plan for plan, _, _ in plans)
         self.counter = Counter(self, per_s)
         self.lives, self.members = [0] * gateways, [None] * gateways
@@ -166,20 +156,22 @@
             "zone": at % 3,
             "methods": METHODS,
             "plans": self.plans,
-            "call_outs_max": 5,
-            "can_call_off": True,
+            "attempts_max": 5,
+            "can_cancel_attempts": True,
             "marks_repeats": True,
             "advises": True,
             "settles": False,
             "must_subscribe": False,
             "cold_share": 0.25,
             "warm_up_us": 10 * SECOND,
-            "push_over_factor": 2.0,
-            "push_over_us": 1_500_000,
+            "overload_factor": 2.0,
+            "overload_window_us": 1_500_000,
         }
-        self.members[at] = Gateway(Terms(**(values | self.terms)), self.now)
+        self.members[at] = Gateway(GatewayParameters(**(values | self.parameters)), self.now)
         self.tell(
-            at, self.lives[at], FleetNews(True, False, [Listed(i, i % 3, i % 5, 0, State.READY) for i in range(40)])
+            at,
+            self.lives[at],
+            EndpointsChanged(True, False, [Endpoint(i, i % 3, i % 5, 0, BackendState.READY) for i in range(40)]),
         )
 
     def kill(self, at, back_s):
@@ -194,13 +186,13 @@
             match action:
                 case SetTimer(delay, token):
                     self.after(delay, lambda t=token: self.tell(at, life, TimerFired(t)))
-                case AddCount():
+                case AddToCounter():
                     self.counter.call(at, life, action)
-                case CallOut(rpc, backend, _):
+                case StartAttempt(rpc, backend, _):
                     self.sent(at, life, rpc, backend)
-                case PushBack(rpc) | Abort(rpc):
+                case Reject(rpc) | Abandon(rpc):
                     self.refused(rpc)
-                case Forget(index):
+                case ForgetCustomer(index):
                     self.indices[at] = {a: i for a, i in self.indices[at].items() if i != index}
 
     # ---- clients ----
@@ -250,7 +242,7 @@
         customer.lowest = min(customer.lowest, customer.ceiling.level)
         self.after(
             self.rng.uniform(0.05, 0.2) * SECOND,
-            lambda: self.tell(at, life, CallOutEnded(rpc, 0, backend, Outcome.OK, True, 0.0)),
+            lambda: self.tell(at, life, AttemptEnded(rpc, 0, backend, AttemptOutcome.OK, True, 0.0)),
         )
 
     def refused(self, rpc):
--- a/tests/limits/test_common.py
+++ b/tests/limits/test_common.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoneyoke.interface import Plan
-from stoneyoke.limits.common import EPOCH, SECOND, Common, guarded_part
+from stoneyoke.control.parameters import Plan
+from stoneyoke.limits.common_store import EPOCH, SECOND, SharedBucket, guarded_share
 
 PLAN = Plan(4.0, 12.0, 1.0, 0, 0.0, 0.0)
 GUARDED = Plan(20.0, 30.0, 1.0, 0, 44.0, 70.0)
@@ -14,7 +14,7 @@
 
 
 def common(plan=PLAN, account=7):
-    return Common(plan, account, 1 / 40, 1.0)
+    return SharedBucket(plan, account, 1 / 40, 1.0)
 
 
 def opened(store, now, last=math.nan):
@@ -87,7 +87,7 @@
 def test_parts_of_a_ceiling_are_what_the_common_store_leaves(width, first, factor, rate, worth, largest):
     plan = Plan(rate, rate * worth, 1.0, 0, rate * factor, rate * worth * factor)
     gateways = 200
-    parts = [guarded_part(plan, 1 / width, largest, (first + i) % gateways) for i in range(width)]
+    parts = [guarded_share(plan, 1 / width, largest, (first + i) % gateways) for i in range(width)]
     assert sum(rate for rate, _ in parts) <= plan.ceiling_rate - plan.rate + 1e-6
     assert sum(burst for _, burst in parts) <= plan.ceiling_burst - 1.25 * plan.burst + 1e-6
     assert all(burst == 0 or burst >= largest for _, burst in parts)
--- a/tests/limits/test_fleet.py
+++ b/tests/limits/test_fleet.py
@@ -3,7 +3,8 @@
 import pytest
 from fleet import SECOND, Fleet
 
-from stoneyoke.interface import Arrival, Plan
+from stoneyoke.control.events import Arrival
+from stoneyoke.control.parameters import Plan
 
 THIN = Plan(2.0, 8.0, 1.0, 0, 0.0, 0.0)
 GUARDED = Plan(20.0, 30.0, 1.0, 0, 40.0, 66.0)
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -72,7 +72,7 @@
 @on_loop
 async def test_at_the_limit_idle_connections_go_first_and_held_rpcs_stay():
     async with Town(None) as town, town.caller() as held, town.caller() as idle, town.caller() as half:
-        town.program.clients.room.most = 4  # the call-out's is one
+        town.program.clients.descriptor_budget.most = 4  # the call-out's is one
         held.writer.write(rpc())
         half.writer.write(b"GET /look")
         clients_open = town.program.clients.open
@@ -103,7 +103,7 @@
     async with Town(None) as town, town.caller() as held:
         held.writer.write(rpc())
         await until(lambda: town.backend.got)
-        town.program.clients.room.most = 2
+        town.program.clients.descriptor_budget.most = 2
         async with town.caller() as other:
             status, headers, _ = await other.ask(rpc())
             assert status == 429 and b"Retry-After" in headers and len(town.backend.got) == 1
--- a/tests/net/test_counter_calls.py
+++ b/tests/net/test_counter_calls.py
@@ -5,26 +5,26 @@
 import pytest
 from helpers import StandIn, on_loop, total, until
 
-from stoneyoke.interface import AddCount
-from stoneyoke.net import counter
-from stoneyoke.net.counter import Counter
-from stoneyoke.runtime import Clock
-from stoneyoke.tally import Tally
+from stoneyoke.control.actions import AddToCounter
+from stoneyoke.runtime.metrics import Metrics
+from stoneyoke.runtime.runtime import Clock
+from stoneyoke.single_gateway import counter
+from stoneyoke.single_gateway.counter import Counter
 
 
 class Counted:
     """Calls to a counter, and what the module would be told."""
 
     def __init__(self, address, limit_us=80_000):
-        self.told, self.tally = [], Tally()
-        self.counter = Counter(Clock(), self.tally, self, address, limit_us)
+        self.told, self.metrics = [], Metrics()
+        self.counter = Counter(Clock(), self.metrics, self, address, limit_us)
 
     def counted(self, name, added, total):
         self.told.append((name, total if added or total else None))
 
     def add(self, *names):
         for name in names:
-            self.counter.add(AddCount(name, 4_000_000, -2.5))
+            self.counter.add(AddToCounter(name, 4_000_000, -2.5))
 
 
 @on_loop
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -7,10 +7,10 @@
 from helpers import StandIn, Town, entry, json_answer, on_loop, rpc, total, until
 
 from stoneyoke.net.backends import Backends
-from stoneyoke.net.discovery import Discovery, Fleet, News
-from stoneyoke.net.room import Room
-from stoneyoke.runtime import Clock
-from stoneyoke.tally import Tally
+from stoneyoke.net.descriptor_budget import DescriptorBudget
+from stoneyoke.runtime.metrics import Metrics
+from stoneyoke.runtime.runtime import Clock
+from stoneyoke.single_gateway.discovery import Discovery, Fleet, News
 
 
 def told_list(*entries, index=1, whole=True):
@@ -52,7 +52,7 @@
         ][len(at) - 1]
 
     async with StandIn(answer) as stand_in:
-        discovery = Discovery(Tally(), lambda one: news.append(fleet.news(one)))
+        discovery = Discovery(Metrics(), lambda one: news.append(fleet.news(one)))
         discovery.follow(stand_in.address)
         await until(lambda: len(at) == 4)
         discovery.end()
@@ -81,7 +81,7 @@
         return told_list(line_of("s-1")) if b"hold_ms" not in request[0][0] else None
 
     async with StandIn(answer) as stand_in:
-        discovery, start = Discovery(Tally(), lambda news: None), time.monotonic()
+        discovery, start = Discovery(Metrics(), lambda news: None), time.monotonic()
         discovery.follow(stand_in.address)
         await until(lambda: stand_in.connections == 2 and len(stand_in.got) == 4)
         assert time.monotonic() - start < 3.0
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("order", [1, -1])
 def test_an_address_under_a_new_id_takes_the_old_backend_away_whatever_comes_first(order):
-    sites = Backends(Clock(), Tally(), 1, 1, Room(9, 0))
+    sites = Backends(Clock(), Metrics(), 1, 1, DescriptorBudget(9, 0))
     fleet = Fleet(["hall-b"], sites.place, sites.forget, lambda backend: False)
 
     def news(*rows):
@@ -130,7 +130,7 @@
         return [bad, told_list(line_of("s-1")), None][len(stand_in.got) - 1]
 
     async with StandIn(answer) as stand_in:
-        discovery = Discovery(Tally(), news.append)
+        discovery = Discovery(Metrics(), news.append)
         discovery.follow(stand_in.address)
         await until(lambda: len(stand_in.got) == 3)
         discovery.end()
--- a/tests/net/test_program.py
+++ b/tests/net/test_program.py
@@ -10,8 +10,8 @@
 import pytest
 from helpers import SETTINGS, rpc
 
-from stoneyoke import __main__ as program
-from stoneyoke.startup import BadStart
+from stoneyoke.single_gateway import program
+from stoneyoke.single_gateway.parameters import BadStart
 
 CONFIG = {
     "listen": "127.0.0.1:0",
@@ -70,7 +70,7 @@
     path.write_text(json.dumps(CONFIG | {"listen": "127.0.0.1:0", "limits": {"sockets": limit}}))
     code = (
         f"import resource; resource.setrlimit(resource.RLIMIT_NOFILE, ({limit}, {limit})); "
-        "import stoneyoke.__main__ as m; import socket; make = socket.create_server; "
+        "import stoneyoke.single_gateway.program as m; import socket; make = socket.create_server; "
         "m.socket.create_server = lambda at: "
         "(s := make(at), print(s.getsockname()[1], flush=True))[0]; m.main()"
     )
--- a/tests/net/test_reload_and_end.py
+++ b/tests/net/test_reload_and_end.py
@@ -8,7 +8,7 @@
 from helpers import OK, SETTINGS, StandIn, Town, json_answer, on_loop, rpc, total, until
 from loguru import logger
 
-from stoneyoke.interface import AddCount
+from stoneyoke.control.actions import AddToCounter
 from stoneyoke.net import clients
 
 
@@ -84,7 +84,7 @@
         runtime, told = town.program.runtime, []
         counted, runtime.counted = runtime.counted, lambda *answer: (told.append(answer), counted(*answer))
         town.counter.answer = None
-        runtime.add_count(AddCount(1, 4_000_000, 2.0))
+        runtime.add_count(AddToCounter(1, 4_000_000, 2.0))
         held.writer.write(rpc())
         await until(lambda: town.backend.got and town.counter.got and len(town.discovery.got) == 2)
         if unusable is None:
@@ -100,8 +100,8 @@
         reload(discovery=list_2.text, counter=count_2.text)
         await until(lambda: len(list_2.got) == 2 and town.discovery.closed == 1)
         assert len(town.program.discovery.watches) == 1
-        runtime.add_count(AddCount(2, 4_000_000, 2.0))
+        runtime.add_count(AddToCounter(2, 4_000_000, 2.0))
         await until(lambda: (2, True, 7.0) in told)
         assert len(town.counter.got) == 1 and len(count_2.got) == 1
         release.set()
-        assert (await held.hear())[2] == b"yes" and not town.program.tally.broken
+        assert (await held.hear())[2] == b"yes" and not town.program.metrics.broken
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -9,7 +9,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from stoneyoke.interface import ClientGone
+from stoneyoke.control.events import ClientGone
 from stoneyoke.net import clients
 from stoneyoke.net.http import BODY_TOP
 
@@ -26,7 +26,7 @@
         assert 4.0 < told <= 5.0
         assert (await caller.ask(rpc(X_Quota="units=4.0000002384185791,spread=3,first=0")))[0] == 200
         assert town.backend.connections == 1 and town.count("RPCs: ok") == 2
-        assert not town.program.runtime.held and not town.program.tally.broken
+        assert not town.program.runtime.held and not town.program.metrics.broken
 
 
 @on_loop
@@ -150,7 +150,7 @@
         assert got == status and headers[b"Connection"] == b"close" and body
         assert await caller.reader.read() == b""
         assert town.count(f"bad input: {status}") == 1 and not town.backend.got
-        assert not town.program.tally.broken
+        assert not town.program.metrics.broken
 
 
 @on_loop
@@ -210,7 +210,7 @@
             assert b"HTTP/1.1 5" not in await caller.reader.read()
         async with town.caller() as caller:
             assert (await caller.ask(rpc()))[0] == 200
-        assert not town.program.tally.broken
+        assert not town.program.metrics.broken
 
 
 @on_loop
--- a/tests/net/test_runtime.py
+++ b/tests/net/test_runtime.py
@@ -9,17 +9,18 @@
 from helpers import Town, on_loop, rpc, until
 from loguru import logger
 
-from stoneyoke.interface import Arrival, CallOut, PushBack, TimerFired
-from stoneyoke.runtime import Clock, Held
-from stoneyoke.tally import Tally
+from stoneyoke.control.actions import Reject, StartAttempt
+from stoneyoke.control.events import Arrival, TimerFired
+from stoneyoke.runtime.metrics import Metrics
+from stoneyoke.runtime.runtime import Clock, Held
 
 
 @on_loop
 async def test_a_fault_in_the_module_costs_one_event_and_its_rpc_is_still_answered():
     async with Town() as town, town.caller() as caller:
-        handlers, tally = town.program.runtime.gateway.handlers, town.program.tally
+        handlers, metrics = town.program.runtime.gateway.handlers, town.program.metrics
         works, handlers[Arrival] = handlers[Arrival], lambda _: 1 / 0
-        tally.must = lambda holds, what: holds or tally.add(f"BROKEN {what}")  # as a release build does
+        metrics.must = lambda holds, what: holds or metrics.add(f"BROKEN {what}")  # as a release build does
         assert (await caller.ask(rpc(Req_Deadline="0.100")))[0] == 502
         assert town.count("BROKEN module failed") == 1
         handlers[Arrival] = works
@@ -45,8 +46,8 @@
     clock = Clock()
     held = Held(1, clock, None)
     assert await held.wish(clock.now() + 10_000) is None and not held.gone
-    asyncio.get_running_loop().call_soon(lambda: (held.wishes.append(PushBack(1, 5)), held.wake()))
-    assert await held.wish(clock.now() + 10_000_000) == PushBack(1, 5)
+    asyncio.get_running_loop().call_soon(lambda: (held.wishes.append(Reject(1, 5)), held.wake()))
+    assert await held.wish(clock.now() + 10_000_000) == Reject(1, 5)
 
 
 @on_loop
@@ -54,7 +55,7 @@
     async with Town() as town:
         runtime = town.program.runtime
         held = runtime.take_in(0, 0, 5, runtime.clock.now() + 1_000_000, 1.0, 3.0, None)
-        assert isinstance(held.wishes[0], CallOut) and runtime.gateway.out == 1
+        assert isinstance(held.wishes[0], StartAttempt) and runtime.gateway.out == 1
         runtime.let_go(held)
         assert runtime.gateway.out == 0 and not runtime.held and not runtime.gateway.open
 
@@ -72,8 +73,8 @@
 
 def test_what_must_hold_is_asserted_in_debug_and_counted_in_release():
     with pytest.raises(AssertionError, match="sky"):
-        Tally().must(False, "sky")
-    code = "import stoneyoke.tally as t; t = t.Tally(); t.must(False, 'sky'); t.add('rpc'); print(t.line())"
+        Metrics().must(False, "sky")
+    code = "import stoneyoke.runtime.metrics as t; t = t.Metrics(); t.must(False, 'sky'); t.add('rpc'); print(t.line())"
     out = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, text=True, check=True)
     assert out.stdout == "BROKEN sky=1, rpc=1\n"
 
@@ -81,8 +82,8 @@
 def test_reports_are_all_counted_and_few_are_logged():
     lines = []
     sink = logger.add(lambda text: lines.append(text), format="{message}")
-    tally = Tally()
+    metrics = Metrics()
     for _ in range(500):
-        tally.report("bad", "x")
+        metrics.report("bad", "x")
     logger.remove(sink)
-    assert tally.counts["bad"] == 500 and 1 <= len(lines) <= 30
+    assert metrics.counts["bad"] == 500 and 1 <= len(lines) <= 30
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -9,11 +9,11 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from stoneyoke.interface import Outcome
+from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.backends import Backends
-from stoneyoke.net.room import Room
-from stoneyoke.runtime import Clock, Held
-from stoneyoke.tally import Tally
+from stoneyoke.net.descriptor_budget import DescriptorBudget
+from stoneyoke.runtime.metrics import Metrics
+from stoneyoke.runtime.runtime import Clock, Held
 
 ANSWERS = [
     OK,
@@ -53,7 +53,7 @@
         ids = [line for lines, _ in town.backend.got for line in lines if line.startswith(b"Req-Id: ")]
         assert max(map(ids.count, ids), default=0) <= SETTINGS["caps"]["try-limit"]
         runtime = town.program.runtime
-        assert not runtime.held and runtime.gateway.out == 0 and not town.program.tally.broken
+        assert not runtime.held and runtime.gateway.out == 0 and not town.program.metrics.broken
 
 
 def answers_then_hangs_up(data):
@@ -67,27 +67,27 @@
 @pytest.mark.parametrize(
     "answer, expected",
     [
-        (OK, Outcome.OK),
-        (b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
-        (b"HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", Outcome.TURNED_AWAY),
-        (b"HTTP/1.1 504 X\r\nsrv-declined: 1\r\nContent-Length: 0\r\n\r\n", Outcome.TURNED_AWAY),
-        (b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
-        (b"", Outcome.BROKEN),
-        (b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
-        (b"gibberish\r\n\r\n", Outcome.BROKEN),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + b"x" * 65537, Outcome.BROKEN),
-        (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: a\r\n\r\n" + OK, Outcome.OK),
-        (None, Outcome.TIMED_OUT),
-        (b"HTTP/1.1 200 OK\r\n\r\nyes", Outcome.BROKEN),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nyes", Outcome.BROKEN),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nyes", Outcome.BROKEN),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nyes", Outcome.BROKEN),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nyes", Outcome.BROKEN),
-        (b"HTTP/1.1 101 X\r\nUpgrade: a\r\nConnection: upgrade\r\n\r\n" + OK, Outcome.BROKEN),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n0\r\n\r\n", Outcome.OK),
-        (OK.replace(b"OK\r\n", b'OK\r\nSrv-Load: {\xff"\r\n'), Outcome.OK),
-        (OK + OK, Outcome.OK),
-        (OK + b"\x00\xffnoise", Outcome.OK),
+        (OK, AttemptOutcome.OK),
+        (b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", AttemptOutcome.ERROR),
+        (b"HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", AttemptOutcome.REJECTED),
+        (b"HTTP/1.1 504 X\r\nsrv-declined: 1\r\nContent-Length: 0\r\n\r\n", AttemptOutcome.REJECTED),
+        (b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", AttemptOutcome.ERROR),
+        (b"", AttemptOutcome.BROKEN),
+        (b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n", AttemptOutcome.ERROR),
+        (b"gibberish\r\n\r\n", AttemptOutcome.BROKEN),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + b"x" * 65537, AttemptOutcome.BROKEN),
+        (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: a\r\n\r\n" + OK, AttemptOutcome.OK),
+        (None, AttemptOutcome.TIMED_OUT),
+        (b"HTTP/1.1 200 OK\r\n\r\nyes", AttemptOutcome.BROKEN),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nyes", AttemptOutcome.BROKEN),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nyes", AttemptOutcome.BROKEN),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nyes", AttemptOutcome.BROKEN),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nyes", AttemptOutcome.BROKEN),
+        (b"HTTP/1.1 101 X\r\nUpgrade: a\r\nConnection: upgrade\r\n\r\n" + OK, AttemptOutcome.BROKEN),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n0\r\n\r\n", AttemptOutcome.OK),
+        (OK.replace(b"OK\r\n", b'OK\r\nSrv-Load: {\xff"\r\n'), AttemptOutcome.OK),
+        (OK + OK, AttemptOutcome.OK),
+        (OK + b"\x00\xffnoise", AttemptOutcome.OK),
     ],
 )
 @on_loop
@@ -95,7 +95,7 @@
     async with StandIn(answer) as stand_in:
         outcome, got = await Sender(stand_in.address).call_out()
         assert outcome is expected
-        assert outcome is not Outcome.OK or got.body == b"yes"
+        assert outcome is not AttemptOutcome.OK or got.body == b"yes"
         assert len(stand_in.got) == 1
 
 
@@ -104,7 +104,7 @@
 
     def __init__(self, address, idle_us=30_000_000, most=9):
         self.clock, self.held = Clock(), Held(1, Clock(), None)
-        self.backends = Backends(self.clock, Tally(), 250_000, idle_us, Room(most, 0))
+        self.backends = Backends(self.clock, Metrics(), 250_000, idle_us, DescriptorBudget(most, 0))
         self.backends.place(0, address)
 
     async def call_out(self, n=0, backend=0, within=200_000, body=b""):
@@ -124,15 +124,15 @@
 async def test_an_answer_cut_short_or_framed_by_nothing_but_its_stream_s_end_is_broken():
     for data in (OK[:-1], OK[:20], b"HTTP/1.1 200 OK\r\n\r\nyes"):
         async with StandIn(answers_then_hangs_up(data)) as stand_in:
-            assert (await Sender(stand_in.address).call_out())[0] is Outcome.BROKEN
+            assert (await Sender(stand_in.address).call_out())[0] is AttemptOutcome.BROKEN
 
 
 @on_loop
 async def test_what_never_came_up_has_never_run_and_what_left_in_part_may_have():
     async with StandIn() as stand_in:
         address = stand_in.address
-    assert (await Sender(address).call_out())[0] is Outcome.NO_CONNECTION
-    assert (await Sender(address).call_out(backend=1))[0] is Outcome.NOT_SENT
+    assert (await Sender(address).call_out())[0] is AttemptOutcome.NO_CONNECTION
+    assert (await Sender(address).call_out(backend=1))[0] is AttemptOutcome.NOT_SENT
 
     async def reads_little(reader, writer):
         await reader.read(1)  # a part has left, and what is not read keeps the rest from leaving
@@ -140,7 +140,7 @@
 
     server = await asyncio.start_server(reads_little, "127.0.0.1", 0, limit=1)
     backend = Sender(server.sockets[0].getsockname())
-    assert (await backend.call_out(within=5_000_000, body=b"x" * 30_000_000))[0] is Outcome.BROKEN
+    assert (await backend.call_out(within=5_000_000, body=b"x" * 30_000_000))[0] is AttemptOutcome.BROKEN
     server.close()
 
 
@@ -153,11 +153,11 @@
         out = asyncio.create_task(sender.call_out(within=5_000_000))
         await until(lambda: len(stand_in.got) == 2)
         stand_in.server.close()  # takes no more; the connection that is up stays
-        assert (await sender.call_out())[0] is Outcome.CUT
+        assert (await sender.call_out())[0] is AttemptOutcome.CUT
         out.cancel()
         await asyncio.wait([out])
-        assert (await sender.call_out())[0] is Outcome.NO_CONNECTION
-        assert sender.backends.room.used == sender.backends.sites[0].busy == 0
+        assert (await sender.call_out())[0] is AttemptOutcome.NO_CONNECTION
+        assert sender.backends.descriptor_budget.used == sender.backends.sites[0].busy == 0
 
 
 @on_loop
@@ -167,12 +167,12 @@
         silent.listen(0)
         with socket.create_connection(silent.getsockname()):
             sender, start = Sender(silent.getsockname()), time.monotonic()
-            assert (await sender.call_out(within=5_000_000))[0] is Outcome.NO_CONNECTION
-            assert 0.2 < time.monotonic() - start < 1.0 and sender.backends.room.used == 0
+            assert (await sender.call_out(within=5_000_000))[0] is AttemptOutcome.NO_CONNECTION
+            assert 0.2 < time.monotonic() - start < 1.0 and sender.backends.descriptor_budget.used == 0
             out = asyncio.create_task(sender.call_out(within=5_000_000))
             await until(lambda: sender.held.stop)
             sender.held.stop(0)
-            assert (await out)[0] is Outcome.NOT_SENT and sender.backends.room.used == 0
+            assert (await out)[0] is AttemptOutcome.NOT_SENT and sender.backends.descriptor_budget.used == 0
 
 
 @on_loop
@@ -183,11 +183,11 @@
         await until(lambda: stand_in.got)
         sender.held.stop(2)
         sender.held.stop(3)
-        assert (await out)[0] is Outcome.CALLED_OFF
+        assert (await out)[0] is AttemptOutcome.CANCELLED
         await until(lambda: stand_in.closed == 1)
         stand_in.answer = OK
-        assert (await sender.call_out())[0] is Outcome.OK and stand_in.connections == 2
-        assert sender.backends.room.used == 1
+        assert (await sender.call_out())[0] is AttemptOutcome.OK and stand_in.connections == 2
+        assert sender.backends.descriptor_budget.used == 1
 
 
 @on_loop
@@ -200,7 +200,7 @@
         loop, faults = asyncio.get_running_loop(), []
         loop.set_exception_handler(lambda _, context: faults.append(context))
         loop.call_later(0.0, lambda: sender.held.stop(0))
-        assert (await out)[0] is Outcome.TIMED_OUT and not faults
+        assert (await out)[0] is AttemptOutcome.TIMED_OUT and not faults
 
 
 @on_loop
@@ -213,15 +213,15 @@
         sender = Sender(stand_in.address)
         site = sender.backends.sites[0]
         for made in (1, 2, 3, 3):
-            assert (await sender.call_out())[0] is Outcome.OK
+            assert (await sender.call_out())[0] is AttemptOutcome.OK
             assert stand_in.connections == made
             await until(lambda made=made: stand_in.closed >= min(made, 2))
             await until(lambda: not site.idle or len(stand_in.got) > 2)
         site.idle[0].used_at -= sender.backends.idle_us
-        assert (await sender.call_out())[0] is Outcome.OK and stand_in.connections == 4
+        assert (await sender.call_out())[0] is AttemptOutcome.OK and stand_in.connections == 4
         site.idle[0].used_at -= sender.backends.idle_us
         sender.backends.sweep()
-        assert not site.idle and sender.backends.room.used == 0
+        assert not site.idle and sender.backends.descriptor_budget.used == 0
         assert len(stand_in.got) == 5, "each call-out was written once"
 
 
@@ -232,8 +232,8 @@
         await sender.call_out()
         sender.backends.place(0, new.address)
         await until(lambda: old.closed == 1)
-        assert (await sender.call_out())[0] is Outcome.OK
-        assert len(new.got) == sender.backends.room.used == 1
+        assert (await sender.call_out())[0] is AttemptOutcome.OK
+        assert len(new.got) == sender.backends.descriptor_budget.used == 1
 
 
 @on_loop
@@ -244,5 +244,5 @@
         await sender.call_out()
         out = asyncio.create_task(sender.call_out(backend=1))
         await until(lambda: two.got and one.closed)
-        assert (await sender.call_out())[0] is Outcome.NOT_SENT
-        assert (await out)[0] is Outcome.TIMED_OUT
+        assert (await sender.call_out())[0] is AttemptOutcome.NOT_SENT
+        assert (await out)[0] is AttemptOutcome.TIMED_OUT
--- a/tests/spread/test_places.py
+++ b/tests/spread/test_places.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoneyoke.spread.places import MOST, TURN_S, places, turns
+from stoneyoke.spread.zone_ranking import MOST, TURN_S, places, turns
 
 
 @given(st.lists(st.integers(0, 4), min_size=1, max_size=40), st.integers(0, 5), st.integers(0, 400))
@@ -42,7 +42,7 @@
 
 def load(gateways=60, backends=24, seconds=12, seed=3):
     """Call-outs by 3 s windows and backend, of modules that know nothing of one another; skewed rates."""
-    chance, windows = random.Random(seed), {}
+    random_source, windows = random.Random(seed), {}
     benches = [Bench(fleet=backends, gateways=gateways, own_index=g, zone=g % 2) for g in range(gateways)]
     rates = [3.0 / (1 + g) ** 0.5 * 2 for g in range(gateways)]
     for g, bench in enumerate(benches):
@@ -51,8 +51,8 @@
             for when, rpc, backend in [p for p in pending if p[0] <= step]:
                 pending.remove((when, rpc, backend))
                 bench.end(rpc, 0, backend)
-            for _ in range(chance.random() < rates[g] / 20):
-                for call in sent(bench.arrive(units=0.001, customer=chance.randrange(50))):
+            for _ in range(random_source.random() < rates[g] / 20):
+                for call in sent(bench.arrive(units=0.001, customer=random_source.randrange(50))):
                     pending.append((step + 2, call.rpc, call.backend))
                     row = windows.setdefault(step // 60, [0] * backends)
                     row[call.backend] += 1
--- a/tests/system/gateway_fixture.py
+++ b/tests/system/gateway_fixture.py
@@ -9,15 +9,15 @@
 from stoneyoke.api.configuration import read_configuration
 
 from stoneyoke.net.backends import Backends
-from stoneyoke.net.room import Room
+from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.control_client import Fleet
 from stoneyoke.gateway.request_handler import RequestHandler
 from stoneyoke.gateway.upstreams import Upstreams, judge
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 from stoneyoke.gateway.routes import table_of
-from stoneyoke.runtime import Clock
-from stoneyoke.tally import Tally
+from stoneyoke.runtime.runtime import Clock
+from stoneyoke.runtime.metrics import Metrics
 
 BOUNDS = {
     "quota_slack": 20.0,
@@ -88,24 +88,30 @@
         self.stand_ins, self.change, self.service = backends, change, service
 
     async def __aenter__(self):
-        self.clock, self.tally = Clock(), Tally()
-        room = Room(200, 20)
-        self.backends = Backends(self.clock, self.tally, 300_000, 4_000_000, room, 1 << 20)
+        self.clock, self.metrics = Clock(), Metrics()
+        descriptor_budget = DescriptorBudget(200, 20)
+        self.backends = Backends(self.clock, self.metrics, 300_000, 4_000_000, descriptor_budget, 1 << 20)
         self.backends.judge = judge
-        self.roster = InstanceDirectory(("10.0.0.1",))
-        self.piers = Upstreams(self.clock, self.tally, self.backends, self.roster, ("east",), "east", 7, BOUNDS)
+        self.instance_directory = InstanceDirectory(("10.0.0.1",))
+        self.upstreams = Upstreams(
+            self.clock, self.metrics, self.backends, self.instance_directory, ("east",), "east", 7, BOUNDS
+        )
         self.admission = Admission(7, self.clock.now(), BOUNDS)
         self.admission.heard(self.clock.now() + 3_600_000_000)
-        self.teller = Silent(self.admission.local_quotas)
-        self.front = RequestHandler(self.clock, self.tally, room, 300, self.backends)
-        self.front.admission, self.front.teller, self.front.piers = self.admission, self.teller, self.piers
-        self.front.roster, self.front.draw = self.roster, lambda: 0.5
-        self.piers.among(Fleet(1, 0))
+        self.quota_client = Silent(self.admission.local_quotas)
+        self.front = RequestHandler(self.clock, self.metrics, descriptor_budget, 300, self.backends)
+        self.front.admission, self.front.quota_client, self.front.upstreams = (
+            self.admission,
+            self.quota_client,
+            self.upstreams,
+        )
+        self.front.instance_directory, self.front.draw = self.instance_directory, lambda: 0.5
+        self.upstreams.among(Fleet(1, 0))
         self.front.take(table_of(read_configuration(example(7, self.change))))
         for at, backend in enumerate(self.stand_ins):
             await backend.open()
             self.add(f"i-{at}", backend.port)
-        self.piers.renew()
+        self.upstreams.renew()
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(self.front.line, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
@@ -113,7 +119,7 @@
         return self
 
     def add(self, instance, port, phase=0, seq=1):
-        self.roster.merge(
+        self.instance_directory.merge(
             Row(instance, f"127.0.0.1:{port}", self.service, "east", "v1", 2, phase, seq, 0.0),
             self.clock.now() / 1_000_000,
         )
--- a/tests/system/raw_backend.py
+++ b/tests/system/raw_backend.py
@@ -6,9 +6,9 @@
 import struct
 
 from stoneyoke.net.backends import Backends
-from stoneyoke.net.room import Room
-from stoneyoke.runtime import Clock, Held
-from stoneyoke.tally import Tally
+from stoneyoke.net.descriptor_budget import DescriptorBudget
+from stoneyoke.runtime.runtime import Clock, Held
+from stoneyoke.runtime.metrics import Metrics
 
 BUFFER = 4096  # bytes that the peer's kernel takes of what is not read, or little more
 LARGE = b"x" * 30_000_000  # a body of which a part stays in the sender
@@ -89,9 +89,9 @@
     """Upstream attempts at one backend, with no gateway around them. `links` keeps each connection made."""
 
     def __init__(self, address, dial_us=LONG_US, most=9):
-        self.clock, self.tally, self.links = Clock(), Tally(), []
+        self.clock, self.metrics, self.links = Clock(), Metrics(), []
         self.held = Held(1, self.clock, None)
-        self.backends = Backends(self.clock, self.tally, dial_us, 30_000_000, Room(most, 0))
+        self.backends = Backends(self.clock, self.metrics, dial_us, 30_000_000, DescriptorBudget(most, 0))
         self.backends.place(0, address)
         connect = self.backends.connect
 
@@ -111,4 +111,4 @@
 
     def all_closed(self):
         site = self.backends.sites[0]
-        return self.backends.room.used == site.busy == len(site.idle) == 0
+        return self.backends.descriptor_budget.used == site.busy == len(site.idle) == 0
--- a/tests/system/test_backend_at_work.py
+++ b/tests/system/test_backend_at_work.py
@@ -10,7 +10,8 @@
 
 from stoneyoke.control.ground import BEAT
 from stoneyoke.gateway.upstreams import judge
-from stoneyoke.interface import Outcome, TimerFired
+from stoneyoke.control.events import TimerFired
+from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.http import Message
 
 GRACE_S = 60.0
@@ -32,7 +33,7 @@
 async def at_a_quiet_backend(gateway, peer):
     """A repeatable request that the only backend is at work on, and the backend's end of its connection."""
     gateway.add("i-0", peer.address[1])
-    gateway.piers.renew()
+    gateway.upstreams.renew()
     asked = asyncio.ensure_future(gateway.ask(method=b"GET", body=b"", wait=b"60000"))
     await until(peer.waiting)
     connection = peer.accept()
@@ -42,7 +43,7 @@
 
 def let_the_module_wait(gateway):
     """Time passes for the decisions alone, beat by beat."""
-    runtime = gateway.piers.pier(gateway.service).runtime
+    runtime = gateway.upstreams.upstream(gateway.service).runtime
     for _ in range(BEATS):
         gateway.clock.base += BEAT
         runtime.tell(TimerFired(0))
@@ -104,4 +105,4 @@
         message = Message()
         message.status, message.headers = 200, {b"server-stamp": b"s", **headers}
         message.repeated = set(repeated)
-        assert judge(message) is Outcome.BROKEN
+        assert judge(message) is AttemptOutcome.BROKEN
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -5,7 +5,7 @@
 from ward import raises, test
 
 from stoneyoke.api.configuration import Version
-from stoneyoke.controlplane.consensus import (
+from stoneyoke.consensus.protocol import (
     NO_BALLOT,
     Accepted,
     Acceptor,
--- a/tests/system/test_controlplane.py
+++ b/tests/system/test_controlplane.py
@@ -6,19 +6,19 @@
 from stoneyoke.api.calls import Acknowledged, Rejected
 from stoneyoke.api.configuration import Version, read_configuration
 from stoneyoke.controlplane.configuration_service import applied, verdict
-from stoneyoke.controlplane.consensus import Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.protocol import Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.controlplane.heartbeat_ring import watchers
 from stoneyoke.controlplane.instance_registry import InstanceRegistry, Phase, Row
 from stoneyoke.controlplane.leases import STOP, TTL_S, LeaseGranter, LeaseHolder
-from stoneyoke.controlplane.quorum import copies, majority
-from stoneyoke.controlplane.record_formats import (
+from stoneyoke.consensus.quorum import copies, majority
+from stoneyoke.consensus.record_formats import (
     promise_record,
     read_old_records,
     read_promise,
     read_register,
     register_record,
 )
-from stoneyoke.controlplane.voter_set import MemberReport, next_members
+from stoneyoke.consensus.voter_set import MemberReport, next_members
 from stoneyoke.lab.simulation.seeded_defects import seeded
 
 A, B, C, D, E = (ReplicaId(name, "first") for name in "abcde")
@@ -103,32 +103,34 @@
 @test("a duty has one holder at most, whatever is lost, late, restarted or asked again")
 def _():
     for seed in range(300):
-        chance = random.Random(seed)
+        random_source = random.Random(seed)
         names = ("a", "b", "c")
         grantors = {name: LeaseGranter(0.0, True) for name in names}
         tenures = {name: LeaseHolder() for name in names}
-        lives = dict.fromkeys(names, 0)
+        incarnations = dict.fromkeys(names, 0)
         late, told, now = [], [], 0.0  # messages under way, and answers
         for _ in range(400):
-            now += chance.expovariate(20)
-            who = chance.choice(names)
-            if chance.random() < 0.02:
+            now += random_source.expovariate(20)
+            who = random_source.choice(names)
+            if random_source.random() < 0.02:
                 grantors[who] = LeaseGranter(now, False)
-            if chance.random() < 0.02:
-                tenures[who], lives[who] = LeaseHolder(), lives[who] + 1
+            if random_source.random() < 0.02:
+                tenures[who], incarnations[who] = LeaseHolder(), incarnations[who] + 1
                 continue
-            if chance.random() < 0.3:
+            if random_source.random() < 0.3:
                 tenures[who].ask(now)
                 for voter in names:
-                    if chance.random() < 0.7:
-                        asked_at = now + chance.random() * 0.3
-                        late.append((asked_at, who, voter, now, lives[who], tenures[who].number))
+                    if random_source.random() < 0.7:
+                        asked_at = now + random_source.random() * 0.3
+                        late.append((asked_at, who, voter, now, incarnations[who], tenures[who].number))
             for item in sorted(one for one in late if one[0] <= now):
                 late.remove(item)
-                _, asker, voter, began, life, number = item
-                ok, _, _ = grantors[voter].ask("duty", asker, f"{asker}-{life}", TTL_S, now, number)
-                if chance.random() < 0.8:
-                    told.append((now + chance.choice((0.0, 0.05, 1.5)) * chance.random(), asker, voter, ok, began))
+                _, asker, voter, began, incarnation, number = item
+                ok, _, _ = grantors[voter].ask("duty", asker, f"{asker}-{incarnation}", TTL_S, now, number)
+                if random_source.random() < 0.8:
+                    told.append(
+                        (now + random_source.choice((0.0, 0.05, 1.5)) * random_source.random(), asker, voter, ok, began)
+                    )
             for item in sorted(one for one in told if one[0] <= now):
                 told.remove(item)
                 tenures[item[1]].answer(item[2], item[3], names, item[4], now)
--- a/tests/system/test_discovery_service.py
+++ b/tests/system/test_discovery_service.py
@@ -14,7 +14,7 @@
     Surroundings,
 )
 from stoneyoke.controlplane.instance_registry import Phase
-from stoneyoke.controlplane.settlement import COUNTING_S, MARGIN_S, Settlement
+from stoneyoke.controlplane.startup_readiness import COUNTING_S, MARGIN_S, Settlement
 from stoneyoke.transport.messages import InstanceRefresh, InstanceUpdate, InstanceUpdateResponse
 from stoneyoke.transport.peers import PeerUnreachable
 
--- a/tests/system/test_exhaustive.py
+++ b/tests/system/test_exhaustive.py
@@ -4,7 +4,7 @@
 
 from ward import test
 
-from stoneyoke.controlplane import consensus
+from stoneyoke.consensus import protocol
 from stoneyoke.lab.simulation.consensus_defects import CONSENSUS_DEFECTS, FOUND_IN, found, seeded
 from stoneyoke.lab.simulation.exhaustive.explore import explore, world_named
 from stoneyoke.lab.simulation.exhaustive.worlds import WORLDS
@@ -54,7 +54,7 @@
 
 @test("a defect of the register is there only while it is seeded")
 def _():
-    before = consensus.majority
+    before = protocol.majority
     with seeded("majority_one_short"):
-        assert consensus.majority(3) == 1
-    assert consensus.majority is before
+        assert protocol.majority(3) == 1
+    assert protocol.majority is before
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -7,19 +7,16 @@
 
 from stoneyoke.control import Gateway as Module
 from stoneyoke.controlplane.instance_registry import Phase
-from stoneyoke.interface import (
-    Arrival,
-    CallOut,
-    CallOutEnded,
-    Effect,
-    FleetNews,
-    Group,
-    Listed,
+from stoneyoke.control.actions import StartAttempt
+from stoneyoke.control.events import Arrival, AttemptEnded, EndpointsChanged, Endpoint
+from stoneyoke.control.parameters import (
+    Idempotency,
+    DeduplicationScope,
     Method,
-    Outcome,
+    AttemptOutcome,
     Plan,
-    State,
-    Terms,
+    BackendState,
+    GatewayParameters,
 )
 from stoneyoke.api.configuration import read_configuration
 from stoneyoke.gateway.control_client import Fleet
@@ -95,7 +92,7 @@
             assert (await gateway.ask())[0] == 200
             assert [len(one.got) for one in backends] == [1, 1]
             if status == 421:
-                assert refused[0] in gateway.roster.gone
+                assert refused[0] in gateway.instance_directory.gone
 
 
 @test("an order that may have run is sent nowhere else, and its answer makes no promise")
@@ -152,8 +149,8 @@
 async def _():
     backends = [Backend(refusing(503)) for _ in range(4)]
     async with Gateway(backends) as gateway:
-        gateway.piers.bounds = dict(gateway.piers.bounds, retry_slack=8.0)
-        gateway.piers.among(Fleet(2, 0))
+        gateway.upstreams.bounds = dict(gateway.upstreams.bounds, retry_slack=8.0)
+        gateway.upstreams.among(Fleet(2, 0))
         answers = [await gateway.ask() for _ in range(30)]
         arrivals = sum(len(one.got) for one in backends)
         assert {status for status, _, _ in answers} == {503} and all("retry-after" in more for _, more, _ in answers)
@@ -204,17 +201,17 @@
     drains, stays = Backend(), Backend()
     async with Gateway([drains, stays]) as gateway:
         gateway.add("i-0", drains.port, Phase.DRAINING, 5)
-        gateway.piers.renew()
+        gateway.upstreams.renew()
         for _ in range(5):
             assert (await gateway.ask())[0] == 200
         gateway.add("i-0", drains.port, Phase.READY, 4)
         gateway.add("i-0", drains.port, Phase.GONE, 5)
         gateway.add("i-0", drains.port, Phase.READY, 9)
-        gateway.piers.renew()
+        gateway.upstreams.renew()
         for _ in range(5):
             assert (await gateway.ask())[0] == 200
         assert not drains.got and len(stays.got) == 10
-        assert "i-0" not in gateway.roster.known
+        assert "i-0" not in gateway.instance_directory.known
 
 
 @test("over quota is a 429 with a time, at once and without a backend; with units it passes")
@@ -222,11 +219,11 @@
 async def _():
     backend = Backend()
     async with Gateway([backend]) as gateway:
-        gateway.teller.gives = (0.0, 0.5, 0.5, 0.0)
+        gateway.quota_client.gives = (0.0, 0.5, 0.5, 0.0)
         status, headers, _ = await gateway.ask()
         assert status == 429 and 0.4 < float(headers["retry-after"]) < 2 and not backend.got
         gateway.admission.local_quotas["anna"].shut_until = 0.0
-        gateway.teller.gives = (2.0, 0.0, 0.5, 0.0)
+        gateway.quota_client.gives = (2.0, 0.0, 0.5, 0.0)
         assert [(await gateway.ask())[0] for _ in range(2)] == [200, 200]
         assert (await gateway.ask(key=b"key-c"))[0] == 200  # bert has no limit
 
@@ -280,7 +277,7 @@
         for wrong in wrongs:
             status, _, _ = await gateway.ask(raw=wrong)
             assert 400 <= status < 600 and status not in (408, 421, 429, 503), f"{wrong!r} {status}"
-        assert not backend.got and not gateway.tally.broken
+        assert not backend.got and not gateway.metrics.broken
         assert (await gateway.ask())[0] == 200
 
 
@@ -309,19 +306,23 @@
         message.headers = {name.replace("_", "-").encode(): value for name, value in headers.items()}
         return judge(message)
 
-    assert told(200, server_stamp=b"s") is Outcome.OK and told(200) is Outcome.BROKEN
-    assert told(503, not_run=b"1") is told(421) is told(400, not_run=b"1") is Outcome.TURNED_AWAY
-    assert told(503) is told(429) is told(408) is Outcome.BROKEN
-    assert told(500) is told(504) is Outcome.ERROR and told(404) is Outcome.OK and judge(None) is Outcome.BROKEN
+    assert told(200, server_stamp=b"s") is AttemptOutcome.OK and told(200) is AttemptOutcome.BROKEN
+    assert told(503, not_run=b"1") is told(421) is told(400, not_run=b"1") is AttemptOutcome.REJECTED
+    assert told(503) is told(429) is told(408) is AttemptOutcome.BROKEN
+    assert (
+        told(500) is told(504) is AttemptOutcome.ERROR
+        and told(404) is AttemptOutcome.OK
+        and judge(None) is AttemptOutcome.BROKEN
+    )
 
 
 @test("the module sends on only while its part of the budget lasts, and only what came to a backend counts")
 def _():
     def call_outs(outcome, depth):
         """Of ten requests at nine backends, each of which ends that way."""
-        method = Method(Effect.IDEMPOTENT, Group.CELL, 1_000_000, 9_000_000, 0, 1.0, 3)
+        method = Method(Idempotency.IDEMPOTENT, DeduplicationScope.CELL, 1_000_000, 9_000_000, 0, 1.0, 3)
         module = Module(
-            Terms(
+            GatewayParameters(
                 7,
                 1,
                 0,
@@ -346,17 +347,17 @@
             ),
             0,
         )
-        module.handle(FleetNews(True, False, [Listed(at, 0, 0, 0, State.READY) for at in range(9)]), 0)
+        module.handle(EndpointsChanged(True, False, [Endpoint(at, 0, 0, 0, BackendState.READY) for at in range(9)]), 0)
         count = 0
         for rpc in range(10):
             told, sent = module.handle(Arrival(rpc, 0, 0, 0, 0, 9_000_000, 1.0, 1.0), 1000 + rpc), 0
-            while out := [one for one in told if isinstance(one, CallOut)]:
-                told = module.handle(CallOutEnded(rpc, sent, out[0].backend, outcome, False, 0.0), 1000 + rpc)
+            while out := [one for one in told if isinstance(one, StartAttempt)]:
+                told = module.handle(AttemptEnded(rpc, sent, out[0].backend, outcome, False, 0.0), 1000 + rpc)
                 sent += 1
             count += sent
         return count
 
-    free = call_outs(Outcome.ERROR, 0.0)
+    free = call_outs(AttemptOutcome.ERROR, 0.0)
     assert free > 14  # without a budget, up to three each, while backends don't rest
-    assert call_outs(Outcome.ERROR, 2.0) <= 10 + 1 + 0.1 * 10
-    assert call_outs(Outcome.NO_CONNECTION, 2.0) == 9  # nothing arrived: all are tried, then all rest
+    assert call_outs(AttemptOutcome.ERROR, 2.0) <= 10 + 1 + 0.1 * 10
+    assert call_outs(AttemptOutcome.NO_CONNECTION, 2.0) == 9  # nothing arrived: all are tried, then all rest
--- a/tests/system/test_instance_directory.py
+++ b/tests/system/test_instance_directory.py
@@ -15,10 +15,10 @@
     disk="first",
     settled=True,
     seq=1,
-    keeper="",
-    roll=1,
-    pilots=(),
-    life="l",
+    lease_holder="",
+    membership_version=1,
+    gateways=(),
+    incarnation="l",
     name="a",
     voters_number=1,
     voters=VOTERS,
@@ -29,7 +29,7 @@
     before = [(one, "first") for one in previous]
     ballot = (number + 10 * voters_number, "p")
     return PullResponse(
-        life,
+        incarnation,
         seq,
         whole,
         list(rows),
@@ -39,12 +39,12 @@
         ballot,
         (number, b"x"),
         settled,
-        keeper,
+        lease_holder,
         False,
         "east",
-        roll,
+        membership_version,
         [],
-        list(pilots),
+        list(gateways),
     )
 
 
@@ -115,7 +115,7 @@
 def _():
     directory = InstanceDirectory(("a",))
     directory.hear("a", news(rows=[row(), row(instance="i-2")], voters=("a",)), 0.0)
-    directory.hear("a", news(whole=True, life="new", voters=("a",)), 1.0)  # started again, knows nobody yet
+    directory.hear("a", news(whole=True, incarnation="new", voters=("a",)), 1.0)  # started again, knows nobody yet
     directory.sweep(1.0)
     assert directory.doubted("tide") == frozenset() and len(directory.known) == 2
 
@@ -124,11 +124,11 @@
 def _():
     directory = InstanceDirectory(("a", "b", "c"))
     for name in "ab":
-        directory.hear(name, news(name=name, keeper="a", pilots=["edge-1"]), 0.0)
-    assert directory.keeper(0.1) == "a" and directory.pilots(0.1) == ["edge-1"]
-    directory.hear("c", news(name="c", keeper="c", pilots=["edge-2"]), 0.2)
-    assert directory.keeper(0.2) == "c"
-    directory.hear("c", news(name="c", keeper="c"), 0.3)
-    assert directory.pilots(0.3) == ["edge-1", "edge-2"]
-    directory.hear("c", news(name="c", keeper="c", roll=2), 0.4)
-    assert directory.pilots(0.4) == ["edge-1"]
+        directory.hear(name, news(name=name, lease_holder="a", gateways=["edge-1"]), 0.0)
+    assert directory.lease_holder(0.1) == "a" and directory.gateways(0.1) == ["edge-1"]
+    directory.hear("c", news(name="c", lease_holder="c", gateways=["edge-2"]), 0.2)
+    assert directory.lease_holder(0.2) == "c"
+    directory.hear("c", news(name="c", lease_holder="c"), 0.3)
+    assert directory.gateways(0.3) == ["edge-1", "edge-2"]
+    directory.hear("c", news(name="c", lease_holder="c", membership_version=2), 0.4)
+    assert directory.gateways(0.4) == ["edge-1"]
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -2,7 +2,7 @@
 
 from ward import test
 
-from stoneyoke.limits.shares import LocalQuota
+from stoneyoke.limits.quota_allocator import LocalQuota
 from stoneyoke.gateway.quota_client import ANSWER_S, QuotaClient
 from stoneyoke.transport.messages import QuotaResponse
 from stoneyoke.transport.peers import PeerUnreachable
@@ -26,7 +26,7 @@
 def play(wire, story):
     async def run():
         heard = []
-        teller = QuotaClient(
+        quota_client = QuotaClient(
             "edge-1",
             "l",
             lambda: "core",
@@ -35,9 +35,9 @@
             lambda: heard.append(1),
             asyncio.get_running_loop().time,
         )
-        task = asyncio.ensure_future(teller.run())
+        task = asyncio.ensure_future(quota_client.run())
         try:
-            await story(teller, heard)
+            await story(quota_client, heard)
         finally:
             task.cancel()
 
@@ -55,10 +55,10 @@
 def _():
     wire = PeerClient([GREETED, given(3.0)])
 
-    async def story(teller, heard):
-        await asyncio.gather(*(teller.ask("anna") for _ in range(3)))
+    async def story(quota_client, heard):
+        await asyncio.gather(*(quota_client.ask("anna") for _ in range(3)))
         assert wire.asked[0].wants == [] and wire.asked[1].wants[0][:2] == ("anna", 3.0) and len(wire.asked) == 2
-        assert teller.local_quotas["anna"].level == 3 and heard and not teller.waiting
+        assert quota_client.local_quotas["anna"].level == 3 and heard and not quota_client.waiting
 
     play(wire, story)
 
@@ -67,16 +67,16 @@
 def _():
     wire = PeerClient([PeerUnreachable("cut"), QuotaResponse(False, []), GREETED, given(1.0)])
 
-    async def story(teller, heard):
-        await teller.ask("anna")
-        assert teller.down and not heard
+    async def story(quota_client, heard):
+        await quota_client.ask("anna")
+        assert quota_client.down and not heard
         for _ in range(100):
-            if not teller.down:
+            if not quota_client.down:
                 break
-            teller.wanted.set()
-            teller.local_quotas["anna"].demand = 1.0
-            await asyncio.wait_for(teller.answered.wait(), 2)
-        assert not teller.down and heard and len(wire.asked) >= 3
+            quota_client.wanted.set()
+            quota_client.local_quotas["anna"].demand = 1.0
+            await asyncio.wait_for(quota_client.answered.wait(), 2)
+        assert not quota_client.down and heard and len(wire.asked) >= 3
 
     play(wire, story)
 
@@ -85,11 +85,11 @@
 def _():
     wire = PeerClient([GREETED, given(0.0, 5.0), given(0.0, 5.0)])
 
-    async def story(teller, heard):
-        await teller.ask("anna")
-        assert teller.local_quotas["anna"].shut_until > asyncio.get_running_loop().time() + 4
-        teller.local_quotas["anna"].demand = 2.0
-        await teller.draw(wire)
+    async def story(quota_client, heard):
+        await quota_client.ask("anna")
+        assert quota_client.local_quotas["anna"].shut_until > asyncio.get_running_loop().time() + 4
+        quota_client.local_quotas["anna"].demand = 2.0
+        await quota_client.draw(wire)
         assert wire.asked[2].wants[0][:3] == ("anna", 0.0, 2.0)
 
     play(wire, story)
@@ -103,11 +103,11 @@
     ):
         wire = PeerClient([GREETED, wrong])
 
-        async def story(teller, heard, wire=wire):
-            teller.local_quotas["bert"] = LocalQuota()
-            await teller.ask("anna")
-            assert teller.down and len(wire.asked) == 2 and len(heard) == 1
-            assert teller.local_quotas["anna"].level == teller.local_quotas["bert"].level == 0
+        async def story(quota_client, heard, wire=wire):
+            quota_client.local_quotas["bert"] = LocalQuota()
+            await quota_client.ask("anna")
+            assert quota_client.down and len(wire.asked) == 2 and len(heard) == 1
+            assert quota_client.local_quotas["anna"].level == quota_client.local_quotas["bert"].level == 0
 
         play(wire, story)
 
@@ -118,14 +118,14 @@
 def _():
     wire = PeerClient([GREETED, given(3.0)])
 
-    async def story(teller, heard):
-        await teller.ask("anna")
+    async def story(quota_client, heard):
+        await quota_client.ask("anna")
         loop = asyncio.get_running_loop()
         asked_at, now = loop.time(), loop.time
-        teller.clock = lambda: now() + (100.0 if len(wire.asked) > 2 else 0.0)  # from the third one's asking on
+        quota_client.clock = lambda: now() + (100.0 if len(wire.asked) > 2 else 0.0)  # from the third one's asking on
         wire.answers.append(given(1.0))
-        teller.local_quotas["anna"].demand = 1.0
-        await teller.draw(wire)
-        assert asked_at < teller.heard_at == teller.local_quotas["anna"].told_at < asked_at + 1 + ANSWER_S
+        quota_client.local_quotas["anna"].demand = 1.0
+        await quota_client.draw(wire)
+        assert asked_at < quota_client.heard_at == quota_client.local_quotas["anna"].told_at < asked_at + 1 + ANSWER_S
 
     play(wire, story)
--- a/tests/system/test_record_store.py
+++ b/tests/system/test_record_store.py
@@ -48,13 +48,13 @@
     and what an earlier start was given."""
 
     def __init__(self, folder, seed):
-        self.folder, self.chance = folder, random.Random(seed)
+        self.folder, self.random_source = folder, random.Random(seed)
         self.histories = {"promise": History(), "register": History(), "identity": History()}
         self.store = SimulatedRecordStore(folder)
 
     def keep(self, family):
         history = self.histories[family]
-        size = self.chance.choice((0, 30, 600, 3000)) if family == "register" else 8
+        size = self.random_source.choice((0, 30, 600, 3000)) if family == "register" else 8
         history.begun.append({b"body": b"%s %d " % (family.encode(), len(history.begun)) + b"x" * size, b"more": b"y"})
         try:
             self.store.keep(family, history.begun[-1])
@@ -67,8 +67,8 @@
         """The process ended, with its machine's power or without; the next one begins."""
         self.store.steps_left = -1
         if power:
-            self.store.lose_power(self.chance)
-        elif self.chance.random() < 0.5:
+            self.store.lose_power(self.random_source)
+        elif self.random_source.random() < 0.5:
             self.cut_writes_short()
         self.store = SimulatedRecordStore(self.folder, self.store.state)
         self.check()
@@ -77,16 +77,16 @@
         """A killed process may have written a part of what it had not synced yet."""
         for name in sorted(os.listdir(self.folder)):
             content = self.store.content(name)
-            if content != self.store.state.contents.get(name) and self.chance.random() < 0.5:
-                os.truncate(os.path.join(self.folder, name), self.chance.randrange(len(content) + 1))
+            if content != self.store.state.contents.get(name) and self.random_source.random() < 0.5:
+                os.truncate(os.path.join(self.folder, name), self.random_source.randrange(len(content) + 1))
 
     def check(self):
         for family, history in self.histories.items():
             history.check(self.store.load(family)[0])
 
     def step(self):
-        family = self.chance.choice(list(self.histories))
-        match self.chance.choice(("keep", "keep", "keep", "refused", "full", "ends", "ends", "restart", "load")):
+        family = self.random_source.choice(list(self.histories))
+        match self.random_source.choice(("keep", "keep", "keep", "refused", "full", "ends", "ends", "restart", "load")):
             case "keep":
                 self.keep(family)
             case "refused":
@@ -94,19 +94,19 @@
                 assert not self.keep(family)
                 self.store.refuses = False
             case "full":
-                self.store.room = self.chance.randrange(12000)
+                self.store.room = self.random_source.randrange(12000)
                 self.keep(family)
                 self.store.room = None
             case "ends":
-                self.store.steps_left = self.chance.randrange(12)
+                self.store.steps_left = self.random_source.randrange(12)
                 try:
                     for _ in range(2):
                         self.keep(family)
                 except PowerLost:
                     pass
-                self.start(self.chance.random() < 0.7)
+                self.start(self.random_source.random() < 0.7)
             case "restart":
-                self.start(self.chance.random() < 0.7)
+                self.start(self.random_source.random() < 0.7)
             case "load":
                 self.check()
 
@@ -240,19 +240,19 @@
 
 @test("a record torn anywhere, or half missing, is thrown away and the one before it is read")
 def _(folder=folder):
-    chance = random.Random(5)
+    random_source = random.Random(5)
     for at in range(60):
         hold = RecordStore(folder)
         hold.keep("word", {b"body": b"sure %d" % at * 50})
         hold.keep("word", {b"body": b"torn %d" % at * 50})
         newest = f"word-{hold.next - 1}"
-        path = os.path.join(folder, newest + chance.choice((".dat", ".dir")))
+        path = os.path.join(folder, newest + random_source.choice((".dat", ".dir")))
         data = open(path, "rb").read()
         how = at % 4
         if how == 0:
             os.remove(path)
         else:
-            spot = chance.randrange(len(data))
+            spot = random_source.randrange(len(data))
             torn = (
                 data[:spot],
                 data[:spot] + bytes(len(data) - spot),
--- a/tests/system/test_recovery.py
+++ b/tests/system/test_recovery.py
@@ -10,8 +10,8 @@
 
 from stoneyoke.api.calls import Acknowledged, Document, ReadConfiguration, Unavailable
 from stoneyoke.api.configuration import read_configuration
-from stoneyoke.controlplane.consensus import FIRST_DISK, Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
-from stoneyoke.controlplane.record_formats import (
+from stoneyoke.consensus.protocol import FIRST_DISK, Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.record_formats import (
     IDENTITY,
     PROMISE,
     REGISTER,
@@ -21,7 +21,7 @@
     read_register,
     register_record,
 )
-from stoneyoke.controlplane.recovery import recovered
+from stoneyoke.consensus.recovery import recovered
 from stoneyoke.programs import stoneyokectl
 from stoneyoke.storage.record_store import RecordStore
 
--- a/tests/system/test_shares.py
+++ b/tests/system/test_shares.py
@@ -2,8 +2,8 @@
 
 from ward import test
 
-from stoneyoke.limits.shares import FEWEST, LEASE_S, SILENT_S, QuotaAllocator, LocalQuota, wants_of
-from stoneyoke.limits.stores import SECOND
+from stoneyoke.limits.quota_allocator import FEWEST, LEASE_S, SILENT_S, QuotaAllocator, LocalQuota, wants_of
+from stoneyoke.limits.token_bucket import SECOND
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.routes import Tenant
 
@@ -17,15 +17,15 @@
     """Gateways and keepers in simulated time: each step a hundredth of a second."""
 
     def __init__(self, seed, gateways):
-        self.chance = random.Random(seed)
+        self.random_source = random.Random(seed)
         self.now = 1000.0
         self.count = gateways
         self.stages = [self.stage() for _ in range(gateways)]
         self.cut = [False] * gateways
-        self.lives = [0] * gateways
+        self.incarnations = [0] * gateways
         self.full = [True] * gateways
-        self.keeper = QuotaAllocator(BOUNDS, self.now)
-        self.next_keeper = None
+        self.allocator = QuotaAllocator(BOUNDS, self.now)
+        self.next_allocator = None
         self.asked_at = [self.now - at * 0.03 for at in range(gateways)]
         self.sent, self.refused, self.asked = [], 0, 0
 
@@ -36,26 +36,26 @@
         return stage
 
     def restart(self, at):
-        self.stages[at], self.lives[at], self.full[at] = self.stage(), self.lives[at] + 1, True
+        self.stages[at], self.incarnations[at], self.full[at] = self.stage(), self.incarnations[at] + 1, True
 
     def lose_keeper(self, gap):
-        self.next_keeper, self.keeper = self.now + gap, None
+        self.next_allocator, self.allocator = self.now + gap, None
 
     def draw(self, at, waiting):
         """One message to the keeper and its answer."""
-        if self.cut[at] or self.keeper is None:
+        if self.cut[at] or self.allocator is None:
             self.full[at] = True
             return
         stage = self.stages[at]
         heard_at = stage.heard_at / SECOND
-        self.keeper.plans(PLANS)
+        self.allocator.plans(PLANS)
         deaf = self.now - heard_at
         wants = (
             []
             if deaf > SILENT_S
             else wants_of(stage.local_quotas, {"anna": waiting} if waiting else {}, heard_at, self.full[at], self.now)
         )
-        given = self.keeper.draw(f"g{at}", str(self.lives[at]), deaf, self.full[at], wants, self.now)
+        given = self.allocator.draw(f"g{at}", str(self.incarnations[at]), deaf, self.full[at], wants, self.now)
         self.full[at] = deaf > SILENT_S
         for tenant, *told in given:
             stage.local_quotas[tenant].hear(*told, self.now)
@@ -83,8 +83,8 @@
         until = self.now + seconds
         while self.now < until:
             self.now += 0.01
-            if self.next_keeper and self.now >= self.next_keeper:
-                self.keeper, self.next_keeper = (
+            if self.next_allocator and self.now >= self.next_allocator:
+                self.allocator, self.next_allocator = (
                     QuotaAllocator(BOUNDS, self.now, [f"g{at}" for at in range(self.count)]),
                     None,
                 )
@@ -92,8 +92,8 @@
                 if self.now - self.asked_at[at] >= 0.25:
                     self.asked_at[at] = self.now
                     self.draw(at, 0)
-            while self.chance.random() < rate * 0.01 / (1 + rate * 0.01):
-                self.request(self.chance.choices(range(self.count), weights)[0])
+            while self.random_source.random() < rate * 0.01 / (1 + rate * 0.01):
+                self.request(self.random_source.choices(range(self.count), weights)[0])
 
     def most(self):
         """The most that was sent in any window."""
@@ -131,17 +131,17 @@
 def _():
     for seed in range(12):
         town = Town(seed, 8)
-        chance = random.Random(seed + 100)
+        random_source = random.Random(seed + 100)
         for _ in range(12):
-            town.run(chance.uniform(0.3, 3), 10 * RATE, [chance.choice((0.2, 1, 3)) for _ in range(8)])
-            kind = chance.randrange(4)
+            town.run(random_source.uniform(0.3, 3), 10 * RATE, [random_source.choice((0.2, 1, 3)) for _ in range(8)])
+            kind = random_source.randrange(4)
             if kind == 0:
-                town.cut = [chance.random() < 0.3 for _ in range(8)]
+                town.cut = [random_source.random() < 0.3 for _ in range(8)]
             elif kind == 1:
-                for at in chance.sample(range(8), 4):
+                for at in random_source.sample(range(8), 4):
                     town.restart(at)
-            elif kind == 2 and town.keeper:
-                town.lose_keeper(chance.uniform(0.2, 1.7))
+            elif kind == 2 and town.allocator:
+                town.lose_keeper(random_source.uniform(0.2, 1.7))
             else:
                 town.cut = [False] * 8
         assert town.most() <= ALLOWED, str(seed)
@@ -161,86 +161,86 @@
 
 @test("a message that wants nothing is answered without a wait; one that finds the store empty with one")
 def _():
-    keeper = QuotaAllocator(BOUNDS, 0.0)
-    keeper.plans(PLANS)
-    ((_, units, wait, *_),) = keeper.draw("a", "1", 0.0, False, [("anna", 0.0, 9.0, 0.0, 0.0)], 0.1)
+    allocator = QuotaAllocator(BOUNDS, 0.0)
+    allocator.plans(PLANS)
+    ((_, units, wait, *_),) = allocator.draw("a", "1", 0.0, False, [("anna", 0.0, 9.0, 0.0, 0.0)], 0.1)
     assert units == 0 and wait == 0
-    ((_, units, wait, *_),) = keeper.draw("a", "1", 0.0, False, [("anna", 99.0, 9.0, 0.0, 0.0)], 0.1)
+    ((_, units, wait, *_),) = allocator.draw("a", "1", 0.0, False, [("anna", 99.0, 9.0, 0.0, 0.0)], 0.1)
     assert units > 0 and wait == 0
-    ((_, units, wait, *_),) = keeper.draw("a", "1", 0.0, False, [("anna", 1.0, 9.0, 0.0, 0.0)], 0.1)
+    ((_, units, wait, *_),) = allocator.draw("a", "1", 0.0, False, [("anna", 1.0, 9.0, 0.0, 0.0)], 0.1)
     assert units == 0 and wait > 0
 
 
 @test("the first that tells a new keeper of its demand is not told that it is all there is")
 def _():
-    keeper = QuotaAllocator(BOUNDS, 0.0, [f"g{at}" for at in range(8)])
-    keeper.plans(PLANS)
-    ((*_, part, _),) = keeper.draw("g0", "1", 0.0, True, [("anna", 1.0, 9.0, 0.0, 0.0)], 0.2)
+    allocator = QuotaAllocator(BOUNDS, 0.0, [f"g{at}" for at in range(8)])
+    allocator.plans(PLANS)
+    ((*_, part, _),) = allocator.draw("g0", "1", 0.0, True, [("anna", 1.0, 9.0, 0.0, 0.0)], 0.2)
     assert part == 0  # the others may hold it all
     for at in range(1, 8):
-        keeper.draw(f"g{at}", "1", 0.0, True, [("anna", 0.0, 0.0, 0.0, 0.01)], 0.3)
-    ((*_, part, _),) = keeper.draw("g0", "1", 0.0, False, [("anna", 1.0, 9.0, 0.0, 0.0)], 0.4)
+        allocator.draw(f"g{at}", "1", 0.0, True, [("anna", 0.0, 0.0, 0.0, 0.01)], 0.3)
+    ((*_, part, _),) = allocator.draw("g0", "1", 0.0, False, [("anna", 1.0, 9.0, 0.0, 0.0)], 0.4)
     assert 0 < part <= 1 / 8
-    ((*_, part, _),) = keeper.draw("g0", "1", 0.0, False, [("anna", 1.0, 9.0, 0.0, 0.0)], 1.2)
+    ((*_, part, _),) = allocator.draw("g0", "1", 0.0, False, [("anna", 1.0, 9.0, 0.0, 0.0)], 1.2)
     assert part > 0.4
 
 
 def two(now):
-    keeper = QuotaAllocator(BOUNDS, 0.0)
-    keeper.plans(PLANS)
+    allocator = QuotaAllocator(BOUNDS, 0.0)
+    allocator.plans(PLANS)
     for at in range(40):
         for name in "ab":
-            keeper.draw(name, "1", 0.0, False, [("anna", 1.0, 10.0, 0.0, 0.0)], now - 0.2 * (39 - at))
-    return keeper, keeper.pools["anna"]
+            allocator.draw(name, "1", 0.0, False, [("anna", 1.0, 10.0, 0.0, 0.0)], now - 0.2 * (39 - at))
+    return allocator, allocator.pools["anna"]
 
 
 @test("what a silent gateway may use is taken off the store, and what it did not use is given back")
 def _():
-    keeper, pool = two(9.0)
+    allocator, pool = two(9.0)
     assert abs(pool.seats["b"].part - 0.5) < 0.05
     pool.level = 0.0
-    keeper.draw("a", "1", 0.0, False, [], 10.0)
+    allocator.draw("a", "1", 0.0, False, [], 10.0)
     seat = pool.seats["b"]
     assert abs(seat.lent - (seat.part * RATE + seat.reserve)) < 0.1 and abs(pool.level - (RATE - seat.lent)) < 0.1
     lent, level = pool.seats["b"].lent, pool.level
-    keeper.draw("b", "1", 0.0, False, [("anna", 0.0, 0.0, 4.0, 0.0)], 10.001)  # it used 4 alone
+    allocator.draw("b", "1", 0.0, False, [("anna", 0.0, 0.0, 4.0, 0.0)], 10.001)  # it used 4 alone
     assert abs(pool.level - min(BURST, level + lent - 4.0)) < 0.1
 
 
 @test("of an ended gateway nothing more is taken off, and nothing given back")
 def _():
-    keeper, pool = two(9.0)
+    allocator, pool = two(9.0)
     pool.level = 0.0
-    keeper.draw("a", "1", 0.0, False, [], 10.0)
+    allocator.draw("a", "1", 0.0, False, [], 10.0)
     level = pool.level
-    keeper.draw("b", "2", 0.0, True, [], 10.0)
+    allocator.draw("b", "2", 0.0, True, [], 10.0)
     assert pool.level == level and "b" not in pool.seats
-    keeper.draw("a", "1", 0.0, False, [], 10.1)
+    allocator.draw("a", "1", 0.0, False, [], 10.1)
     assert abs(pool.level - level - 0.1 * RATE) < 0.01
 
 
 @test("units that were used alone count, though the keeper never missed their gateway")
 def _():
-    keeper, pool = two(9.0)
+    allocator, pool = two(9.0)
     level = pool.level
-    keeper.draw("b", "1", 0.0, False, [("anna", 0.0, 0.0, 3.0, 0.0)], 9.0)
+    allocator.draw("b", "1", 0.0, False, [("anna", 0.0, 0.0, 3.0, 0.0)], 9.0)
     assert abs(pool.level - (level - 3.0)) < 1e-6
-    keeper.draw("b", "1", 0.0, False, [("anna", 0.0, 0.0, 3.0, 0.0)], 9.0)  # told again: counted once
+    allocator.draw("b", "1", 0.0, False, [("anna", 0.0, 0.0, 3.0, 0.0)], 9.0)  # told again: counted once
     assert abs(pool.level - (level - 3.0)) < 1e-6
 
 
 @test("a new keeper holds back the rate that those not heard yet may be using, until they tell or their leases end")
 def _():
-    keeper = QuotaAllocator(BOUNDS, 0.0, ["a", "b"])
-    keeper.plans(PLANS)
-    pool = keeper.pools["anna"]
-    assert keeper.withheld(pool) == 1
-    keeper.draw("a", "1", 5.0, True, [("anna", 1.0, 1.0, 0.0, 0.3)], 0.1)  # it may not hear: nothing counts yet
-    assert keeper.withheld(pool) == 1
-    keeper.draw("a", "1", 0.0, True, [("anna", 1.0, 1.0, 9.0, 0.3)], 0.2)
-    assert abs(keeper.withheld(pool) - 0.7) < 0.01
-    keeper.draw("a", "1", 0.0, False, [], LEASE_S + 0.1)
-    assert keeper.withheld(pool) == 0
+    allocator = QuotaAllocator(BOUNDS, 0.0, ["a", "b"])
+    allocator.plans(PLANS)
+    pool = allocator.pools["anna"]
+    assert allocator.withheld(pool) == 1
+    allocator.draw("a", "1", 5.0, True, [("anna", 1.0, 1.0, 0.0, 0.3)], 0.1)  # it may not hear: nothing counts yet
+    assert allocator.withheld(pool) == 1
+    allocator.draw("a", "1", 0.0, True, [("anna", 1.0, 1.0, 9.0, 0.3)], 0.2)
+    assert abs(allocator.withheld(pool) - 0.7) < 0.01
+    allocator.draw("a", "1", 0.0, False, [], LEASE_S + 0.1)
+    assert allocator.withheld(pool) == 0
 
 
 @test("a part ends with its lease, and fades while it is not asked for")
--- a/tests/system/test_simulation.py
+++ b/tests/system/test_simulation.py
@@ -29,12 +29,12 @@
 
 @test("scenarios of the first seeds break nothing, and meet what they are to meet")
 def _():
-    tally = count(play_many(range(SEEDS), PROCESSES))
-    assert not tally.broken, str([(one.seed, one.broken[:2]) for one in tally.broken])
+    metrics = count(play_many(range(SEEDS), PROCESSES))
+    assert not metrics.broken, str([(one.seed, one.broken[:2]) for one in metrics.broken])
     for kind in MEETS:
-        assert tally.met[kind] > 0, kind
-    assert tally.sent > 1000 * SEEDS // 4 and tally.asked_inside > 1000
-    assert tally.refused_inside < 0.01 * tally.asked_inside
+        assert metrics.met[kind] > 0, kind
+    assert metrics.sent > 1000 * SEEDS // 4 and metrics.asked_inside > 1000
+    assert metrics.refused_inside < 0.01 * metrics.asked_inside
 
 
 @test("the same seed gives the same trace, in another process and with other hashes of strings too")
--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -11,7 +11,7 @@
 from ward import test
 
 from stoneyoke.control.ground import PROVEN_UNRUN
-from stoneyoke.interface import Outcome
+from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.backends import Attempt, Site
 from stoneyoke.net.http import RequestWrite
 
@@ -62,9 +62,9 @@
 async def _():
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        assert (await sender.send(within=0))[0] is Outcome.NOT_SENT and not peer.waiting()
+        assert (await sender.send(within=0))[0] is AttemptOutcome.NOT_SENT and not peer.waiting()
         sender.backends.forget(0)
-        assert (await sender.send())[0] is Outcome.NOT_SENT
+        assert (await sender.send())[0] is AttemptOutcome.NOT_SENT
 
 
 @test("while it connects: refused, without an answer, out of time, called off and cancelled all leave nothing")
@@ -75,21 +75,21 @@
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         with full, socket.create_connection(full.getsockname()):  # what comes beyond that gets no answer
-            assert (await Sender(full.getsockname(), dial_us=SHORT_US).send())[0] is Outcome.NO_CONNECTION
+            assert (await Sender(full.getsockname(), dial_us=SHORT_US).send())[0] is AttemptOutcome.NO_CONNECTION
             late = Sender(full.getsockname())
-            assert (await late.send(within=SHORT_US))[0] is Outcome.NOT_SENT and late.all_closed()
+            assert (await late.send(within=SHORT_US))[0] is AttemptOutcome.NOT_SENT and late.all_closed()
             out = late.begin()
             await until(lambda: late.held.stop)
             late.held.stop(0)
-            assert (await out)[0] is Outcome.NOT_SENT and late.all_closed()
+            assert (await out)[0] is AttemptOutcome.NOT_SENT and late.all_closed()
             out = late.begin()
-            await until(lambda: late.backends.room.used)
+            await until(lambda: late.backends.descriptor_budget.used)
             out.cancel()
             await asyncio.wait([out])
             assert out.cancelled() and late.all_closed()
         refused = Sender(peer.address)
         peer.close()
-        assert (await refused.send())[0] is Outcome.NO_CONNECTION and refused.all_closed()
+        assert (await refused.send())[0] is AttemptOutcome.NO_CONNECTION and refused.all_closed()
 
 
 @test("connected, not written: a backend that has left or moved meanwhile gets no byte")
@@ -105,7 +105,7 @@
                 return not leaves
 
             sender.backends.takes = takes
-            assert (await sender.send())[0] is Outcome.NOT_SENT and sender.backends.room.used == 0
+            assert (await sender.send())[0] is AttemptOutcome.NOT_SENT and sender.backends.descriptor_budget.used == 0
             assert arrived(peer.accept()) == b""
 
 
@@ -121,7 +121,7 @@
             return True
 
         sender.backends.takes = takes
-        assert (await sender.send())[0] is Outcome.CUT and sender.all_closed()
+        assert (await sender.send())[0] is AttemptOutcome.CUT and sender.all_closed()
 
 
 @test("a backend that speaks before it was asked is asked nothing")
@@ -135,7 +135,7 @@
             return True
 
         sender.backends.takes = takes
-        assert (await sender.send())[0] is Outcome.CUT and sender.all_closed()
+        assert (await sender.send())[0] is AttemptOutcome.CUT and sender.all_closed()
         assert arrived(peer.accept()) == b""
 
 
@@ -184,13 +184,15 @@
     request.start([b"POST / HTTP/1.1\r\n"], b"order")
     attempt = Attempt(Site(("127.0.0.1", 1)))
     attempt.request = request
-    assert attempt.failed(TimeoutError(), True, True) is Outcome.NOT_SENT  # called off with every byte still here
+    assert (
+        attempt.failed(TimeoutError(), True, True) is AttemptOutcome.NOT_SENT
+    )  # called off with every byte still here
     try:
         await request.finish()  # it ends without an error, as a transport does that was closed from this side
         raise AssertionError("a request that was not written whole passes for one that was")
     except ConnectionResetError as bad:
         assert request.may_have_left(), "a transport that has closed meanwhile proves nothing"
-        assert attempt.failed(bad, False, False) is Outcome.BROKEN
+        assert attempt.failed(bad, False, False) is AttemptOutcome.BROKEN
 
 
 # ---- once a byte can have left ----
@@ -205,11 +207,11 @@
             sender.held.stop(0)
 
         for ends, outcome in (
-            (lambda _, connection: reset(connection), Outcome.BROKEN),
-            (lambda _, connection: connection.close(), Outcome.BROKEN),
-            (None, Outcome.TIMED_OUT),
-            (called_off, Outcome.CALLED_OFF),
-            (lambda sender, _: sender.links[0].writer.transport.abort(), Outcome.BROKEN),
+            (lambda _, connection: reset(connection), AttemptOutcome.BROKEN),
+            (lambda _, connection: connection.close(), AttemptOutcome.BROKEN),
+            (None, AttemptOutcome.TIMED_OUT),
+            (called_off, AttemptOutcome.CANCELLED),
+            (lambda sender, _: sender.links[0].writer.transport.abort(), AttemptOutcome.BROKEN),
         ):
             sender = Sender(peer.address)
             out, connection = await part_of_a_request(peer, sender)
@@ -239,13 +241,13 @@
             sender.links[0].line.connection_lost(TimeoutError(errno.ETIMEDOUT, "timed out"))
 
         for ends, outcome in (
-            (lambda _, connection: reset(connection), Outcome.BROKEN),
-            (lambda _, connection: connection.close(), Outcome.BROKEN),
-            (lambda _, connection: connection.sendall(OK[:-1]) or connection.close(), Outcome.BROKEN),
-            (lambda _, connection: connection.sendall(b"no HTTP\r\n\r\n"), Outcome.BROKEN),
-            (None, Outcome.TIMED_OUT),
-            (called_off, Outcome.CALLED_OFF),
-            (kernel_gives_up, Outcome.BROKEN),
+            (lambda _, connection: reset(connection), AttemptOutcome.BROKEN),
+            (lambda _, connection: connection.close(), AttemptOutcome.BROKEN),
+            (lambda _, connection: connection.sendall(OK[:-1]) or connection.close(), AttemptOutcome.BROKEN),
+            (lambda _, connection: connection.sendall(b"no HTTP\r\n\r\n"), AttemptOutcome.BROKEN),
+            (None, AttemptOutcome.TIMED_OUT),
+            (called_off, AttemptOutcome.CANCELLED),
+            (kernel_gives_up, AttemptOutcome.BROKEN),
         ):
             sender = Sender(peer.address)
             out, connection = await whole_request(peer, sender)
@@ -272,7 +274,7 @@
         sender.backends.may_call_off = False
         sender.held.stop(0)
         connection.sendall(OK)
-        assert (await out)[0] is Outcome.OK
+        assert (await out)[0] is AttemptOutcome.OK
 
 
 # ---- connections that may be used again ----
@@ -287,7 +289,7 @@
     await until(lambda: arrived(connection))
     connection.sendall(answer)
     told, message = await out
-    assert told is Outcome.OK and message.body == b"yes" and len(sender.links) == made
+    assert told is AttemptOutcome.OK and message.body == b"yes" and len(sender.links) == made
     return connection
 
 
@@ -302,7 +304,7 @@
             spoils(connection)
             seen_by_kernel(sender.links[0].writer)  # and the loop has not turned since
             await served(peer, sender, made=2)
-            assert sender.backends.room.used == 1
+            assert sender.backends.descriptor_budget.used == 1
 
 
 @test("extra bytes, an answer to something else, one sent twice or called off: the connection is not used again")
@@ -328,19 +330,19 @@
 
         out, connection = await whole_request(peer, sender, ours=spoken_on)
         connection.sendall(OK)
-        assert (await out)[0] is Outcome.OK and sender.all_closed()
+        assert (await out)[0] is AttemptOutcome.OK and sender.all_closed()
 
 
 @test("after an answer to something else and then silence, the connection is not taken for answered")
 @on_loop
 async def _():
     with RawBackend() as peer:
-        for outcome in (Outcome.TIMED_OUT, Outcome.CALLED_OFF):
+        for outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED):
             sender = Sender(peer.address)
             out, connection = await whole_request(peer, sender, ours=ours)
             connection.sendall(OTHER)
             await until(lambda sender=sender: sender.links[0].doubted)
-            if outcome is Outcome.CALLED_OFF:
+            if outcome is AttemptOutcome.CANCELLED:
                 sender.held.stop(0)
             else:
                 await after_all_time(out)
@@ -363,11 +365,11 @@
             connection.sendall(answer)
             connection.shutdown(socket.SHUT_WR)
             told, message = await out
-            assert told in (Outcome.OK, Outcome.ERROR, Outcome.BROKEN), (answer, told)
-            if told is Outcome.OK:
+            assert told in (AttemptOutcome.OK, AttemptOutcome.ERROR, AttemptOutcome.BROKEN), (answer, told)
+            if told is AttemptOutcome.OK:
                 head, _, body = answer.partition(b"\r\n\r\n")
                 assert b"Attempt-Id: a-1\r\n" in head and len(message.body) == 3 and body.startswith(message.body)
-            wrong += told is Outcome.BROKEN
+            wrong += told is AttemptOutcome.BROKEN
             connection.close()
             await served(peer, sender, made=2)
         assert wrong > 150
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -3,27 +3,22 @@
 import pytest
 from helpers import METHODS, START, Bench, of, plan, sent
 
-from stoneyoke.interface import (
-    Abort,
-    AddCount,
-    Arrival,
-    CallOff,
-    CallOut,
-    CountAnswer,
-    FleetNews,
-    Forget,
-    Listed,
-    Outcome,
-    PushBack,
-    State,
-    StreamBegun,
+from stoneyoke.control.actions import (
+    Abandon,
+    AddToCounter,
+    CancelAttempt,
+    ForgetCustomer,
+    Reject,
+    StartAttempt,
     Subscribe,
 )
+from stoneyoke.control.events import AnswerStarted, Arrival, CounterReply, Endpoint, EndpointsChanged
+from stoneyoke.control.parameters import AttemptOutcome, BackendState
 
 
 def drain(bench, **call):
     """RPCs until the store is empty; the first pushback ends it."""
-    while not (refused := of(PushBack, bench.arrive(**call))):
+    while not (refused := of(Reject, bench.arrive(**call))):
         bench.end(bench.next_rpc, 0, sent([a for _, a in bench.log])[-1].backend)
     return refused[0]
 
@@ -36,14 +31,14 @@
 
 
 def test_what_can_never_fit_is_told_the_longest_wait():
-    refused = of(PushBack, Bench().arrive(units=50.0))
+    refused = of(Reject, Bench().arrive(units=50.0))
     assert 20_000_000 <= refused[0].wait_us <= 40_000_000
 
 
 def test_early_returners_get_double_waits_then_a_block_and_what_fits_passes():
     bench = Bench()
     drain(bench)
-    waits = [of(PushBack, bench.arrive())[0].wait_us for _ in range(40)]
+    waits = [of(Reject, bench.arrive())[0].wait_us for _ in range(40)]
     assert max(waits[-5:]) >= 5_000_000 > max(waits[:5])
     bench.pass_time(1_500_000)
     assert sent(bench.arrive())
@@ -51,13 +46,13 @@
 
 def count_all(total):
     def answer(action):
-        return CountAnswer(action.name, True, total) if isinstance(action, AddCount) else None
+        return CounterReply(action.name, True, total) if isinstance(action, AddToCounter) else None
 
     return answer
 
 
 def lost(action):
-    return CountAnswer(action.name, False, 0.0) if isinstance(action, AddCount) else None
+    return CounterReply(action.name, False, 0.0) if isinstance(action, AddToCounter) else None
 
 
 @pytest.mark.parametrize("total, slice_", [(20.0, None), (0.5, 1 / 3), (1e9, 1 / 30)])
@@ -92,20 +87,20 @@
     drain(bench)
     bench.pass_time(3_000_000, count_all(50.0))
     bench.gateway.counter_asked = bench.now + 2_000_000
-    for action in [a for _, a in bench.log if isinstance(a, AddCount)][:2]:
+    for action in [a for _, a in bench.log if isinstance(a, AddToCounter)][:2]:
         bench.tell(lost(action))
     bench.arrive()
     bench.pass_time(1_000_000)
     assert bench.gateway.customers[0].slice < 0.3
 
 
-@pytest.mark.parametrize("terms", [plan(), plan(rate=0.0, burst=0.0, parallel=9)])
-def test_idle_customers_are_forgotten(terms):
-    bench = Bench(plans=(terms,))
+@pytest.mark.parametrize("parameters", [plan(), plan(rate=0.0, burst=0.0, parallel=9)])
+def test_idle_customers_are_forgotten(parameters):
+    bench = Bench(plans=(parameters,))
     for customer in range(50):
         bench.arrive(customer=customer)
         bench.end(bench.next_rpc, 0, sent([a for _, a in bench.log])[-1].backend)
-    assert len(of(Forget, bench.pass_time(20_000_000))) == 50 and not bench.gateway.customers
+    assert len(of(ForgetCustomer, bench.pass_time(20_000_000))) == 50 and not bench.gateway.customers
 
 
 def test_thin_customers_seen_once_leave_nothing_behind_for_long():
@@ -121,7 +116,7 @@
 
 def test_ceiling_starts_empty_so_a_restart_hands_out_nothing():
     bench = Bench(plans=(plan(100.0, 100.0, ceiling_rate=3.0, ceiling_burst=30.0),))
-    assert of(PushBack, bench.arrive())
+    assert of(Reject, bench.arrive())
     bench.pass_time(3_000_000)
     assert [bool(sent(bench.arrive())) for _ in range(5)] == [True, True, True, False, False]
 
@@ -138,12 +133,12 @@
 @pytest.mark.parametrize(
     "method, outcome, answer",
     [
-        (2, Outcome.ERROR, Abort),
-        (2, Outcome.TIMED_OUT, Abort),
-        (2, Outcome.NO_CONNECTION, CallOut),
-        (0, Outcome.ERROR, CallOut),
-        (1, Outcome.BROKEN, CallOut),
-        (3, Outcome.CALLED_OFF, CallOut),
+        (2, AttemptOutcome.ERROR, Abandon),
+        (2, AttemptOutcome.TIMED_OUT, Abandon),
+        (2, AttemptOutcome.NO_CONNECTION, StartAttempt),
+        (0, AttemptOutcome.ERROR, StartAttempt),
+        (1, AttemptOutcome.BROKEN, StartAttempt),
+        (3, AttemptOutcome.CANCELLED, StartAttempt),
     ],
 )
 def test_what_follows_a_failed_call_out(method, outcome, answer):
@@ -156,49 +151,49 @@
 
 
 def test_deduplicated_rpc_is_not_sent_past_the_memory_and_pushed_back_only_if_all_drop_repeats():
-    for method, answer in ((1, Abort), (3, PushBack)):
+    for method, answer in ((1, Abandon), (3, Reject)):
         bench = Bench()
         first = sent(bench.arrive(method=method, wait=6_000_000))[0]
         bench.now += METHODS[method].memory_us
-        assert isinstance(bench.end(1, 0, first.backend, Outcome.ERROR)[0], answer)
+        assert isinstance(bench.end(1, 0, first.backend, AttemptOutcome.ERROR)[0], answer)
 
 
 def test_deduplicated_rpc_that_may_have_run_leaves_its_group_for_nothing():
-    for fleet, answer in ((2, Abort), (3, CallOut)):  # zones 0 and 1; then 0, 1 and 0
+    for fleet, answer in ((2, Abandon), (3, StartAttempt)):  # zones 0 and 1; then 0, 1 and 0
         bench = Bench(fleet=fleet)
         first = sent(bench.arrive(method=1))[0]
-        assert isinstance(bench.end(1, 0, first.backend, Outcome.ERROR)[0], answer)
+        assert isinstance(bench.end(1, 0, first.backend, AttemptOutcome.ERROR)[0], answer)
 
 
 def test_idempotent_rpc_that_may_have_run_goes_anywhere():
     bench = Bench(fleet=6)
     (out,) = sent(bench.arrive())
     for n in range(4):  # no two of these have a cell of their own left
-        (out,) = sent(bench.end(out.rpc, n, out.backend, Outcome.BROKEN))
+        (out,) = sent(bench.end(out.rpc, n, out.backend, AttemptOutcome.BROKEN))
     (out,) = sent(bench.arrive())
     bench.gateway.taken = 0.4  # a jam, which going round would only feed
-    assert of(PushBack, bench.end(out.rpc, 0, out.backend, Outcome.BROKEN))
+    assert of(Reject, bench.end(out.rpc, 0, out.backend, AttemptOutcome.BROKEN))
 
 
 def test_timed_out_at_the_deadline_still_gets_an_answer():
-    for method, answer in ((2, Abort), (0, PushBack)):
+    for method, answer in ((2, Abandon), (0, Reject)):
         bench = Bench()
         first = sent(bench.arrive(method=method))[0]
         bench.now += 2_500_000
-        after = bench.end(1, 0, first.backend, Outcome.TIMED_OUT, closed=False)
+        after = bench.end(1, 0, first.backend, AttemptOutcome.TIMED_OUT, closed=False)
         assert of(answer, after) and not sent(after)
 
 
 def test_what_a_whole_list_leaves_out_is_gone():
     bench = Bench()
-    bench.tell(FleetNews(True, False, [Listed(3, 1, 0, 0, State.READY)]))
+    bench.tell(EndpointsChanged(True, False, [Endpoint(3, 1, 0, 0, BackendState.READY)]))
     assert all(a.backend == 3 for a in load(bench, 3))
 
 
 def test_a_draining_backend_gets_nothing_new_and_an_empty_fleet_is_answered():
     bench = Bench(fleet=1)
-    bench.tell(FleetNews(False, False, [Listed(0, 0, 0, 0, State.DRAINING)]))
-    assert of(PushBack, bench.arrive())
+    bench.tell(EndpointsChanged(False, False, [Endpoint(0, 0, 0, 0, BackendState.DRAINING)]))
+    assert of(Reject, bench.arrive())
 
 
 def crowd(gateways, **changes):
@@ -216,7 +211,7 @@
             bench.gateway.answers = 0.1
             for out in sent(bench.arrive()):
                 cold += out.backend == 0
-                bench.end(bench.next_rpc, 0, out.backend, Outcome.CALLED_OFF, closed=True)
+                bench.end(bench.next_rpc, 0, out.backend, AttemptOutcome.CANCELLED, closed=True)
     # A quarter of the capacity at least, twice that may be sent: 15 in 1.5 s. Rounded up it would be 200.
     assert 2 <= cold <= 15
 
@@ -231,20 +226,20 @@
 
 def test_small_rooms_grow_again_within_seconds_of_prompt_answers():
     bench = Bench(gateways=100, plans=(plan(1e6, 1e6),))
-    bench.gateway.room = 0.3
+    bench.gateway.concurrency_limit = 0.3
     for _ in range(30):  # three RPCs a second
         bench.pass_time(330_000)
         outs = sent(bench.arrive())
         bench.pass_time(100_000)
         for out in outs:
             bench.end(bench.next_rpc, 0, out.backend)
-    assert bench.gateway.room > 1.0
+    assert bench.gateway.concurrency_limit > 1.0
 
 
 def test_what_took_no_connection_is_taken_for_cold_when_it_is_back():
     bench = Bench(fleet=2, plans=(plan(1e6, 1e6),))
     first = sent(bench.arrive())[0].backend
-    other = sent(bench.end(1, 0, first, Outcome.NO_CONNECTION))[0].backend
+    other = sent(bench.end(1, 0, first, AttemptOutcome.NO_CONNECTION))[0].backend
     bench.end(1, 1, other)
     bench.pass_time(1_200_000)
     got = [out.backend for i in range(20) for out in sent(bench.arrive(customer=i))]
@@ -257,7 +252,7 @@
         bench.pass_time(100_000)
         (out,) = sent(bench.arrive(units=0.01))
         if turn % 4 == 0:
-            (out,) = sent(bench.end(out.rpc, 0, out.backend, Outcome.CUT))
+            (out,) = sent(bench.end(out.rpc, 0, out.backend, AttemptOutcome.CUT))
         bench.end(out.rpc, int(turn % 4 == 0), out.backend)
     assert all(backend.warm and not backend.started for backend in bench.gateway.backends.values())
 
@@ -265,7 +260,7 @@
 def test_many_gateways_rooms_are_fractions_that_sum_to_the_whole():
     benches, through = crowd(200, fleet=20, has_counter=False), 0
     for bench in benches:
-        bench.gateway.room = 0.3
+        bench.gateway.concurrency_limit = 0.3
         through += len(sent(bench.arrive(width=200.0)))
     assert 40 <= through <= 80
 
@@ -294,14 +289,14 @@
     for i in range(40):
         bench.gateway.reading = 0.5
         bench.arrive(customer=i, width=100.0)
-    bench.pass_time(3_000_000, lambda a: calls.append(a) if isinstance(a, AddCount) else None)
+    bench.pass_time(3_000_000, lambda a: calls.append(a) if isinstance(a, AddToCounter) else None)
     assert 8 <= len(calls) <= 32 and all(a.amount == 2.0 for a in calls)
 
 
 def test_a_full_store_takes_an_rpc_dearer_than_it_holds_and_owes_the_rest():
     bench = Bench(plans=(plan(1.0, 12.0),), gateways=100, has_counter=False)
     assert sent(bench.arrive(units=8.0, width=100.0)) and bench.gateway.customers[0].store.level < -6
-    assert of(PushBack, bench.arrive(units=1.0, width=100.0))
+    assert of(Reject, bench.arrive(units=1.0, width=100.0))
 
 
 def test_gateways_of_a_hall_begin_at_different_backends():
@@ -315,17 +310,17 @@
     for _ in range(12):
         actions, n = bench.arrive(), 0
         while out := sent(actions):
-            actions, n = bench.end(bench.next_rpc, n, out[0].backend, Outcome.TURNED_AWAY), n + 1
+            actions, n = bench.end(bench.next_rpc, n, out[0].backend, AttemptOutcome.REJECTED), n + 1
         tries.append(n)
-    assert tries[0] > 1 and tries[-1] <= 1 and bench.gateway.room < 16
+    assert tries[0] > 1 and tries[-1] <= 1 and bench.gateway.concurrency_limit < 16
 
 
 def test_quiet_backend_loses_what_may_be_repeated():
     bench = Bench()
     first = sent(bench.arrive())[0]
-    off = of(CallOff, bench.pass_time(1_500_000))
+    off = of(CancelAttempt, bench.pass_time(1_500_000))
     assert off and off[0].n == 0
-    again = sent(bench.end(1, 0, first.backend, Outcome.CALLED_OFF))
+    again = sent(bench.end(1, 0, first.backend, AttemptOutcome.CANCELLED))
     assert again and again[0].backend != first.backend
 
 
@@ -348,13 +343,13 @@
     bench = Bench()
     first = sent(bench.arrive())[0]
     bench.end(1, 0, first.backend)
-    assert not bench.end(1, 0, first.backend) and not bench.tell(CountAnswer(5, True, 1.0))
+    assert not bench.end(1, 0, first.backend) and not bench.tell(CounterReply(5, True, 1.0))
 
 
 def test_a_lost_subscription_is_asked_for_again():
     bench = Bench(must_subscribe=True)
     assert of(Subscribe, bench.pass_time(100_000))
-    bench.tell(FleetNews(False, True))
+    bench.tell(EndpointsChanged(False, True))
     assert of(Subscribe, bench.pass_time(2_000_000))
 
 
@@ -372,7 +367,7 @@
 def test_a_full_room_pushes_back_first_what_comes_too_late_or_is_worth_little():
     bench = Bench(plans=(plan(1000.0, 3000.0), plan(1000.0, 3000.0, price=0.1)))
     bench.arrive(customer=1)
-    bench.gateway.room = 10.0
+    bench.gateway.concurrency_limit = 10.0
     while sent(bench.arrive(wait=1_200_000)):
         pass  # later tries: a part of the room
     assert bench.gateway.out == 4
@@ -385,7 +380,7 @@
 def test_a_first_try_with_a_short_wait_is_no_later_one_where_clients_mark_those():
     bench = Bench(plans=(plan(1000.0, 3000.0),))
     bench.arrive(customer=1, repeat=True)  # waits for longer than a first try does here
-    bench.gateway.room = 10.0
+    bench.gateway.concurrency_limit = 10.0
     while sent(bench.arrive(wait=1_200_000, repeat=True)):
         pass
     assert bench.gateway.out == 4 and sent(bench.arrive(wait=1_200_000, repeat=False))
@@ -398,13 +393,13 @@
 
 def test_answers_that_take_long_shrink_the_room_and_prompt_ones_widen_it():
     bench = Bench()
-    bench.gateway.room = 12.0
+    bench.gateway.concurrency_limit = 12.0
     for first, took, grows in ((1, 900_000, False), (11, 50_000, True)):
-        outs, before = load(bench, 10), bench.gateway.room
+        outs, before = load(bench, 10), bench.gateway.concurrency_limit
         bench.now += took
         for rpc, out in enumerate(outs, first):
             bench.end(rpc, 0, out.backend)
-        assert (bench.gateway.room > before) is grows
+        assert (bench.gateway.concurrency_limit > before) is grows
 
 
 def test_a_backend_that_refuses_quickly_is_not_taken_for_a_quick_one():
@@ -412,10 +407,10 @@
     for _ in range(12):
         actions = bench.arrive(customer=bench.next_rpc)
         while out := sent(actions):
-            n = sum(1 for _, a in bench.log if isinstance(a, CallOut) and a.rpc == bench.next_rpc) - 1
+            n = sum(1 for _, a in bench.log if isinstance(a, StartAttempt) and a.rpc == bench.next_rpc) - 1
             bench.now += 1000 if out[0].backend == 0 else 100_000
             actions = bench.end(
-                bench.next_rpc, n, out[0].backend, Outcome.TURNED_AWAY if out[0].backend == 0 else Outcome.OK
+                bench.next_rpc, n, out[0].backend, AttemptOutcome.REJECTED if out[0].backend == 0 else AttemptOutcome.OK
             )
     bench.pass_time(300_000)
     assert bench.gateway.order[-1].index == 0 and bench.gateway.backends[0].band > 0
@@ -433,8 +428,8 @@
 def test_lost_call_outs_leave_the_room_to_others_while_good_answers_are_prompt():
     bench = Bench()
     load(bench, 6, method=2, wait=6_000_000)
-    bench.gateway.room = 4.0
-    assert of(PushBack, bench.arrive())
+    bench.gateway.concurrency_limit = 4.0
+    assert of(Reject, bench.arrive())
     bench.pass_time(700_000)
     assert sent(bench.arrive())
 
@@ -443,10 +438,10 @@
     bench = Bench(gateways=100, plans=(plan(4.0, 12.0, ceiling_rate=8.0, ceiling_burst=24.0),))
 
     def ask(added, total, after=5_000):
-        asked = of(AddCount, bench.arrive(customer=bench.next_rpc, width=100.0))
+        asked = of(AddToCounter, bench.arrive(customer=bench.next_rpc, width=100.0))
         bench.now += after
         for call in asked:
-            bench.tell(CountAnswer(call.name, added, total))
+            bench.tell(CounterReply(call.name, added, total))
 
     for _ in range(30):
         ask(False, float("nan"))
@@ -468,7 +463,7 @@
 def test_a_failing_backend_rests_and_no_connection_rests_it_at_once():
     bench = Bench()
     out = sent(bench.arrive())[0]
-    again = sent(bench.end(1, 0, out.backend, Outcome.NO_CONNECTION))[0]
+    again = sent(bench.end(1, 0, out.backend, AttemptOutcome.NO_CONNECTION))[0]
     assert again.backend != out.backend
     bench.end(1, 1, again.backend)
     assert all(o.backend != out.backend for o in load(bench, 5))
@@ -478,17 +473,17 @@
     bench = Bench()
     outs = load(bench, 6)
     bench.pass_time(100_000)
-    room, bench.now = bench.gateway.room, bench.now + 2_000_000
+    concurrency_limit, bench.now = bench.gateway.concurrency_limit, bench.now + 2_000_000
     for rpc, out in enumerate(outs, 1):
         bench.end(rpc, 0, out.backend)
-    assert bench.gateway.room >= room and bench.gateway.taken < 0.2
+    assert bench.gateway.concurrency_limit >= concurrency_limit and bench.gateway.taken < 0.2
 
 
 def test_a_begun_stream_is_left_alone_and_an_ended_one_lets_go():
     bench = Bench()
     first = sent(bench.arrive())[0]
-    bench.tell(StreamBegun(1))
+    bench.tell(AnswerStarted(1))
     later = bench.pass_time(5_000_000)
-    assert not of(CallOff, later) and not sent(later) and bench.gateway.holds(1)
+    assert not of(CancelAttempt, later) and not sent(later) and bench.gateway.holds(1)
     bench.end(1, 0, first.backend)
     assert not bench.gateway.holds(1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,26 +4,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoneyoke.interface import (
-    Abort,
-    CallOff,
-    CallOut,
-    ClientGone,
-    Effect,
-    FleetNews,
-    Group,
-    Listed,
-    Outcome,
-    PushBack,
-    State,
-)
+from stoneyoke.control.actions import Abandon, CancelAttempt, Reject, StartAttempt
+from stoneyoke.control.events import ClientGone, Endpoint, EndpointsChanged
+from stoneyoke.control.parameters import AttemptOutcome, BackendState, DeduplicationScope, Idempotency
 
-UNRUN = (Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
+UNRUN = (AttemptOutcome.REJECTED, AttemptOutcome.NO_CONNECTION, AttemptOutcome.NOT_SENT)
 STEP = st.one_of(
     st.tuples(st.just("arrive"), st.integers(0, 3), st.integers(0, 2)),
-    st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(Outcome)),
+    st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(AttemptOutcome)),
     st.tuples(st.just("pass"), st.integers(1, 40), st.none()),
-    st.tuples(st.just("list"), st.integers(0, 5), st.sampled_from(State)),
+    st.tuples(st.just("list"), st.integers(0, 5), st.sampled_from(BackendState)),
     st.tuples(st.just("gone"), st.integers(0, 50), st.none()),
 )
 CEILING = {"ceiling_rate": 6.0, "ceiling_burst": 18.0}
@@ -33,24 +23,24 @@
     def __init__(self):
         super().__init__(plans=(plan(40.0, 120.0, **CEILING),), gateways=3)
         self.rpcs = {}  # rpc -> method, customer, deadline, call-outs [(backend, time, outcome)], ended
-        self.state = dict.fromkeys(range(6), State.READY)
+        self.state = dict.fromkeys(range(6), BackendState.READY)
         self.ceilings = {}
 
     def check(self, before):
         for at, action in self.log[before:]:
-            if isinstance(action, CallOut | PushBack | Abort):
+            if isinstance(action, StartAttempt | Reject | Abandon):
                 rpc = self.rpcs[action.rpc]
                 assert not rpc["ended"], "more than one final answer, or a call-out after it"
                 method = METHODS[rpc["method"]]
                 ran = [c for c in rpc["outs"] if c[2] not in UNRUN]
-                if isinstance(action, CallOut):
+                if isinstance(action, StartAttempt):
                     assert all(c[2] for c in rpc["outs"]), "two call-outs at once"
-                    assert self.state[action.backend] is State.READY
+                    assert self.state[action.backend] is BackendState.READY
                     assert at < rpc["deadline"]
-                    if ran and method.effect is Effect.DEDUPLICATED:
+                    if ran and method.effect is Idempotency.DEDUPLICATED:
                         assert at <= ran[0][1] + method.memory_us
-                        assert method.group is Group.ALL or action.backend % 2 == ran[0][0] % 2
-                    assert not (ran and method.effect is Effect.NON_IDEMPOTENT)
+                        assert method.group is DeduplicationScope.ALL or action.backend % 2 == ran[0][0] % 2
+                    assert not (ran and method.effect is Idempotency.NON_IDEMPOTENT)
                     if not rpc["outs"]:
                         level, last = self.ceilings.get(rpc["customer"], (0.0, self.log[0][0]))
                         level = min(6.0, level + 2.0 * (at - last) / 1e6) - 1
@@ -59,9 +49,9 @@
                     rpc["outs"].append([action.backend, at, None])
                 else:
                     rpc["ended"] = True
-                    if isinstance(action, PushBack) and ran:
-                        assert method.effect is not Effect.NON_IDEMPOTENT
-                        assert method.effect is Effect.IDEMPOTENT or method.group is Group.ALL
+                    if isinstance(action, Reject) and ran:
+                        assert method.effect is not Idempotency.NON_IDEMPOTENT
+                        assert method.effect is Idempotency.IDEMPOTENT or method.group is DeduplicationScope.ALL
         for number, rpc in self.rpcs.items():
             if not rpc["ended"]:
                 assert any(c[2] is None for c in rpc["outs"]), f"RPC {number} is held with nothing out"
@@ -86,10 +76,10 @@
                 self.pass_time(50_000)
                 for r, rpc in self.rpcs.items():
                     if not rpc["ended"] and self.now >= rpc["deadline"]:
-                        self.finish(r, len(rpc["outs"]) - 1, Outcome.TIMED_OUT)
+                        self.finish(r, len(rpc["outs"]) - 1, AttemptOutcome.TIMED_OUT)
         elif what == "list":
             self.state[number] = detail
-            self.tell(FleetNews(False, False, [Listed(number, number % 2, number % 3, 0, detail)]))
+            self.tell(EndpointsChanged(False, False, [Endpoint(number, number % 2, number % 3, 0, detail)]))
         elif self.rpcs:
             rpc = list(self.rpcs)[number % len(self.rpcs)]
             self.rpcs[rpc]["ended"] = True
@@ -99,7 +89,7 @@
     def finish(self, r, n, outcome):
         rpc = self.rpcs[r]
         rpc["outs"][n][2] = outcome
-        done = rpc["ended"] or outcome is Outcome.OK
+        done = rpc["ended"] or outcome is AttemptOutcome.OK
         rpc["ended"] = done
         self.end(r, n, rpc["outs"][n][0], outcome, closed=done)
 
@@ -114,10 +104,10 @@
         while any(c[2] is None for c in judge.rpcs[rpc]["outs"]):
             before = len(judge.log)
             n = next(i for i, c in enumerate(judge.rpcs[rpc]["outs"]) if c[2] is None)
-            judge.finish(rpc, n, Outcome.OK)
+            judge.finish(rpc, n, AttemptOutcome.OK)
             judge.check(before)
     assert not judge.gateway.open
-    assert all(not of.n < 0 for _, of in judge.log if isinstance(of, CallOff))
+    assert all(not of.n < 0 for _, of in judge.log if isinstance(of, CancelAttempt))
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
