--- /dev/null
+++ b/tests/system/compatibility/write_records.py
@@ -0,0 +1,105 @@
+"""Writes a data folder with the release whose checkout is the working directory. README.md says how to run it.
+
+The first argument is the folder to write into: `records/` for the files, `values.json` for what they mean.
+"""
+
+import importlib.util
+import json
+import os
+import sys
+from pathlib import Path
+from typing import Any
+
+from stoneyoke.storage.record_store import RecordStore
+
+DISK = "4e1f0c9a77d2b358"
+CONFIGURATIONS = Path("tests/system/configurations.py")
+OLD_TEXT_NUMBER, NEW_TEXT_NUMBER = 5, 7
+TORN_BYTES = 100
+
+MEMBERS = [["10.0.0.1", "first"], ["10.0.0.2", "first"], ["10.0.0.3", "first"]]
+NEXT_MEMBERS = [["10.0.0.1", "first"], ["10.0.0.2", "first"], ["10.0.0.3", DISK]]
+
+
+def example_text(number: int) -> bytes:
+    """The example configuration of that release's tests."""
+    spec = importlib.util.spec_from_file_location("configurations", CONFIGURATIONS)
+    assert spec and spec.loader
+    module = importlib.util.module_from_spec(spec)
+    spec.loader.exec_module(module)
+    text: bytes = module.example(number)
+    return text
+
+
+def register_values() -> list[dict[str, Any]]:
+    """What the register held, oldest first: empty, a configuration, and another one amid a change of voters."""
+    from stoneyoke.api.configuration import read_configuration
+
+    values: list[dict[str, Any]] = [
+        {"ballot": [0, ""], "number": 1, "members": MEMBERS, "previous": [], "version": [0, ""], "body": ""}
+    ]
+    for ballot, voters, number in (
+        ([3, "10.0.0.2/0a1b2c3d4e5f"], {"number": 1, "members": MEMBERS, "previous": []}, OLD_TEXT_NUMBER),
+        ([8, "10.0.0.1/f5e4d3c2b1a0"], {"number": 2, "members": NEXT_MEMBERS, "previous": MEMBERS}, NEW_TEXT_NUMBER),
+    ):
+        body = example_text(number)
+        version = read_configuration(body).version
+        values.append(
+            {"ballot": ballot, **voters, "version": [version.number, version.digest.hex()], "body": body.decode()}
+        )
+    return values
+
+
+def write_register_release(folder: str) -> dict[str, Any]:
+    """The release whose register is decided by ballots: families identity, promise and register."""
+    from stoneyoke.api.configuration import Version
+    from stoneyoke.controlplane.consensus import Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
+    from stoneyoke.controlplane.record_formats import identity_record, promise_record, register_record
+
+    def accepted(value: dict[str, Any]) -> Accepted:
+        members, previous = (tuple(ReplicaId(*row) for row in value[name]) for name in ("members", "previous"))
+        version = Version(value["version"][0], bytes.fromhex(value["version"][1]))
+        voters = VoterSet(value["number"], members)
+        return Accepted(Ballot(*value["ballot"]), RegisterValue(voters, previous, version, value["body"].encode()))
+
+    store, registers = RecordStore(folder), register_values()
+    promises = [[3, "10.0.0.2/0a1b2c3d4e5f"], [9, "10.0.0.3/abcdefabcdef"]]
+    store.keep("register", register_record(accepted(registers[0])))
+    store.keep("identity", identity_record(DISK))
+    for ballot, value in zip(promises, registers[1:], strict=True):
+        store.keep("promise", promise_record(Ballot(*ballot)))
+        store.keep("register", register_record(accepted(value)))
+    store.write_files("register", store.next, register_record(accepted(registers[1])))
+    os.truncate(os.path.join(folder, f"register-{store.next}.dat"), TORN_BYTES)
+    return {"identity": DISK, "promises": promises, "registers": registers, "torn": f"register-{store.next}"}
+
+
+def write_earlier_release(folder: str) -> dict[str, Any]:
+    """The release before the register: the configuration in "word", the voters in "crew"."""
+    store, body = RecordStore(folder), example_text(OLD_TEXT_NUMBER)
+    names = [address for address, _ in MEMBERS]
+    store.keep(
+        "crew",
+        {
+            b"number": b"2",
+            b"names": ",".join(names).encode(),
+            b"standing": b"1",
+            b"promised": json.dumps([4, "10.0.0.2"]).encode(),
+            b"pending": json.dumps(None).encode(),
+        },
+    )
+    store.keep("word", {b"body": body})
+    return {"number": 2, "members": MEMBERS, "body": body.decode()}
+
+
+def main() -> None:
+    """Picks the families by what the old release has."""
+    target = Path(sys.argv[1])
+    has_register = Path("stoneyoke/controlplane/consensus.py").exists()
+    write = write_register_release if has_register else write_earlier_release
+    values = write(str(target / "records"))
+    (target / "values.json").write_text(json.dumps(values, indent=1) + "\n")
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/tests/system/test_stored_data.py
@@ -0,0 +1,144 @@
+"""Data folders that earlier releases wrote: today's code reads the same values, and writes the same bytes for them."""
+
+import asyncio
+import json
+import random
+import shutil
+import tempfile
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+from ward import fixture, test
+
+from stoneyoke.api.configuration import Version, read_configuration
+from stoneyoke.consensus.protocol import FIRST_DISK, Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.record_formats import (
+    IDENTITY,
+    PROMISE,
+    REGISTER,
+    identity_record,
+    promise_record,
+    read_identity,
+    read_promise,
+    read_register,
+    register_record,
+)
+from stoneyoke.consensus.replica import Replica
+from stoneyoke.storage.record_store import RecordStore
+
+COMPATIBILITY = Path(__file__).parent / "compatibility"
+REGISTER_RELEASE, EARLIER_RELEASE = "0c80eb9", "df97d06"
+
+
+@dataclass
+class StoredData:
+    """A copy of a release's data folder, and what it means."""
+
+    release: str
+    folder: str
+    values: dict[str, Any]
+
+    def original(self, name: str) -> bytes:
+        return (COMPATIBILITY / self.release / "records" / name).read_bytes()
+
+
+def stored_data(release, parent):
+    folder = shutil.copytree(COMPATIBILITY / release / "records", Path(parent) / release)
+    return StoredData(release, str(folder), json.loads((COMPATIBILITY / release / "values.json").read_text()))
+
+
+@fixture
+def parent():
+    with tempfile.TemporaryDirectory() as name:
+        yield name
+
+
+@fixture
+def stored(parent=parent):
+    return stored_data(REGISTER_RELEASE, parent)
+
+
+@fixture
+def earlier(parent=parent):
+    return stored_data(EARLIER_RELEASE, parent)
+
+
+def members(rows):
+    return tuple(ReplicaId(*row) for row in rows)
+
+
+def register_value(value):
+    """A register's value from its plain form in values.json."""
+    number, digest = value["version"]
+    voters = VoterSet(value["number"], members(value["members"]))
+    version = Version(number, bytes.fromhex(digest))
+    decided = RegisterValue(voters, members(value["previous"]), version, value["body"].encode())
+    return Accepted(Ballot(*value["ballot"]), decided)
+
+
+def started_replica(folder):
+    """A replica that has started on this folder, as a controller does that was there before."""
+
+    async def run_at_once(work, *args):
+        return work(*args)
+
+    replica = Replica("10.0.0.3", RecordStore(folder), run_at_once, lambda: None)
+    asyncio.run(replica.load((), False, random.Random(1)))
+    return replica
+
+
+@test("a replica starts on an earlier release's folder with its identity, promise and newest whole register")
+def _(stored=stored):
+    replica = started_replica(stored.folder)
+    assert replica.identity == ReplicaId("10.0.0.3", stored.values["identity"])
+    assert replica.acceptor.accepted == register_value(stored.values["registers"][-1])
+    assert replica.acceptor.promised == Ballot(*stored.values["promises"][-1])
+    assert read_configuration(replica.acceptor.accepted.value.body).version == replica.acceptor.accepted.value.version
+
+
+@test("a torn record of an earlier release is passed over and named")
+def _(stored=stored):
+    record, wrong = RecordStore(stored.folder).load(REGISTER)
+    assert read_register(record) == register_value(stored.values["registers"][-1])
+    assert len(wrong) == 1 and stored.values["torn"] in wrong[0]
+
+
+@test("each whole record of an earlier release reads as the value that it was written for")
+def _(stored=stored):
+    store, values = RecordStore(stored.folder), stored.values
+    assert read_identity(store.read(IDENTITY, 2)) == values["identity"]
+    assert [read_promise(store.read(PROMISE, number)) for number in (3, 5)] == [
+        Ballot(*ballot) for ballot in values["promises"]
+    ]
+    assert [read_register(store.read(REGISTER, number)) for number in (1, 4, 6)] == [
+        register_value(value) for value in values["registers"]
+    ]
+
+
+@test("the same values make the same files, byte for byte")
+def _(stored=stored, parent=parent):
+    folder = Path(parent) / "written"
+    store, values = RecordStore(str(folder)), stored.values
+    registers = [register_record(register_value(value)) for value in values["registers"]]
+    store.keep(REGISTER, registers[0])
+    store.keep(IDENTITY, identity_record(values["identity"]))
+    for ballot, record in zip(values["promises"], registers[1:], strict=True):
+        store.keep(PROMISE, promise_record(Ballot(*ballot)))
+        store.keep(REGISTER, record)
+    whole = {path.name for path in Path(stored.folder).iterdir() if not path.name.startswith(values["torn"])}
+    assert {path.name for path in folder.iterdir()} == whole
+    assert len(whole) == 12
+    for name in sorted(whole):
+        assert (folder / name).read_bytes() == stored.original(name), name
+
+
+@test("a replica takes over the configuration and the voters of the release before the register")
+def _(earlier=earlier):
+    replica, values = started_replica(earlier.folder), earlier.values
+    body = values["body"].encode()
+    version = read_configuration(body).version
+    expected = RegisterValue(VoterSet(values["number"], members(values["members"])), (), version, body)
+    assert replica.acceptor.accepted == Accepted(Ballot(version.number, version.digest.hex()), expected)
+    assert replica.identity == ReplicaId("10.0.0.3", FIRST_DISK) and replica.votes()
+    assert started_replica(earlier.folder).acceptor.accepted == replica.acceptor.accepted
