--- a/stoneyoke/gateway/request_handler.py
+++ b/stoneyoke/gateway/request_handler.py
@@ -1,6 +1,6 @@
 """A request's way through a gateway: route, key, admission, a backend, its answer.
 
-`RequestHandler.life` tells it whole."""
+`RequestHandler.handle` tells it whole."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,6 +11,7 @@
 from stoneyoke.net.clients import CROSSING_S, Client, Clients
 from stoneyoke.net.http import Message
 from stoneyoke.net.descriptor_budget import DescriptorBudget
+from stoneyoke.net.reply import CLIENT_GONE, Reply
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.request_head import Request, head_back, head_on
 from stoneyoke.gateway.upstreams import RANKS, Upstream, Upstreams
@@ -25,7 +26,6 @@
 STAY_S = 3.2  # after SIGTERM, at most half of the grace: a look a second, two misses, and what was on its way
 END_S = 0.4  # before the grace ends, all is answered
 NONE = Tenant("", 0, 0.0, 0.0)
-Reply = tuple[int, bytes, bytes]  # status, body, headers; status 0: nobody waits
 
 
 def answers(answer: Message, request: Request) -> bool:
@@ -96,7 +96,7 @@
             message.keeps = False
         await super().answer(client, message)
 
-    async def life(self, client: Client, message: Message) -> Reply:
+    async def handle(self, client: Client, message: Message) -> Reply:
         """One request, from its head to its answer."""
         request, table = Request(message), self.table
         self.metrics.add("requests")
@@ -120,7 +120,7 @@
             self.metrics.add("requests: over quota")
             return self.own(429, f"over the quota of {tenant.label}", request, refused)
         if client.gone:
-            return 0, b"", b""
+            return CLIENT_GONE
         return await self.forward(client, message, request, route, tenant, until)
 
     async def admit(self, tenant: Tenant, wait_us: int) -> int:
@@ -145,7 +145,7 @@
             while True:
                 match await held.wish(until):
                     case None if held.gone:
-                        return 0, b"", b""
+                        return CLIENT_GONE
                     case None if unrun:
                         return self.own(503, "no backend in time", request, route.target_us)
                     case Reject(_, wait) if unrun:
@@ -167,15 +167,15 @@
                         last = answer if outcome is AttemptOutcome.ERROR else None
                         upstream.runtime.attempt_ended(held, n, backend, outcome)
                         if held.gone:
-                            return 0, b"", b""
+                            return CLIENT_GONE
                         if outcome is AttemptOutcome.OK and answer:
-                            return answer.status, answer.body, head_back(answer)
+                            return Reply(answer.status, answer.body, head_back(answer))
                         if outcome is AttemptOutcome.TIMED_OUT:
                             return self.own(504, "no answer in time", request)
                     case wish:
                         self.metrics.must(isinstance(wish, Abandon | Reject) or wish is None, "an unknown wish")
                         if last:
-                            return last.status, last.body, head_back(last)
+                            return Reply(last.status, last.body, head_back(last))
                         return self.own(502, "it may have run, and no answer came", request)
         finally:
             client.held = None
@@ -220,4 +220,4 @@
         more = b"Content-Type: text/plain\r\nAttempt-Id: %s\r\n" % request.id
         if wait_us:
             more += b"Retry-After: %.3f\r\n" % (wait_us / 1_000_000)
-        return status, why.encode() + b"\n", more
+        return Reply(status, why.encode() + b"\n", more)
--- a/stoneyoke/net/clients.py
+++ b/stoneyoke/net/clients.py
@@ -23,6 +23,7 @@
     unread,
     write_message,
 )
+from stoneyoke.net.reply import CLIENT_GONE, Reply
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.runtime import Clock, Held, Runtime
 from stoneyoke.single_gateway.request_head import TEXT, Asked, Names
@@ -199,27 +200,28 @@
         if message.target == b"/healthz" and message.method == b"GET":
             self.metrics.add("health checks")
             ending = self.last_at < sys.maxsize
-            status, body, more = (503, b"ending\n", b"") if ending else (200, b"ok\n", b"")
+            reply = Reply(503, b"ending\n") if ending else Reply(200, b"ok\n")
         else:
-            status, body, more = await self.life(client, message)
-            if status == 0 or client.writer.is_closing():
+            reply = await self.handle(client, message)
+            if reply is CLIENT_GONE or client.writer.is_closing():
                 self.metrics.add("RPCs: client gone")
                 return
+        headers = reply.headers
         if not message.keeps or self.ending and not client.more_came():
             message.keeps = False
-            more += b"Connection: close\r\n"
-        head = [status_line(status), more, b"Content-Length: %d\r\n" % len(body)]
-        write_message(client.writer, head, body)
+            headers += b"Connection: close\r\n"
+        head = [status_line(reply.status), headers, b"Content-Length: %d\r\n" % len(reply.body)]
+        write_message(client.writer, head, reply.body)
 
-    async def life(self, client: Client, message: Message) -> tuple[int, bytes, bytes]:
-        """One RPC, from its head to its answer: status, body, more headers. Status 0: nobody waits."""
+    async def handle(self, client: Client, message: Message) -> Reply:
+        """One RPC, from its head to its answer; CLIENT_GONE when nobody waits for it any more."""
         asked = Asked(message, self.names)
         if not self.informed.is_set():
             self.metrics.add("RPCs: waited for the first list")
             await self.informed.wait()
         await self.runtime.catch_up()
         if client.gone:
-            return 0, b"", b""
+            return CLIENT_GONE
         if asked.id in self.ids:
             raise Malformed(f"{asked.id[:40]!r} is open already", 409)
         self.ids.add(asked.id)
@@ -233,11 +235,11 @@
             while True:
                 match await held.wish(give_up_at):
                     case None if held.gone:
-                        return 0, b"", b""
+                        return CLIENT_GONE
                     case Reject(_, wait_us):
                         self.metrics.add("RPCs: pushed back")
                         advice = b"Retry-After: %.3f\r\n" % (wait_us / 1_000_000)
-                        return 429, b"", advice if self.runtime.parameters.advises else b""
+                        return Reply(429, headers=advice if self.runtime.parameters.advises else b"")
                     case StartAttempt(_, backend, limit_us):
                         n, now = held.calls, self.clock.now()
                         held.calls += 1
@@ -252,11 +254,11 @@
                             self.metrics.add("RPCs: ok")
                             kind = answer.headers.get(b"content-type", b"")
                             more = b"Content-Type: %s\r\n" % kind if kind and TEXT(kind) else b""
-                            return 200, answer.body, more
+                            return Reply(200, answer.body, more)
                     case wish:
                         self.metrics.must(isinstance(wish, Abandon), "RPC without an answer from the module")
                         self.metrics.add("RPCs: aborted")
-                        return 502, b"", b""
+                        return Reply(502)
         finally:
             client.held = None
             self.ids.discard(asked.id)
