--- a/stoneyoke/consensus/protocol.py
+++ b/stoneyoke/consensus/protocol.py
@@ -4,7 +4,7 @@
 to it and has the result accepted by a majority (single-register consensus with a change function; it needs no log and
 no leader). Who votes is part of the value, so a change of voters and a change of the configuration cannot pass each
 other. A value that changes the voters is joint: it is chosen only once a majority of the voters before and a majority
-of the new voters have accepted it. docs/design/control-safety.md has the argument; lab/simulation/exhaustive.py walks
+of the new voters have accepted it. docs/design/control-safety.md has the argument; lab/simulation/exhaustive walks
 every order of messages of small clusters with this code."""
 
 from collections.abc import Callable, Iterable, Mapping
--- a/stoneyoke/lab/simulation/__main__.py
+++ b/stoneyoke/lab/simulation/__main__.py
@@ -19,7 +19,7 @@
 
 from stoneyoke.lab.simulation import consensus_defects as register_defects
 from stoneyoke.lab.simulation.bounds import START_S
-from stoneyoke.lab.simulation.exhaustive import explore
+from stoneyoke.lab.simulation.exhaustive import search
 from stoneyoke.lab.simulation.hard_days import HARD_DAYS
 from stoneyoke.lab.simulation.judge import Outcome
 from stoneyoke.lab.simulation.plans import read_plan, reduce
@@ -118,14 +118,16 @@
 
 
 def check() -> int:
-    return explore.report(DEPTH.value, JOBS.value)
+    return search.report(DEPTH.value, JOBS.value)
 
 
 def consensus_defects() -> int:
     missed = 0
     with ProcessPoolExecutor(JOBS.value) as pool:
         for name, how in zip(
-            register_defects.FOUND_IN, pool.map(register_defects.found, register_defects.FOUND_IN), strict=True
+            register_defects.MODEL_THAT_FINDS,
+            pool.map(register_defects.found, register_defects.MODEL_THAT_FINDS),
+            strict=True,
         ):
             print(f"{name}: {how or 'NOT FOUND'}", flush=True)
             missed += not how
--- a/stoneyoke/lab/simulation/consensus_defects.py
+++ b/stoneyoke/lab/simulation/consensus_defects.py
@@ -11,9 +11,9 @@
 from stoneyoke.consensus.protocol import Accepted, Acceptor, Ballot, Query, RegisterValue, ReplicaId, Round
 from stoneyoke.consensus.quorum import majority
 from stoneyoke.controlplane import configuration_service
-from stoneyoke.lab.simulation.exhaustive import explore, failures, operations, reads, state
+from stoneyoke.lab.simulation.exhaustive import failures, operations, reads, search, state
 
-MOST = 20_000  # states in which a defect has to be found
+MAX_STATES = 20_000  # states in which a defect has to be found
 
 Patch = tuple[Any, str, Any]  # object, attribute, what to put there
 
@@ -94,8 +94,8 @@
     """A machine that comes back with an empty disk counts as the same member."""
     real = failures.restart
 
-    def restart(world: Any, before: state.State, process: state.Process, disk: str) -> state.State:
-        after = real(world, before, process, disk)
+    def restart(model: Any, before: state.State, process: state.Process, disk: str) -> state.State:
+        after = real(model, before, process, disk)
         if not disk:
             return after
         empty = state.process_at(after, process.replica.address)
@@ -122,9 +122,9 @@
     real = operations.reads_first
 
     def reads_first(process: state.Process, operation: state.Operation) -> bool:
-        view = state.thaw_replica(process).view()
+        view = state.restore_replica(process).view()
         known = view.value.version.number if view else 0
-        orders = operation.kind is state.Kind.ORDER
+        orders = operation.kind is state.OperationKind.ORDER
         return real(process, operation) or orders and all(one.number <= known for one in operation.versions)
 
     def chosen(self: Query) -> Accepted:
@@ -261,7 +261,7 @@
 
 
 # The world that finds each defect with the fewest states.
-FOUND_IN = {
+MODEL_THAT_FINDS = {
     "majority_one_short": "a controller restarts between two orders",
     "own_wish_first": "two contents under one number, one of them prepared",
     "accepts_below_promise": "two contents under one number, one of them prepared",
@@ -288,5 +288,5 @@
 def found(name: str) -> str:
     """What the walk finds of a defect; "": nothing."""
     with seeded(name):
-        result = explore.explore(explore.world_named(FOUND_IN[name]), most=MOST)
-    return f"{result.text()} {'; '.join(result.way)}" if result.broken else ""
+        result = search.explore(search.model_named(MODEL_THAT_FINDS[name]), max_states=MAX_STATES)
+    return f"{result.describe()} {'; '.join(result.counterexample)}" if result.violation else ""
--- a/stoneyoke/lab/simulation/exhaustive/failures.py
+++ b/stoneyoke/lab/simulation/exhaustive/failures.py
@@ -2,28 +2,28 @@
 
 from collections.abc import Iterator
 
-from stoneyoke.lab.simulation.exhaustive.state import Process, State, Step, with_process
-from stoneyoke.lab.simulation.exhaustive.worlds import World
+from stoneyoke.lab.simulation.exhaustive.models import Model
+from stoneyoke.lab.simulation.exhaustive.state import Process, State, Transition, with_process
 
 
-def failures(world: World, state: State) -> Iterator[Step]:
+def failures(model: Model, state: State) -> Iterator[Transition]:
     for process in state.processes:
         address = process.replica.address
-        if world.fallible is not None and address not in world.fallible:
+        if model.fallible is not None and address not in model.fallible:
             continue
         if state.crashes:
-            yield f"{address} restarts", restart(world, state._replace(crashes=state.crashes - 1), process, "")
+            yield f"{address} restarts", restart(model, state._replace(crashes=state.crashes - 1), process, "")
         if state.losses:
             disk = f"{process.replica.disk}+"
-            yield f"{address} loses its disk", restart(world, state._replace(losses=state.losses - 1), process, disk)
+            yield f"{address} loses its disk", restart(model, state._replace(losses=state.losses - 1), process, disk)
 
 
-def restart(world: World, state: State, process: Process, disk: str) -> State:
+def restart(model: Model, state: State, process: Process, disk: str) -> State:
     """The process ends and comes back. disk: of the new, empty one; "": it has the old one."""
     address = process.replica.address
     after = process._replace(incarnation=process.incarnation + 1, chosen=None, counter=0)
     if disk:
         after = Process(process.replica._replace(disk=disk), incarnation=process.incarnation + 1)
-    running = tuple(one for one in state.running if world.operations[one.operation].at != address)
+    ongoing = tuple(one for one in state.ongoing if model.operations[one.operation].at != address)
     own = {one for one in state.requests if one.to == address and one.sender == process.proposer()}
-    return with_process(state, after)._replace(running=running, requests=state.requests - own)
+    return with_process(state, after)._replace(ongoing=ongoing, requests=state.requests - own)
--- a/stoneyoke/lab/simulation/exhaustive/worlds.py
+++ b/stoneyoke/lab/simulation/exhaustive/models.py
@@ -4,13 +4,21 @@
 
 from stoneyoke.api.configuration import Version
 from stoneyoke.consensus.protocol import NO_BALLOT, ReplicaId, initial_value
-from stoneyoke.lab.simulation.exhaustive.state import Floor, Gateway, Ghost, Kind, Operation, Process, State
+from stoneyoke.lab.simulation.exhaustive.state import (
+    Gateway,
+    History,
+    LowerBound,
+    Operation,
+    OperationKind,
+    Process,
+    State,
+)
 
 EMPTY_DISK = "empty"
 
 
 @dataclass(frozen=True)
-class World:
+class Model:
     """voters: addresses. learners: controllers without a vote, which know what was chosen first. operations: what is
     to be done, at any time. size: how many voters there should be. crashes, losses: how many processes may end and
     come back, and come back with an empty disk. replies_apart: an answer is a message of its own, which may come late;
@@ -25,12 +33,12 @@
     size: int = 3
     crashes: int = 0
     losses: int = 0
-    replies_apart: bool = False
+    separate_replies: bool = False
     duplicates: bool = False
-    told: tuple[str, ...] | None = None
+    may_learn: tuple[str, ...] | None = None
     fallible: tuple[str, ...] | None = None
-    views: bool = False
-    first: tuple[str, ...] = ()
+    gateway_views: bool = False
+    prefix: tuple[str, ...] = ()
 
     def start(self) -> State:
         first = initial_value(self.voters)
@@ -46,51 +54,55 @@
             self.crashes,
             self.losses,
             frozenset((first,)),
-            Gateway(Floor(), frozenset()) if self.views else None,
-            Ghost(frozenset(), (first,)),
+            Gateway(LowerBound(), frozenset()) if self.gateway_views else None,
+            History(frozenset(), (first,)),
         )
 
 
 def order(at: str, number: int, content: bytes = b"x", tries: int = 1) -> Operation:
-    return Operation(Kind.ORDER, at, (Version(number, content),), tries=tries)
+    return Operation(OperationKind.ORDER, at, (Version(number, content),), tries=tries)
 
 
 def change(at: str, silent: str = "", leaving: str = "", members: str = "", tries: int = 1) -> Operation:
-    return Operation(Kind.CHANGE, at, silent=tuple(silent), leaving=tuple(leaving), members=tuple(members), tries=tries)
+    return Operation(
+        OperationKind.CHANGE, at, silent=tuple(silent), leaving=tuple(leaving), members=tuple(members), tries=tries
+    )
 
 
 def read(at: str, tries: int = 1) -> Operation:
-    return Operation(Kind.READ, at, tries=tries)
+    return Operation(OperationKind.READ, at, tries=tries)
 
 
 X, Y = b"x", b"y"  # two contents
 
 ORDERS = (
-    World("two numbers at two controllers, one restarts", (order("a", 1), order("b", 2)), crashes=1),
-    World("two contents under one number, one restarts", (order("a", 1, X), order("b", 1, Y)), crashes=1),
-    World("two contents under one number, each tried twice", (order("a", 1, X, tries=2), order("b", 1, Y, tries=2))),
-    World("two contents under one number, answers late", (order("a", 1, X), order("b", 1, Y)), replies_apart=True),
-    World("two contents under one number, requests doubled", (order("a", 1, X), order("b", 1, Y)), duplicates=True),
-    World("one order at two controllers, one restarts", (order("a", 1), order("b", 1)), crashes=1),
-    World("an order sent again, another content", (order("a", 1, X), order("b", 1, X), order("b", 1, Y)), told=("b",)),
-    World("an order sent again after a newer one", (order("a", 1), order("b", 2), order("a", 1)), told=("a",)),
-    World("two contents under one number, a disk lost", (order("a", 1, X), order("b", 1, Y)), losses=1),
+    Model("two numbers at two controllers, one restarts", (order("a", 1), order("b", 2)), crashes=1),
+    Model("two contents under one number, one restarts", (order("a", 1, X), order("b", 1, Y)), crashes=1),
+    Model("two contents under one number, each tried twice", (order("a", 1, X, tries=2), order("b", 1, Y, tries=2))),
+    Model("two contents under one number, answers late", (order("a", 1, X), order("b", 1, Y)), separate_replies=True),
+    Model("two contents under one number, requests doubled", (order("a", 1, X), order("b", 1, Y)), duplicates=True),
+    Model("one order at two controllers, one restarts", (order("a", 1), order("b", 1)), crashes=1),
+    Model(
+        "an order sent again, another content", (order("a", 1, X), order("b", 1, X), order("b", 1, Y)), may_learn=("b",)
+    ),
+    Model("an order sent again after a newer one", (order("a", 1), order("b", 2), order("a", 1)), may_learn=("a",)),
+    Model("two contents under one number, a disk lost", (order("a", 1, X), order("b", 1, Y)), losses=1),
 )
 SMALLEST = (
-    World("three orders among two", (order("a", 2), order("b", 1, X), order("b", 1, Y)), ("a", "b"), told=("b",)),
-    World(
+    Model("three orders among two", (order("a", 2), order("b", 1, X), order("b", 1, Y)), ("a", "b"), may_learn=("b",)),
+    Model(
         "a controller restarts between two orders",
         (order("a", 1, X), order("a", 1, Y)),
         crashes=1,
         fallible=("a",),
-        told=(),
+        may_learn=(),
     ),
 )
 READS = (
-    World("a read and two orders", (order("a", 1), order("b", 2), read("c")), told=()),
-    World("two reads and an order", (order("a", 1), read("b"), read("c")), crashes=1, fallible=("a",), told=()),
-    World("a gateway and two orders", (order("a", 1), order("b", 2)), views=True),
-    World("a gateway and an order, a disk lost", (order("a", 1),), losses=1, views=True),
+    Model("a read and two orders", (order("a", 1), order("b", 2), read("c")), may_learn=()),
+    Model("two reads and an order", (order("a", 1), read("b"), read("c")), crashes=1, fallible=("a",), may_learn=()),
+    Model("a gateway and two orders", (order("a", 1), order("b", 2)), gateway_views=True),
+    Model("a gateway and an order, a disk lost", (order("a", 1),), losses=1, gateway_views=True),
 )
 # a replaces c by d, d takes the mark off, and replaces b by e: c and b have not heard of it all.
 TWO_CHANGES = (
@@ -113,96 +125,109 @@
     "accept 3d.0 at d",
 )
 CHANGES = (
-    World("a voter added to two, an order", (change("a"), order("b", 1)), ("a", "b"), ("d",)),
-    World("two voters added to one, an order", (change("a"), order("a", 1)), ("a",), ("d", "e"), crashes=1),
-    World("a silent voter replaced, an order", (change("a", "c"), order("b", 1)), learners=("d",)),
-    World("a lost disk replaced, an order", (change("a"), order("b", 1)), losses=1, fallible=("c",), told=("c",)),
-    World("a voter removed, an order", (change("a", members="ab"), order("b", 1))),
-    World(
+    Model("a voter added to two, an order", (change("a"), order("b", 1)), ("a", "b"), ("d",)),
+    Model("two voters added to one, an order", (change("a"), order("a", 1)), ("a",), ("d", "e"), crashes=1),
+    Model("a silent voter replaced, an order", (change("a", "c"), order("b", 1)), learners=("d",)),
+    Model("a lost disk replaced, an order", (change("a"), order("b", 1)), losses=1, fallible=("c",), may_learn=("c",)),
+    Model("a voter removed, an order", (change("a", members="ab"), order("b", 1))),
+    Model(
         "a silent voter replaced, the proposer restarts, an order",
         (change("a", "c"), order("b", 1)),
         learners=("d",),
         crashes=1,
         fallible=("a",),
-        told=("a", "b"),
+        may_learn=("a", "b"),
     ),
-    World(
+    Model(
         "a silent voter replaced, a disk lost meanwhile, an order",
         (change("a", "c"), order("b", 1)),
         learners=("d",),
         losses=1,
         fallible=("b", "d"),
-        told=("a", "b"),
+        may_learn=("a", "b"),
     ),
-    World("two changes at once", (change("a", "c"), change("b", "a")), learners=("d",), told=("a", "b")),
-    World(
+    Model("two changes at once", (change("a", "c"), change("b", "a")), learners=("d",), may_learn=("a", "b")),
+    Model(
         "two changes at once, two learners",
         (change("a", leaving="b"), change("b", leaving="c")),
         learners=("d", "e"),
-        told=("a", "b"),
+        may_learn=("a", "b"),
     ),
-    World(
+    Model(
         "a stale controller after one change, an order there",
         (change("a", "c"), order("c", 1)),
         learners=("d",),
         crashes=1,
         fallible=("c",),
-        told=("a",),
+        may_learn=("a",),
     ),
-    World(
+    Model(
         "a stale controller after two changes, an order there",
         (change("a", "c"), change("d"), change("d", "b"), order("c", 1, tries=2)),
         learners=("d", "e"),
         crashes=1,
         fallible=("c",),
-        told=("d", "e"),
-        first=TWO_CHANGES,
+        may_learn=("d", "e"),
+        prefix=TWO_CHANGES,
     ),
-    World(
+    Model(
         "a stale read after two changes and an order",
         (change("a", "c"), change("d"), change("d", "b"), order("d", 1), read("c", tries=2)),
         learners=("d", "e"),
-        told=("d", "e"),
-        first=TWO_CHANGES,
+        may_learn=("d", "e"),
+        prefix=TWO_CHANGES,
     ),
-    World("a read and a change", (change("a", "c"), read("b")), learners=("d",), told=("a", "b")),
-    World(
+    Model("a read and a change", (change("a", "c"), read("b")), learners=("d",), may_learn=("a", "b")),
+    Model(
         "a stale read after a change and an order",
         (change("a", "c"), order("d", 1), read("c")),
         learners=("d",),
-        told=("d",),
+        may_learn=("d",),
     ),
-    World("voters removed but one, tried twice, an order", (change("a", members="a", tries=2), order("b", 1)), told=()),
-    World(
-        "a gateway, voters removed but one, an order", (change("a", members="a"), order("b", 1)), views=True, told=()
+    Model(
+        "voters removed but one, tried twice, an order",
+        (change("a", members="a", tries=2), order("b", 1)),
+        may_learn=(),
+    ),
+    Model(
+        "a gateway, voters removed but one, an order",
+        (change("a", members="a"), order("b", 1)),
+        gateway_views=True,
+        may_learn=(),
+    ),
+    Model(
+        "a gateway, a change, an order",
+        (change("a", "c"), order("b", 1)),
+        learners=("d",),
+        gateway_views=True,
+        may_learn=("b",),
     ),
-    World("a gateway, a change, an order", (change("a", "c"), order("b", 1)), learners=("d",), views=True, told=("b",)),
 )
 UNDER_WAY = (
-    World(
+    Model(
         "two contents under one number, one of them prepared",
         (order("a", 1, X), order("b", 1, Y)),
-        told=(),
-        first=("a begins order", "b begins order", "prepare 1a.0 at a", "prepare 1a.0 at c"),
+        may_learn=(),
+        prefix=("a begins order", "b begins order", "prepare 1a.0 at a", "prepare 1a.0 at c"),
     ),
-    World(
+    Model(
         "two changes at once, one of them prepared",
         (change("a", "c"), change("b", "a")),
         learners=("d",),
-        told=(),
-        first=(
+        may_learn=(),
+        prefix=(
             "a begins change of voters",
             "b begins change of voters",
             "prepare 1a.0 at a",
             "prepare 1a.0 at c",
         ),
     ),
-    World(
+    Model(
         "a gateway, a change accepted by the one voter that is left, an order",
         (change("a", members="a"), order("b", 1)),
-        views=True,
-        told=(),
-        first=("a begins change of voters", "prepare 1a.0 at a", "prepare 1a.0 at b", "accept 1a.0 at a, answer lost"),
+        gateway_views=True,
+        may_learn=(),
+        prefix=("a begins change of voters", "prepare 1a.0 at a", "prepare 1a.0 at b", "accept 1a.0 at a, answer lost"),
     ),
 )
-WORLDS = (*SMALLEST, *UNDER_WAY, *ORDERS, *READS, *CHANGES)
+MODELS = (*SMALLEST, *UNDER_WAY, *ORDERS, *READS, *CHANGES)
--- a/stoneyoke/lab/simulation/exhaustive/explore.py
+++ b/stoneyoke/lab/simulation/exhaustive/search.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 from stoneyoke.consensus.protocol import Accepted
+from stoneyoke.lab.simulation.exhaustive.models import MODELS, Model
 from stoneyoke.lab.simulation.exhaustive.state import State
-from stoneyoke.lab.simulation.exhaustive.steps import begin, steps
-from stoneyoke.lab.simulation.exhaustive.worlds import WORLDS, World
+from stoneyoke.lab.simulation.exhaustive.transitions import initial_state, transitions
 
-MOST = 150_000  # states: bounds memory
+MAX_STATES = 150_000  # states: bounds memory
 
 
 @dataclass(frozen=True)
@@ -18,23 +18,23 @@
     """ended: every state that can be reached was seen; else those within depth steps. changes: of voters, chosen one
     after the other in some state. configurations: contents that were chosen in any state."""
 
-    world: str
+    model: str
     states: int
     depth: int
-    ended: bool
+    exhausted: bool
     seconds: float
     changes: int
     configurations: int
-    broken: str = ""
-    way: tuple[str, ...] = ()
+    violation: str = ""
+    counterexample: tuple[str, ...] = ()
 
-    def text(self) -> str:
-        extent = "walked to its end" if self.ended else f"all within {self.depth} steps"
-        if self.broken:
-            extent = f"stopped after {len(self.way)} steps"
+    def describe(self) -> str:
+        extent = "walked to its end" if self.exhausted else f"all within {self.depth} steps"
+        if self.violation:
+            extent = f"stopped after {len(self.counterexample)} steps"
         met = f"{self.configurations} contents and {self.changes} changes of voters chosen"
         seconds = f"{self.seconds:.0f} s"
-        return f"{self.world}: {self.states} states, {extent}, {met}, {seconds}: {self.broken or 'nothing broken'}"
+        return f"{self.model}: {self.states} states, {extent}, {met}, {seconds}: {self.violation or 'nothing broken'}"
 
 
 Key = tuple[int, ...]
@@ -44,12 +44,12 @@
     return (*state.processes, *state[1:])
 
 
-class Seen:
+class VisitedStates:
     """Which states were seen, and how each was reached. A state is kept as the numbers of its parts, each part once."""
 
     def __init__(self) -> None:
         self.numbers: dict[Any, int] = {}
-        self.came: dict[Key, tuple[Key, str] | None] = {}
+        self.predecessors: dict[Key, tuple[Key, str] | None] = {}
 
     def key(self, state: State) -> Key:
         return tuple(self.number(part) for part in parts(state))
@@ -64,81 +64,86 @@
 
     def add(self, key: Key, before: Key | None, what: str) -> bool:
         """Whether it is new."""
-        if key in self.came:
+        if key in self.predecessors:
             return False
-        self.came[key] = (before, what) if before is not None else None
+        self.predecessors[key] = (before, what) if before is not None else None
         return True
 
-    def way(self, key: Key) -> tuple[str, ...]:
+    def counterexample(self, key: Key) -> tuple[str, ...]:
         found = []
-        while before := self.came[key]:
+        while before := self.predecessors[key]:
             key, what = before
             found.append(what)
         return tuple(reversed(found))
 
 
-class Walk:
+class BreadthFirstSearch:
     """One walk through a world."""
 
-    def __init__(self, world: World) -> None:
-        self.world, self.seen, self.begun = world, Seen(), time.monotonic()
+    def __init__(self, model: Model) -> None:
+        self.model, self.seen, self.begun = model, VisitedStates(), time.monotonic()
         self.chosen: set[Accepted] = set()
-        start = begin(world)
+        start = initial_state(model)
         self.layer = [(self.seen.key(start), start)]
         self.seen.add(self.layer[0][0], None, "")
-        self.broken: tuple[Key, str] | None = None
+        self.violation: tuple[Key, str] | None = None
 
-    def further(self) -> None:
+    def expand_layer(self) -> None:
         """All states one step on that are new; ends at the first that is broken."""
         following: list[tuple[Key, State]] = []
         for key, state in self.layer:
-            for what, after in steps(self.world, state):
+            for what, after in transitions(self.model, state):
                 key_after = self.seen.key_after(after, state, key)
                 if not self.seen.add(key_after, key, what):
                     continue
-                if after.broken:
-                    self.broken = (key_after, after.broken)
+                if after.violation:
+                    self.violation = (key_after, after.violation)
                     return
-                if after.ghost.chosen is not state.ghost.chosen:
-                    self.chosen.update(after.ghost.chosen)
+                if after.history.chosen is not state.history.chosen:
+                    self.chosen.update(after.history.chosen)
                 following.append((key_after, after))
         self.layer = following
 
     def result(self, depth: int) -> Result:
-        key, broken = self.broken or ((), "")
+        key, violation = self.violation or ((), "")
         return Result(
-            self.world.name,
-            len(self.seen.came),
+            self.model.name,
+            len(self.seen.predecessors),
             depth,
             not self.layer,
             time.monotonic() - self.begun,
             max((one.value.voters.number - 1 for one in self.chosen), default=0),
             len({one.value.version for one in self.chosen if one.value.version.number}),
-            broken,
-            self.seen.way(key) if broken else (),
+            violation,
+            self.seen.counterexample(key) if violation else (),
         )
 
 
-def explore(world: World, depth: int = 0, most: int = MOST) -> Result:
+def explore(model: Model, depth: int = 0, max_states: int = MAX_STATES) -> Result:
     """Every state within so many steps (0: no bound); ends after the step with which so many were seen."""
-    walk, step = Walk(world), 0
-    while walk.layer and not walk.broken and (not depth or step < depth) and len(walk.seen.came) <= most:
-        walk.further()
+    search, step = BreadthFirstSearch(model), 0
+    while (
+        search.layer
+        and not search.violation
+        and (not depth or step < depth)
+        and len(search.seen.predecessors) <= max_states
+    ):
+        search.expand_layer()
         step += 1
-    return walk.result(step)
+    return search.result(step)
 
 
 def report(depth: int, jobs: int) -> int:
     """Prints a line a world; 1 if anything is broken."""
-    broken = 0
+    violation = 0
     with ProcessPoolExecutor(jobs) as pool:
-        for result in pool.map(explore, WORLDS, [depth] * len(WORLDS)):
-            print(result.text(), flush=True)
-            for what in result.way:
+        for result in pool.map(explore, MODELS, [depth] * len(MODELS)):
+            print(result.describe(), flush=True)
+            for what in result.counterexample:
                 print(f"    {what}")
-            broken += bool(result.broken)
-    return bool(broken)
+            violation += bool(result.violation)
+    return bool(violation)
 
 
-def world_named(name: str) -> World:
-    return next(world for world in WORLDS if world.name == name)
+def model_named(name: str) -> Model:
+    return next(model for model in MODELS if model.name == name)
--- a/stoneyoke/lab/simulation/exhaustive/state.py
+++ b/stoneyoke/lab/simulation/exhaustive/state.py
@@ -21,7 +21,7 @@
 from stoneyoke.consensus.replica import Replica
 
 
-class Kind(Enum):
+class OperationKind(Enum):
     """What an operation does."""
 
     ORDER = "order"
@@ -36,7 +36,7 @@
     silent, or was told are ending. members: addresses of the voters that are to stay, in
     place of what next_members would say. tries: rounds that it may begin."""
 
-    kind: Kind
+    kind: OperationKind
     at: str
     versions: tuple[Version, ...] = ()
     silent: tuple[str, ...] = ()
@@ -59,7 +59,7 @@
         return f"{self.replica.address}.{self.incarnation}"
 
 
-class FrozenRound(NamedTuple):
+class RoundSnapshot(NamedTuple):
     ballot: Ballot
     known: Accepted
     chosen_number: int
@@ -70,36 +70,36 @@
     highest: Ballot
 
 
-class FrozenQuery(NamedTuple):
+class QuerySnapshot(NamedTuple):
     known: Accepted
     chosen_number: int
     replies: frozenset[tuple[ReplicaId, Accepted | None]]
 
 
-class Wish(NamedTuple):
+class DesiredMembers(NamedTuple):
     """What a change of voters wants. It stays the same in each of its rounds."""
 
     on: RegisterValue
     members: tuple[ReplicaId, ...]
 
 
-class Floor(NamedTuple):
+class LowerBound(NamedTuple):
     """What had been shown to anybody when something began: its result may not be older."""
 
     ballot: Ballot = NO_BALLOT
     number: int = 0  # of the configuration
 
 
-class Running(NamedTuple):
+class OngoingOperation(NamedTuple):
     """An operation under way: a round or a query. asked: addresses asked in this phase."""
 
     operation: int
     tries: int
-    floor: Floor
-    round: FrozenRound | None = None
-    query: FrozenQuery | None = None
-    asked: frozenset[str] = frozenset()
-    wish: Wish | None = None
+    lower_bound: LowerBound
+    round: RoundSnapshot | None = None
+    query: QuerySnapshot | None = None
+    contacted: frozenset[str] = frozenset()
+    desired: DesiredMembers | None = None
 
 
 class Request(NamedTuple):
@@ -124,11 +124,11 @@
 class Gateway(NamedTuple):
     """A gateway that collects views."""
 
-    floor: Floor
+    lower_bound: LowerBound
     views: frozenset[tuple[ReplicaId, Accepted]]
 
 
-class Ghost(NamedTuple):
+class History(NamedTuple):
     """What the checks know and no process: seen from outside, over all time.
 
     votes: members that have accepted under a ballot, of values that are not chosen yet. chosen: by ballot, counted here
@@ -138,7 +138,7 @@
     votes: frozenset[tuple[Accepted, ReplicaId]]
     chosen: tuple[Accepted, ...]
     parents: frozenset[tuple[Ballot, Ballot]] = frozenset()
-    shown: Floor = Floor()
+    shown: LowerBound = LowerBound()
     acknowledged: frozenset[Version] = frozenset()
 
 
@@ -146,25 +146,25 @@
     """waiting: operations that have not begun. known: values that any process knows, or knew, to be chosen."""
 
     processes: tuple[Process, ...]
-    running: tuple[Running, ...]
+    ongoing: tuple[OngoingOperation, ...]
     requests: frozenset[Request]
     replies: frozenset[Reply]
-    waiting: tuple[int, ...]
+    not_started: tuple[int, ...]
     crashes: int
     losses: int
     known: frozenset[Accepted]
     gateway: Gateway | None
-    ghost: Ghost
-    broken: str = ""
+    history: History
+    violation: str = ""
 
 
-Step = tuple[str, State]  # what happens, and the state after it
+Transition = tuple[str, State]  # what happens, and the state after it
 
 
 # ---- the real objects ----
 
 
-class NoStore:
+class NullRecordStore:
     """A disk that holds what the state holds."""
 
     def keep(self, family: str, record: Any) -> None:
@@ -174,14 +174,14 @@
         return None, []
 
 
-NO_STORE = NoStore()
+NULL_RECORD_STORE = NullRecordStore()
 
 
-async def at_once(step: Callable[..., Any], *arguments: Any) -> Any:
+async def run_inline(step: Callable[..., Any], *arguments: Any) -> Any:
     return step(*arguments)
 
 
-def run(coroutine: Coroutine[Any, Any, Any]) -> Any:
+def run_to_completion(coroutine: Coroutine[Any, Any, Any]) -> Any:
     """The result of one that never waits."""
     try:
         coroutine.send(None)
@@ -190,40 +190,40 @@
     raise AssertionError("it waits")
 
 
-def nothing() -> None:
+def do_nothing() -> None:
     pass
 
 
-def thaw_replica(process: Process) -> Replica:
-    replica = Replica(process.replica.address, NO_STORE, at_once, nothing)
+def restore_replica(process: Process) -> Replica:
+    replica = Replica(process.replica.address, NULL_RECORD_STORE, run_inline, do_nothing)
     replica.identity = process.replica
     replica.acceptor = Acceptor(process.promised, process.accepted)
     replica.chosen = process.chosen
     return replica
 
 
-def freeze_replica(replica: Replica, process: Process) -> Process:
+def snapshot_replica(replica: Replica, process: Process) -> Process:
     acceptor = replica.acceptor
     return process._replace(promised=acceptor.promised, accepted=acceptor.accepted, chosen=replica.chosen)
 
 
-def thaw_round(frozen: FrozenRound, change: Change) -> Round:
+def restore_round(snapshot: RoundSnapshot, change: Change) -> Round:
     return Round(
-        frozen.ballot,
-        frozen.known,
-        frozen.chosen_number,
+        snapshot.ballot,
+        snapshot.known,
+        snapshot.chosen_number,
         change,
-        frozen.phase,
-        dict(frozen.promises),
-        set(frozen.accepts),
-        frozen.proposal,
-        frozen.highest,
+        snapshot.phase,
+        dict(snapshot.promises),
+        set(snapshot.accepts),
+        snapshot.proposal,
+        snapshot.highest,
     )
 
 
-def freeze_round(current: Round) -> FrozenRound:
+def snapshot_round(current: Round) -> RoundSnapshot:
     """Promises count in the first phase only: what was found there is in the proposal."""
-    return FrozenRound(
+    return RoundSnapshot(
         current.ballot,
         current.known,
         current.chosen_number,
@@ -235,12 +235,12 @@
     )
 
 
-def thaw_query(frozen: FrozenQuery) -> Query:
-    return Query(frozen.known, frozen.chosen_number, dict(frozen.replies))
+def restore_query(snapshot: QuerySnapshot) -> Query:
+    return Query(snapshot.known, snapshot.chosen_number, dict(snapshot.replies))
 
 
-def freeze_query(current: Query) -> FrozenQuery:
-    return FrozenQuery(current.known, current.chosen_number, frozenset(current.replies.items()))
+def snapshot_query(current: Query) -> QuerySnapshot:
+    return QuerySnapshot(current.known, current.chosen_number, frozenset(current.replies.items()))
 
 
 def configuration(version: Version) -> Configuration:
@@ -266,14 +266,14 @@
     )
 
 
-def with_running(state: State, before: Running | None, after: Running | None) -> State:
+def with_ongoing(state: State, before: OngoingOperation | None, after: OngoingOperation | None) -> State:
     """One operation's record replaced, added or taken out."""
-    kept = [one for one in state.running if one is not before]
-    return state._replace(running=tuple(sorted((*kept, *((after,) if after else ())), key=lambda one: one.operation)))
+    kept = [one for one in state.ongoing if one is not before]
+    return state._replace(ongoing=tuple(sorted((*kept, *((after,) if after else ())), key=lambda one: one.operation)))
 
 
-def round_of(state: State, ballot: Ballot) -> tuple[Running, FrozenRound] | None:
-    for one in state.running:
+def round_of(state: State, ballot: Ballot) -> tuple[OngoingOperation, RoundSnapshot] | None:
+    for one in state.ongoing:
         if one.round and one.round.ballot == ballot:
             return one, one.round
     return None
--- a/stoneyoke/lab/simulation/exhaustive/steps.py
+++ b/stoneyoke/lab/simulation/exhaustive/transitions.py
@@ -9,82 +9,88 @@
 from stoneyoke.consensus.protocol import Acceptor, Phase
 from stoneyoke.lab.simulation.exhaustive import operations
 from stoneyoke.lab.simulation.exhaustive.failures import failures
-from stoneyoke.lab.simulation.exhaustive.reads import answers_to_queries, begin_query, views
-from stoneyoke.lab.simulation.exhaustive.rounds import begin_round, handled, learns, replied, text
+from stoneyoke.lab.simulation.exhaustive.models import Model
+from stoneyoke.lab.simulation.exhaustive.reads import answers_to_queries, begin_query, gateway_views
+from stoneyoke.lab.simulation.exhaustive.rounds import (
+    apply_reply,
+    begin_round,
+    describe,
+    request_deliveries,
+    value_deliveries,
+)
 from stoneyoke.lab.simulation.exhaustive.state import (
+    OngoingOperation,
     Reply,
     Request,
-    Running,
     State,
-    Step,
+    Transition,
     process_at,
-    thaw_query,
-    thaw_replica,
+    restore_query,
+    restore_replica,
 )
-from stoneyoke.lab.simulation.exhaustive.worlds import World
 
 
-def begin(world: World) -> State:
+def initial_state(model: Model) -> State:
     """The state in which the walk begins: after the steps that the world names."""
-    state = world.start()
-    for wanted in world.first:
-        state = next(after for what, after in steps(world, state) if what == wanted)
-        assert not state.broken, state.broken
+    state = model.start()
+    for wanted in model.prefix:
+        state = next(after for what, after in transitions(model, state) if what == wanted)
+        assert not state.violation, state.violation
     return state
 
 
-def steps(world: World, state: State) -> Iterator[Step]:
-    for what, after in every_step(world, state):
-        yield what, after if after.broken else prune(world, after)
+def transitions(model: Model, state: State) -> Iterator[Transition]:
+    for what, after in unpruned_transitions(model, state):
+        yield what, after if after.violation else prune(model, after)
 
 
-def every_step(world: World, state: State) -> Iterator[Step]:
-    yield from begins(world, state)
+def unpruned_transitions(model: Model, state: State) -> Iterator[Transition]:
+    yield from operation_starts(model, state)
     for request in state.requests:
-        yield from handled(world, state, request)
+        yield from request_deliveries(model, state, request)
     for reply in state.replies:
-        yield f"{text(reply.request)} answered", replied(world, state, reply)
-    yield from answers_to_queries(world, state)
-    yield from fallbacks(world, state)
-    yield from learns(world, state)
-    yield from failures(world, state)
-    yield from views(state)
+        yield f"{describe(reply.request)} answered", apply_reply(model, state, reply)
+    yield from answers_to_queries(model, state)
+    yield from retries(model, state)
+    yield from value_deliveries(model, state)
+    yield from failures(model, state)
+    yield from gateway_views(state)
 
 
-def begins(world: World, state: State) -> Iterator[Step]:
-    for number in state.waiting:
-        operation = world.operations[number]
+def operation_starts(model: Model, state: State) -> Iterator[Transition]:
+    for number in state.not_started:
+        operation = model.operations[number]
         process = process_at(state, operation.at)
-        if thaw_replica(process).view() is None:
+        if restore_replica(process).view() is None:
             continue
-        wish = operations.wish(world, state, process, operation)
-        if not operations.may_begin(operation, wish):
+        desired = operations.desired_members(model, state, process, operation)
+        if not operations.may_begin(operation, desired):
             continue
-        left = state._replace(waiting=tuple(one for one in state.waiting if one != number))
-        running = Running(number, operation.tries, state.ghost.shown, wish=wish)
+        left = state._replace(not_started=tuple(one for one in state.not_started if one != number))
+        ongoing = OngoingOperation(number, operation.tries, state.history.shown, desired=desired)
         what = f"{operation.at} begins {operation.kind.value}"
         if operations.reads_first(process, operation):
-            yield what, begin_query(world, left, running)
+            yield what, begin_query(model, left, ongoing)
         else:
-            yield what, begin_round(world, left, None, running)
+            yield what, begin_round(model, left, None, ongoing)
 
 
-def fallbacks(world: World, state: State) -> Iterator[Step]:
+def retries(model: Model, state: State) -> Iterator[Transition]:
     """A round that was lost or is given up is begun anew; a read whose replies do not agree runs a round."""
-    for running in state.running:
-        at = world.operations[running.operation].at
-        if running.tries <= 0:
+    for ongoing in state.ongoing:
+        at = model.operations[ongoing.operation].at
+        if ongoing.tries <= 0:
             continue
-        if running.round:
-            yield f"{at} tries again", begin_round(world, state, running, running)
-        elif running.query and thaw_query(running.query).complete():
-            yield f"{at} settles by a round", begin_round(world, state, running, running)
+        if ongoing.round:
+            yield f"{at} tries again", begin_round(model, state, ongoing, ongoing)
+        elif ongoing.query and restore_query(ongoing.query).complete():
+            yield f"{at} settles by a round", begin_round(model, state, ongoing, ongoing)
 
 
-def prune(world: World, state: State) -> State:
+def prune(model: Model, state: State) -> State:
     """Messages that can only hold others up, or change nothing, are left out: to get them is like never to get them."""
-    phases = {one.round.ballot: one.round.phase for one in state.running if one.round}
-    tries = {one.round.ballot: one.tries for one in state.running if one.round}
+    phases = {one.round.ballot: one.round.phase for one in state.ongoing if one.round}
+    tries = {one.round.ballot: one.tries for one in state.ongoing if one.round}
     processes = {one.replica.address: one for one in state.processes}
 
     def counts(request: Request) -> bool:
@@ -95,7 +101,7 @@
             return live in (Phase.PREPARE, Phase.ACCEPT) and tries[request.ballot] > 0
         if request.proposal is None:
             return live is Phase.PREPARE
-        if world.duplicates and live is None:
+        if model.duplicates and live is None:
             accepted = processes[request.to].accepted
             return accepted is None or accepted.ballot != request.ballot
         return True
--- a/tests/system/test_exhaustive.py
+++ b/tests/system/test_exhaustive.py
@@ -5,9 +5,9 @@
 from ward import test
 
 from stoneyoke.consensus import protocol
-from stoneyoke.lab.simulation.consensus_defects import CONSENSUS_DEFECTS, FOUND_IN, found, seeded
-from stoneyoke.lab.simulation.exhaustive.explore import explore, world_named
-from stoneyoke.lab.simulation.exhaustive.worlds import WORLDS
+from stoneyoke.lab.simulation.consensus_defects import CONSENSUS_DEFECTS, MODEL_THAT_FINDS, found, seeded
+from stoneyoke.lab.simulation.exhaustive.search import explore, model_named
+from stoneyoke.lab.simulation.exhaustive.models import MODELS
 
 JOBS = 4
 # Worlds that are walked to their ends: the first three change voters.
@@ -23,32 +23,32 @@
 @test("small worlds are walked to their ends and nothing breaks")
 def _():
     with ProcessPoolExecutor(JOBS) as pool:
-        results = list(pool.map(explore, map(world_named, ENDED)))
+        results = list(pool.map(explore, map(model_named, ENDED)))
     for result in results:
-        assert result.ended and not result.broken, result.text()
-        assert result.configurations >= 1, result.text()
+        assert result.exhausted and not result.violation, result.describe()
+        assert result.configurations >= 1, result.describe()
     assert all(result.changes >= 1 for result in results[:3])
     assert results[3].configurations == 2
 
 
 @test("a controller that has missed two changes of voters finds the newest ones")
 def _():
-    result = explore(world_named("a stale controller after two changes, an order there"), depth=10)
-    assert not result.broken and result.changes == 2 and result.configurations == 1, result.text()
+    result = explore(model_named("a stale controller after two changes, an order there"), depth=10)
+    assert not result.violation and result.changes == 2 and result.configurations == 1, result.describe()
 
 
 @test("every world begins, and its first steps break nothing")
 def _():
-    for world in WORLDS:
-        result = explore(world, depth=3)
-        assert not result.broken and result.states > 3, result.text()
+    for model in MODELS:
+        result = explore(model, depth=3)
+        assert not result.violation and result.states > 3, result.describe()
 
 
 @test("each defect of the register is found by the walk")
 def _():
-    assert set(FOUND_IN) == set(CONSENSUS_DEFECTS)
+    assert set(MODEL_THAT_FINDS) == set(CONSENSUS_DEFECTS)
     with ProcessPoolExecutor(JOBS) as pool:
-        for name, how in zip(FOUND_IN, pool.map(found, FOUND_IN), strict=True):
+        for name, how in zip(MODEL_THAT_FINDS, pool.map(found, MODEL_THAT_FINDS), strict=True):
             assert how, name
 
 
