--- a/stoneyoke/controlplane/controller.py
+++ b/stoneyoke/controlplane/controller.py
@@ -322,7 +322,7 @@
 
     def news(self, asked: PullRequest) -> PullResponse:
         known, view, chosen = asked.incarnation == self.incarnation, self.replica.view(), self.replica.chosen
-        rows = self.discovery.registry.since(asked.seq if known else 0, self.clock())
+        rows = self.discovery.registry.changes_since(asked.seq if known else 0, self.clock())
         lists: tuple[list[str], list[str]] = ([], [])
         if not known or asked.membership_version != self.membership_version:
             lists = ([self.ip, *self.peers], list(self.watch.seen))
--- a/stoneyoke/controlplane/discovery_service.py
+++ b/stoneyoke/controlplane/discovery_service.py
@@ -23,7 +23,7 @@
 
 from stoneyoke.api.calls import Acknowledged, Answer, Heartbeat, Leave, Unavailable
 from stoneyoke.consensus.quorum import majority
-from stoneyoke.controlplane.instance_registry import InstanceRegistry, Row, row_of
+from stoneyoke.controlplane.instance_registry import InstanceRegistry, Row, row_from_heartbeat
 from stoneyoke.controlplane.startup_readiness import COUNTING_S, Settlement
 from stoneyoke.transport.messages import InstanceRefresh, InstanceUpdate, InstanceUpdateResponse, Message
 from stoneyoke.transport.messages import Row as WireRow
@@ -78,7 +78,7 @@
         """One that says nothing new is acknowledged while this controller is in touch; a drain by a majority."""
         if self.may_be_stale():
             return Unavailable("stood still")
-        if self.registry.hear(row_of(beat), self.clock()):
+        if self.registry.merge(row_from_heartbeat(beat), self.clock()):
             self.surroundings.changed()
         self.heard[beat.instance] = None
         if beat.draining:
@@ -131,7 +131,7 @@
             await asyncio.sleep(TELL_EVERY_S)
             names, self.heard = list(self.heard), {}
             if names:
-                await self.tell_beats(self.registry.heard(names, self.clock()))
+                await self.tell_beats(self.registry.rows_of(names, self.clock()))
             if len(self.told) > 2 * len(self.registry.records) + 100:
                 self.told.clear()
 
@@ -159,14 +159,14 @@
         if self.may_be_stale():
             return InstanceUpdateResponse(False)
         now = self.clock()
-        if any([self.registry.again(name, call_seq, now) for name, call_seq in told.beats]):
+        if any([self.registry.refresh(name, call_seq, now) for name, call_seq in told.beats]):
             self.surroundings.changed()
         return InstanceUpdateResponse()
 
     def hear_rows(self, rows: Iterable[WireRow]) -> None:
         """Rows that a pull or an update brought."""
         now = self.clock()
-        if any([self.registry.hear(Row(*row), now) for row in rows]):
+        if any([self.registry.merge(Row(*row), now) for row in rows]):
             self.surroundings.changed()
 
     def pulled_from(self, address: str, settled: bool, begun_at: float) -> None:
--- a/stoneyoke/controlplane/instance_registry.py
+++ b/stoneyoke/controlplane/instance_registry.py
@@ -1,11 +1,13 @@
-"""Backends as one controller knows them, from their own heartbeats and from what other controllers tell. Soft state.
+"""The instances (backends) that one controller knows. State in memory, no I/O.
 
-Of two tellings of one backend the one with the higher call_seq wins; one that drains drains for good, whatever
-call_seq tells of it; gone wins over all. So the order in which controllers hear of it does not matter.
+A controller learns of instances from their own heartbeats and from the rows of other controllers. Two rows of one
+instance are merged, and the merge is commutative: the higher `call_seq` wins, a drain is permanent whatever call_seq
+a later row has, and GONE wins over everything. So the order in which rows arrive does not matter.
 
-What has ended is remembered for a while, so that a late telling does not bring it back. A telling is as old as
-FORGET_S at most: what has not been heard for so long is neither told nor kept. A backend's last heartbeat comes before
-its leave, so GONE_S, twice as long, covers each. Of the silent and the gone MOST_ENDED are kept, the last ones."""
+An instance that ended is kept as a tombstone, so that a late row does not bring it back. A row is at most RECORD_TTL_S
+old: a record without a heartbeat for that long is neither sent nor kept. The last heartbeat of an instance comes
+before its leave, so a tombstone that is kept twice as long (TOMBSTONE_TTL_S) outlives every such row. Of the silent
+and the gone instances the MAX_ENDED_RECORDS most recent are kept."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -14,11 +16,11 @@
 
 from stoneyoke.api.calls import Heartbeat
 
-FORGET_S = 60.0  # silent for so long, it is dropped
-GONE_S = 2 * FORGET_S  # so long after it has left its tombstone is dropped
-MOST_ENDED = 4096
-SWEEP_S = 1.0  # nothing is told from a registry that was not swept for longer
-NO_ADDRESS = "0.0.0.0:1"
+RECORD_TTL_S = 60.0  # silent for so long, it is dropped
+TOMBSTONE_TTL_S = 2 * RECORD_TTL_S  # so long after it has left its tombstone is dropped
+MAX_ENDED_RECORDS = 4096
+MAX_SWEEP_AGE_S = 1.0  # nothing is told from a registry that was not swept for longer
+PLACEHOLDER_ADDRESS = "0.0.0.0:1"
 
 
 class Phase(IntEnum):
@@ -45,16 +47,16 @@
 @dataclass(slots=True)
 class InstanceRecord:
     row: Row
-    heard_at: float
-    told_at: float  # when warm_s was right
+    last_heard_at: float
+    warm_as_of: float  # when warm_s was right
     seq: int = 0  # of this core's news
 
-    def told(self, now: float) -> Row:
+    def row_at(self, now: float) -> Row:
         """As it is told now."""
-        return self.row._replace(warm_s=max(0.0, self.row.warm_s - (now - self.told_at)))
+        return self.row._replace(warm_s=max(0.0, self.row.warm_s - (now - self.warm_as_of)))
 
 
-def row_of(beat: Heartbeat) -> Row:
+def row_from_heartbeat(beat: Heartbeat) -> Row:
     return Row(
         beat.instance,
         beat.address,
@@ -68,7 +70,7 @@
     )
 
 
-def merged(old: Row, new: Row) -> Row:
+def merge_rows(old: Row, new: Row) -> Row:
     """What two tellings of one backend come to; `old` itself where the new one adds nothing."""
     if old.phase == Phase.GONE or new.phase == Phase.GONE:
         return old if old.phase == Phase.GONE else new
@@ -79,10 +81,10 @@
 
 
 class InstanceRegistry:
-    """silent_s: without a beat for so long, a record counts as silent."""
+    """silence_timeout_s: without a beat for so long, a record counts as silent."""
 
-    def __init__(self, silent_s: float) -> None:
-        self.silent_s = silent_s
+    def __init__(self, silence_timeout_s: float) -> None:
+        self.silence_timeout_s = silence_timeout_s
         self.records: dict[str, InstanceRecord] = {}  # emptied by sweep()
         self.seq = 0  # rises with each change that others must hear of
         self.swept_at = 0.0
@@ -91,23 +93,23 @@
         self.seq += 1
         record.seq = self.seq
 
-    def hear(self, row: Row, now: float) -> bool:
+    def merge(self, row: Row, now: float) -> bool:
         """A beat, or another core's telling of one. Whether it is news for others."""
         record = self.records.get(row.instance)
         if record is None:
             # Told as silent, it has been so for a while: it is not remembered anew with each who hears of it.
-            heard_at = now - self.silent_s if row.phase == Phase.SILENT else now
-            record = self.records[row.instance] = InstanceRecord(row, heard_at, now)
+            last_heard_at = now - self.silence_timeout_s if row.phase == Phase.SILENT else now
+            record = self.records[row.instance] = InstanceRecord(row, last_heard_at, now)
             if row.phase in (Phase.READY, Phase.DRAINING):
-                self.evict(row)
+                self.silence_previous_owner(row)
             self.changed(record)
             return True
         old = record.row
-        row = merged(old, row)
+        row = merge_rows(old, row)
         if row is old:
             return False
         if row.call_seq > old.call_seq or row.phase == Phase.GONE:
-            record.heard_at = record.told_at = now
+            record.last_heard_at = record.warm_as_of = now
         record.row = row
         # A beat that tells nothing new is no news: hundreds come in a second.
         if old._replace(call_seq=0, warm_s=0.0) == row._replace(call_seq=0, warm_s=0.0):
@@ -115,23 +117,23 @@
         self.changed(record)
         return True
 
-    def again(self, instance: str, call_seq: int, now: float) -> bool:
+    def refresh(self, instance: str, call_seq: int, now: float) -> bool:
         """A beat that tells nothing new, by another core's word. Whether it is news for others: it was silent."""
         record = self.records.get(instance)
         if record is None or record.row.phase == Phase.GONE or call_seq <= record.row.call_seq:
             return False
         phase = Phase.READY if record.row.phase == Phase.SILENT else Phase(record.row.phase)
-        return self.hear(record.told(now)._replace(call_seq=call_seq, phase=int(phase)), now)
+        return self.merge(record.row_at(now)._replace(call_seq=call_seq, phase=int(phase)), now)
 
     def leave(self, instance: str, now: float) -> Row:
         """It has ended; what is told of it later is old."""
         record = self.records.get(instance)
-        row = record.row if record else Row(instance, NO_ADDRESS, "", "", "", 0, 0, 0, 0.0)
+        row = record.row if record else Row(instance, PLACEHOLDER_ADDRESS, "", "", "", 0, 0, 0, 0.0)
         row = row._replace(phase=int(Phase.GONE))
-        self.hear(row, now)
+        self.merge(row, now)
         return row
 
-    def evict(self, row: Row) -> None:
+    def silence_previous_owner(self, row: Row) -> None:
         """An address has a new tenant: whoever was there before is silent; one that drained has drained for good."""
         for other in self.records.values():
             if (
@@ -145,24 +147,24 @@
     def sweep(self, now: float) -> None:
         self.swept_at = now
         for name, record in list(self.records.items()):
-            if self.forgotten(record, now):
+            if self.has_expired(record, now):
                 del self.records[name]
-            elif record.row.phase == Phase.READY and now - record.heard_at > self.silent_s:
+            elif record.row.phase == Phase.READY and now - record.last_heard_at > self.silence_timeout_s:
                 record.row = record.row._replace(phase=int(Phase.SILENT))
                 self.changed(record)
         ended = [one for one in self.records.values() if one.row.phase in (Phase.SILENT, Phase.GONE)]
-        if len(ended) > MOST_ENDED:
-            for record in sorted(ended, key=lambda one: one.heard_at)[:-MOST_ENDED]:
+        if len(ended) > MAX_ENDED_RECORDS:
+            for record in sorted(ended, key=lambda one: one.last_heard_at)[:-MAX_ENDED_RECORDS]:
                 del self.records[record.row.instance]
 
-    def forgotten(self, record: InstanceRecord, now: float) -> bool:
-        return now - record.heard_at > (GONE_S if record.row.phase == Phase.GONE else FORGET_S)
+    def has_expired(self, record: InstanceRecord, now: float) -> bool:
+        return now - record.last_heard_at > (TOMBSTONE_TTL_S if record.row.phase == Phase.GONE else RECORD_TTL_S)
 
-    def since(self, seq: int, now: float) -> list[Row]:
+    def changes_since(self, seq: int, now: float) -> list[Row]:
         """What has changed after seq, as it is now: a process that stood still tells nothing from before."""
-        if now - self.swept_at > SWEEP_S:
+        if now - self.swept_at > MAX_SWEEP_AGE_S:
             self.sweep(now)
-        return [record.told(now) for record in self.records.values() if record.seq > seq]
+        return [record.row_at(now) for record in self.records.values() if record.seq > seq]
 
-    def heard(self, names: Iterable[str], now: float) -> list[Row]:
-        return [self.records[name].told(now) for name in names if name in self.records]
+    def rows_of(self, names: Iterable[str], now: float) -> list[Row]:
+        return [self.records[name].row_at(now) for name in names if name in self.records]
--- a/stoneyoke/controlplane/status.py
+++ b/stoneyoke/controlplane/status.py
@@ -46,7 +46,7 @@
                 "address": record.row.address,
                 "phase": Phase(record.row.phase).name.lower(),
                 "zone": record.row.zone,
-                "silent_s": round(now - record.heard_at, 2),
+                "silent_s": round(now - record.last_heard_at, 2),
             }
             for name, record in controller.discovery.registry.records.items()
         },
--- a/stoneyoke/lab/capacity/hot_paths.py
+++ b/stoneyoke/lab/capacity/hot_paths.py
@@ -12,7 +12,7 @@
 from stoneyoke.api.calls import Heartbeat, ask
 from stoneyoke.api.configuration import CONFIGURATION, Configuration, Version, read_configuration, read_json
 from stoneyoke.api.schema import read
-from stoneyoke.controlplane.instance_registry import InstanceRecord, InstanceRegistry, Phase, Row, row_of
+from stoneyoke.controlplane.instance_registry import InstanceRecord, InstanceRegistry, Phase, Row, row_from_heartbeat
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 from stoneyoke.gateway.routes import Table, Tenant, table_of
@@ -169,7 +169,7 @@
 
 def heard(beat: object) -> Row:
     assert isinstance(beat, Heartbeat)
-    return row_of(beat)
+    return row_from_heartbeat(beat)
 
 
 def beats(size: int) -> list[Figure]:
@@ -181,7 +181,7 @@
         nonlocal seq
         seq += 1
         for at in range(size):
-            registry.hear(row(at, seq), 1.0)
+            registry.merge(row(at, seq), 1.0)
 
     calls = [(f"/instances/{instance_name(at)}/heartbeat", heartbeat(at, 9)) for at in sample(size, CALLS)]
 
@@ -189,16 +189,20 @@
         for target, body in calls:
             heard(ask("POST", target, body))
 
-    registry.hear(row(0, 10**6, Phase.DRAINING), 1.0)
-    news = registry.since(registry.seq - 1, 1.0)
-    whole = pull_response(registry, registry.since(0, 1.0), True)
+    registry.merge(row(0, 10**6, Phase.DRAINING), 1.0)
+    news = registry.changes_since(registry.seq - 1, 1.0)
+    whole = pull_response(registry, registry.changes_since(0, 1.0), True)
     of_rows = processor_s(lambda: [row(at, 1) for at in range(size)])
     return [
         Figure("registry held", "MB", megabytes(of_registry.held)),
         Figure("read one beat's call", "s", processor_s(read_calls) / len(calls)),
         Figure("all beat once, calls read already", "s", max(1e-9, processor_s(all_beat) - of_rows)),
         Figure("sweep", "s", processor_s(lambda: registry.sweep(1.0))),
-        Figure("one pull after one change: since()", "s", processor_s(lambda: registry.since(registry.seq - 1, 1.0))),
+        Figure(
+            "one pull after one change: since()",
+            "s",
+            processor_s(lambda: registry.changes_since(registry.seq - 1, 1.0)),
+        ),
         Figure("one pull after one drain", "B", len(pack(1, pull_response(registry, news, False)))),
         Figure("a first pull: pack", "s", processor_s(lambda: pack(1, whole))),
         Figure("a first pull", "B", len(pack(1, whole))),
@@ -211,7 +215,7 @@
 
     def hear_all() -> None:
         for one in rows:
-            registry.hear(one, 0.0)
+            registry.merge(one, 0.0)
 
     return [Figure("all beat for the first time", "s", processor_once_s(hear_all)[1])]
 
--- a/stoneyoke/lab/simulation/fleet_defects.py
+++ b/stoneyoke/lab/simulation/fleet_defects.py
@@ -149,7 +149,7 @@
 def drain_forgotten() -> list[Patch]:
     """A new tenant at a drained record's address makes it a silent one."""
 
-    def evict(self: instance_registry.InstanceRegistry, row: Any, now: float) -> None:
+    def silence_previous_owner(self: instance_registry.InstanceRegistry, row: Any, now: float) -> None:
         for other in self.records.values():
             if (
                 other.row.address == row.address
@@ -159,7 +159,7 @@
                 other.row = other.row._replace(phase=int(instance_registry.Phase.SILENT))
                 self.changed(other)
 
-    return [(instance_registry.InstanceRegistry, "evict", evict)]
+    return [(instance_registry.InstanceRegistry, "silence_previous_owner", silence_previous_owner)]
 
 
 def gives_back_late() -> list[Patch]:
--- a/tests/system/test_controlplane.py
+++ b/tests/system/test_controlplane.py
@@ -176,47 +176,47 @@
         register, mixed = InstanceRegistry(5.0), told * 2
         random.Random(seed).shuffle(mixed)
         for one in mixed:
-            register.hear(one, 1.0)
+            register.merge(one, 1.0)
         assert register.records["i-1"].row.phase == Phase.GONE
-        assert not register.hear(row(seq=9), 2.0) and register.records["i-1"].row.phase == Phase.GONE
+        assert not register.merge(row(seq=9), 2.0) and register.records["i-1"].row.phase == Phase.GONE
     register = InstanceRegistry(5.0)
-    assert register.hear(told[2], 1.0) and not register.hear(told[1], 1.1)
+    assert register.merge(told[2], 1.0) and not register.merge(told[1], 1.1)
     assert register.records["i-1"].row.phase == Phase.DRAINING
 
 
 @test("a beat that tells nothing new is no news; silence is, and so is a beat after it")
 def _():
     register = InstanceRegistry(5.0)
-    assert register.hear(row(seq=1), 0.0) and not register.hear(row(seq=2), 1.0)
+    assert register.merge(row(seq=1), 0.0) and not register.merge(row(seq=2), 1.0)
     seq = register.seq
     register.sweep(5.5)
-    assert register.since(seq, 5.5) == []
+    assert register.changes_since(seq, 5.5) == []
     register.sweep(6.5)
-    assert [one.phase for one in register.since(seq, 6.5)] == [Phase.SILENT]
-    assert register.hear(row(seq=3), 7.0) and register.records["i-1"].row.phase == Phase.READY
+    assert [one.phase for one in register.changes_since(seq, 6.5)] == [Phase.SILENT]
+    assert register.merge(row(seq=3), 7.0) and register.records["i-1"].row.phase == Phase.READY
 
 
 @test("a beat told again wakes a silent backend, never a gone one, and counts only forwards")
 def _():
     register = InstanceRegistry(5.0)
-    register.hear(row(seq=3), 0.0)
-    assert not register.again("i-1", 3, 1.0) and not register.again("i-2", 9, 1.0)
-    assert not register.again("i-1", 4, 4.0)
+    register.merge(row(seq=3), 0.0)
+    assert not register.refresh("i-1", 3, 1.0) and not register.refresh("i-2", 9, 1.0)
+    assert not register.refresh("i-1", 4, 4.0)
     register.sweep(8.0)
     assert register.records["i-1"].row.phase == Phase.READY  # heard at 4
     register.sweep(10.0)
     assert register.records["i-1"].row.phase == Phase.SILENT
-    assert register.again("i-1", 5, 11.0) and register.records["i-1"].row.phase == Phase.READY
+    assert register.refresh("i-1", 5, 11.0) and register.records["i-1"].row.phase == Phase.READY
     register.leave("i-1", 12.0)
-    assert not register.again("i-1", 9, 13.0) and register.records["i-1"].row.phase == Phase.GONE
+    assert not register.refresh("i-1", 9, 13.0) and register.records["i-1"].row.phase == Phase.GONE
 
 
 @test("a new backend at an address makes the one before silent, not the other way round")
 def _():
     register = InstanceRegistry(5.0)
-    register.hear(row("i-1", 9), 0.0)
-    register.hear(row("i-2", 1, service="quay"), 1.0)
-    register.hear(row("i-1", 10), 1.1)  # late
+    register.merge(row("i-1", 9), 0.0)
+    register.merge(row("i-2", 1, service="quay"), 1.0)
+    register.merge(row("i-1", 10), 1.1)  # late
     assert register.records["i-2"].row.phase == Phase.READY
 
 
--- a/tests/system/test_discovery_service.py
+++ b/tests/system/test_discovery_service.py
@@ -83,7 +83,7 @@
     def pull(self, name, other):
         """A whole pull, as a controller makes it."""
         begun_at, source = self.clock(), self.services[other]
-        self.services[name].hear_rows(source.registry.since(0, self.clock()))
+        self.services[name].hear_rows(source.registry.changes_since(0, self.clock()))
         self.services[name].pulled_from(other, source.settled(), begun_at)
 
     async def passes(self, for_s):
@@ -186,9 +186,9 @@
         one, link = town.services["10.0.0.1"], town.links["10.0.0.1"]["10.0.0.2"]
         for call_seq in (1, 2, 3):
             await one.heartbeat(beat(call_seq))
-            await one.tell_beats(one.registry.heard(["i-1"], town.clock()))
+            await one.tell_beats(one.registry.rows_of(["i-1"], town.clock()))
         await one.heartbeat(beat(4, True))
-        await one.tell_beats(one.registry.heard(["i-1"], town.clock()))
+        await one.tell_beats(one.registry.rows_of(["i-1"], town.clock()))
         await asyncio.sleep(0.1)
         assert link.carried == [InstanceUpdate, InstanceRefresh, InstanceRefresh, InstanceUpdate, InstanceUpdate]
         assert town.services["10.0.0.2"].registry.records["i-1"].row.call_seq == 4
--- a/tests/system/test_instance_registry.py
+++ b/tests/system/test_instance_registry.py
@@ -5,7 +5,14 @@
 from ward import test
 
 from stoneyoke.controlplane import instance_registry
-from stoneyoke.controlplane.instance_registry import FORGET_S, GONE_S, MOST_ENDED, InstanceRegistry, Phase, Row
+from stoneyoke.controlplane.instance_registry import (
+    RECORD_TTL_S,
+    TOMBSTONE_TTL_S,
+    MAX_ENDED_RECORDS,
+    InstanceRegistry,
+    Phase,
+    Row,
+)
 from stoneyoke.gateway import instance_directory
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 
@@ -27,7 +34,7 @@
     for order in itertools.permutations(tellings):
         registry = InstanceRegistry(SILENT_S)
         for at, one in enumerate(order):
-            registry.hear(one, float(at))
+            registry.merge(one, float(at))
         record = registry.records["i-1"]
         assert (record.row.phase, record.row.call_seq) == (Phase.DRAINING, 9), order
 
@@ -36,65 +43,65 @@
 def _():
     knows, missed = InstanceRegistry(SILENT_S), InstanceRegistry(SILENT_S)
     for registry in (knows, missed):
-        registry.hear(row(call_seq=5), 0.0)
-    knows.hear(row(call_seq=7, phase=Phase.DRAINING), 1.0)
-    knows.hear(row(call_seq=9, phase=Phase.DRAINING), 2.0)
-    assert not missed.again("i-1", 9, 2.0)  # the telling of the drain was lost, that of the next heartbeat was not
+        registry.merge(row(call_seq=5), 0.0)
+    knows.merge(row(call_seq=7, phase=Phase.DRAINING), 1.0)
+    knows.merge(row(call_seq=9, phase=Phase.DRAINING), 2.0)
+    assert not missed.refresh("i-1", 9, 2.0)  # the telling of the drain was lost, that of the next heartbeat was not
     seq = missed.seq
-    assert [missed.hear(told, 2.1) for told in knows.since(0, 2.1)] == [True]
-    assert [told.phase for told in missed.since(seq, 2.2)] == [Phase.DRAINING]
+    assert [missed.merge(told, 2.1) for told in knows.changes_since(0, 2.1)] == [True]
+    assert [told.phase for told in missed.changes_since(seq, 2.2)] == [Phase.DRAINING]
 
 
 @test("a late heartbeat, telling or word of a later heartbeat does not bring back what has left")
 def _():
     registry = InstanceRegistry(SILENT_S)
-    registry.hear(row(call_seq=5), 0.0)
+    registry.merge(row(call_seq=5), 0.0)
     registry.leave("i-1", 1.0)
-    for at in (1.1, 20.0, FORGET_S + 1.5, GONE_S):
+    for at in (1.1, 20.0, RECORD_TTL_S + 1.5, TOMBSTONE_TTL_S):
         registry.sweep(at)
-        assert not registry.hear(row(call_seq=9), at) and not registry.again("i-1", 10, at)
+        assert not registry.merge(row(call_seq=9), at) and not registry.refresh("i-1", 10, at)
         assert phase(registry) == Phase.GONE
-    registry.sweep(1.0 + GONE_S + 0.1)
+    registry.sweep(1.0 + TOMBSTONE_TTL_S + 0.1)
     assert phase(registry) is None
 
 
 @test("a leave that overtakes its instance's heartbeats holds against them")
 def _():
     registry = InstanceRegistry(SILENT_S)
-    registry.hear(row("i-2"), 0.0)
+    registry.merge(row("i-2"), 0.0)
     assert registry.leave("i-1", 0.0).phase == Phase.GONE
-    assert not registry.hear(row(call_seq=3), 0.1) and phase(registry) == Phase.GONE
+    assert not registry.merge(row(call_seq=3), 0.1) and phase(registry) == Phase.GONE
     assert phase(registry, "i-2") == Phase.READY
 
 
 @test("a controller that stood still tells nothing as ready that it has not heard of late")
 def _():
-    for quiet_s, told in ((1.0, [Phase.READY]), (SILENT_S + 2.0, [Phase.SILENT]), (FORGET_S + 1.0, [])):
+    for quiet_s, told in ((1.0, [Phase.READY]), (SILENT_S + 2.0, [Phase.SILENT]), (RECORD_TTL_S + 1.0, [])):
         registry = InstanceRegistry(SILENT_S)
-        registry.hear(row(), 0.0)
+        registry.merge(row(), 0.0)
         registry.sweep(0.1)
-        assert [one.phase for one in registry.since(0, quiet_s)] == told
+        assert [one.phase for one in registry.changes_since(0, quiet_s)] == told
 
 
 @test("no chain of tellings outlives the tombstone: whoever is told of a silent backend counts that time as past")
 def _():
     first, second = InstanceRegistry(SILENT_S), InstanceRegistry(SILENT_S)
-    first.hear(row(), 0.0)
-    for told in first.since(0, FORGET_S - 1.0):
-        second.hear(told, FORGET_S - 1.0)
+    first.merge(row(), 0.0)
+    for told in first.changes_since(0, RECORD_TTL_S - 1.0):
+        second.merge(told, RECORD_TTL_S - 1.0)
     assert phase(second) == Phase.SILENT
-    second.sweep(2 * FORGET_S - SILENT_S)
+    second.sweep(2 * RECORD_TTL_S - SILENT_S)
     assert not second.records
 
 
 @test("an address used again: who was there is silent; word of an end, or of one that is silent, harms nobody there")
 def _():
     registry = InstanceRegistry(SILENT_S)
-    registry.hear(row("i-1", 9), 0.0)
-    registry.hear(row("i-2", 1, service="quay"), 1.0)
+    registry.merge(row("i-1", 9), 0.0)
+    registry.merge(row("i-2", 1, service="quay"), 1.0)
     assert (phase(registry, "i-1"), phase(registry, "i-2")) == (Phase.SILENT, Phase.READY)
-    registry.hear(row("i-0", 4, Phase.GONE), 1.1)
-    registry.hear(row("i-00", 4, Phase.SILENT), 1.2)
+    registry.merge(row("i-0", 4, Phase.GONE), 1.1)
+    registry.merge(row("i-00", 4, Phase.SILENT), 1.2)
     assert phase(registry, "i-2") == Phase.READY
     registry.leave("i-1", 1.3)
     assert phase(registry, "i-2") == Phase.READY
@@ -105,34 +112,34 @@
     registry = InstanceRegistry(SILENT_S)
     for at in range(10_000):
         now = at * 0.002
-        registry.hear(row(f"i-{at}", address=f"10.0.{at % 200}.9:80"), now)
+        registry.merge(row(f"i-{at}", address=f"10.0.{at % 200}.9:80"), now)
         if at % 3:
             registry.leave(f"i-{at}", now + 0.001)
         if at % 100 == 0:
             registry.sweep(now)
     registry.sweep(20.0 + SILENT_S)
-    assert len(registry.records) == MOST_ENDED
-    assert phase(registry, "i-9998") == Phase.GONE and not registry.hear(row("i-9998", 7), 26.0)
-    assert len(registry.since(0, 26.0)) == MOST_ENDED
-    registry.sweep(30.0 + GONE_S)
+    assert len(registry.records) == MAX_ENDED_RECORDS
+    assert phase(registry, "i-9998") == Phase.GONE and not registry.merge(row("i-9998", 7), 26.0)
+    assert len(registry.changes_since(0, 26.0)) == MAX_ENDED_RECORDS
+    registry.sweep(30.0 + TOMBSTONE_TTL_S)
     assert not registry.records
 
 
 @test("those that beat stay, however many have ended")
 def _():
     registry = InstanceRegistry(SILENT_S)
-    registry.hear(row("here", address="10.0.9.9:80"), 0.0)
-    for at in range(MOST_ENDED + 50):
+    registry.merge(row("here", address="10.0.9.9:80"), 0.0)
+    for at in range(MAX_ENDED_RECORDS + 50):
         registry.leave(f"i-{at}", 1.0 + at * 0.0001)
     registry.sweep(2.0)
-    assert phase(registry, "here") == Phase.READY and len(registry.records) == MOST_ENDED + 1
-    assert phase(registry, "i-0") is None and phase(registry, f"i-{MOST_ENDED}") == Phase.GONE
+    assert phase(registry, "here") == Phase.READY and len(registry.records) == MAX_ENDED_RECORDS + 1
+    assert phase(registry, "i-0") is None and phase(registry, f"i-{MAX_ENDED_RECORDS}") == Phase.GONE
 
 
 @test("a gateway remembers as many ends as a controller, the last ones, for longer")
 def _():
-    assert instance_directory.MOST_GONE >= instance_registry.MOST_ENDED
-    assert instance_directory.GONE_S > instance_registry.GONE_S
+    assert instance_directory.MOST_GONE >= instance_registry.MAX_ENDED_RECORDS
+    assert instance_directory.GONE_S > instance_registry.TOMBSTONE_TTL_S
     directory = InstanceDirectory(())
     for at in range(10_000):
         directory.merge(row(f"i-{at}"), at * 0.002)
