--- a/stoneyoke/consensus/replication.py
+++ b/stoneyoke/consensus/replication.py
@@ -114,7 +114,7 @@
             _, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
 
     async def prepare_at(self, current: Round, address: str) -> None:
-        if address == self.peers.own:
+        if address == self.peers.own_address:
             if await self.own(self.replica.prepare(current.ballot)):
                 return current.promised(self.replica.identity, self.replica.acceptor.accepted)
             return self.refused(current, self.replica.acceptor.promised)
@@ -132,7 +132,7 @@
     async def accept_at(self, current: Round, address: str) -> None:
         assert current.proposal
         proposal = Accepted(current.ballot, current.proposal)
-        if address == self.peers.own:
+        if address == self.peers.own_address:
             if await self.own(self.replica.accept(proposal)):
                 return current.accepted(self.replica.identity)
             return self.refused(current, self.replica.acceptor.promised)
@@ -158,7 +158,7 @@
             return False
 
     async def ask(self, address: str, message: Message, within_s: float) -> Message | None:
-        self.peers.add(address)
+        self.peers.add_peers(address)
         try:
             return await self.peers[address].link.call(message, within_s)
         except PeerUnreachable:
@@ -171,7 +171,7 @@
 
     def tell_chosen(self, ballot: Ballot) -> None:
         """Voters and learners hear of it at once; who does not hears it with the next pull."""
-        notice = ChosenNotice(self.peers.own, ballot_row(ballot))
+        notice = ChosenNotice(self.peers.own_address, ballot_row(ballot))
         for address in list(self.peers):
             self.spawn(self.ask(address, notice, CALL_S))
 
@@ -211,7 +211,7 @@
         return await self.with_body(chosen, current)
 
     async def query_at(self, current: Query, address: str) -> None:
-        if address == self.peers.own:
+        if address == self.peers.own_address:
             return current.replied(self.replica.identity, self.replica.acceptor.accepted)
         answer = await self.ask(address, QueryRequest(), CALL_S)
         if isinstance(answer, QueryResponse):
--- a/stoneyoke/controlplane/controller.py
+++ b/stoneyoke/controlplane/controller.py
@@ -54,13 +54,13 @@
 )
 from stoneyoke.transport.peers import PeerClient, PeerUnreachable
 
-CALL_S = 0.7
-PULL_S = 0.25  # how long a controller may hold another's pull
-PULL_MOST_S = 2.0  # the same for a gateway's
-FOLLOW_S = 0.05  # between two pulls
-PAUSE_S = 0.15  # after a peer that did not answer
-WATCH_S = 10.0  # a gateway silent for so long is forgotten
-SWEEP_S = 0.25
+CALL_TIMEOUT_S = 0.7
+PULL_HOLD_S = 0.25  # how long a controller may hold another's pull
+MAX_PULL_HOLD_S = 2.0  # the same for a gateway's
+PULL_INTERVAL_S = 0.05  # between two pulls
+UNREACHABLE_PAUSE_S = 0.15  # after a peer that did not answer
+GATEWAY_TIMEOUT_S = 10.0  # a gateway silent for so long is forgotten
+SWEEP_INTERVAL_S = 0.25
 
 P = ParamSpec("P")
 R = TypeVar("R")
@@ -101,19 +101,19 @@
         self.seeds, self.first_start, self.bounds = seeds, first_start, bounds
         self.silent_s, self.losses = silent_s, losses
         self.random_source = random_source or random.SystemRandom()
-        self.incarnation, self.born = f"{self.random_source.getrandbits(48):012x}", clock()
+        self.incarnation, self.started_at = f"{self.random_source.getrandbits(48):012x}", clock()
         self.tasks: set[asyncio.Future[Any]] = set()  # kept until they are done
         self.change_event = asyncio.Event()  # set and renewed when others should hear of something
         self.membership_version = 0  # rises with each change of the controllers and gateways known
         self.gateways_seen: dict[str, GatewaySeen] = {}
-        self.watch = HeartbeatWatch(WATCH_S)
+        self.watch = HeartbeatWatch(GATEWAY_TIMEOUT_S)
         self.configuration: Configuration | None = None  # the newest that is chosen
-        self.packed: tuple[Ballot, bytes] = (NO_BALLOT, b"")  # its text, deflated
-        self.peers = Peers(ip, port, dial, clock, self.meet_peer)
-        self.replica = Replica(ip, store, lambda *call: self.blocking(*call), self.learned)
+        self.compressed: tuple[Ballot, bytes] = (NO_BALLOT, b"")  # its text, deflated
+        self.peers = Peers(ip, port, dial, clock, self.start_following)
+        self.replica = Replica(ip, store, lambda *call: self.blocking(*call), self.on_chosen)
         proposer = f"{ip}/{self.incarnation}"
         self.replication = Replication(self.replica, self.peers, proposer, self.spawn, self.random_source)
-        self.configurations = ConfigurationService(self.replication, self.in_touch)
+        self.configurations = ConfigurationService(self.replication, self.has_quorum)
         self.discovery: DiscoveryService
         self.lease: QuotaLease
         self.membership: Membership
@@ -126,22 +126,22 @@
             own_address=self.ip,
             voters=lambda: self.replica.voters().addresses(),
             peers=self.peers.links,
-            in_touch=self.in_touch,
+            has_quorum=self.has_quorum,
             clock=self.clock,
-            changed=self.changed,
+            changed=self.notify_change,
             spawn=self.spawn,
         )
-        self.discovery = DiscoveryService(surroundings, silent_s=self.silent_s, everyone_beats_s=self.silent_s)
+        self.discovery = DiscoveryService(surroundings, silent_s=self.silent_s, heartbeat_round_s=self.silent_s)
         if fresh:
-            self.discovery.first_start()
+            self.discovery.mark_first_start()
         self.lease = QuotaLease(
             self.replica,
             self.peers,
             self.incarnation,
             bounds=self.bounds,
-            fresh=fresh,
+            first_start=fresh,
             gateways=self.gateways,
-            changed=self.changed,
+            changed=self.notify_change,
             clock=self.clock,
             spawn=self.spawn,
             random_source=self.random_source,
@@ -149,25 +149,25 @@
         self.membership = Membership(
             self.replication,
             self.peers,
-            holds_lease=self.lease.holds,
+            holds_lease=self.lease.is_held,
             clock=self.clock,
             size=wanted_size(self.losses),
             catch_up_s=self.bounds["catch_up_s"],
             random_source=self.random_source,
         )
-        self.meet(*self.seeds, *self.replica.voters().addresses())
+        self.add_peers(*self.seeds, *self.replica.voters().addresses())
         for work in (
-            self.discovery.tell_often(),
-            self.discovery.sweep_often(),
-            self.sweep_often(),
-            self.lease.tend(),
-            self.membership.tend(),
+            self.discovery.run_forwarding(),
+            self.discovery.run_sweeper(),
+            self.run_sweeper(),
+            self.lease.run(),
+            self.membership.run(),
         ):
             self.spawn(work)
 
     async def leave(self, within_s: float) -> None:
         """Gives its vote to a learner, if there is one; returns then, or when the time is up."""
-        self.changed()
+        self.notify_change()
         await self.membership.leave(within_s)
 
     def spawn(self, work: Coroutine[Any, Any, R]) -> asyncio.Task[R]:
@@ -179,33 +179,33 @@
     async def blocking(self, work: Callable[P, R], *args: P.args, **kwargs: P.kwargs) -> R:
         return await asyncio.get_running_loop().run_in_executor(None, lambda: work(*args, **kwargs))
 
-    def changed(self) -> None:
+    def notify_change(self) -> None:
         """Whoever waits for news is answered."""
         self.change_event.set()
         self.change_event = asyncio.Event()
 
-    def learned(self) -> None:
+    def on_chosen(self) -> None:
         """A newer value of the register is known to be chosen."""
         chosen = self.replica.chosen
-        if chosen and chosen.value.body and chosen.value.version != self.version_read():
+        if chosen and chosen.value.body and chosen.value.version != self.configuration_version():
             try:
                 self.configuration = read_configuration(chosen.value.body)
             except InvalidField as bad:
                 logger.error("the configuration that is chosen can't be read: {}", bad)
         if chosen:
-            self.meet(*chosen.value.voters.addresses())
-        self.changed()
+            self.add_peers(*chosen.value.voters.addresses())
+        self.notify_change()
 
-    def version_read(self) -> Version:
+    def configuration_version(self) -> Version:
         return self.configuration.version if self.configuration else Version()
 
     # ---- other controllers ----
 
-    def meet(self, *addresses: str) -> None:
-        if self.peers.add(*addresses):
+    def add_peers(self, *addresses: str) -> None:
+        if self.peers.add_peers(*addresses):
             self.membership_version += 1
 
-    def meet_peer(self, address: str, peer: Peer) -> None:
+    def start_following(self, address: str, peer: Peer) -> None:
         peer.tasks.append(self.spawn(self.follow(address, peer)))
 
     async def follow(self, address: str, peer: Peer) -> None:
@@ -213,9 +213,9 @@
         while True:
             try:
                 await self.pull(address, peer)
-                await asyncio.sleep(FOLLOW_S)
+                await asyncio.sleep(PULL_INTERVAL_S)
             except PeerUnreachable:
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(UNREACHABLE_PAUSE_S)
             except Exception:
                 logger.exception("following {} failed", address)
                 await asyncio.sleep(1.0)
@@ -231,48 +231,48 @@
             stamp(self.replica.version()),
             True,
             False,
-            int(PULL_S * 1000),
+            int(PULL_HOLD_S * 1000),
             self.incarnation,
             -1,
         )
         begun_at = self.clock()
-        news = await peer.link.call(request, CALL_S + PULL_S)
+        news = await peer.link.call(request, CALL_TIMEOUT_S + PULL_HOLD_S)
         if not isinstance(news, PullResponse):
             raise PeerUnreachable("an answer of another kind")
-        peer.hear(news, self.clock())
-        self.discovery.hear_rows(news.rows)
-        self.discovery.pulled_from(address, news.settled, begun_at)
-        self.meet(*news.cores)
+        peer.record_response(news, self.clock())
+        self.discovery.merge_rows(news.rows)
+        self.discovery.record_pull(address, news.instances_synced, begun_at)
+        self.add_peers(*news.cores)
         if peer.chosen_ballot > (self.replica.chosen.ballot if self.replica.chosen else NO_BALLOT):
             await self.replication.catch_up(address, peer.chosen_ballot)
 
-    def in_touch(self) -> bool:
+    def has_quorum(self) -> bool:
         """More than half of the voters, this controller included, are heard."""
-        return self.peers.majority_in_touch(self.replica.voters().members, self.replica.identity)
+        return self.peers.majority_reachable(self.replica.voters().members, self.replica.identity)
 
     def gateways(self) -> list[str]:
         """Those that were there of late, by this controller's word or another's: they may hold parts of quotas."""
         now = self.clock()
         seen = {name for name, one in self.gateways_seen.items() if now - one.at < FORGET_S}
-        told = {name for peer in self.peers.values() if now - peer.heard_at < FORGET_S for name in peer.gateways}
+        told = {name for peer in self.peers.values() if now - peer.last_heard_at < FORGET_S for name in peer.gateways}
         return sorted(seen | told)
 
-    async def sweep_often(self) -> None:
+    async def run_sweeper(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_S)
-            if self.watch.sweep(self.clock()):
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            if self.watch.expire(self.clock()):
                 self.membership_version += 1
-                self.changed()
+                self.notify_change()
 
     # ---- what other processes ask ----
 
-    async def answer(self, message: Message) -> Message | None:
+    async def handle_message(self, message: Message) -> Message | None:
         """The answer to another process's message; None: nothing is said."""
         match message:
             case PullRequest():
-                return await self.pulled(message)
+                return await self.answer_pull(message)
             case FetchRequest():
-                return self.fetched()
+                return self.answer_fetch()
             case PrepareRequest():
                 return await self.replication.prepared(message)
             case AcceptRequest():
@@ -284,48 +284,48 @@
             case ChosenNotice():
                 return await self.replication.noticed(message)
             case InstanceUpdate():
-                return self.discovery.update(message)
+                return self.discovery.handle_update(message)
             case InstanceRefresh():
-                return self.discovery.refresh(message)
+                return self.discovery.handle_refresh(message)
             case LeaseRequest():
-                return self.lease.asked(message)
+                return self.lease.answer_request(message)
             case QuotaRequest():
-                return self.draw(message)
+                return self.allocate_quota(message)
         return None
 
-    async def pulled(self, asked: PullRequest) -> PullResponse:
+    async def answer_pull(self, asked: PullRequest) -> PullResponse:
         if asked.kind == "controller":
-            self.meet(asked.ip)
+            self.add_peers(asked.ip)
         else:
-            self.hear_gateway(asked)
+            self.record_gateway(asked)
         change_event = self.change_event
-        if asked.wait_ms > 0 and self.knows_all(asked):
+        if asked.wait_ms > 0 and self.is_up_to_date(asked):
             try:
-                async with asyncio.timeout(min(asked.wait_ms / 1000, PULL_MOST_S)):
+                async with asyncio.timeout(min(asked.wait_ms / 1000, MAX_PULL_HOLD_S)):
                     await change_event.wait()
             except TimeoutError:
                 pass
-        return self.news(asked)
+        return self.pull_response(asked)
 
-    def hear_gateway(self, asked: PullRequest) -> None:
+    def record_gateway(self, asked: PullRequest) -> None:
         now = self.clock()
         self.gateways_seen[asked.name] = GatewaySeen(Version(*asked.stamp), now, asked.ready)
-        if asked.beat and self.watch.beat(asked.name, now):
+        if asked.beat and self.watch.record_heartbeat(asked.name, now):
             self.membership_version += 1
-            self.changed()
+            self.notify_change()
 
-    def knows_all(self, asked: PullRequest) -> bool:
+    def is_up_to_date(self, asked: PullRequest) -> bool:
         """Whether there is nothing new for the asker."""
         current = asked.incarnation == self.incarnation and asked.seq >= self.discovery.registry.seq
         rolled = asked.membership_version == self.membership_version or asked.kind == "controller"
         return current and rolled and self.replica.version() <= Version(*asked.stamp)
 
-    def news(self, asked: PullRequest) -> PullResponse:
+    def pull_response(self, asked: PullRequest) -> PullResponse:
         known, view, chosen = asked.incarnation == self.incarnation, self.replica.view(), self.replica.chosen
         rows = self.discovery.registry.changes_since(asked.seq if known else 0, self.clock())
         lists: tuple[list[str], list[str]] = ([], [])
         if not known or asked.membership_version != self.membership_version:
-            lists = ([self.ip, *self.peers], list(self.watch.seen))
+            lists = ([self.ip, *self.peers], list(self.watch.last_heard_at))
         return PullResponse(
             self.incarnation,
             self.discovery.registry.seq,
@@ -336,7 +336,7 @@
             value_row(view.value if view else EMPTY, with_body=False),
             ballot_row(chosen.ballot if chosen else NO_BALLOT),
             stamp(self.replica.version()),
-            self.discovery.settled(),
+            self.discovery.synced(),
             self.lease.holder_known(),
             self.membership.leaving,
             self.zone,
@@ -344,17 +344,17 @@
             *lists,
         )
 
-    def fetched(self) -> FetchResponse:
+    def answer_fetch(self) -> FetchResponse:
         chosen = self.replica.chosen
         if chosen is None:
             return FetchResponse(stamp(Version()), b"")
-        if self.packed[0] != chosen.ballot or not self.packed[1]:
-            self.packed = (chosen.ballot, zlib.compress(chosen.value.body, 6))
-        return FetchResponse(stamp(chosen.value.version), self.packed[1])
+        if self.compressed[0] != chosen.ballot or not self.compressed[1]:
+            self.compressed = (chosen.ballot, zlib.compress(chosen.value.body, 6))
+        return FetchResponse(stamp(chosen.value.version), self.compressed[1])
 
-    def draw(self, asked: QuotaRequest) -> QuotaResponse:
+    def allocate_quota(self, asked: QuotaRequest) -> QuotaResponse:
         allocator = self.lease.allocator
-        if not allocator or not self.lease.holds():
+        if not allocator or not self.lease.is_held():
             return QuotaResponse(False, [])
         allocator.plans(self.configuration.tenants or [] if self.configuration else [])
         deaf_s = asked.deaf_ms / 1000
@@ -364,7 +364,7 @@
 
     # ---- what backends and operators ask ----
 
-    async def call(self, asked: Asked) -> Answer:
+    async def handle_call(self, asked: Asked) -> Answer:
         match asked:
             case Heartbeat():
                 return await self.discovery.heartbeat(asked)
--- a/stoneyoke/controlplane/heartbeat_ring.py
+++ b/stoneyoke/controlplane/heartbeat_ring.py
@@ -3,35 +3,35 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-WATCHERS = 2
+WATCHER_COUNT = 2
 
 
-def place(name: str) -> int:
+def ring_position(name: str) -> int:
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
-def watchers(name: str, cores: Iterable[str], count: int = WATCHERS) -> list[str]:
-    """The cores that follow a gateway's place on the ring: each machine works it out for itself."""
-    own = place(name)
-    ring = sorted(set(cores), key=lambda core: ((place(core) - own) % 2**64, core))
+def watchers(name: str, controllers: Iterable[str], count: int = WATCHER_COUNT) -> list[str]:
+    """The controllers that follow a gateway's ring_position on the ring: each machine works it out for itself."""
+    own = ring_position(name)
+    ring = sorted(set(controllers), key=lambda controller: ((ring_position(controller) - own) % 2**64, controller))
     return ring[:count]
 
 
 class HeartbeatWatch:
-    """The gateways whose beats were heard, here or by other watchers. Forgotten after forget_s of silence."""
+    """The gateways whose beats were heard, here or by other watchers. Forgotten after timeout_s of silence."""
 
-    def __init__(self, forget_s: float) -> None:
-        self.forget_s = forget_s
-        self.seen: dict[str, float] = {}
+    def __init__(self, timeout_s: float) -> None:
+        self.timeout_s = timeout_s
+        self.last_heard_at: dict[str, float] = {}
 
-    def beat(self, name: str, now: float) -> bool:
-        new = name not in self.seen
-        self.seen[name] = now
+    def record_heartbeat(self, name: str, now: float) -> bool:
+        new = name not in self.last_heard_at
+        self.last_heard_at[name] = now
         return new
 
-    def sweep(self, now: float) -> bool:
+    def expire(self, now: float) -> bool:
         """Whether any was forgotten."""
-        late = [name for name, at in self.seen.items() if now - at > self.forget_s]
+        late = [name for name, at in self.last_heard_at.items() if now - at > self.timeout_s]
         for name in late:
-            del self.seen[name]
+            del self.last_heard_at[name]
         return bool(late)
--- a/stoneyoke/controlplane/membership.py
+++ b/stoneyoke/controlplane/membership.py
@@ -11,14 +11,14 @@
 from stoneyoke.consensus.voter_set import LOST_PART, STEADY_S, MemberReport, change_of_voters, next_members
 from stoneyoke.controlplane.peers import NEVER, Peers
 
-LOOK_S = 0.25
-START_LOOK_S = 0.05  # while nothing is known to be chosen: gateways that start wait for it
-CHANGE_S = 2.0  # one change of voters may take so long
-UNSETTLED_S = 0.4  # a value may be accepted and not known to be chosen for so long: several times a round
+CHECK_INTERVAL_S = 0.25
+STARTUP_CHECK_INTERVAL_S = 0.05  # while nothing is known to be chosen: gateways that start wait for it
+PROPOSAL_TIMEOUT_S = 2.0  # one propose_change of voters may take so long
+RESOLVE_DELAY_S = 0.4  # a value may be accepted and not known to be chosen for so long: several times a round
 
 
 class Membership:
-    """holds_lease: whether this controller is the one that changes voters. born: when it started. size: how many
+    """holds_lease: whether this controller is the one that changes voters. started_at: when it started. size: how many
     voters there should be. catch_up_s: the operators' bound for a machine that comes back or is new."""
 
     def __init__(
@@ -34,78 +34,78 @@
     ) -> None:
         self.replication, self.replica, self.peers = replication, replication.replica, peers
         self.holds_lease, self.clock, self.size, self.random_source = holds_lease, clock, size, random_source
-        self.lost_s, self.born = LOST_PART * catch_up_s, clock()
+        self.lost_after_s, self.started_at = LOST_PART * catch_up_s, clock()
         self.leaving = False  # this controller was told to end
-        self.unsettled_at: float | None = None
+        self.resolve_at: float | None = None
 
-    async def tend(self) -> None:
+    async def run(self) -> None:
         """For as long as this process lives."""
         while True:
             try:
-                await self.look()
+                await self.check()
             except Exception:
                 logger.exception("tending the voters failed")
-            pause = LOOK_S if self.replica.chosen else START_LOOK_S
+            pause = CHECK_INTERVAL_S if self.replica.chosen else STARTUP_CHECK_INTERVAL_S
             await asyncio.sleep(pause * (0.8 + 0.4 * self.random_source.random()))
 
-    async def look(self) -> None:
-        if self.unsettled():
-            await self.replication.read(CHANGE_S)
+    async def check(self) -> None:
+        if self.has_unresolved_value():
+            await self.replication.read(PROPOSAL_TIMEOUT_S)
         elif self.holds_lease() and self.replica.chosen:
-            await self.change()
+            await self.propose_change()
 
-    def unsettled(self) -> bool:
+    def has_unresolved_value(self) -> bool:
         """Whether the newest value known here has not been known to be chosen for a while: after a start, or because
         its proposer ended. Controllers wait for different times, so that few of them settle it at once."""
         view, chosen = self.replica.view(), self.replica.chosen
         if view is None or (chosen and chosen.ballot >= view.ballot):
-            self.unsettled_at = None
+            self.resolve_at = None
             return False
         now = self.clock()
-        if self.unsettled_at is None:
-            self.unsettled_at = now + UNSETTLED_S * (1 + self.random_source.random()) if chosen else now
-        return now >= self.unsettled_at
+        if self.resolve_at is None:
+            self.resolve_at = now + RESOLVE_DELAY_S * (1 + self.random_source.random()) if chosen else now
+        return now >= self.resolve_at
 
-    async def change(self) -> None:
-        """Proposes the next voters, or takes the mark of a change that is chosen off."""
+    async def propose_change(self) -> None:
+        """Proposes the next voters, or takes the mark of a propose_change that is chosen off."""
         chosen = self.replica.chosen
         assert chosen
-        change = change_of_voters(chosen.value, self.wanted(chosen.value.voters))
-        if change is None:
+        propose_change = change_of_voters(chosen.value, self.desired_members(chosen.value.voters))
+        if propose_change is None:
             return
-        decided = await self.replication.propose(change, CHANGE_S)
+        decided = await self.replication.propose(propose_change, PROPOSAL_TIMEOUT_S)
         if decided and decided.value.voters != chosen.value.voters:
             logger.info("voters {}: {}", decided.value.voters.number, decided.value.voters.addresses())
-            await self.replication.propose(unchanged, CHANGE_S)
+            await self.replication.propose(unchanged, PROPOSAL_TIMEOUT_S)
 
-    def wanted(self, voters: VoterSet) -> tuple[ReplicaId, ...]:
+    def desired_members(self, voters: VoterSet) -> tuple[ReplicaId, ...]:
         now = self.clock()
-        return next_members(voters.members, self.report(voters, now), self.size, self.lost_s)
+        return next_members(voters.members, self.member_report(voters, now), self.size, self.lost_after_s)
 
-    def report(self, voters: VoterSet, now: float) -> MemberReport:
-        silent = {member: self.silent_s(member, now) for member in voters.members}
+    def member_report(self, voters: VoterSet, now: float) -> MemberReport:
+        silent = {member: self.silence_s(member, now) for member in voters.members}
         leaving = [peer.replica for peer in self.peers.values() if peer.leaving and peer.replica]
         if self.leaving:
             leaving.append(self.replica.identity)
         return MemberReport(silent, frozenset(leaving), self.learners(voters, now))
 
-    def silent_s(self, member: ReplicaId, now: float) -> float:
+    def silence_s(self, member: ReplicaId, now: float) -> float:
         """For how long this member was not heard; since this controller's start at most."""
         if member == self.replica.identity:
             return 0.0
         peer = self.peers.get(member.address)
-        heard_at = peer.heard_at if peer and peer.replica in (member, None) else NEVER
-        return now - max(heard_at, self.born)
+        last_heard_at = peer.last_heard_at if peer and peer.replica in (member, None) else NEVER
+        return now - max(last_heard_at, self.started_at)
 
     def learners(self, voters: VoterSet, now: float) -> tuple[ReplicaId, ...]:
         """Members without a vote that hold what is chosen, the steadiest first."""
         chosen = self.replica.chosen
         steady = [
-            (peer.steady_at, peer.replica)
-            for peer in self.peers.heard().values()
+            (peer.steady_since, peer.replica)
+            for peer in self.peers.reachable().values()
             if peer.replica
             and peer.replica not in voters.members
-            and now - peer.steady_at >= STEADY_S
+            and now - peer.steady_since >= STEADY_S
             and chosen
             and peer.chosen_ballot >= chosen.ballot
         ]
@@ -115,7 +115,7 @@
         """Gives this controller's vote to a learner, if there is one; returns then, or when the time is up."""
         self.leaving = True
         voters = self.replica.voters()
-        if not any(peer.replica not in voters.members and not peer.leaving for peer in self.peers.heard().values()):
+        if not any(peer.replica not in voters.members and not peer.leaving for peer in self.peers.reachable().values()):
             return
         try:
             async with asyncio.timeout(within_s):
--- a/stoneyoke/controlplane/peers.py
+++ b/stoneyoke/controlplane/peers.py
@@ -10,7 +10,7 @@
 from stoneyoke.consensus.quorum import majority
 from stoneyoke.transport.messages import Message, PullResponse
 
-TOUCH_S = 1.2  # a peer that answered within this is in touch
+CONTACT_TIMEOUT_S = 1.2  # a peer that answered within this is in touch
 NEVER = -1e9
 
 
@@ -31,39 +31,49 @@
     replica: ReplicaId | None = None
     view: Accepted | None = None  # without its text
     chosen_ballot: Ballot = NO_BALLOT
-    heard_at: float = NEVER
+    last_heard_at: float = NEVER
     incarnation: str = ""
     seq: int = 0
-    settled: bool = False
+    instances_synced: bool = False
     gateways: tuple[str, ...] = ()  # whose heartbeats it has heard
     lease_holder: str = ""  # who has the lease of the quotas, by its word
     leaving: bool = False
-    steady_at: float = NEVER  # since when it has answered without a break
+    steady_since: float = NEVER  # since when it has answered without a break
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
-    def hear(self, news: PullResponse, now: float) -> None:
+    def record_response(self, news: PullResponse, now: float) -> None:
         replica = ReplicaId(*news.replica)
-        if now - self.heard_at > TOUCH_S or self.incarnation != news.incarnation or self.replica != replica:
-            self.steady_at = now
-        self.replica, self.heard_at, self.incarnation, self.seq = replica, now, news.incarnation, news.seq
+        if (
+            now - self.last_heard_at > CONTACT_TIMEOUT_S
+            or self.incarnation != news.incarnation
+            or self.replica != replica
+        ):
+            self.steady_since = now
+        self.replica, self.last_heard_at, self.incarnation, self.seq = replica, now, news.incarnation, news.seq
         self.view = Accepted(Ballot(*news.view_ballot), read_value(news.view))
         self.chosen_ballot = Ballot(*news.chosen_ballot)
-        self.settled, self.gateways = news.settled, tuple(news.gateways)
+        self.instances_synced, self.gateways = news.instances_synced, tuple(news.gateways)
         self.lease_holder, self.leaving = news.lease_holder, news.leaving
 
 
 class Peers(Mapping[str, Peer]):
-    """By address. meet: called with each peer that is new."""
+    """By address. on_new_peer: called with each peer that is new."""
 
     def __init__(
         self,
-        own: str,
+        own_address: str,
         port: int,
         dial: Callable[[tuple[str, int]], PeerLink],
         clock: Callable[[], float],
-        meet: Callable[[str, Peer], None],
+        on_new_peer: Callable[[str, Peer], None],
     ) -> None:
-        self.own, self.port, self.dial, self.clock, self.meet = own, port, dial, clock, meet
+        self.own_address, self.port, self.dial, self.clock, self.on_new_peer = (
+            own_address,
+            port,
+            dial,
+            clock,
+            on_new_peer,
+        )
         self.known: dict[str, Peer] = {}
 
     def __getitem__(self, address: str) -> Peer:
@@ -75,12 +85,12 @@
     def __len__(self) -> int:
         return len(self.known)
 
-    def add(self, *addresses: str) -> bool:
+    def add_peers(self, *addresses: str) -> bool:
         """Whether any of them is new."""
-        new = [one for one in dict.fromkeys(addresses) if one and one != self.own and one not in self.known]
+        new = [one for one in dict.fromkeys(addresses) if one and one != self.own_address and one not in self.known]
         for address in new:
             peer = self.known[address] = Peer(self.dial((address, self.port)))
-            self.meet(address, peer)
+            self.on_new_peer(address, peer)
         return bool(new)
 
     def links(self) -> dict[str, PeerLink]:
@@ -89,14 +99,14 @@
 
     def in_touch(self, address: str) -> bool:
         peer = self.known.get(address)
-        return peer is not None and self.clock() - peer.heard_at < TOUCH_S
+        return peer is not None and self.clock() - peer.last_heard_at < CONTACT_TIMEOUT_S
 
-    def heard(self) -> dict[str, Peer]:
+    def reachable(self) -> dict[str, Peer]:
         """Those that are in touch."""
         now = self.clock()
-        return {address: peer for address, peer in self.known.items() if now - peer.heard_at < TOUCH_S}
+        return {address: peer for address, peer in self.known.items() if now - peer.last_heard_at < CONTACT_TIMEOUT_S}
 
-    def majority_in_touch(self, members: tuple[ReplicaId, ...], own: ReplicaId) -> bool:
+    def majority_reachable(self, members: tuple[ReplicaId, ...], own: ReplicaId) -> bool:
         """Whether more than half of these members, with their disks, are heard, this one included."""
-        near = {own, *(peer.replica for peer in self.heard().values())}
+        near = {own, *(peer.replica for peer in self.reachable().values())}
         return bool(members) and sum(member in near for member in members) >= majority(len(members))
--- a/stoneyoke/controlplane/status.py
+++ b/stoneyoke/controlplane/status.py
@@ -25,14 +25,14 @@
             "chosen": replica.chosen.ballot.counter if replica.chosen else None,
         },
         "voters": {"number": voters.number, "members": [f"{one.address}/{one.disk}" for one in voters.members]},
-        "in_touch": controller.in_touch(),
+        "in_touch": controller.has_quorum(),
         "keeper": controller.lease.holder_known(),
         "controllers": {
             name: {
                 "disk": peer.replica.disk if peer.replica else None,
                 "version": str(peer.view.value.version) if peer.view else None,
                 "votes": peer.replica in voters.members,
-                "silent_s": round(now - peer.heard_at, 2),
+                "silent_s": round(now - peer.last_heard_at, 2),
             }
             for name, peer in controller.peers.items()
         },
--- a/stoneyoke/gateway/instance_directory.py
+++ b/stoneyoke/gateway/instance_directory.py
@@ -94,7 +94,7 @@
 
     def sweep(self, now: float) -> None:
         """Doubts, and what ends them; called now and then."""
-        near = [one for one in self.near(now) if one.news and one.news.settled]
+        near = [one for one in self.near(now) if one.news and one.news.instances_synced]
         voters = len(self.voters().members)
         if near and len(near) >= min(majority(voters or 1), voters or 1):
             for name, instance_known in list(self.known.items()):
@@ -127,7 +127,7 @@
         settled."""
         told = [one for one in self.sources.values() if one.news]
         if now is not None:
-            told = [one for one in told if now - one.heard_at < TOUCH_S and one.news and one.news.settled]
+            told = [one for one in told if now - one.heard_at < TOUCH_S and one.news and one.news.instances_synced]
         return {
             ReplicaId(*one.news.replica): Accepted(Ballot(*one.news.view_ballot), read_value(one.news.view))
             for one in told
--- a/stoneyoke/lab/capacity/hollow_fleet.py
+++ b/stoneyoke/lab/capacity/hollow_fleet.py
@@ -146,7 +146,7 @@
         controller.blocking = disk.blocking  # type: ignore[method-assign, assignment]
         await controller.start()
         self.controllers[name] = controller
-        self.network.ports[name] = controller.answer
+        self.network.ports[name] = controller.handle_message
 
     def start_gateway(self, at: int) -> None:
         name = f"gateway-{at:04d}"
@@ -158,7 +158,7 @@
 
         async def meet() -> Answer:
             asked = ask(method, target, body)
-            return asked if isinstance(asked, Rejected) else await self.controllers[name].call(asked)
+            return asked if isinstance(asked, Rejected) else await self.controllers[name].handle_call(asked)
 
         said: Answer = await self.network.run_on(name, meet())
         return said == Acknowledged()
--- a/stoneyoke/lab/capacity/hot_paths.py
+++ b/stoneyoke/lab/capacity/hot_paths.py
@@ -163,7 +163,13 @@
     silent = PullResponse(*(empty(kind) for kind in TYPES[PullResponse]))
     told: list[MessageRow] = list(rows)
     return replace(
-        silent, incarnation="life", seq=registry.seq, whole=whole, rows=told, settled=True, membership_version=1
+        silent,
+        incarnation="life",
+        seq=registry.seq,
+        whole=whole,
+        rows=told,
+        instances_synced=True,
+        membership_version=1,
     )
 
 
--- a/stoneyoke/lab/simulation/consensus_defects.py
+++ b/stoneyoke/lab/simulation/consensus_defects.py
@@ -107,14 +107,14 @@
 def equal_numbers_overwritten() -> list[Patch]:
     """Of two contents under one number the later one replaces the first."""
 
-    def applied(orders: tuple[Configuration, ...], found: RegisterValue) -> RegisterValue:
+    def apply_replacements(orders: tuple[Configuration, ...], found: RegisterValue) -> RegisterValue:
         newer = [one for one in orders if one.version.number >= found.version.number]
         if not newer:
             return found
         first = max(newer, key=lambda one: one.version.number)
         return replace(found, version=first.version, body=first.body)
 
-    return [(configuration_service, "applied", applied)]
+    return [(configuration_service, "apply_replacements", apply_replacements)]
 
 
 def conflict_from_undecided() -> list[Patch]:
@@ -136,22 +136,22 @@
 def conflict_for_older() -> list[Patch]:
     """An order below what is chosen is refused."""
 
-    def verdict(order: Configuration, chosen: RegisterValue) -> Answer | None:
+    def outcome_of(order: Configuration, chosen: RegisterValue) -> Answer | None:
         if chosen.version.number > order.version.number:
-            return Rejected(configuration_service.CONFLICT, "generation", "older")
+            return Rejected(configuration_service.CONFLICT_STATUS, "generation", "older")
         return real(order, chosen)
 
-    real = configuration_service.verdict
-    return [(configuration_service, "verdict", verdict)]
+    real = configuration_service.outcome_of
+    return [(configuration_service, "outcome_of", outcome_of)]
 
 
 def conflict_acknowledged() -> list[Patch]:
     """Another content under a number that is in force is acknowledged."""
 
-    def verdict(order: Configuration, chosen: RegisterValue) -> Answer | None:
+    def outcome_of(order: Configuration, chosen: RegisterValue) -> Answer | None:
         return Acknowledged() if chosen.version.number >= order.version.number else None
 
-    return [(configuration_service, "verdict", verdict)]
+    return [(configuration_service, "outcome_of", outcome_of)]
 
 
 def query_without_agreement() -> list[Patch]:
--- a/stoneyoke/lab/simulation/exhaustive/operations.py
+++ b/stoneyoke/lab/simulation/exhaustive/operations.py
@@ -63,7 +63,7 @@
 def change(operation: Operation, desired: DesiredMembers | None) -> Change:
     if operation.kind is OperationKind.ORDER:
         orders = tuple(configuration(version) for version in operation.versions)
-        return functools.partial(configuration_service.applied, orders)
+        return functools.partial(configuration_service.apply_replacements, orders)
     if desired and (membership_change := voter_set.change_of_voters(desired.on, desired.members)):
         return membership_change
     return unchanged
@@ -74,7 +74,7 @@
     if operation.kind is OperationKind.READ:
         return invariants.record_shown(state, chosen)
     for version in operation.versions:
-        told = configuration_service.verdict(configuration(version), chosen.value)
+        told = configuration_service.outcome_of(configuration(version), chosen.value)
         match told:
             case Acknowledged():
                 state = invariants.check_acknowledged(state, version)
--- a/stoneyoke/lab/simulation/fleet_defects.py
+++ b/stoneyoke/lab/simulation/fleet_defects.py
@@ -15,7 +15,7 @@
 
 def lease_unfenced() -> list[Patch]:
     """A holder believes in its lease for twice as long as voters do."""
-    return [(leases, "STOP", 2.0)]
+    return [(leases, "HOLDER_TTL_FRACTION", 2.0)]
 
 
 def grants_after_start() -> list[Patch]:
@@ -30,9 +30,9 @@
 
 def counts_from_answer() -> list[Patch]:
     """A holder counts its lease from when the grants came, not from before it asked."""
-    real = leases.LeaseHolder.answer
+    real = leases.LeaseHolder.record_reply
 
-    def answer(
+    def record_reply(
         self: leases.LeaseHolder,
         voter: protocol.ReplicaId,
         ok: bool,
@@ -41,10 +41,10 @@
         now: float,
     ) -> None:
         real(self, voter, ok, voters, began, now)
-        if self.until > now:
-            self.until = now + leases.TTL_S
+        if self.expires_at > now:
+            self.expires_at = now + leases.LEASE_TTL_S
 
-    return [(leases.LeaseHolder, "answer", answer)]
+    return [(leases.LeaseHolder, "record_reply", record_reply)]
 
 
 def alone_not_told() -> list[Patch]:
@@ -141,8 +141,8 @@
         pass
 
     return [
-        (discovery_service.DiscoveryService, "spread", spread),
-        (discovery_service.DiscoveryService, "tell_beats", beats),
+        (discovery_service.DiscoveryService, "acknowledge_by_majority", spread),
+        (discovery_service.DiscoveryService, "forward_heartbeats", beats),
     ]
 
 
@@ -164,14 +164,14 @@
 
 def gives_back_late() -> list[Patch]:
     """A round of asking for a duty has no number: a late one that gives back undoes a newer grant."""
-    real = leases.LeaseGranter.ask
+    real = leases.LeaseGranter.request
 
-    def ask(
-        self: leases.LeaseGranter, duty: str, holder: str, incarnation: str, ttl_s: float, now: float, number: int
+    def request(
+        self: leases.LeaseGranter, lease_name: str, holder: str, incarnation: str, ttl_s: float, now: float, number: int
     ) -> Any:
-        return real(self, duty, holder, incarnation, ttl_s, now, 0)
+        return real(self, lease_name, holder, incarnation, ttl_s, now, 0)
 
-    return [(leases.LeaseGranter, "ask", ask)]
+    return [(leases.LeaseGranter, "request", request)]
 
 
 def first_whole() -> list[Patch]:
--- a/stoneyoke/lab/simulation/invariants.py
+++ b/stoneyoke/lab/simulation/invariants.py
@@ -37,7 +37,7 @@
 
     def check_lease(self, now: float) -> None:
         machines = self.scenario.controllers.items()
-        holders = [name for name, one in machines if one.controller and one.controller.lease.holds()]
+        holders = [name for name, one in machines if one.controller and one.controller.lease.is_held()]
         self.judge.must(len(holders) <= 1, now, f"LEASE: two hold it: {holders}")
 
     def check_controller(self, machine: "ControllerMachine", controller: Controller, now: float) -> None:
@@ -86,7 +86,7 @@
         judge.must(len(versions) <= 1, now, f"versions differ at the end: {sorted(map(str, versions))}")
         voters = {controller.replica.voters() for controller in up.values()}
         judge.must(len(voters) == 1, now, f"voters differ at the end: {voters}")
-        judge.must(sum(one.lease.holds() for one in up.values()) == 1, now, "LEASE: nobody holds it at the end")
+        judge.must(sum(one.lease.is_held() for one in up.values()) == 1, now, "LEASE: nobody holds it at the end")
         for name, gateway in scenario.gateways.items():
             ready = gateway.client is not None and gateway.client.config_sync.ready
             judge.must(ready, now, f"{name} is not ready at the end")
@@ -101,7 +101,7 @@
     def check_removed(self, up: dict[str, Controller], now: float) -> None:
         """Who was taken away for good votes no more, if anybody could take the place."""
         gone = [name for name, one in self.scenario.controllers.items() if one.removed]
-        since = min((controller.clock() - controller.born for controller in up.values()), default=0.0)
+        since = min((controller.clock() - controller.started_at for controller in up.values()), default=0.0)
         if not gone or since < CONVERGE_S:
             return
         for controller in up.values():
--- a/stoneyoke/lab/simulation/machines.py
+++ b/stoneyoke/lab/simulation/machines.py
@@ -80,7 +80,7 @@
         except Exception as bad:
             return scenario.judge.must(False, loop.time(), f"START: {self.name}: {type(bad).__name__}: {bad}")
         self.controller, self.started_at = controller, loop.time()
-        scenario.network.ports[self.name] = controller.answer
+        scenario.network.ports[self.name] = controller.handle_message
 
     def up(self) -> bool:
         return self.controller is not None
--- a/stoneyoke/lab/simulation/operators.py
+++ b/stoneyoke/lab/simulation/operators.py
@@ -7,7 +7,7 @@
 
 from stoneyoke.api.calls import Acknowledged, Document, ReadConfiguration, Rejected, ask
 from stoneyoke.api.configuration import Version, read_configuration
-from stoneyoke.controlplane.configuration_service import CONFLICT
+from stoneyoke.controlplane.configuration_service import CONFLICT_STATUS
 from stoneyoke.lab.simulation.plans import Order, Tenant, controller_address
 
 if TYPE_CHECKING:
@@ -62,7 +62,7 @@
     async def put_invalid(self, number: int) -> None:
         body = self.text(number + 50).replace(b'"target_service": "orders"', b'"target_service": "other"')
         said = await self.scenario.outside.call(controller_address(0), ask("POST", "/config/replace", body))
-        refused = isinstance(said, Rejected) and said.status != CONFLICT
+        refused = isinstance(said, Rejected) and said.status != CONFLICT_STATUS
         self.judge.must(refused, self.scenario.now(), "CONFIG: something invalid was not refused")
 
     async def put(self, number: int, twist: str = "", again: int = 0) -> None:
@@ -97,7 +97,7 @@
         now = scenario.now()
         if isinstance(said, Rejected):
             judge.note(now, f"{name} rejected {version} {said.path}")
-            judge.must(said.status == CONFLICT, now, f"CONFIG: {name} refuses a valid order: {said}")
+            judge.must(said.status == CONFLICT_STATUS, now, f"CONFIG: {name} refuses a valid order: {said}")
             controller = scenario.controllers[name].controller
             chosen = controller.replica.chosen if controller else None
             judge.register.conflict(now, version, name, chosen.value if chosen else None)
--- a/stoneyoke/lab/simulation/outside.py
+++ b/stoneyoke/lab/simulation/outside.py
@@ -57,7 +57,7 @@
             controller = machine.controller
             if controller is None or network.held[machine.name] > 0:
                 return
-            said = await asyncio.shield(network.run_on(machine.name, controller.call(asked)))
+            said = await asyncio.shield(network.run_on(machine.name, controller.handle_call(asked)))
         await asyncio.sleep(WAY_S)
         lost = network.answers_lost and random_source.random() < network.answers_lost
         if lost:
--- a/stoneyoke/lab/simulation/register_defects.py
+++ b/stoneyoke/lab/simulation/register_defects.py
@@ -67,14 +67,17 @@
 def highest_digest_wins() -> list[Patch]:
     """Of two contents under one number the one with the greater digest replaces the other, and both are confirmed."""
 
-    def applied(orders: Any, found: Any) -> Any:
+    def apply_replacements(orders: Any, found: Any) -> Any:
         highest = max(orders, key=lambda one: one.version)
         return replace(found, version=highest.version, body=highest.body) if highest.version > found.version else found
 
-    def verdict(order: Any, chosen: Any) -> Any:
+    def outcome_of(order: Any, chosen: Any) -> Any:
         return Acknowledged() if chosen.version >= order.version else None
 
-    return [(configuration_service, "applied", applied), (configuration_service, "verdict", verdict)]
+    return [
+        (configuration_service, "apply_replacements", apply_replacements),
+        (configuration_service, "outcome_of", outcome_of),
+    ]
 
 
 def reads_alone() -> list[Patch]:
@@ -101,20 +104,20 @@
 
 def cut_off_serves() -> list[Patch]:
     """A controller that hears no majority goes on as if it did."""
-    return [(peers.Peers, "majority_in_touch", lambda self, members, own: True)]
+    return [(peers.Peers, "majority_reachable", lambda self, members, own: True)]
 
 
 def taken_is_refused() -> list[Patch]:
     """An order whose number is taken is refused, be it the same one sent again."""
-    real = configuration_service.verdict
+    real = configuration_service.outcome_of
 
-    def verdict(order: Any, chosen: Any) -> Any:
+    def outcome_of(order: Any, chosen: Any) -> Any:
         told = real(order, chosen)
         if chosen.version.number > order.version.number:
-            return Rejected(configuration_service.CONFLICT, "generation", "older than what is in force")
+            return Rejected(configuration_service.CONFLICT_STATUS, "generation", "older than what is in force")
         return told
 
-    return [(configuration_service, "verdict", verdict)]
+    return [(configuration_service, "outcome_of", outcome_of)]
 
 
 def confirmed_once_accepted() -> list[Patch]:
@@ -123,7 +126,7 @@
 
     async def accept_at(self: replication.Replication, current: Any, address: str) -> None:
         await real(self, current, address)
-        if address == self.peers.own and current.phase is protocol.Phase.ACCEPT:
+        if address == self.peers.own_address and current.phase is protocol.Phase.ACCEPT:
             current.phase = protocol.Phase.CHOSEN
 
     return [(replication.Replication, "accept_at", accept_at)]
@@ -155,12 +158,12 @@
 
 def late_answer_counts() -> list[Patch]:
     """A grant counts for the round of asking that is out, whichever it was given for."""
-    real = leases.LeaseHolder.answer
+    real = leases.LeaseHolder.record_reply
 
-    def answer(self: leases.LeaseHolder, voter: Any, ok: bool, voters: Any, began: float, now: float) -> None:
-        real(self, voter, ok, voters, self.began, now)
+    def record_reply(self: leases.LeaseHolder, voter: Any, ok: bool, voters: Any, began: float, now: float) -> None:
+        real(self, voter, ok, voters, self.round_started_at, now)
 
-    return [(leases.LeaseHolder, "answer", answer)]
+    return [(leases.LeaseHolder, "record_reply", record_reply)]
 
 
 def lost_voter_stays() -> list[Patch]:
@@ -170,7 +173,7 @@
 
 def half_way_left() -> list[Patch]:
     """What a proposer left half way waits for the next order."""
-    return [(membership, "UNSETTLED_S", 1e9)]
+    return [(membership, "RESOLVE_DELAY_S", 1e9)]
 
 
 def ack_before_sync() -> list[Patch]:
--- a/stoneyoke/programs/controller.py
+++ b/stoneyoke/programs/controller.py
@@ -39,12 +39,12 @@
         bounds=settings.bounds,
         losses=settings.losses,
     )
-    http_api = HttpApi(controller.call, settings.memory // BODY_PART)
-    peer_server = PeerServer(controller.answer)
+    http_api = HttpApi(controller.handle_call, settings.memory // BODY_PART)
+    peer_server = PeerServer(controller.handle_message)
 
     def reload() -> None:
         try:
-            controller.meet(*read_settings(SETTINGS.value).seeds)
+            controller.add_peers(*read_settings(SETTINGS.value).seeds)
         except BadSettings as bad:
             logger.error("reload: {}", bad)
 
--- a/stoneyoke/transport/messages.py
+++ b/stoneyoke/transport/messages.py
@@ -61,7 +61,7 @@
     view: ValueRow
     chosen_ballot: BallotRow  # of the newest value that is known there to be chosen
     stamp: Stamp  # of that value's configuration: what may be put in force
-    settled: bool  # it has asked others for the instances that it may have known in an earlier life
+    instances_synced: bool  # it has asked others for the instances that it may have known in an earlier life
     lease_holder: str
     leaving: bool  # it was told to end
     zone: str
--- a/tests/system/controller_cluster.py
+++ b/tests/system/controller_cluster.py
@@ -113,7 +113,7 @@
                 if {own, other} in cluster.cuts or kind in cluster.lost.get(other, ()):
                     await asyncio.sleep(within_s)  # a cut says nothing
                     raise PeerUnreachable(other)
-                answer = await cluster.controllers[other].answer(unpack(pack(1, message)[4:])[1])
+                answer = await cluster.controllers[other].handle_message(unpack(pack(1, message)[4:])[1])
                 if cluster.cutting == (own, kind):
                     cluster.cutting = None
                     cluster.cut(own)
--- a/tests/system/test_controller.py
+++ b/tests/system/test_controller.py
@@ -33,7 +33,7 @@
 
 
 async def touch(cluster):
-    await cluster.until(lambda: all(one.in_touch() for one in cluster.controllers.values()))
+    await cluster.until(lambda: all(one.has_quorum() for one in cluster.controllers.values()))
 
 
 def voters(cluster, name="10.0.0.2"):
@@ -41,22 +41,22 @@
 
 
 def lease_holders(cluster):
-    return [name for name, one in cluster.controllers.items() if one.lease.holds()]
+    return [name for name, one in cluster.controllers.items() if one.lease.is_held()]
 
 
 @test("a configuration acknowledged by one controller is read back at every other, also after all lost power")
 def _():
     async def play(cluster):
         await touch(cluster)
-        assert await cluster.controllers["10.0.0.1"].call(put(5)) == Acknowledged()
-        assert await cluster.controllers["10.0.0.2"].call(ReadConfiguration()) == Document(example(5))
+        assert await cluster.controllers["10.0.0.1"].handle_call(put(5)) == Acknowledged()
+        assert await cluster.controllers["10.0.0.2"].handle_call(ReadConfiguration()) == Document(example(5))
         assert sum(disk.records["register"][b"body"] == example(5) for disk in cluster.disks.values()) >= 2
         for name in cluster.names:
             cluster.stop(name)
         for name in cluster.names:
             await cluster.start(name)
         await touch(cluster)
-        assert await cluster.controllers["10.0.0.3"].call(ReadConfiguration()) == Document(example(5))
+        assert await cluster.controllers["10.0.0.3"].handle_call(ReadConfiguration()) == Document(example(5))
 
     run(play)
 
@@ -65,7 +65,7 @@
 def _():
     async def play(cluster):
         await touch(cluster)
-        assert isinstance(await cluster.controllers["10.0.0.1"].call(ReadConfiguration()), Rejected)
+        assert isinstance(await cluster.controllers["10.0.0.1"].handle_call(ReadConfiguration()), Rejected)
 
     run(play)
 
@@ -75,9 +75,9 @@
     async def play(cluster):
         await touch(cluster)
         one = cluster.controllers["10.0.0.1"]
-        assert await one.call(put(9)) == Acknowledged() and await one.call(put(9)) == Acknowledged()
-        assert await cluster.controllers["10.0.0.2"].call(put(4)) == Acknowledged()
-        assert await one.call(ReadConfiguration()) == Document(example(9))
+        assert await one.handle_call(put(9)) == Acknowledged() and await one.handle_call(put(9)) == Acknowledged()
+        assert await cluster.controllers["10.0.0.2"].handle_call(put(4)) == Acknowledged()
+        assert await one.handle_call(ReadConfiguration()) == Document(example(9))
 
     run(play)
 
@@ -87,8 +87,12 @@
     async def play(cluster):
         await touch(cluster)
         one, other = cluster.controllers["10.0.0.1"], cluster.controllers["10.0.0.2"]
-        await asyncio.gather(one.call(put(6)), other.call(put(7)))
-        assert await one.call(ReadConfiguration()) == await other.call(ReadConfiguration()) == Document(example(7))
+        await asyncio.gather(one.handle_call(put(6)), other.handle_call(put(7)))
+        assert (
+            await one.handle_call(ReadConfiguration())
+            == await other.handle_call(ReadConfiguration())
+            == Document(example(7))
+        )
 
     run(play)
 
@@ -98,7 +102,7 @@
     async def play(cluster):
         await touch(cluster)
         one, other = cluster.controllers["10.0.0.1"], cluster.controllers["10.0.0.2"]
-        said = await asyncio.gather(one.call(put(8)), other.call(put(8, other_content)))
+        said = await asyncio.gather(one.handle_call(put(8)), other.handle_call(put(8, other_content)))
         assert sorted(type(answer).__name__ for answer in said) == ["Acknowledged", "Rejected"]
         rejected = next(answer for answer in said if isinstance(answer, Rejected))
         assert rejected.status == 409
@@ -106,9 +110,9 @@
             (put(8), put(8, other_content)) if said[0] == Acknowledged() else (put(8, other_content), put(8))
         )
         for controller in cluster.controllers.values():
-            assert await controller.call(first) == Acknowledged()
-            assert isinstance(await controller.call(second), Rejected)
-            assert await controller.call(ReadConfiguration()) == Document(first.configuration.body)
+            assert await controller.handle_call(first) == Acknowledged()
+            assert isinstance(await controller.handle_call(second), Rejected)
+            assert await controller.handle_call(ReadConfiguration()) == Document(first.configuration.body)
 
     run(play)
 
@@ -118,14 +122,14 @@
     async def play(cluster):
         await touch(cluster)
         cluster.lost = {name: ("AcceptRequest",) for name in cluster.names}
-        assert isinstance(await cluster.controllers["10.0.0.1"].call(put(5)), Unavailable)
+        assert isinstance(await cluster.controllers["10.0.0.1"].handle_call(put(5)), Unavailable)
         cluster.lost = {}
         for name in ("10.0.0.2", "10.0.0.3", "10.0.0.1"):
-            assert await cluster.controllers[name].call(put(5)) == Acknowledged()
-        assert await cluster.controllers["10.0.0.2"].call(put(6)) == Acknowledged()
+            assert await cluster.controllers[name].handle_call(put(5)) == Acknowledged()
+        assert await cluster.controllers["10.0.0.2"].handle_call(put(6)) == Acknowledged()
         for controller in cluster.controllers.values():
-            assert await controller.call(put(5)) == Acknowledged()
-            assert await controller.call(ReadConfiguration()) == Document(example(6))
+            assert await controller.handle_call(put(5)) == Acknowledged()
+            assert await controller.handle_call(ReadConfiguration()) == Document(example(6))
 
     run(play)
 
@@ -136,10 +140,10 @@
         await touch(cluster)
         proposer, other = cluster.controllers["10.0.0.1"], cluster.controllers["10.0.0.2"]
         cluster.lost = {"10.0.0.2": ("AcceptRequest",), "10.0.0.3": ("AcceptRequest",)}
-        assert isinstance(await proposer.call(put(5)), Unavailable)
+        assert isinstance(await proposer.handle_call(put(5)), Unavailable)
         cluster.lost = {}
-        assert isinstance(await other.call(put(5, other_content)), Rejected)
-        assert await other.call(ReadConfiguration()) == Document(example(5))
+        assert isinstance(await other.handle_call(put(5, other_content)), Rejected)
+        assert await other.handle_call(ReadConfiguration()) == Document(example(5))
 
     run(play)
 
@@ -150,13 +154,13 @@
         await touch(cluster)
         cluster.cut("10.0.0.1")
         alone = cluster.controllers["10.0.0.1"]
-        await cluster.until(lambda: not alone.in_touch())
+        await cluster.until(lambda: not alone.has_quorum())
         began = alone.clock()
         for asked in (put(5), beat(), beat(2, "draining")):
-            assert isinstance(await alone.call(asked), Unavailable)
-        assert not alone.lease.holds()
+            assert isinstance(await alone.handle_call(asked), Unavailable)
+        assert not alone.lease.is_held()
         assert alone.clock() - began < 0.1
-        assert await cluster.controllers["10.0.0.2"].call(put(5)) == Acknowledged()
+        assert await cluster.controllers["10.0.0.2"].handle_call(put(5)) == Acknowledged()
         cluster.cuts = set()
         await cluster.until(lambda: alone.replica.version().number == 5)
 
@@ -168,10 +172,10 @@
     async def play(cluster):
         await touch(cluster)
         cluster.disks["10.0.0.1"].refuses = True
-        assert await cluster.controllers["10.0.0.1"].call(put(5)) == Acknowledged()
+        assert await cluster.controllers["10.0.0.1"].handle_call(put(5)) == Acknowledged()
         assert cluster.disks["10.0.0.1"].records["register"][b"body"] == b""
         cluster.disks["10.0.0.2"].refuses = True
-        assert isinstance(await cluster.controllers["10.0.0.3"].call(put(6)), Unavailable)
+        assert isinstance(await cluster.controllers["10.0.0.3"].handle_call(put(6)), Unavailable)
 
     run(play)
 
@@ -181,7 +185,7 @@
     async def play(cluster):
         await touch(cluster)
         cluster.stop("10.0.0.3")
-        assert await cluster.controllers["10.0.0.1"].call(put(5)) == Acknowledged()
+        assert await cluster.controllers["10.0.0.1"].handle_call(put(5)) == Acknowledged()
         cluster.stop("10.0.0.2")  # held by 1 and 2 alone; 1 loses its disk
         cluster.stop("10.0.0.1")
         cluster.disks["10.0.0.1"].records.clear()
@@ -190,11 +194,11 @@
         await asyncio.sleep(5)
         assert not wiped.replica.votes() and wiped.replica.identity.disk != FIRST_DISK
         for asked in (ReadConfiguration(), put(4), put(9)):
-            assert isinstance(await wiped.call(asked), Unavailable)
-            assert isinstance(await cluster.controllers["10.0.0.3"].call(asked), Unavailable)
+            assert isinstance(await wiped.handle_call(asked), Unavailable)
+            assert isinstance(await cluster.controllers["10.0.0.3"].handle_call(asked), Unavailable)
         await cluster.start("10.0.0.2")
         await cluster.until(wiped.replica.votes)
-        assert await wiped.call(ReadConfiguration()) == Document(example(5))
+        assert await wiped.handle_call(ReadConfiguration()) == Document(example(5))
         assert voters(cluster).number == 2 and wiped.replica.identity in voters(cluster).members
 
     run(play)
@@ -208,11 +212,11 @@
             others = [other for other in cluster.names if other != name]
             cluster.stop(name)
             cluster.disks[name].records.clear()
-            assert await cluster.controllers[others[0]].call(put(number)) == Acknowledged()
+            assert await cluster.controllers[others[0]].handle_call(put(number)) == Acknowledged()
             again = await cluster.start(name)
             await asyncio.sleep(4.0)
             assert again.replica.votes()
-            assert await again.call(ReadConfiguration()) == Document(example(number))
+            assert await again.handle_call(ReadConfiguration()) == Document(example(number))
 
     run(play)
 
@@ -234,7 +238,7 @@
             present.append(new)
             await asyncio.sleep(4.0)
             assert {*voters(cluster, new).addresses()} == {*present}
-            assert await cluster.controllers[new].call(put(number)) == Acknowledged()
+            assert await cluster.controllers[new].handle_call(put(number)) == Acknowledged()
         assert len(present) == 3
 
     run(play)
@@ -247,19 +251,19 @@
         await cluster.until(lambda: lease_holders(cluster))
         cluster.cut("10.0.0.1")
         await cluster.until(lambda: "10.0.0.4" in voters(cluster).addresses())
-        assert await cluster.controllers["10.0.0.2"].call(put(5)) == Acknowledged()
+        assert await cluster.controllers["10.0.0.2"].handle_call(put(5)) == Acknowledged()
         old = cluster.controllers["10.0.0.1"]
         assert "10.0.0.1" in old.replica.voters().addresses()  # it cannot know
-        assert isinstance(await old.call(put(6)), Unavailable) and isinstance(
-            await old.call(ReadConfiguration()), Unavailable
+        assert isinstance(await old.handle_call(put(6)), Unavailable) and isinstance(
+            await old.handle_call(ReadConfiguration()), Unavailable
         )
         cluster.cuts = [{"10.0.0.1", "10.0.0.2"}, {"10.0.0.1", "10.0.0.4"}]  # with an old friend alone
         await cluster.until(lambda: old.replica.version().number == 5)
         assert not old.replica.votes()
-        assert isinstance(await old.call(put(6)), Unavailable)  # it reaches one of three voters
+        assert isinstance(await old.handle_call(put(6)), Unavailable)  # it reaches one of three voters
         cluster.cuts = []
         await touch(cluster)
-        assert await old.call(put(6)) == Acknowledged()
+        assert await old.handle_call(put(6)) == Acknowledged()
 
     run(play, count=4)
 
@@ -269,8 +273,8 @@
     async def play(cluster):
         await touch(cluster)
         one = cluster.controllers["10.0.0.1"]
-        assert await one.call(beat()) == Acknowledged()
-        assert await one.call(beat(2, "draining")) == Acknowledged()
+        assert await one.handle_call(beat()) == Acknowledged()
+        assert await one.handle_call(beat(2, "draining")) == Acknowledged()
         know = [
             name
             for name, office in cluster.controllers.items()
@@ -279,7 +283,7 @@
         ]
         assert len(know) >= 2
         cluster.lost = {name: ("InstanceUpdate",) for name in cluster.names}
-        assert isinstance(await one.call(ask("POST", "/instances/i-1/leave", b"")), Unavailable)
+        assert isinstance(await one.handle_call(ask("POST", "/instances/i-1/leave", b"")), Unavailable)
 
     run(play)
 
@@ -288,11 +292,11 @@
 def _():
     async def play(cluster):
         await touch(cluster)
-        assert await cluster.controllers["10.0.0.1"].call(beat(2, "draining")) == Acknowledged()
+        assert await cluster.controllers["10.0.0.1"].handle_call(beat(2, "draining")) == Acknowledged()
         cluster.stop("10.0.0.1")
         again = await cluster.start("10.0.0.1")
-        assert not again.discovery.settled()
-        await cluster.until(again.discovery.settled)
+        assert not again.discovery.synced()
+        await cluster.until(again.discovery.synced)
         assert again.discovery.registry.records["i-1"].row.phase == Phase.DRAINING
 
     run(play)
@@ -325,7 +329,7 @@
         for name in (first, other):
             cluster.cut(name)
             alone = cluster.controllers[name]
-            await cluster.until(lambda alone=alone: not alone.in_touch() and not alone.lease.holds())
+            await cluster.until(lambda alone=alone: not alone.has_quorum() and not alone.lease.is_held())
             for _ in range(2000):
                 assert alone.lease.holder_known() != name
                 await asyncio.sleep(0.01)
@@ -344,7 +348,7 @@
         await touch(cluster)
         cluster.stop("10.0.0.1")
         cluster.stop("10.0.0.2")
-        assert await cluster.controllers["10.0.0.3"].call(put(5)) == Acknowledged()
+        assert await cluster.controllers["10.0.0.3"].handle_call(put(5)) == Acknowledged()
 
     run(play, count=5, losses=2)
 
@@ -361,7 +365,7 @@
         await cluster.until(cluster.controllers["10.0.0.4"].replica.votes)
         cluster.stop("10.0.0.1")
         cluster.stop("10.0.0.2")
-        assert await cluster.controllers["10.0.0.3"].call(put(5)) == Acknowledged()
+        assert await cluster.controllers["10.0.0.3"].handle_call(put(5)) == Acknowledged()
 
     async def alone(cluster):
         await touch(cluster)
@@ -379,7 +383,7 @@
     async def play(cluster, kind):
         await touch(cluster)
         await cluster.until(lambda: lease_holders(cluster))
-        assert await cluster.controllers["10.0.0.1"].call(put(5)) == Acknowledged()
+        assert await cluster.controllers["10.0.0.1"].handle_call(put(5)) == Acknowledged()
         holder = lease_holders(cluster)[0]
         gone = next(name for name in cluster.names[:3] if name != holder)
         cluster.stop(gone)
@@ -390,7 +394,7 @@
         cluster.cuts = []  # it is back
         await cluster.until(lambda: len({one.replica.voters() for one in cluster.controllers.values()}) == 1)
         await touch(cluster)
-        assert await cluster.controllers[rest[0]].call(put(6)) == Acknowledged()
+        assert await cluster.controllers[rest[0]].handle_call(put(6)) == Acknowledged()
         await cluster.until(lambda: "10.0.0.4" in voters(cluster, rest[0]).addresses())
 
     for kind in ("PrepareRequest", "AcceptRequest", "ChosenNotice"):
@@ -403,10 +407,10 @@
         await touch(cluster)
         cluster.stop("10.0.0.3")
         for number in range(1, 301):
-            assert await cluster.controllers["10.0.0.1"].call(put(number)) == Acknowledged()
+            assert await cluster.controllers["10.0.0.1"].handle_call(put(number)) == Acknowledged()
         asked = cluster.carried.get("ValueRequest", 0)
         again = await cluster.start("10.0.0.3")
-        assert again.replica.chosen is None and not again.lease.holds()
+        assert again.replica.chosen is None and not again.lease.is_held()
         await cluster.until(lambda: again.replica.version().number == 300)
         assert cluster.carried.get("ValueRequest", 0) - asked <= 4
         assert sum(len(part) for part in cluster.disks["10.0.0.3"].records["register"].values()) < 2 * len(example(300))
@@ -436,7 +440,7 @@
     async def play(cluster):
         await touch(cluster)
         one = cluster.controllers["10.0.0.1"]
-        assert await one.call(put(5)) == Acknowledged()
+        assert await one.handle_call(put(5)) == Acknowledged()
         stalled = asyncio.Event()
 
         async def stands_still(work, *args):
@@ -445,10 +449,10 @@
 
         usual, one.blocking = one.blocking, stands_still
         for number in (6, 7, 8):
-            assert await one.call(put(number)) == Acknowledged()
-        assert await one.call(ReadConfiguration()) == Document(example(8))
+            assert await one.handle_call(put(number)) == Acknowledged()
+        assert await one.handle_call(ReadConfiguration()) == Document(example(8))
         await asyncio.sleep(5)
-        assert one.in_touch() and cluster.disks["10.0.0.1"].records["register"][b"body"] == example(5)
+        assert one.has_quorum() and cluster.disks["10.0.0.1"].records["register"][b"body"] == example(5)
         one.blocking = usual
         stalled.set()
         await cluster.until(lambda: cluster.disks["10.0.0.1"].records["register"][b"body"] == example(8))
--- a/tests/system/test_controlplane.py
+++ b/tests/system/test_controlplane.py
@@ -5,11 +5,11 @@
 
 from stoneyoke.api.calls import Acknowledged, Rejected
 from stoneyoke.api.configuration import Version, read_configuration
-from stoneyoke.controlplane.configuration_service import applied, verdict
+from stoneyoke.controlplane.configuration_service import apply_replacements, outcome_of
 from stoneyoke.consensus.protocol import Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.controlplane.heartbeat_ring import watchers
 from stoneyoke.controlplane.instance_registry import InstanceRegistry, Phase, Row
-from stoneyoke.controlplane.leases import STOP, TTL_S, LeaseGranter, LeaseHolder
+from stoneyoke.controlplane.leases import HOLDER_TTL_FRACTION, LEASE_TTL_S, LeaseGranter, LeaseHolder
 from stoneyoke.consensus.quorum import copies, majority
 from stoneyoke.consensus.record_formats import (
     promise_record,
@@ -43,11 +43,11 @@
 def _():
     found = RegisterValue(VoterSet(1, (A, B, C)), version=ordered(5).version, body=example(5))
     other = ordered(5, lambda c: c.update(limits=None))
-    assert applied((ordered(4), other), found) is found
-    assert applied((ordered(7), ordered(6)), found).version == ordered(7).version
+    assert apply_replacements((ordered(4), other), found) is found
+    assert apply_replacements((ordered(7), ordered(6)), found).version == ordered(7).version
     first, second = ordered(8), ordered(8, lambda c: c.update(limits=None))
-    assert applied((first, second), found).body == first.body
-    assert applied((second, first), found).body == second.body
+    assert apply_replacements((first, second), found).body == first.body
+    assert apply_replacements((second, first), found).body == second.body
 
 
 @test(
@@ -55,10 +55,10 @@
 )
 def _():
     chosen = RegisterValue(VoterSet(1, (A, B, C)), version=ordered(5).version, body=example(5))
-    assert verdict(ordered(5), chosen) == Acknowledged() == verdict(ordered(4), chosen)
-    conflict = verdict(ordered(5, lambda c: c.update(limits=None)), chosen)
+    assert outcome_of(ordered(5), chosen) == Acknowledged() == outcome_of(ordered(4), chosen)
+    conflict = outcome_of(ordered(5, lambda c: c.update(limits=None)), chosen)
     assert isinstance(conflict, Rejected) and conflict.status == 409 and conflict.path == "generation"
-    assert verdict(ordered(6), chosen) is None
+    assert outcome_of(ordered(6), chosen) is None
 
 
 @test("a voter that is silent, leaves or lost its disk gives its place to a learner, and to nobody else")
@@ -118,40 +118,40 @@
                 tenures[who], incarnations[who] = LeaseHolder(), incarnations[who] + 1
                 continue
             if random_source.random() < 0.3:
-                tenures[who].ask(now)
+                tenures[who].start_round(now)
                 for voter in names:
                     if random_source.random() < 0.7:
                         asked_at = now + random_source.random() * 0.3
-                        late.append((asked_at, who, voter, now, incarnations[who], tenures[who].number))
+                        late.append((asked_at, who, voter, now, incarnations[who], tenures[who].round_number))
             for item in sorted(one for one in late if one[0] <= now):
                 late.remove(item)
                 _, asker, voter, began, incarnation, number = item
-                ok, _, _ = grantors[voter].ask("duty", asker, f"{asker}-{incarnation}", TTL_S, now, number)
+                ok, _, _ = grantors[voter].request("duty", asker, f"{asker}-{incarnation}", LEASE_TTL_S, now, number)
                 if random_source.random() < 0.8:
                     told.append(
                         (now + random_source.choice((0.0, 0.05, 1.5)) * random_source.random(), asker, voter, ok, began)
                     )
             for item in sorted(one for one in told if one[0] <= now):
                 told.remove(item)
-                tenures[item[1]].answer(item[2], item[3], names, item[4], now)
-            holders = [name for name in names if tenures[name].holds(now)]
+                tenures[item[1]].record_reply(item[2], item[3], names, item[4], now)
+            holders = [name for name in names if tenures[name].is_held(now)]
             assert len(holders) <= 1, f"{seed} {now} {holders}"
-    assert STOP < 1
+    assert HOLDER_TTL_FRACTION < 1
 
 
 def late_release_changes_nothing():
     """A release of an older round comes after a newer grant: the grant stands."""
     granter = LeaseGranter(0.0, True)
-    granter.ask("quotas", "a", "life", TTL_S, 1.0, 2)
-    granter.ask("quotas", "a", "life", 0.0, 1.1, 1)
-    return not granter.ask("quotas", "b", "other", TTL_S, 1.2, 1)[0]
+    granter.request("quotas", "a", "life", LEASE_TTL_S, 1.0, 2)
+    granter.request("quotas", "a", "life", 0.0, 1.1, 1)
+    return not granter.request("quotas", "b", "other", LEASE_TTL_S, 1.2, 1)[0]
 
 
 def restarted_voter_waits():
     """It may have granted in the life before: it grants nothing until that has run out."""
     granter = LeaseGranter(0.0, False)
-    early = granter.ask("quotas", "b", "other", TTL_S, 0.9 * TTL_S, 1)[0]
-    return not early and granter.ask("quotas", "b", "other", TTL_S, TTL_S, 1)[0]
+    early = granter.request("quotas", "b", "other", LEASE_TTL_S, 0.9 * LEASE_TTL_S, 1)[0]
+    return not early and granter.request("quotas", "b", "other", LEASE_TTL_S, LEASE_TTL_S, 1)[0]
 
 
 @test("a late release and a restart free no lease that still runs; each defect of these is seen")
--- a/tests/system/test_discovery_service.py
+++ b/tests/system/test_discovery_service.py
@@ -7,19 +7,19 @@
 
 from stoneyoke.api.calls import Acknowledged, Heartbeat, Leave, Unavailable
 from stoneyoke.controlplane.discovery_service import (
-    STALE_S,
-    STOOD_STILL_S,
-    SWEEP_EVERY_S,
+    STALL_RECOVERY_S,
+    STALL_THRESHOLD_S,
+    SWEEP_INTERVAL_S,
     DiscoveryService,
     Surroundings,
 )
 from stoneyoke.controlplane.instance_registry import Phase
-from stoneyoke.controlplane.startup_readiness import COUNTING_S, MARGIN_S, Settlement
+from stoneyoke.controlplane.startup_sync import ACK_WINDOW_S, CLOCK_MARGIN_S, StartupSync
 from stoneyoke.transport.messages import InstanceRefresh, InstanceUpdate, InstanceUpdateResponse
 from stoneyoke.transport.peers import PeerUnreachable
 
 EVERYONE_S = 4.0
-COUNTED_S = COUNTING_S + MARGIN_S
+COUNTED_S = ACK_WINDOW_S + CLOCK_MARGIN_S
 
 
 class Link:
@@ -41,7 +41,7 @@
 
     def __init__(self, count, first_start=True):
         self.names = [f"10.0.0.{at}" for at in range(1, count + 1)]
-        self.voters, self.in_touch, self.ahead_s = tuple(self.names), True, 0.0
+        self.voters, self.has_quorum, self.ahead_s = tuple(self.names), True, 0.0
         self.tasks, self.services, self.links, self.woken = set(), {}, {}, []
         for name in self.names:
             self.start(name, first_start)
@@ -58,16 +58,16 @@
                 name,
                 lambda: self.voters,
                 lambda: links,
-                lambda: self.in_touch,
+                lambda: self.has_quorum,
                 self.clock,
                 lambda: self.woken.append(name),
                 self.spawn,
             ),
             silent_s=5.0,
-            everyone_beats_s=EVERYONE_S,
+            heartbeat_round_s=EVERYONE_S,
         )
         if first_start:
-            self.services[name].first_start()
+            self.services[name].mark_first_start()
         return self.services[name]
 
     def spawn(self, work):
@@ -78,19 +78,21 @@
 
     def meet(self, name, message):
         service = self.services[name]
-        return service.update(message) if isinstance(message, InstanceUpdate) else service.refresh(message)
+        return (
+            service.handle_update(message) if isinstance(message, InstanceUpdate) else service.handle_refresh(message)
+        )
 
     def pull(self, name, other):
         """A whole pull, as a controller makes it."""
         begun_at, source = self.clock(), self.services[other]
-        self.services[name].hear_rows(source.registry.changes_since(0, self.clock()))
-        self.services[name].pulled_from(other, source.settled(), begun_at)
+        self.services[name].merge_rows(source.registry.changes_since(0, self.clock()))
+        self.services[name].record_pull(other, source.synced(), begun_at)
 
     async def passes(self, for_s):
         """Time in which all sweep."""
         until = self.clock() + for_s
         while self.clock() < until:
-            await asyncio.sleep(SWEEP_EVERY_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             for service in self.services.values():
                 service.sweep()
 
@@ -126,10 +128,10 @@
         assert town.services["10.0.0.3"].registry.records["i-1"].row.phase == Phase.DRAINING
         town.voters = ("10.0.0.1", "10.0.0.2")  # the third has it, and does not vote
         assert isinstance(await one.leave(Leave("i-1")), Unavailable)
-        town.in_touch = False
+        town.has_quorum = False
         links["10.0.0.2"].lost = ()
         assert isinstance(await one.leave(Leave("i-1")), Unavailable)
-        town.in_touch = True
+        town.has_quorum = True
         assert await one.leave(Leave("i-1")) == Acknowledged()
 
     play(story)
@@ -141,7 +143,7 @@
         one, links = town.services["10.0.0.1"], town.links["10.0.0.1"]
 
         def stands_still(message):
-            town.ahead_s += COUNTING_S + 0.1
+            town.ahead_s += ACK_WINDOW_S + 0.1
             return InstanceUpdateResponse()
 
         meet = links["10.0.0.2"].meet
@@ -166,16 +168,16 @@
         one = town.services["10.0.0.1"]
         await town.services["10.0.0.2"].heartbeat(beat())
         row = town.services["10.0.0.2"].registry.records["i-1"].row
-        town.ahead_s += STOOD_STILL_S + 0.1
+        town.ahead_s += STALL_THRESHOLD_S + 0.1
         for _ in range(2):  # before its first sweep and after it
-            assert one.update(InstanceUpdate([row])) == InstanceUpdateResponse(False)
-            assert one.refresh(InstanceRefresh([("i-1", 9)])) == InstanceUpdateResponse(False)
+            assert one.handle_update(InstanceUpdate([row])) == InstanceUpdateResponse(False)
+            assert one.handle_refresh(InstanceRefresh([("i-1", 9)])) == InstanceUpdateResponse(False)
             assert isinstance(await one.heartbeat(beat()), Unavailable)
             assert not one.registry.records
             one.sweep()
         assert isinstance(await town.services["10.0.0.2"].heartbeat(beat(2, True)), Unavailable)
-        await town.passes(STALE_S + 0.1)
-        assert one.update(InstanceUpdate([row])) == InstanceUpdateResponse(True)
+        await town.passes(STALL_RECOVERY_S + 0.1)
+        assert one.handle_update(InstanceUpdate([row])) == InstanceUpdateResponse(True)
 
     play(story)
 
@@ -186,9 +188,9 @@
         one, link = town.services["10.0.0.1"], town.links["10.0.0.1"]["10.0.0.2"]
         for call_seq in (1, 2, 3):
             await one.heartbeat(beat(call_seq))
-            await one.tell_beats(one.registry.rows_of(["i-1"], town.clock()))
+            await one.forward_heartbeats(one.registry.rows_of(["i-1"], town.clock()))
         await one.heartbeat(beat(4, True))
-        await one.tell_beats(one.registry.rows_of(["i-1"], town.clock()))
+        await one.forward_heartbeats(one.registry.rows_of(["i-1"], town.clock()))
         await asyncio.sleep(0.1)
         assert link.carried == [InstanceUpdate, InstanceRefresh, InstanceRefresh, InstanceUpdate, InstanceUpdate]
         assert town.services["10.0.0.2"].registry.records["i-1"].row.call_seq == 4
@@ -196,7 +198,7 @@
     play(story)
 
 
-@test("a controller that started again is not settled by one settled peer: that one may lack a drain")
+@test("a controller that started again is not synced by one synced peer: that one may lack a drain")
 def _():
     async def story(town):
         one, links = town.services["10.0.0.1"], town.links["10.0.0.1"]
@@ -205,29 +207,29 @@
         again = town.start("10.0.0.2")
         await town.passes(COUNTED_S)
         town.pull("10.0.0.2", "10.0.0.3")
-        assert not again.settled() and not again.registry.records
+        assert not again.synced() and not again.registry.records
         town.woken.clear()
         town.pull("10.0.0.2", "10.0.0.1")
-        assert town.woken == ["10.0.0.2", "10.0.0.2"]  # by the row and as it is settled
-        assert again.settled() and again.registry.records["i-1"].row.phase == Phase.DRAINING
+        assert town.woken == ["10.0.0.2", "10.0.0.2"]  # by the row and as it is synced
+        assert again.synced() and again.registry.records["i-1"].row.phase == Phase.DRAINING
 
     play(story)
 
 
-@test("pulls count only from those that are settled and vote, and not while a telling to the last life may be counted")
+@test("pulls count only from those that are synced and vote, and not while a telling to the last life may be counted")
 def _():
     async def story(town):
         again = town.start("10.0.0.1")
         for other in ("10.0.0.2", "10.0.0.3"):
             town.pull("10.0.0.1", other)  # at once: too early
-        assert not again.settled()
+        assert not again.synced()
         await town.passes(COUNTED_S)
         town.pull("10.0.0.1", "10.0.0.2")
-        again.pulled_from("10.0.0.9", True, town.clock())
-        again.pulled_from("10.0.0.3", False, town.clock())
-        assert not again.settled()
-        again.pulled_from("10.0.0.3", True, town.clock())
-        assert again.settled()
+        again.record_pull("10.0.0.9", True, town.clock())
+        again.record_pull("10.0.0.3", False, town.clock())
+        assert not again.synced()
+        again.record_pull("10.0.0.3", True, town.clock())
+        assert again.synced()
 
     play(story)
 
@@ -246,44 +248,44 @@
         for other in ("10.0.0.3", "10.0.0.4", "10.0.0.5"):
             town.pull("10.0.0.2", other)
         assert await counting == Acknowledged()
-        assert not again.settled()
+        assert not again.synced()
         await town.passes(COUNTED_S)
         for other in ("10.0.0.3", "10.0.0.4", "10.0.0.5"):
             town.pull("10.0.0.2", other)
-        assert again.settled() and again.registry.records["i-1"].row.phase == Phase.DRAINING
+        assert again.synced() and again.registry.records["i-1"].row.phase == Phase.DRAINING
 
     play(story, count=5)
 
 
-@test("with nobody settled to pull from, it takes the time in which every backend beats, all of it in touch")
+@test("with nobody synced to pull from, it takes the time in which every backend beats, all of it in touch")
 def _():
     async def story(town):
         one = town.services["10.0.0.1"]
         await town.passes(EVERYONE_S - 1.0)
         town.pull("10.0.0.1", "10.0.0.2")
         town.pull("10.0.0.1", "10.0.0.3")
-        assert not one.settled()
-        town.in_touch = False
+        assert not one.synced()
+        town.has_quorum = False
         await town.passes(0.5)
-        town.in_touch = True
+        town.has_quorum = True
         await town.passes(EVERYONE_S - 0.5)
-        assert not one.settled()
+        assert not one.synced()
         town.ahead_s += EVERYONE_S  # it stood still: it heard nobody meanwhile
-        assert not one.settled()
+        assert not one.synced()
         town.woken.clear()
-        await town.passes(EVERYONE_S + STALE_S + 2 * SWEEP_EVERY_S)
-        assert one.settled() and "10.0.0.1" in town.woken
+        await town.passes(EVERYONE_S + STALL_RECOVERY_S + 2 * SWEEP_INTERVAL_S)
+        assert one.synced() and "10.0.0.1" in town.woken
 
     play(story, first_start=False)
 
 
-@test("the system's first start is settled at once; who becomes a voter while it runs starts over")
+@test("the system's first start is synced at once; who becomes a voter while it runs starts over")
 def _():
-    settlement = Settlement("d", 0.0, EVERYONE_S)
-    settlement.first_start()
-    assert settlement.decide((), 0.0) and settlement.decide(("a", "b", "c"), 1.0)
-    assert not settlement.decide(("a", "b", "d"), 9.0)
+    startup_sync = StartupSync("d", 0.0, EVERYONE_S)
+    startup_sync.mark_first_start()
+    assert startup_sync.evaluate((), 0.0) and startup_sync.evaluate(("a", "b", "c"), 1.0)
+    assert not startup_sync.evaluate(("a", "b", "d"), 9.0)
     for name in "ab":
-        settlement.pulled_from(name, True, 9.0 + COUNTED_S)
-    assert settlement.decide(("a", "b", "d"), 10.0)
-    assert not Settlement("a", 0.0, EVERYONE_S).decide((), 99.0)  # who votes is not known
+        startup_sync.record_pull(name, True, 9.0 + COUNTED_S)
+    assert startup_sync.evaluate(("a", "b", "d"), 10.0)
+    assert not StartupSync("a", 0.0, EVERYONE_S).evaluate((), 99.0)  # who votes is not known
--- a/tests/system/test_instance_directory.py
+++ b/tests/system/test_instance_directory.py
@@ -13,7 +13,7 @@
     rows=(),
     whole=False,
     disk="first",
-    settled=True,
+    instances_synced=True,
     seq=1,
     lease_holder="",
     membership_version=1,
@@ -38,7 +38,7 @@
         (voters_number, members, before, (number, b"x"), b""),
         ballot,
         (number, b"x"),
-        settled,
+        instances_synced,
         lease_holder,
         False,
         "east",
@@ -60,7 +60,7 @@
     assert directory.caught_up(0.1) is None
     directory.hear("b", news(5, name="b", disk="5e"), 0.1)
     assert directory.caught_up(0.1) is None  # it lost its disk: it is another member
-    directory.hear("b", news(5, name="b", settled=False), 0.1)
+    directory.hear("b", news(5, name="b", instances_synced=False), 0.1)
     assert directory.caught_up(0.1) is None  # it may lack a drain
     directory.hear("b", news(5, name="b"), 0.1)
     assert directory.caught_up(0.1) == Version(5, b"x") and directory.newest()[1] == "b"
--- a/tests/system/test_recovery.py
+++ b/tests/system/test_recovery.py
@@ -32,27 +32,27 @@
 def _():
     async def play(cluster):
         await touch(cluster)
-        assert await cluster.controllers["10.0.0.1"].call(put(5)) == Acknowledged()
+        assert await cluster.controllers["10.0.0.1"].handle_call(put(5)) == Acknowledged()
         for name in cluster.names:
             cluster.stop(name)
         for name in ("10.0.0.2", "10.0.0.3"):
             cluster.disks[name].records.clear()
         left = cluster.disks["10.0.0.1"].records
         alone = await cluster.start("10.0.0.1")
-        assert isinstance(await alone.call(ReadConfiguration()), Unavailable)
+        assert isinstance(await alone.handle_call(ReadConfiguration()), Unavailable)
         cluster.stop("10.0.0.1")
         promised = read_promise(left[PROMISE])
         left[REGISTER] = register_record(recovered(read_register(left[REGISTER]), promised, A))
         alone = await cluster.start("10.0.0.1")
         await cluster.until(lambda: alone.replica.chosen is not None)
-        assert await alone.call(ReadConfiguration()) == Document(example(5))
-        assert await alone.call(put(6)) == Acknowledged()
+        assert await alone.handle_call(ReadConfiguration()) == Document(example(5))
+        assert await alone.handle_call(put(6)) == Acknowledged()
         for name in ("10.0.0.2", "10.0.0.3"):
             await cluster.start(name)
         await cluster.until(lambda: len(voters(cluster).members) == 3)
         await touch(cluster)
         cluster.stop("10.0.0.1")
-        assert await cluster.controllers["10.0.0.2"].call(ReadConfiguration()) == Document(example(6))
+        assert await cluster.controllers["10.0.0.2"].handle_call(ReadConfiguration()) == Document(example(6))
 
     run(play)
 
