--- a/stoneyoke/control/actions.py
+++ b/stoneyoke/control/actions.py
@@ -1,6 +1,6 @@
-"""What the decisions ask their host to do: one typed action for each thing. No logic here.
+"""Actions: what the decisions ask their host to do, one type for each thing. No logic here.
 
-Times are whole microseconds. RPCs, backends and customers are small indices, given by runtime/id_index.py.
+Times are whole microseconds. RPCs, backends and customers are small indices, which `runtime/id_index.py` hands out.
 """
 
 from dataclasses import dataclass, field
@@ -8,40 +8,40 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send the RPC to this backend."""
+    """Send the RPC to this backend. An AttemptEnded is owed for it."""
 
     rpc: int
     backend: int
-    limit_us: int  # 0: as long as the client waits
+    time_limit_us: int  # 0: as long as the client waits
 
 
 @dataclass(slots=True)
 class Reject:
-    """Answer the RPC with a time after which to return."""
+    """Answer the RPC with a rejection that states when the client may come back. A final answer."""
 
     rpc: int
-    wait_us: int
-    pressed: bool = field(default=False, repr=False)  # the back end is, not the customer's quota
+    retry_after_us: int
+    overloaded: bool = field(default=False, repr=False)  # for lack of backend capacity, not of quota
 
 
 @dataclass(slots=True)
 class Abandon:
-    """End an RPC whose answer can't be completed."""
+    """Answer the RPC with an error: it may have run, so the client must not send it again. A final answer."""
 
     rpc: int
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop a call-out that is no longer needed."""
+    """Cancel an attempt. Its AttemptEnded is still owed and tells how it really ended."""
 
     rpc: int
-    n: int
+    attempt: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Tell of a TimerFired with this token after the delay."""
+    """Report a TimerFired with this token after the delay."""
 
     delay_us: int
     token: int
@@ -49,21 +49,21 @@
 
 @dataclass(slots=True)
 class AddToCounter:
-    """Add an amount to a counter's value, and tell its total."""
+    """Add an amount to a value of the shared counter and report the new total as a CounterReply."""
 
     name: int
-    life_us: int
+    ttl_us: int
     amount: float
 
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask discovery to tell of changes from now on."""
+    """Ask discovery to report changes of the endpoints from now on."""
 
 
 @dataclass(slots=True)
 class ForgetCustomer:
-    """The door may give this customer's index to another."""
+    """Nothing is remembered of this customer any more: its index may be given to another one."""
 
     customer: int
 
--- a/stoneyoke/control/choice.py
+++ b/stoneyoke/control/choice.py
@@ -3,9 +3,15 @@
 import math
 
 from stoneyoke.control.events import AttemptEnded, EndpointsChanged, PeerEvidence
-from stoneyoke.control.ground import BEAT, PROVEN_UNRUN, Ground
+from stoneyoke.control.ground import BEAT, Ground
 from stoneyoke.control.open_rpc import OpenRpc
-from stoneyoke.control.parameters import AttemptOutcome, BackendState, DeduplicationScope, GatewayParameters
+from stoneyoke.control.parameters import (
+    PROVEN_NOT_RUN,
+    AttemptOutcome,
+    BackendState,
+    DeduplicationScope,
+    GatewayParameters,
+)
 from stoneyoke.limits.token_bucket import SECOND, TokenBucket
 from stoneyoke.spread.zone_ranking import places, turns
 
@@ -150,7 +156,7 @@
             backend.pace += (means - backend.pace) * 0.15  # 0.3 lost 0.17 on one incident
             backend.measured = self.now
         # A backend far off the fleet, or one that won't have this RPC, says nothing of the fleet's room.
-        taken = min(1.5, took / self.parameters.methods[rpc.call.method].soft_us)
+        taken = min(1.5, took / self.parameters.methods[rpc.call.method].soft_deadline_us)
         if result.outcome is AttemptOutcome.OK:
             self.taken += (taken - self.taken) * self.weight(0.4)
         swamped = result.outcome in (AttemptOutcome.REJECTED, AttemptOutcome.TIMED_OUT)
@@ -161,7 +167,7 @@
         elif (
             swamped
             and self.swamped > 0.4
-            or (result.outcome not in PROVEN_UNRUN and self.near(backend) and self.jammed())
+            or (result.outcome not in PROVEN_NOT_RUN and self.near(backend) and self.jammed())
         ):
             self.press(1.0)
 
@@ -188,10 +194,10 @@
         if news.failed:
             self.subscribe_at = self.now + int((0.5 + self.random_source.draw()) * SECOND)
             return
-        if news.whole:
+        if news.complete:
             for backend in self.backends.values():
                 backend.state = BackendState.GONE
-        for entry in news.entries:
+        for entry in news.endpoints:
             backend = self.backends.setdefault(entry.backend, Backend(entry.backend))
             if entry.started_us > backend.started:
                 self.presume_started(backend, entry.started_us)
--- a/stoneyoke/control/events.py
+++ b/stoneyoke/control/events.py
@@ -1,6 +1,7 @@
-"""What the decisions are told: one typed event for each thing that happened. No logic here.
+"""Events: what a host tells the decisions, one type for each thing that happened. No logic here.
 
-Times are whole microseconds. RPCs, backends and customers are small indices, given by runtime/id_index.py.
+Times are whole microseconds. RPCs, methods, plans, customers and backends are small indices, which
+`runtime/id_index.py` hands out.
 """
 
 from dataclasses import dataclass, field
@@ -8,77 +9,77 @@
 from stoneyoke.control.parameters import AttemptOutcome, BackendState, GatewayParameters
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, kw_only=True)
 class Arrival:
-    """An RPC that now needs exactly one final answer."""
+    """An RPC has arrived. From now on it is owed exactly one final answer."""
 
     rpc: int
     method: int
     plan: int
     customer: int
-    account: int  # the customer's number, the same at every gateway
-    wait_us: int  # how long the client still waits
-    units: float
-    width: float  # gateways that this customer's RPCs come through
-    repeat: bool | None = None  # a client's later try; None where they don't say
+    customer_id: int  # the customer's number, the same at every gateway
+    wait_us: int  # how long the client still waits for the answer
+    units: float  # the cost that is charged to the customer's quota
+    customer_gateways: float  # the number of gateways through which this customer's RPCs come
+    is_retry: bool | None = None  # the client sends this RPC again; None where clients don't mark retries
 
 
 @dataclass(slots=True)
 class AnswerStarted:
-    """A call-out's answer has begun to arrive."""
+    """The answer to an attempt has begun to arrive. The attempt is no longer cancelled for being slow."""
 
     rpc: int
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, kw_only=True)
 class AttemptEnded:
-    """A call-out has ended, with its outcome."""
+    """An attempt has ended."""
 
     rpc: int
-    n: int
+    attempt: int  # the attempt's number within its RPC, from 0
     backend: int
     outcome: AttemptOutcome
-    closed: bool  # nothing more is owed for the RPC
-    units: float  # the true cost where units are settled afterwards, else 0
+    is_final: bool  # the client has its answer, or has gone: nothing more is owed for the RPC
+    settled_units: float  # the true cost, where costs are settled after the RPC; else 0
 
 
 @dataclass(slots=True)
 class ClientGone:
-    """The client of an RPC waits no more."""
+    """The client of an RPC no longer waits for its answer."""
 
     rpc: int
 
 
 @dataclass(slots=True)
 class CounterReply:
-    """The counter's answer to an AddCount."""
+    """The shared counter's reply to an AddToCounter, or the report that there was none."""
 
     name: int
     added: bool
-    total: float  # nan: not known; without added: the call was lost with its connection
+    total: float  # after the addition; without `added`, NaN says that the query was lost with its connection
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that was set has come due."""
+    """A timer set by SetTimer has come due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A backend, as a list of them has it."""
+    """A backend, as discovery lists it."""
 
     backend: int
     zone: int
     cell: int
-    started_us: int
+    started_us: int  # when its process started; 0: not known, or long ago
     state: BackendState
 
 
 @dataclass(frozen=True, slots=True)
 class KnownBackend:
-    """A backend that takes new work, for the fleet part: it goes by names that are the same everywhere."""
+    """A backend that takes new work, under the names that it has at every gateway. For the peers' exchange."""
 
     index: int
     name: str
@@ -88,24 +89,24 @@
 
 @dataclass(slots=True)
 class EndpointsChanged:
-    """A list of backends: whole, or only what changed. failed: the call for it failed, the old one stays."""
+    """Discovery has reported endpoints, or could not be read."""
 
-    whole: bool
-    failed: bool
-    entries: list[Endpoint] = field(default_factory=list)
+    complete: bool  # backends that are not listed are gone; else these are only the ones that changed
+    failed: bool  # the query failed: the endpoints known so far stay
+    endpoints: list[Endpoint] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class PeerEvidence:
-    """What other gateways make of backends: those to leave out, and those to try before others."""
+    """What the gateways have agreed on among each other about backends."""
 
-    left_out: frozenset[int]
-    probed: frozenset[int]
+    left_out: frozenset[int]  # these get no attempts
+    probed: frozenset[int]  # these get the next attempt, before better ranked ones
 
 
 @dataclass(frozen=True, slots=True)
 class ParametersChanged:
-    """The terms have changed. Methods keep their numbers, new ones follow."""
+    """The gateway's parameters have changed. Methods keep their indices, new ones are appended."""
 
     parameters: GatewayParameters
 
--- a/stoneyoke/control/gateway.py
+++ b/stoneyoke/control/gateway.py
@@ -41,9 +41,10 @@
     PeerEvidence,
     TimerFired,
 )
-from stoneyoke.control.ground import BEAT, PROVEN_UNRUN
+from stoneyoke.control.ground import BEAT
 from stoneyoke.control.open_rpc import MethodRow, OpenRpc, Rpc
 from stoneyoke.control.parameters import (
+    PROVEN_NOT_RUN,
     AttemptOutcome,
     BackendState,
     DeduplicationScope,
@@ -105,21 +106,25 @@
         unrun, home, first_at = True, None, 0
         claim, tried, arrived = self.claim(call), set[int](), False
         self.retry_budget.level += self.parameters.retry_budget_ratio
-        for _ in range(method.tries or self.parameters.attempts_max):
+        for _ in range(method.attempts_max or self.parameters.attempts_max):
             # The whole system's budget of further tries, in parts: what came to a backend counts.
             if arrived and self.parameters.retry_budget_depth and self.retry_budget.fill(self.now) < 1.0:
                 break
             # Rule 2: a deduplicated RPC that may have run stays in its group and within the memory.
-            if not unrun and method.effect is Idempotency.DEDUPLICATED and self.now >= first_at + method.memory_us:
+            if (
+                not unrun
+                and method.idempotency is Idempotency.DEDUPLICATED
+                and self.now >= first_at + method.deduplication_window_us
+            ):
                 break
-            if not (backend := self.choose(tried, claim, None if unrun else home, method.group)):
+            if not (backend := self.choose(tried, claim, None if unrun else home, method.deduplication_scope)):
                 break
             if rpc.sent == 0:
                 # Only from stores that refill: else one would never be full, its customer never forgotten.
                 customer.store.level -= call.units if customer.plan.rate > 0 and not held else 0.0
                 customer.ceiling.level -= call.units if customer.plan.ceiling_rate > 0 and not held else 0.0
             if unrun:
-                home, first_at = backend if method.effect is Idempotency.DEDUPLICATED else None, self.now
+                home, first_at = backend if method.idempotency is Idempotency.DEDUPLICATED else None, self.now
             tried.add(backend.index)
             self.retry_budget.level -= arrived
             result: AttemptEnded = yield StartAttempt(call.rpc, backend.index, 0)
@@ -133,25 +138,28 @@
                 # Quiet backend: nothing has come back from it for as long as this call-out is out, while
                 # the fleet answers: in a jam of all, sending again would only feed it.
                 quiet = not self.near(backend) and (self.now - backend.quiet_since >= self.patience(call.method))
-                remembered = method.effect is Idempotency.DEDUPLICATED and self.now < first_at + method.memory_us
+                remembered = (
+                    method.idempotency is Idempotency.DEDUPLICATED
+                    and self.now < first_at + method.deduplication_window_us
+                )
                 if (
                     quiet
                     and self.parameters.can_cancel_attempts
-                    and (method.effect is Idempotency.IDEMPOTENT or remembered)
+                    and (method.idempotency is Idempotency.IDEMPOTENT or remembered)
                 ):
                     result = yield CancelAttempt(call.rpc, rpc.sent - 1)
                 else:
                     result = yield self.patience(call.method) // 4
-            if result.outcome is AttemptOutcome.OK and not result.closed:
+            if result.outcome is AttemptOutcome.OK and not result.is_final:
                 break
             arrived = arrived or result.outcome not in (AttemptOutcome.NO_CONNECTION, AttemptOutcome.NOT_SENT)
-            if result.outcome not in PROVEN_UNRUN:
+            if result.outcome not in PROVEN_NOT_RUN:
                 unrun = False
-                if method.effect is Idempotency.NON_IDEMPOTENT:
+                if method.idempotency is Idempotency.NON_IDEMPOTENT:
                     break
             # Too late for another, or the fleet is full: going round that would only keep it so.
             if (
-                self.now >= rpc.begun + call.wait_us - method.soft_us // 8
+                self.now >= rpc.begun + call.wait_us - method.soft_deadline_us // 8
                 or not unrun
                 and self.jammed()
                 or (result.outcome is AttemptOutcome.REJECTED and self.swamped > 0.4)
@@ -162,14 +170,14 @@
         # Rule 2: a pushback says that trying again is harmless.
         harmless = (
             unrun
-            or method.effect is Idempotency.IDEMPOTENT
-            or (method.effect is Idempotency.DEDUPLICATED and method.group is DeduplicationScope.ALL)
+            or method.idempotency is Idempotency.IDEMPOTENT
+            or (method.idempotency is Idempotency.DEDUPLICATED and method.deduplication_scope is DeduplicationScope.ALL)
         )
         # The pressed back end's own wait: a soft deadline, in which a full one empties.
-        yield Reject(call.rpc, self.jittered(method.soft_us), True) if harmless else Abandon(call.rpc)
+        yield Reject(call.rpc, self.jittered(method.soft_deadline_us), True) if harmless else Abandon(call.rpc)
 
     def patience(self, method: int) -> int:
-        return self.parameters.methods[method].soft_us * 3 // 5  # after which a call-out counts as slow
+        return self.parameters.methods[method].soft_deadline_us * 3 // 5  # after which a call-out counts as slow
 
     def claim(self, call: Arrival) -> float:
         """The part of the room that an RPC may fill. A later try that can no longer be ok within the soft
@@ -178,8 +186,8 @@
         row.longest = max(row.longest, call.wait_us)
         if call.wait_us < 0.7 * row.mean:  # it would be given up before it is answered
             return 0.1
-        later = call.wait_us < 0.98 * row.longest if call.repeat is None else call.repeat
-        if later and method.deadline_us - call.wait_us > 0.8 * method.soft_us:
+        later = call.wait_us < 0.98 * row.longest if call.is_retry is None else call.is_retry
+        if later and method.deadline_us - call.wait_us > 0.8 * method.soft_deadline_us:
             return 0.4  # 0.5 and 0.3 each gave up more on one kind of incident
         # Utility for the time it takes, against the running mean: the cheaper half of it leaves first.
         value = method.utility * self.parameters.plans[call.plan].price * call.units / row.mean
@@ -191,7 +199,7 @@
     def renew(self, news: ParametersChanged) -> None:
         """Other gateways, or other methods: what was measured stays."""
         self.parameters = parameters = news.parameters
-        self.methods += [MethodRow(method.soft_us) for method in parameters.methods[len(self.methods) :]]
+        self.methods += [MethodRow(method.soft_deadline_us) for method in parameters.methods[len(self.methods) :]]
         self.retry_budget.reshape(parameters.retry_budget_per_s, parameters.retry_budget_depth, self.now)
 
     def arrive(self, call: Arrival) -> None:
@@ -251,20 +259,22 @@
 
     def ended(self, result: AttemptEnded) -> None:
         rpc = self.open.get(result.rpc)
-        if rpc is None or result.n not in rpc.outs:
+        if rpc is None or result.attempt not in rpc.outs:
             return
-        index, sent_at = rpc.outs.pop(result.n)
+        index, sent_at = rpc.outs.pop(result.attempt)
         backend = self.backends[index]
-        backend.overdue -= rpc.slow_at == result.n + 1
+        backend.overdue -= rpc.slow_at == result.attempt + 1
         backend.out -= 1
         self.out -= 1
         customer = self.customers[rpc.call.customer]
         customer.out -= 1
-        if self.parameters.settles and customer.plan.rate > 0 and result.units > 0:  # told with the first ok
-            customer.store.level += rpc.call.units - result.units
+        if (
+            self.parameters.settles_units and customer.plan.rate > 0 and result.settled_units > 0
+        ):  # told with the first ok
+            customer.store.level += rpc.call.units - result.settled_units
         if sent_at >= self.woke:
             self.measure(backend, rpc, result, sent_at)
-        rpc.ended = rpc.ended or result.closed
+        rpc.ended = rpc.ended or result.is_final
         self.resume(rpc, result)
         self.drop_if_done(rpc)
 
--- a/stoneyoke/control/open_rpc.py
+++ b/stoneyoke/control/open_rpc.py
@@ -23,8 +23,8 @@
 class MethodRow:
     """What the module reads of a method, a row a method."""
 
-    def __init__(self, soft_us: int) -> None:
-        self.mean = soft_us / 6  # a first guess of the time taken; answers soon replace it
+    def __init__(self, soft_deadline_us: int) -> None:
+        self.mean = soft_deadline_us / 6  # a first guess of the time taken; answers soon replace it
         self.seen = 0
         self.longest = 0  # the longest wait that a client's try came with: a first try's
 
--- a/stoneyoke/control/parameters.py
+++ b/stoneyoke/control/parameters.py
@@ -1,6 +1,6 @@
-"""What one gateway is given at its start: its methods, plans and bounds, and the words for outcomes and states.
+"""Parameters of one gateway: its methods, plans and bounds, and the enums of outcomes and states.
 
-Times are whole microseconds.
+Times are whole microseconds, costs are units of quota.
 """
 
 from dataclasses import dataclass
@@ -8,15 +8,15 @@
 
 
 class Idempotency(Enum):
-    """Whether a method may run more than once."""
+    """Whether an RPC of a method may run more than once."""
 
     IDEMPOTENT = "idempotent"
-    DEDUPLICATED = "deduplicated"
+    DEDUPLICATED = "deduplicated"  # backends within a scope recognise repeats for a while
     NON_IDEMPOTENT = "non-idempotent"
 
 
 class DeduplicationScope(Enum):
-    """Which backends drop repeats of a deduplicated RPC."""
+    """Which backends recognise a repeat of a deduplicated RPC."""
 
     ALL = "all"
     ZONE = "zone"
@@ -24,75 +24,79 @@
 
 
 class AttemptOutcome(Enum):
-    """How a call-out ended. The first five may have run; the last four never did."""
+    """How an attempt ended. After the first five the RPC may have run; after the last four it has not."""
 
     OK = "ok"
     ERROR = "error"
     TIMED_OUT = "timed out"
-    BROKEN = "broken"
+    BROKEN = "broken"  # the connection failed after the request's first byte
     CANCELLED = "called off"
-    REJECTED = "turned away"
-    NO_CONNECTION = "no connection"  # nobody took one: the backend may be gone
-    CUT = "cut"  # broke before the first byte, or was not taken though others to this backend stay open
-    NOT_SENT = "not sent"
+    REJECTED = "turned away"  # the backend says that it has not run the RPC
+    NO_CONNECTION = "no connection"  # no connection at all was accepted: the backend may be gone
+    CUT = "cut"  # closed before the first byte, or refused while others to this backend stay open
+    NOT_SENT = "not sent"  # given up by the host before anything was sent
+
+
+# These outcomes alone prove that the backend has not run the RPC.
+PROVEN_NOT_RUN = (AttemptOutcome.REJECTED, AttemptOutcome.NO_CONNECTION, AttemptOutcome.CUT, AttemptOutcome.NOT_SENT)
 
 
 class BackendState(IntEnum):
-    """A backend's state, as discovery tells it."""
+    """A backend's state, as discovery reports it."""
 
     READY = 0
     GONE = 2
-    DRAINING = 3
+    DRAINING = 3  # finishes its attempts and gets no new ones
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Method:
     """What holds for all RPCs of one method."""
 
-    effect: Idempotency
-    group: DeduplicationScope
-    soft_us: int
-    deadline_us: int  # over all tries of a client
-    memory_us: int
-    utility: float
-    tries: int = 0  # call-outs at most; 0: as the terms say
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
+    soft_deadline_us: int  # an answer after this is worth less
+    deadline_us: int  # over all of a client's retries
+    deduplication_window_us: int  # how long backends recognise repeats
+    utility: float  # what an answer within the soft deadline is worth
+    attempts_max: int = 0  # 0: as GatewayParameters.attempts_max says
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Plan:
-    """One customer plan: quota, burst, ceiling and the number of call-outs out at once."""
+    """A customer plan: its quota, its ceiling and its limit of concurrent attempts."""
 
-    rate: float
-    burst: float
-    price: float
-    parallel: int
-    ceiling_rate: float
-    ceiling_burst: float
+    rate: float  # units per second; 0: no quota
+    burst: float  # units
+    price: float  # weight of the plan's RPCs against those of other plans
+    concurrency_max: int  # attempts in flight over all gateways; 0: not limited
+    ceiling_rate: float  # units per second that must never be exceeded; 0: no ceiling
+    ceiling_burst: float  # units
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class GatewayParameters:
-    """What holds for the whole life of one gateway instance."""
+    """What one gateway is given at its start, or by ParametersChanged."""
 
     seed: int
-    gateways: int
-    own_index: int
+    gateways: int  # the number of gateways that share the backends
+    own_index: int  # among them, from 0
     zone: int
     methods: tuple[Method, ...]
     plans: tuple[Plan, ...]
-    attempts_max: int
+    attempts_max: int  # for one RPC
     can_cancel_attempts: bool
-    has_counter: bool
-    marks_repeats: bool  # clients say which of their tries are later ones
-    advises: bool  # a pushback may say when to return
-    settles: bool
-    must_subscribe: bool
-    units_max: float
-    cold_share: float
-    warm_up_us: int
-    overload_factor: float
-    overload_window_us: int
-    # Call-outs beyond an RPC's first: units earned by an RPC, and by a second; held at most. 0: not limited.
+    has_counter: bool  # a shared counter exists
+    clients_mark_retries: bool
+    advises_wait: bool  # a rejection may state when to come back
+    settles_units: bool  # an RPC's true cost is told with its answer
+    must_subscribe: bool  # discovery reports changes only after a Subscribe
+    units_max: float  # the largest cost of an RPC
+    cold_share: float  # the part of its capacity that a backend has when it starts
+    warm_up_us: int  # from the start to the whole capacity
+    overload_factor: float  # a cold backend that gets this many times its current capacity ...
+    overload_window_us: int  # ... for this long fails for good
+    # The retry budget: units earned by each RPC and each second, and how many can be saved. Depth 0: not limited.
     retry_budget_ratio: float = 0.0
     retry_budget_per_s: float = 0.0
     retry_budget_depth: float = 0.0
--- a/stoneyoke/control/quotas.py
+++ b/stoneyoke/control/quotas.py
@@ -24,8 +24,12 @@
     def __init__(
         self, call: Arrival, plan: Plan, parameters: GatewayParameters, lump: float, now: int, born: int
     ) -> None:
-        self.index, self.account, self.plan = call.customer, call.account, plan
-        width = call.width if math.isfinite(call.width) and call.width >= 1 else parameters.gateways
+        self.index, self.customer_id, self.plan = call.customer, call.customer_id, plan
+        width = (
+            call.customer_gateways
+            if math.isfinite(call.customer_gateways) and call.customer_gateways >= 1
+            else parameters.gateways
+        )
         self.even = 1 / min(width, parameters.gateways)
         self.slice, self.lump = self.even, lump
         self.store = TokenBucket(plan.rate * self.even, self.depth(), self.depth(), now)
@@ -43,7 +47,7 @@
         self.common, self.period = None, 1
         if parameters.has_counter and self.even < 1 and 0 < plan.rate * self.even < 2 * parameters.units_max:
             self.period = 2  # where it is not asked for: thin demand shows late
-            self.common = SharedBucket(plan, call.account, self.even, lump)
+            self.common = SharedBucket(plan, call.customer_id, self.even, lump)
             rate, depth = guarded_share(plan, self.even, parameters.units_max, parameters.own_index)
             self.ceiling = TokenBucket(rate, depth, min(depth, rate * (now - born) / SECOND), now)
         self.counting_until = self.advised_until = self.blocked_until = 0
@@ -62,9 +66,11 @@
         """What the others have out: their rate times the time that an RPC takes. A part rounded to whole
         call-outs would be nothing, or one for each of a hundred gateways."""
         if self.plan.rate <= 0:
-            return 0 < self.plan.parallel and self.out >= max(1, int(self.plan.parallel * self.slice + 1e-9))
+            return 0 < self.plan.concurrency_max and self.out >= max(
+                1, int(self.plan.concurrency_max * self.slice + 1e-9)
+            )
         others = self.others / self.others_time if self.others_time else self.plan.rate * (1 - self.slice)
-        return 0 < self.plan.parallel <= self.out + min(self.plan.rate, others) / self.lump * taken
+        return 0 < self.plan.concurrency_max <= self.out + min(self.plan.rate, others) / self.lump * taken
 
 
 class Quotas(Ground):
@@ -183,7 +189,7 @@
         second, self.agenda = self.now // SECOND, {}
         silent = self.misses >= 3 and self.counter_asked - self.counter_heard > SECOND
         for customer in list(self.customers.values()):
-            if (second + customer.account) % customer.period == 0:
+            if (second + customer.customer_id) % customer.period == 0:
                 told, customer.demand = customer.demand, 0.0
                 customer.own = 0.6 * customer.own + told
                 customer.own_time = 0.6 * customer.own_time + customer.period
@@ -195,8 +201,8 @@
             self.sweep(customer)
 
     def lay_out(self, customer: Customer, told: float, second: int) -> None:
-        name = (customer.account * 0x9E3779B97F4A7C15 + second * 0xD1B54A32D192ED03) % 2**64
-        slot, part = customer.account % 8, self.reading
+        name = (customer.customer_id * 0x9E3779B97F4A7C15 + second * 0xD1B54A32D192ED03) % 2**64
+        slot, part = customer.customer_id % 8, self.reading
         if not customer.common:
             if told > 0:
                 self.agenda.setdefault(1 + slot, []).append(Call(name, told))
--- a/stoneyoke/fleet/transport.py
+++ b/stoneyoke/fleet/transport.py
@@ -49,7 +49,7 @@
         metrics: Metrics,
     ) -> None:
         self.listen, self.runtime, self.clock, self.metrics = listen, runtime, clock, metrics
-        soft = max(method.soft_us for method in runtime.parameters.methods)
+        soft = max(method.soft_deadline_us for method in runtime.parameters.methods)
         self.agent = FleetAgent(own, seeds, keys, soft * 3 // 5, runtime.parameters.seed, clock.now(), metrics.add)
         self.transport: asyncio.DatagramTransport | None = None
         self.ticking: asyncio.Task[None] | None = None
--- a/stoneyoke/gateway/admission.py
+++ b/stoneyoke/gateway/admission.py
@@ -17,9 +17,33 @@
 
 def parameters(seed: int) -> GatewayParameters:
     """Of a stage that sends nothing itself: a request is a unit."""
-    any_method = Method(Idempotency.NON_IDEMPOTENT, DeduplicationScope.CELL, SECOND, SECOND, 0, 1.0)
+    any_method = Method(
+        idempotency=Idempotency.NON_IDEMPOTENT,
+        deduplication_scope=DeduplicationScope.CELL,
+        soft_deadline_us=SECOND,
+        deadline_us=SECOND,
+        deduplication_window_us=0,
+        utility=1.0,
+    )
     return GatewayParameters(
-        seed, 1, 0, 0, (any_method,), (), 1, False, False, False, True, False, False, 1.0, 1.0, 1, 1.0, 1
+        seed=seed,
+        gateways=1,
+        own_index=0,
+        zone=0,
+        methods=(any_method,),
+        plans=(),
+        attempts_max=1,
+        can_cancel_attempts=False,
+        has_counter=False,
+        clients_mark_retries=False,
+        advises_wait=True,
+        settles_units=False,
+        must_subscribe=False,
+        units_max=1.0,
+        cold_share=1.0,
+        warm_up_us=1,
+        overload_factor=1.0,
+        overload_window_us=1,
     )
 
 
@@ -35,7 +59,14 @@
     def call(self, tenant: Tenant, wait_us: int) -> Arrival:
         """A request of a tenant, in the terms of the decisions."""
         index = self.indices.setdefault(tenant.label, len(self.indices))
-        plan = Plan(tenant.rate, max(1.0, tenant.burst), 1.0, 0, 0.0, 0.0)
+        plan = Plan(
+            rate=tenant.rate,
+            burst=max(1.0, tenant.burst),
+            price=1.0,
+            concurrency_max=0,
+            ceiling_rate=0.0,
+            ceiling_burst=0.0,
+        )
         if tenant.label not in self.local_quotas:
             self.local_quotas[tenant.label] = LocalQuota()
             self.parameters = replace(self.parameters, plans=(*self.parameters.plans, plan))
@@ -44,7 +75,16 @@
             self.parameters = replace(self.parameters, plans=plans)
             if customer := self.customers.get(index):
                 customer.plan = plan
-        return Arrival(0, 0, index, index, index, wait_us, 1.0, self.parameters.gateways)
+        return Arrival(
+            rpc=0,
+            method=0,
+            plan=index,
+            customer=index,
+            customer_id=index,
+            wait_us=wait_us,
+            units=1.0,
+            customer_gateways=self.parameters.gateways,
+        )
 
     def among(self, gateways: int) -> None:
         """How many gateways share what is not told."""
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -77,33 +77,46 @@
         ratio, window = self.bounds["retry_ratio"], self.bounds["retry_window_s"]
         slack = self.bounds["retry_slack"] * BUDGET_PART / self.fleet.gateways
         return GatewayParameters(
-            self.seed,
-            self.fleet.gateways,
-            self.fleet.own,
-            self.zone_of(self.zone),
-            methods,
-            tuple(Plan(0.0, 0.0, 1 / (1 + rank), 0, 0.0, 0.0) for rank in range(RANKS)),
-            1000,
-            True,
-            False,
-            False,
-            True,
-            False,
-            False,
-            1.0,
-            0.5,
-            WARM_UP_US,
-            4.0,
-            1_000_000,
-            0.8 * ratio,
-            0.5 * slack / window,
-            max(1.0, 0.5 * slack),
+            seed=self.seed,
+            gateways=self.fleet.gateways,
+            own_index=self.fleet.own,
+            zone=self.zone_of(self.zone),
+            methods=methods,
+            plans=tuple(
+                Plan(rate=0.0, burst=0.0, price=1 / (1 + rank), concurrency_max=0, ceiling_rate=0.0, ceiling_burst=0.0)
+                for rank in range(RANKS)
+            ),
+            attempts_max=1000,
+            can_cancel_attempts=True,
+            has_counter=False,
+            clients_mark_retries=False,
+            advises_wait=True,
+            settles_units=False,
+            must_subscribe=False,
+            units_max=1.0,
+            cold_share=0.5,
+            warm_up_us=WARM_UP_US,
+            overload_factor=4.0,
+            overload_window_us=1_000_000,
+            retry_budget_ratio=0.8 * ratio,
+            retry_budget_per_s=0.5 * slack / window,
+            retry_budget_depth=max(1.0, 0.5 * slack),
         )
 
     def upstream(self, service: str) -> Upstream:
         upstream = self.upstreams.get(service)
         if upstream is None:
-            first = (Method(Idempotency.IDEMPOTENT, DeduplicationScope.CELL, 1_000_000, 10_000_000, 0, 1.0, 1),)
+            first = (
+                Method(
+                    idempotency=Idempotency.IDEMPOTENT,
+                    deduplication_scope=DeduplicationScope.CELL,
+                    soft_deadline_us=1_000_000,
+                    deadline_us=10_000_000,
+                    deduplication_window_us=0,
+                    utility=1.0,
+                    attempts_max=1,
+                ),
+            )
             upstream = self.upstreams[service] = Upstream(service, self.parameters(first), self.clock, self.metrics)
             self.list_one(upstream)
         return upstream
@@ -115,13 +128,13 @@
         if number is None:
             parameters = upstream.runtime.gateway.parameters
             method = Method(
-                Idempotency.IDEMPOTENT if route.pure else Idempotency.NON_IDEMPOTENT,
-                DeduplicationScope.CELL,
-                SOFT * route.target_us,
-                route.timeout_us,
-                0,
-                1 / (1 + min(route.rank, RANKS)),
-                route.tries,
+                idempotency=Idempotency.IDEMPOTENT if route.pure else Idempotency.NON_IDEMPOTENT,
+                deduplication_scope=DeduplicationScope.CELL,
+                soft_deadline_us=SOFT * route.target_us,
+                deadline_us=route.timeout_us,
+                deduplication_window_us=0,
+                utility=1 / (1 + min(route.rank, RANKS)),
+                attempts_max=route.tries,
             )
             number = upstream.methods[kind] = len(parameters.methods)
             upstream.runtime.tell(ParametersChanged(self.parameters((*parameters.methods, method))))
--- a/stoneyoke/net/clients.py
+++ b/stoneyoke/net/clients.py
@@ -239,7 +239,7 @@
                     case Reject(_, wait_us):
                         self.metrics.add("RPCs: pushed back")
                         advice = b"Retry-After: %.3f\r\n" % (wait_us / 1_000_000)
-                        return Reply(429, headers=advice if self.runtime.parameters.advises else b"")
+                        return Reply(429, headers=advice if self.runtime.parameters.advises_wait else b"")
                     case StartAttempt(_, backend, limit_us):
                         n, now = held.calls, self.clock.now()
                         held.calls += 1
--- a/stoneyoke/runtime/runtime.py
+++ b/stoneyoke/runtime/runtime.py
@@ -153,15 +153,15 @@
         held = self.held[self.rpcs] = Held(self.rpcs, self.clock, self)
         self.tell(
             Arrival(
-                held.index,
-                method,
-                plan,
-                self.customers.enter(account),
-                account,
-                max(0, until - self.clock.now()),
-                units,
-                width,
-                repeat,
+                rpc=held.index,
+                method=method,
+                plan=plan,
+                customer=self.customers.enter(account),
+                customer_id=account,
+                wait_us=max(0, until - self.clock.now()),
+                units=units,
+                customer_gateways=width,
+                is_retry=repeat,
             )
         )
         return held
@@ -170,7 +170,11 @@
         closed = outcome is AttemptOutcome.OK or held.gone
         if self.watch:
             self.watch.ended(held.index, outcome)
-        self.tell(AttemptEnded(held.index, n, backend, outcome, closed, 0.0))
+        self.tell(
+            AttemptEnded(
+                rpc=held.index, attempt=n, backend=backend, outcome=outcome, is_final=closed, settled_units=0.0
+            )
+        )
 
     def client_gone(self, held: Held) -> None:
         if not held.gone:
--- a/stoneyoke/single_gateway/counter.py
+++ b/stoneyoke/single_gateway/counter.py
@@ -69,7 +69,7 @@
         head = b"POST /counters/%016x?by=%s&expire_ms=%d HTTP/1.1\r\n" % (
             action.name,
             b"%.6f" % action.amount,
-            max(1, action.life_us // 1000),
+            max(1, action.ttl_us // 1000),
         )
         link.calls.append(call)
         link.used_at = now
--- a/stoneyoke/single_gateway/request_head.py
+++ b/stoneyoke/single_gateway/request_head.py
@@ -35,8 +35,8 @@
     def __init__(self, methods: list[str], plans: list[str], parameters: GatewayParameters) -> None:
         self.methods = {name.encode(): at for at, name in enumerate(methods)}
         self.plans = {name.encode(): at for at, name in enumerate(plans)}
-        self.effects = [method.effect for method in parameters.methods]
-        self.gateways, self.marks = parameters.gateways, parameters.marks_repeats
+        self.effects = [method.idempotency for method in parameters.methods]
+        self.gateways, self.marks = parameters.gateways, parameters.clients_mark_retries
         self.units_max = parameters.units_max or math.inf
 
 
--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -45,7 +45,7 @@
                 outcome = random_source.choice(ENDS)
                 pending.append((bench.now + took, action.rpc, n, action.backend, outcome))
             elif isinstance(action, CancelAttempt):
-                out = [p for p in pending if p[1:3] == (action.rpc, action.n)]
+                out = [p for p in pending if p[1:3] == (action.rpc, action.attempt)]
                 for p in out:
                     pending.remove(p)
                     pending.append((bench.now + 1, *p[1:4], AttemptOutcome.CANCELLED))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -28,10 +28,38 @@
 
 START = 1_000_000_000_000
 METHODS = (
-    Method(Idempotency.IDEMPOTENT, DeduplicationScope.CELL, 1_000_000, 2_500_000, 0, 1.0),
-    Method(Idempotency.DEDUPLICATED, DeduplicationScope.ZONE, 1_000_000, 2_500_000, 2_000_000, 1.0),
-    Method(Idempotency.NON_IDEMPOTENT, DeduplicationScope.CELL, 1_000_000, 2_500_000, 0, 1.0),
-    Method(Idempotency.DEDUPLICATED, DeduplicationScope.ALL, 1_000_000, 2_500_000, 2_000_000, 1.0),
+    Method(
+        idempotency=Idempotency.IDEMPOTENT,
+        deduplication_scope=DeduplicationScope.CELL,
+        soft_deadline_us=1_000_000,
+        deadline_us=2_500_000,
+        deduplication_window_us=0,
+        utility=1.0,
+    ),
+    Method(
+        idempotency=Idempotency.DEDUPLICATED,
+        deduplication_scope=DeduplicationScope.ZONE,
+        soft_deadline_us=1_000_000,
+        deadline_us=2_500_000,
+        deduplication_window_us=2_000_000,
+        utility=1.0,
+    ),
+    Method(
+        idempotency=Idempotency.NON_IDEMPOTENT,
+        deduplication_scope=DeduplicationScope.CELL,
+        soft_deadline_us=1_000_000,
+        deadline_us=2_500_000,
+        deduplication_window_us=0,
+        utility=1.0,
+    ),
+    Method(
+        idempotency=Idempotency.DEDUPLICATED,
+        deduplication_scope=DeduplicationScope.ALL,
+        soft_deadline_us=1_000_000,
+        deadline_us=2_500_000,
+        deduplication_window_us=2_000_000,
+        utility=1.0,
+    ),
 )
 
 
@@ -43,7 +71,14 @@
     ceiling_burst: float = 0.0,
     price: float = 1.0,
 ) -> Plan:
-    return Plan(rate, burst, price, parallel, ceiling_rate, ceiling_burst)
+    return Plan(
+        rate=rate,
+        burst=burst,
+        price=price,
+        concurrency_max=parallel,
+        ceiling_rate=ceiling_rate,
+        ceiling_burst=ceiling_burst,
+    )
 
 
 def parameters(plans: tuple[Plan, ...] | None = None, **changes: Any) -> GatewayParameters:
@@ -57,9 +92,9 @@
         "attempts_max": 5,
         "can_cancel_attempts": True,
         "has_counter": True,
-        "marks_repeats": False,
-        "advises": True,
-        "settles": False,
+        "clients_mark_retries": False,
+        "advises_wait": True,
+        "settles_units": False,
         "must_subscribe": False,
         "units_max": 0.5,
         "cold_share": 0.25,
@@ -100,7 +135,19 @@
         repeat: bool | None = None,
     ) -> list[Action]:
         self.next_rpc += 1
-        return self.tell(Arrival(self.next_rpc, method, plan, customer, 1000 + customer, wait, units, width, repeat))
+        return self.tell(
+            Arrival(
+                rpc=self.next_rpc,
+                method=method,
+                plan=plan,
+                customer=customer,
+                customer_id=1000 + customer,
+                wait_us=wait,
+                units=units,
+                customer_gateways=width,
+                is_retry=repeat,
+            )
+        )
 
     def end(
         self,
@@ -112,7 +159,9 @@
         units: float = 0.0,
     ) -> list[Action]:
         closed = outcome is AttemptOutcome.OK if closed is None else closed
-        return self.tell(AttemptEnded(rpc, n, backend, outcome, closed, units))
+        return self.tell(
+            AttemptEnded(rpc=rpc, attempt=n, backend=backend, outcome=outcome, is_final=closed, settled_units=units)
+        )
 
     def pass_time(self, microseconds: int, answer: Callable[[Action], Event | None] | None = None) -> list[Action]:
         """Beats on the way; answer(action) may return an event for an action."""
--- a/tests/limits/fleet.py
+++ b/tests/limits/fleet.py
@@ -24,7 +24,16 @@
 
 SECOND = 1_000_000
 START = 1_000_000_000 * SECOND
-METHODS = (Method(Idempotency.IDEMPOTENT, DeduplicationScope.CELL, SECOND, 4 * SECOND, 0, 1.0),)
+METHODS = (
+    Method(
+        idempotency=Idempotency.IDEMPOTENT,
+        deduplication_scope=DeduplicationScope.CELL,
+        soft_deadline_us=SECOND,
+        deadline_us=4 * SECOND,
+        deduplication_window_us=0,
+        utility=1.0,
+    ),
+)
 
 
 class Reference:
@@ -89,7 +98,7 @@
         def serve():
             value, dies = self.values.get(action.name, (0.0, 0))
             if dies <= fleet.now:
-                value, dies = 0.0, fleet.now + action.life_us
+                value, dies = 0.0, fleet.now + action.ttl_us
             self.values[action.name] = value + action.amount, dies
             back = rng.randint(*self.way)
             late = sent + self.limit - fleet.now
@@ -158,9 +167,9 @@
             "plans": self.plans,
             "attempts_max": 5,
             "can_cancel_attempts": True,
-            "marks_repeats": True,
-            "advises": True,
-            "settles": False,
+            "clients_mark_retries": True,
+            "advises_wait": True,
+            "settles_units": False,
             "must_subscribe": False,
             "cold_share": 0.25,
             "warm_up_us": 10 * SECOND,
@@ -225,7 +234,15 @@
             at,
             self.lives[at],
             Arrival(
-                rpc, 0, customer.plan, index, customer.account, 4 * SECOND, self.units, float(customer.width), False
+                rpc=rpc,
+                method=0,
+                plan=customer.plan,
+                customer=index,
+                customer_id=customer.account,
+                wait_us=4 * SECOND,
+                units=self.units,
+                customer_gateways=float(customer.width),
+                is_retry=False,
             ),
         )
 
@@ -242,7 +259,13 @@
         customer.lowest = min(customer.lowest, customer.ceiling.level)
         self.after(
             self.rng.uniform(0.05, 0.2) * SECOND,
-            lambda: self.tell(at, life, AttemptEnded(rpc, 0, backend, AttemptOutcome.OK, True, 0.0)),
+            lambda: self.tell(
+                at,
+                life,
+                AttemptEnded(
+                    rpc=rpc, attempt=0, backend=backend, outcome=AttemptOutcome.OK, is_final=True, settled_units=0.0
+                ),
+            ),
         )
 
     def refused(self, rpc):
--- a/tests/limits/test_common.py
+++ b/tests/limits/test_common.py
@@ -8,8 +8,8 @@
 from stoneyoke.control.parameters import Plan
 from stoneyoke.limits.common_store import EPOCH, SECOND, SharedBucket, guarded_share
 
-PLAN = Plan(4.0, 12.0, 1.0, 0, 0.0, 0.0)
-GUARDED = Plan(20.0, 30.0, 1.0, 0, 44.0, 70.0)
+PLAN = Plan(rate=4.0, burst=12.0, price=1.0, concurrency_max=0, ceiling_rate=0.0, ceiling_burst=0.0)
+GUARDED = Plan(rate=20.0, burst=30.0, price=1.0, concurrency_max=0, ceiling_rate=44.0, ceiling_burst=70.0)
 NOW = 1_000_000_000 * SECOND
 
 
@@ -85,7 +85,14 @@
     st.sampled_from([1.0, 2.0, 4.0]),
 )
 def test_parts_of_a_ceiling_are_what_the_common_store_leaves(width, first, factor, rate, worth, largest):
-    plan = Plan(rate, rate * worth, 1.0, 0, rate * factor, rate * worth * factor)
+    plan = Plan(
+        rate=rate,
+        burst=rate * worth,
+        price=1.0,
+        concurrency_max=0,
+        ceiling_rate=rate * factor,
+        ceiling_burst=rate * worth * factor,
+    )
     gateways = 200
     parts = [guarded_share(plan, 1 / width, largest, (first + i) % gateways) for i in range(width)]
     assert sum(rate for rate, _ in parts) <= plan.ceiling_rate - plan.rate + 1e-6
--- a/tests/limits/test_fleet.py
+++ b/tests/limits/test_fleet.py
@@ -6,8 +6,8 @@
 from stoneyoke.control.events import Arrival
 from stoneyoke.control.parameters import Plan
 
-THIN = Plan(2.0, 8.0, 1.0, 0, 0.0, 0.0)
-GUARDED = Plan(20.0, 30.0, 1.0, 0, 40.0, 66.0)
+THIN = Plan(rate=2.0, burst=8.0, price=1.0, concurrency_max=0, ceiling_rate=0.0, ceiling_burst=0.0)
+GUARDED = Plan(rate=20.0, burst=30.0, price=1.0, concurrency_max=0, ceiling_rate=40.0, ceiling_burst=66.0)
 
 
 def quiet(customer):
@@ -107,5 +107,19 @@
     fleet = town()
     customer = fleet.customers[0]
     fleet.rpcs[1 << 40] = customer, fleet.now
-    fleet.tell(0, fleet.lives[0], Arrival(1 << 40, 0, 0, 99, customer.account, SECOND // 10, 1.0, 40.0, False))
+    fleet.tell(
+        0,
+        fleet.lives[0],
+        Arrival(
+            rpc=1 << 40,
+            method=0,
+            plan=0,
+            customer=99,
+            customer_id=customer.account,
+            wait_us=SECOND // 10,
+            units=1.0,
+            customer_gateways=40.0,
+            is_retry=False,
+        ),
+    )
     assert 1 << 40 not in fleet.rpcs  # decided within the event
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -63,7 +63,7 @@
         b"/v1/servers?from=44&hold_ms=1000",
     ]
     assert max(b - a for a, b in zip(at, at[1:], strict=False)) < 0.2
-    told = [(n.whole, [(e.backend, e.zone, e.started_us, e.state.name) for e in n.entries]) for n in news]
+    told = [(n.complete, [(e.backend, e.zone, e.started_us, e.state.name) for e in n.endpoints]) for n in news]
     assert told == [
         (True, [(0, 1, 0, "READY"), (1, 1, 1_700_000_000_000_000, "READY")]),
         (False, [(1, 1, 0, "DRAINING"), (0, 1, 0, "GONE")]),
@@ -96,7 +96,7 @@
     def news(*rows):
         return {
             e.backend: e.state.name
-            for e in fleet.news(News({"index": 1, "snapshot": False, "endpoints": rows[::order]})).entries
+            for e in fleet.news(News({"index": 1, "snapshot": False, "endpoints": rows[::order]})).endpoints
         }
 
     assert set(news(line_of("s-1"), line_of("s-2", "10.1.0.2:80")).values()) == {"READY"}
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -320,39 +320,72 @@
 def _():
     def call_outs(outcome, depth):
         """Of ten requests at nine backends, each of which ends that way."""
-        method = Method(Idempotency.IDEMPOTENT, DeduplicationScope.CELL, 1_000_000, 9_000_000, 0, 1.0, 3)
+        method = Method(
+            idempotency=Idempotency.IDEMPOTENT,
+            deduplication_scope=DeduplicationScope.CELL,
+            soft_deadline_us=1_000_000,
+            deadline_us=9_000_000,
+            deduplication_window_us=0,
+            utility=1.0,
+            attempts_max=3,
+        )
         module = Module(
             GatewayParameters(
-                7,
-                1,
-                0,
-                0,
-                (method,),
-                (Plan(0.0, 0.0, 1.0, 0, 0.0, 0.0),),
-                9,
-                False,
-                False,
-                False,
-                True,
-                False,
-                False,
-                1.0,
-                1.0,
-                1,
-                9.0,
-                1,
-                0.1,
-                0.0,
-                depth,
+                seed=7,
+                gateways=1,
+                own_index=0,
+                zone=0,
+                methods=(method,),
+                plans=(Plan(rate=0.0, burst=0.0, price=1.0, concurrency_max=0, ceiling_rate=0.0, ceiling_burst=0.0),),
+                attempts_max=9,
+                can_cancel_attempts=False,
+                has_counter=False,
+                clients_mark_retries=False,
+                advises_wait=True,
+                settles_units=False,
+                must_subscribe=False,
+                units_max=1.0,
+                cold_share=1.0,
+                warm_up_us=1,
+                overload_factor=9.0,
+                overload_window_us=1,
+                retry_budget_ratio=0.1,
+                retry_budget_per_s=0.0,
+                retry_budget_depth=depth,
             ),
             0,
         )
         module.handle(EndpointsChanged(True, False, [Endpoint(at, 0, 0, 0, BackendState.READY) for at in range(9)]), 0)
         count = 0
         for rpc in range(10):
-            told, sent = module.handle(Arrival(rpc, 0, 0, 0, 0, 9_000_000, 1.0, 1.0), 1000 + rpc), 0
+            told, sent = (
+                module.handle(
+                    Arrival(
+                        rpc=rpc,
+                        method=0,
+                        plan=0,
+                        customer=0,
+                        customer_id=0,
+                        wait_us=9_000_000,
+                        units=1.0,
+                        customer_gateways=1.0,
+                    ),
+                    1000 + rpc,
+                ),
+                0,
+            )
             while out := [one for one in told if isinstance(one, StartAttempt)]:
-                told = module.handle(AttemptEnded(rpc, sent, out[0].backend, outcome, False, 0.0), 1000 + rpc)
+                told = module.handle(
+                    AttemptEnded(
+                        rpc=rpc,
+                        attempt=sent,
+                        backend=out[0].backend,
+                        outcome=outcome,
+                        is_final=False,
+                        settled_units=0.0,
+                    ),
+                    1000 + rpc,
+                )
                 sent += 1
             count += sent
         return count
--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -1,6 +1,6 @@
 """What an upstream attempt's outcome tells, at each await, and which connection may be used again.
 
-An order is sent again after an outcome of PROVEN_UNRUN: that one must not come once a byte can have left."""
+An order is sent again after an outcome of PROVEN_NOT_RUN: that one must not come once a byte can have left."""
 
 import asyncio
 import errno
@@ -10,7 +10,7 @@
 from raw_backend import LARGE, SHORT_US, RawBackend, Sender, after_all_time, arrived, reset, seen_by_kernel, until
 from ward import test
 
-from stoneyoke.control.ground import PROVEN_UNRUN
+from stoneyoke.control.parameters import PROVEN_NOT_RUN
 from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.backends import Attempt, Site
 from stoneyoke.net.http import RequestWrite
@@ -220,7 +220,7 @@
             else:
                 await after_all_time(out)
             told, answer = await out
-            assert (told, answer) == (outcome, None) and told not in PROVEN_UNRUN, (told, outcome)
+            assert (told, answer) == (outcome, None) and told not in PROVEN_NOT_RUN, (told, outcome)
             assert sender.all_closed()
         sender = Sender(peer.address)
         out, connection = await part_of_a_request(peer, sender)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -25,20 +25,20 @@
 
 def test_over_quota_is_pushed_back_at_once_with_the_time_the_store_needs():
     bench = Bench()
-    wait = drain(bench).wait_us
+    wait = drain(bench).retry_after_us
     assert len(sent([a for _, a in bench.log])) == 6  # a third of the burst and two lumps
     assert 750_000 <= wait <= 1_750_000  # a unit at a third of 4 a second, and up to a second of jitter
 
 
 def test_what_can_never_fit_is_told_the_longest_wait():
     refused = of(Reject, Bench().arrive(units=50.0))
-    assert 20_000_000 <= refused[0].wait_us <= 40_000_000
+    assert 20_000_000 <= refused[0].retry_after_us <= 40_000_000
 
 
 def test_early_returners_get_double_waits_then_a_block_and_what_fits_passes():
     bench = Bench()
     drain(bench)
-    waits = [of(Reject, bench.arrive())[0].wait_us for _ in range(40)]
+    waits = [of(Reject, bench.arrive())[0].retry_after_us for _ in range(40)]
     assert max(waits[-5:]) >= 5_000_000 > max(waits[:5])
     bench.pass_time(1_500_000)
     assert sent(bench.arrive())
@@ -154,7 +154,7 @@
     for method, answer in ((1, Abandon), (3, Reject)):
         bench = Bench()
         first = sent(bench.arrive(method=method, wait=6_000_000))[0]
-        bench.now += METHODS[method].memory_us
+        bench.now += METHODS[method].deduplication_window_us
         assert isinstance(bench.end(1, 0, first.backend, AttemptOutcome.ERROR)[0], answer)
 
 
@@ -319,13 +319,13 @@
     bench = Bench()
     first = sent(bench.arrive())[0]
     off = of(CancelAttempt, bench.pass_time(1_500_000))
-    assert off and off[0].n == 0
+    assert off and off[0].attempt == 0
     again = sent(bench.end(1, 0, first.backend, AttemptOutcome.CANCELLED))
     assert again and again[0].backend != first.backend
 
 
 def test_settled_units_are_taken_or_given_back():
-    bench = Bench(settles=True)
+    bench = Bench(settles_units=True)
     first = sent(bench.arrive())[0]
     bench.end(1, 0, first.backend, units=7.0)
     assert bench.gateway.customers[0].store.level == pytest.approx(6 - 7)
@@ -358,7 +358,18 @@
     for _ in range(2):
         bench = Bench()
         for i in range(60):
-            bench.tell(Arrival(i, i % 4, 0, i % 3, i % 3, 2_500_000, 1.0, 3.0))
+            bench.tell(
+                Arrival(
+                    rpc=i,
+                    method=i % 4,
+                    plan=0,
+                    customer=i % 3,
+                    customer_id=i % 3,
+                    wait_us=2_500_000,
+                    units=1.0,
+                    customer_gateways=3.0,
+                )
+            )
         bench.pass_time(3_000_000, count_all(9.0))
         logs.append(bench.log)
     assert logs[0] == logs[1]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -37,10 +37,12 @@
                     assert all(c[2] for c in rpc["outs"]), "two call-outs at once"
                     assert self.state[action.backend] is BackendState.READY
                     assert at < rpc["deadline"]
-                    if ran and method.effect is Idempotency.DEDUPLICATED:
-                        assert at <= ran[0][1] + method.memory_us
-                        assert method.group is DeduplicationScope.ALL or action.backend % 2 == ran[0][0] % 2
-                    assert not (ran and method.effect is Idempotency.NON_IDEMPOTENT)
+                    if ran and method.idempotency is Idempotency.DEDUPLICATED:
+                        assert at <= ran[0][1] + method.deduplication_window_us
+                        assert (
+                            method.deduplication_scope is DeduplicationScope.ALL or action.backend % 2 == ran[0][0] % 2
+                        )
+                    assert not (ran and method.idempotency is Idempotency.NON_IDEMPOTENT)
                     if not rpc["outs"]:
                         level, last = self.ceilings.get(rpc["customer"], (0.0, self.log[0][0]))
                         level = min(6.0, level + 2.0 * (at - last) / 1e6) - 1
@@ -50,8 +52,11 @@
                 else:
                     rpc["ended"] = True
                     if isinstance(action, Reject) and ran:
-                        assert method.effect is not Idempotency.NON_IDEMPOTENT
-                        assert method.effect is Idempotency.IDEMPOTENT or method.group is DeduplicationScope.ALL
+                        assert method.idempotency is not Idempotency.NON_IDEMPOTENT
+                        assert (
+                            method.idempotency is Idempotency.IDEMPOTENT
+                            or method.deduplication_scope is DeduplicationScope.ALL
+                        )
         for number, rpc in self.rpcs.items():
             if not rpc["ended"]:
                 assert any(c[2] is None for c in rpc["outs"]), f"RPC {number} is held with nothing out"
@@ -107,7 +112,7 @@
             judge.finish(rpc, n, AttemptOutcome.OK)
             judge.check(before)
     assert not judge.gateway.open
-    assert all(not of.n < 0 for _, of in judge.log if isinstance(of, CancelAttempt))
+    assert all(not of.attempt < 0 for _, of in judge.log if isinstance(of, CancelAttempt))
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
