--- a/stoneyoke/lab/simulation/consensus_defects.py
+++ b/stoneyoke/lab/simulation/consensus_defects.py
@@ -11,7 +11,7 @@
 from stoneyoke.consensus.protocol import Accepted, Acceptor, Ballot, Query, RegisterValue, ReplicaId, Round
 from stoneyoke.consensus.quorum import majority
 from stoneyoke.controlplane import configuration_service
-from stoneyoke.lab.simulation.exhaustive import failures, operations, reads, search, state
+from stoneyoke.lab.simulation.exhaustive import failures, operations, reads, search, snapshots, state
 
 MAX_STATES = 20_000  # states in which a defect has to be found
 
@@ -122,7 +122,7 @@
     real = operations.reads_first
 
     def reads_first(process: state.Process, operation: state.Operation) -> bool:
-        view = state.restore_replica(process).view()
+        view = snapshots.restore_replica(process).view()
         known = view.value.version.number if view else 0
         orders = operation.kind is state.OperationKind.ORDER
         return real(process, operation) or orders and all(one.number <= known for one in operation.versions)
--- a/stoneyoke/lab/simulation/exhaustive/__init__.py
+++ b/stoneyoke/lab/simulation/exhaustive/__init__.py
@@ -1,4 +1,6 @@
-"""Every order of messages, crashes, restarts and lost disks in the smallest worlds, with the real code for each step.
+"""Explicit-state model checking of the consensus register: every order of messages and failures in small models.
 
-state: plain values and the real objects; worlds: what is walked; steps, operations: what may happen next; checks: what
-must hold; explore: the walk. docs/design/exhaustive.md has the states counted and what is not walked."""
+`state` holds the hashable states, `snapshots` turns them into the real objects and back, `models` lists what is
+checked, `transitions` generates the successors of a state, `invariants` checks each of them and `search` explores them
+breadth first. docs/design/exhaustive.md has the counts of states and what the models leave out.
+"""
--- a/stoneyoke/lab/simulation/exhaustive/failures.py
+++ b/stoneyoke/lab/simulation/exhaustive/failures.py
@@ -1,4 +1,4 @@
-"""Processes that end and come back, with their disk or with an empty one."""
+"""Failure transitions: processes that restart with their disk or with an empty one."""
 
 from collections.abc import Iterator
 
@@ -7,23 +7,36 @@
 
 
 def failures(model: Model, state: State) -> Iterator[Transition]:
+    """Yields the restart and the disk loss of each process that the model lets fail."""
     for process in state.processes:
         address = process.replica.address
         if model.fallible is not None and address not in model.fallible:
             continue
         if state.crashes:
-            yield f"{address} restarts", restart(model, state._replace(crashes=state.crashes - 1), process, "")
+            after = restart(model, state._replace(crashes=state.crashes - 1), process, "")
+            yield Transition(f"{address} restarts", after)
         if state.losses:
-            disk = f"{process.replica.disk}+"
-            yield f"{address} loses its disk", restart(model, state._replace(losses=state.losses - 1), process, disk)
+            new_disk = f"{process.replica.disk}+"
+            after = restart(model, state._replace(losses=state.losses - 1), process, new_disk)
+            yield Transition(f"{address} loses its disk", after)
 
 
 def restart(model: Model, state: State, process: Process, disk: str) -> State:
-    """The process ends and comes back. disk: of the new, empty one; "": it has the old one."""
+    """Ends a process and starts the next incarnation.
+
+    Args:
+        model: The model.
+        state: The state before.
+        process: The process that ends.
+        disk: The name of the new, empty disk; empty if the process keeps its disk.
+
+    Returns:
+        The state after, without the operations of the process and the requests that it sent to itself.
+    """
     address = process.replica.address
     after = process._replace(incarnation=process.incarnation + 1, chosen=None, counter=0)
     if disk:
         after = Process(process.replica._replace(disk=disk), incarnation=process.incarnation + 1)
-    ongoing = tuple(one for one in state.ongoing if model.operations[one.operation].at != address)
-    own = {one for one in state.requests if one.to == address and one.sender == process.proposer()}
-    return with_process(state, after)._replace(ongoing=ongoing, requests=state.requests - own)
+    ongoing = tuple(one for one in state.ongoing if model.operations[one.operation].address != address)
+    to_itself = {one for one in state.requests if one.to == address and one.sender == process.proposer()}
+    return with_process(state, after)._replace(ongoing=ongoing, requests=state.requests - to_itself)
--- a/stoneyoke/lab/simulation/exhaustive/invariants.py
+++ b/stoneyoke/lab/simulation/exhaustive/invariants.py
@@ -1,41 +1,54 @@
-"""What must hold in each state. What is chosen is counted here from the acceptors' records over all time, by counting
-of its own: the code under test is not asked for it."""
+"""Invariants of the register, checked in each state, and the history variables that they rest on.
+
+What is chosen is counted here from the votes over all time. The code under test is not asked for it.
+"""
 
 from collections.abc import Iterable
 
 from stoneyoke.api.configuration import Version
-from stoneyoke.consensus.protocol import Accepted, Ballot, RegisterValue, ReplicaId
-from stoneyoke.lab.simulation.exhaustive.state import History, LowerBound, State, voters_text
+from stoneyoke.consensus.protocol import Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.lab.simulation.exhaustive.state import History, LowerBound, State
 
 
 def is_majority_of(group: Iterable[ReplicaId], members: set[ReplicaId]) -> bool:
+    """Returns whether the members include more than half of a group."""
     all_members = set(group)
     return 2 * len(all_members & members) > len(all_members)
 
 
 def is_decided(value: RegisterValue, holders: set[ReplicaId]) -> bool:
-    """By the voters and, while a change to them is under way, by those before."""
+    """Returns whether the holders decide a value: by its voters and, during a change, by the voters before."""
     before = not value.previous or is_majority_of(value.previous, holders)
     return before and is_majority_of(value.voters.members, holders)
 
 
-def with_violation(state: State, what: str) -> State:
-    return state if state.violation else state._replace(violation=what)
+def with_violation(state: State, violation: str) -> State:
+    """Returns the state with a violation; the first one stays."""
+    return state if state.violation else state._replace(violation=violation)
+
+
+def describe_version(version: Version) -> str:
+    """Returns a configuration's number and content as messages show it."""
+    return f"{version}{version.digest.decode()}"
+
+
+def describe_voters(voters: VoterSet) -> str:
+    """Returns a voter set as messages show it."""
+    return f"{voters.number}:" + ",".join(f"{one.address}/{one.disk}" for one in voters.members)
 
 
 def describe(value: Accepted) -> str:
-    version = value.value.version
-    return (
-        f"{version}{version.digest.decode()} under {value.ballot.counter}{value.ballot.proposer} "
-        f"by {voters_text(value.value.voters)}" + (" joint" if value.value.previous else "")
-    )
+    """Returns a proposal as messages show it."""
+    ballot, voters = value.ballot, describe_voters(value.value.voters)
+    joint = " joint" if value.value.previous else ""
+    return f"{describe_version(value.value.version)} under {ballot.counter}{ballot.proposer} by {voters}{joint}"
 
 
-# ---- what the ghost notes ----
+# ---- history variables ----
 
 
 def record_vote(state: State, voter: ReplicaId, proposal: Accepted) -> State:
-    """A member has accepted a proposal."""
+    """Records that a member has accepted a proposal; checks the order of all chosen values if that chooses it."""
     history = state.history
     if any(one == proposal for one in history.chosen):
         return state
@@ -46,102 +59,111 @@
     left = frozenset(vote for vote in votes if vote[0] != proposal)
     chosen = tuple(sorted((*history.chosen, proposal), key=lambda one: one.ballot))
     state = state._replace(history=history._replace(votes=left, chosen=chosen))
-    wrong = order_violation(state.history)
-    return with_violation(state, wrong) if wrong else state
+    violation = order_violation(state.history)
+    return with_violation(state, violation) if violation else state
 
 
 def record_parent(state: State, ballot: Ballot, parent: Ballot) -> State:
+    """Records on which ballot's value a proposal is built."""
     history = state.history
     return state._replace(history=history._replace(parents=history.parents | {(ballot, parent)}))
 
 
 def record_shown(state: State, chosen: Accepted, acknowledged: tuple[Version, ...] = ()) -> State:
-    """An operator was told of this value."""
+    """Records that an operator was shown a value, and which configurations were acknowledged as in force."""
     history = state.history
-    shown = LowerBound(max(history.shown.ballot, chosen.ballot), max(history.shown.number, chosen.value.version.number))
-    return state._replace(
-        history=history._replace(shown=shown, acknowledged=history.acknowledged | frozenset(acknowledged))
-    )
+    ballot = max(history.shown.ballot, chosen.ballot)
+    number = max(history.shown.number, chosen.value.version.number)
+    in_force = history.acknowledged | frozenset(acknowledged)
+    return state._replace(history=history._replace(shown=LowerBound(ballot, number), acknowledged=in_force))
 
 
-# ---- what must hold ----
+# ---- invariants ----
 
 
 def order_violation(history: History) -> str:
-    """Any two chosen values are ordered: the later one is built on the earlier one."""
+    """Checks that each chosen value is built on the chosen value before it.
+
+    Returns:
+        The violation in words; empty if there is none.
+    """
     parents = dict(history.parents)
     for earlier, later in zip(history.chosen, history.chosen[1:], strict=False):
         if earlier.ballot == later.ballot:
             return f"two values chosen under one ballot: {describe(earlier)}; {describe(later)}"
-        at = later.ballot
-        while at > earlier.ballot and at in parents:
-            if parents[at] >= at:  # and a check that went on would not end
-                return f"a ballot used twice: {at.counter}{at.proposer}"
-            at = parents[at]
-        if at != earlier.ballot:
+        ancestor = later.ballot
+        while ancestor > earlier.ballot and ancestor in parents:
+            if parents[ancestor] >= ancestor:  # without this the loop would not end
+                return f"a ballot used twice: {ancestor.counter}{ancestor.proposer}"
+            ancestor = parents[ancestor]
+        if ancestor != earlier.ballot:
             return f"chosen past each other: {describe(earlier)}; {describe(later)}"
-        if wrong := incompatibility(earlier.value, later.value):
-            return f"{wrong}: {describe(earlier)}; {describe(later)}"
+        if violation := succession_violation(earlier.value, later.value):
+            return f"{violation}: {describe(earlier)}; {describe(later)}"
     return ""
 
 
-def incompatibility(earlier: RegisterValue, later: RegisterValue) -> str:
-    if later.version.number < earlier.version.number:
-        return "an older configuration chosen"
-    if later.version.number == earlier.version.number and later.version != earlier.version:
-        return "two contents under one number"
-    if later.body != later.version.digest:
-        return "a text that is not of its version"
-    if later.voters.number not in (earlier.voters.number, earlier.voters.number + 1):
-        return "a set of voters left out"
-    if later.voters.number == earlier.voters.number and later.voters != earlier.voters:
-        return "two sets of voters under one number"
-    return ""
+def succession_violation(earlier: RegisterValue, later: RegisterValue) -> str:
+    """Checks that a chosen value may follow another one directly; returns the violation in words, or nothing."""
+    same_number = later.version.number == earlier.version.number
+    same_voter_number = later.voters.number == earlier.voters.number
+    failed = [
+        (later.version.number < earlier.version.number, "an older configuration chosen"),
+        (same_number and later.version != earlier.version, "two contents under one number"),
+        (later.body != later.version.digest, "a text that is not of its version"),
+        (not 0 <= later.voters.number - earlier.voters.number <= 1, "a set of voters left out"),
+        (same_voter_number and later.voters != earlier.voters, "two sets of voters under one number"),
+    ]
+    return next((violation for is_violated, violation in failed if is_violated), "")
 
 
-def check_chosen(state: State, chosen: Accepted, who: str) -> State:
-    """Somebody takes a value for chosen."""
-    if any(one == chosen for one in state.history.chosen):
+def check_chosen(state: State, value: Accepted, address: str) -> State:
+    """Checks that a value which a process takes for chosen is chosen."""
+    if any(one == value for one in state.history.chosen):
         return state
-    return with_violation(state, f"{who} takes for chosen what is not: {describe(chosen)}")
+    return with_violation(state, f"{address} takes for chosen what is not: {describe(value)}")
 
 
-def check_voter_set_number(state: State, number: int, who: str) -> State:
-    """Somebody takes a set of voters for chosen."""
+def check_voter_set_number(state: State, number: int, address: str) -> State:
+    """Checks that a set of voters which a process takes for chosen is chosen."""
     if number <= max(one.value.voters.number for one in state.history.chosen):
         return state
-    return with_violation(state, f"{who} takes voters {number} for chosen, and they are not")
+    return with_violation(state, f"{address} takes voters {number} for chosen, and they are not")
+
 
+def is_older(value: Accepted, lower_bound: LowerBound) -> bool:
+    """Returns whether a value is older than what had been shown."""
+    return value.ballot < lower_bound.ballot or value.value.version.number < lower_bound.number
 
-def check_not_stale(state: State, chosen: Accepted, lower_bound: LowerBound, who: str) -> State:
-    """A result is no older than what had been shown when its operation began."""
-    if chosen.ballot < lower_bound.ballot or chosen.value.version.number < lower_bound.number:
-        return with_violation(state, f"{who} goes back to {describe(chosen)} from {lower_bound}")
+
+def check_not_stale(state: State, chosen: Accepted, lower_bound: LowerBound, address: str) -> State:
+    """Checks that a result is no older than what had been shown when its operation started."""
+    if is_older(chosen, lower_bound):
+        return with_violation(state, f"{address} goes back to {describe(chosen)} from {lower_bound}")
+    return state
+
+
+def check_view(state: State, newest: Accepted, lower_bound: LowerBound) -> State:
+    """Checks that what a gateway takes for the newest view is no older than what had been shown."""
+    if is_older(newest, lower_bound):
+        return with_violation(state, f"a gateway takes {describe(newest)} for new, {lower_bound} was shown before")
     return state
 
 
 def check_conflict(state: State, version: Version) -> State:
-    """An order is refused: another content is chosen under its number, and it was never chosen itself."""
+    """Checks a refusal: another content is chosen under the number, and this one was never chosen."""
     versions = {one.value.version for one in state.history.chosen}
+    name = describe_version(version)
     if version in versions or version in state.history.acknowledged:
-        return with_violation(state, f"{version}{version.digest.decode()} is refused, and it was in force")
+        return with_violation(state, f"{name} is refused, and it was in force")
     if not any(one.number == version.number for one in versions):
-        return with_violation(
-            state, f"{version}{version.digest.decode()} is refused, and nothing is chosen under its number"
-        )
+        return with_violation(state, f"{name} is refused, and nothing is chosen under its number")
     return state
 
 
 def check_acknowledged(state: State, version: Version) -> State:
-    """An order is acknowledged: it, or something above it, is chosen."""
+    """Checks an acknowledgement: the configuration, or one with a higher number, is chosen."""
     versions = {one.value.version for one in state.history.chosen}
     if version in versions or any(one.number > version.number for one in versions):
         return state
-    return with_violation(state, f"{version}{version.digest.decode()} is acknowledged, and not chosen")
-
-
-def check_view(state: State, newest: Accepted, lower_bound: LowerBound) -> State:
-    """What a gateway takes for new enough."""
-    if newest.ballot < lower_bound.ballot or newest.value.version.number < lower_bound.number:
-        return with_violation(state, f"a gateway takes {describe(newest)} for new, {lower_bound} was shown before")
-    return state
+    return with_violation(state, f"{describe_version(version)} is acknowledged, and not chosen")
--- a/stoneyoke/lab/simulation/exhaustive/models.py
+++ b/stoneyoke/lab/simulation/exhaustive/models.py
@@ -1,4 +1,4 @@
-"""The smallest worlds: who votes, what is to be done, what may fail."""
+"""The models that are checked: small systems, each with its voters, its operations and its failures."""
 
 from dataclasses import dataclass
 
@@ -19,12 +19,23 @@
 
 @dataclass(frozen=True)
 class Model:
-    """voters: addresses. learners: controllers without a vote, which know what was chosen first. operations: what is
-    to be done, at any time. size: how many voters there should be. crashes, losses: how many processes may end and
-    come back, and come back with an empty disk. replies_apart: an answer is a message of its own, which may come late;
-    else it comes at once or never. duplicates: each request may be delivered again. told: who may learn what is chosen
-    from others at any time; None: all. fallible: who may crash or lose its disk; None: all. views: whether a gateway
-    asks for views. first: steps that are taken before the walk begins."""
+    """What a search explores.
+
+    Attributes:
+        name: In words; defects and tests refer to it.
+        operations: What happens once each, at any time.
+        voters: Addresses of the controllers that vote.
+        learners: Addresses of controllers without a vote, which know the first chosen value.
+        size: The number of voters that changes aim at.
+        crashes: Processes that may end and come back with their disk.
+        losses: Processes that may end and come back with an empty disk.
+        separate_replies: Whether a reply is a message of its own, which may be late; else it arrives at once or never.
+        duplicates: Whether each request may be delivered again.
+        may_learn: Addresses that may learn chosen values from others at any time; None for all.
+        fallible: Addresses that may crash or lose their disk; None for all.
+        gateway_views: Whether a gateway collects views.
+        prefix: Transitions that are taken before the search starts.
+    """
 
     name: str
     operations: tuple[Operation, ...]
@@ -41,39 +52,48 @@
     prefix: tuple[str, ...] = ()
 
     def start(self) -> State:
+        """Returns the state before any transition: every process knows the first value."""
         first = initial_value(self.voters)
         members = {member.address: member for member in first.value.voters.members}
         processes = [Process(members[name], NO_BALLOT, first, chosen=first) for name in self.voters]
         processes += [Process(ReplicaId(name, EMPTY_DISK), NO_BALLOT, first, chosen=first) for name in self.learners]
         return State(
-            tuple(processes),
-            (),
-            frozenset(),
-            frozenset(),
-            tuple(range(len(self.operations))),
-            self.crashes,
-            self.losses,
-            frozenset((first,)),
-            Gateway(LowerBound(), frozenset()) if self.gateway_views else None,
-            History(frozenset(), (first,)),
+            processes=tuple(processes),
+            ongoing=(),
+            requests=frozenset(),
+            replies=frozenset(),
+            not_started=tuple(range(len(self.operations))),
+            crashes=self.crashes,
+            losses=self.losses,
+            known=frozenset((first,)),
+            gateway=Gateway(LowerBound(), frozenset()) if self.gateway_views else None,
+            history=History(frozenset(), (first,)),
         )
 
 
-def order(at: str, number: int, content: bytes = b"x", tries: int = 1) -> Operation:
-    return Operation(OperationKind.ORDER, at, (Version(number, content),), tries=tries)
+def order(address: str, number: int, content: bytes = b"x", tries: int = 1) -> Operation:
+    """Returns the write of a configuration."""
+    return Operation(OperationKind.ORDER, address, (Version(number, content),), tries=tries)
 
 
-def change(at: str, silent: str = "", leaving: str = "", members: str = "", tries: int = 1) -> Operation:
+def change(address: str, silent: str = "", leaving: str = "", members: str = "", tries: int = 1) -> Operation:
+    """Returns a change of voters; a letter of `silent`, `leaving` and `members` is an address each."""
     return Operation(
-        OperationKind.CHANGE, at, silent=tuple(silent), leaving=tuple(leaving), members=tuple(members), tries=tries
+        OperationKind.CHANGE,
+        address,
+        silent=tuple(silent),
+        leaving=tuple(leaving),
+        members=tuple(members),
+        tries=tries,
     )
 
 
-def read(at: str, tries: int = 1) -> Operation:
-    return Operation(OperationKind.READ, at, tries=tries)
+def read(address: str, tries: int = 1) -> Operation:
+    """Returns a read of the register."""
+    return Operation(OperationKind.READ, address, tries=tries)
 
 
-X, Y = b"x", b"y"  # two contents
+X, Y = b"x", b"y"  # two contents under one number
 
 ORDERS = (
     Model("two numbers at two controllers, one restarts", (order("a", 1), order("b", 2)), crashes=1),
@@ -104,7 +124,7 @@
     Model("a gateway and two orders", (order("a", 1), order("b", 2)), gateway_views=True),
     Model("a gateway and an order, a disk lost", (order("a", 1),), losses=1, gateway_views=True),
 )
-# a replaces c by d, d takes the mark off, and replaces b by e: c and b have not heard of it all.
+# a replaces c by d, d ends that change and then replaces b by e. c and b have not learned of either change.
 TWO_CHANGES = (
     "a begins change of voters",
     "prepare 1a.0 at a",
@@ -203,7 +223,7 @@
         may_learn=("b",),
     ),
 )
-UNDER_WAY = (
+PREPARED = (
     Model(
         "two contents under one number, one of them prepared",
         (order("a", 1, X), order("b", 1, Y)),
@@ -230,4 +250,4 @@
         prefix=("a begins change of voters", "prepare 1a.0 at a", "prepare 1a.0 at b", "accept 1a.0 at a, answer lost"),
     ),
 )
-MODELS = (*SMALLEST, *UNDER_WAY, *ORDERS, *READS, *CHANGES)
+MODELS = (*SMALLEST, *PREPARED, *ORDERS, *READS, *CHANGES)
--- a/stoneyoke/lab/simulation/exhaustive/operations.py
+++ b/stoneyoke/lab/simulation/exhaustive/operations.py
@@ -1,4 +1,4 @@
-"""What operators and the tending of the voters ask for, as rounds and reads, and what is made of the result."""
+"""Operations as rounds and reads: what each proposes, and what its result means for the operator."""
 
 import functools
 
@@ -10,32 +10,27 @@
 from stoneyoke.controlplane import configuration_service
 from stoneyoke.lab.simulation.exhaustive import invariants
 from stoneyoke.lab.simulation.exhaustive.models import Model
-from stoneyoke.lab.simulation.exhaustive.state import (
-    DesiredMembers,
-    Operation,
-    OperationKind,
-    Process,
-    State,
-    configuration,
-)
+from stoneyoke.lab.simulation.exhaustive.snapshots import configuration
+from stoneyoke.lab.simulation.exhaustive.state import DesiredMembers, Operation, OperationKind, Process, State
 
-SILENT_S, LOST_S = 2.0, 1.0
+SILENT_S = 2.0  # how long a silent voter has been silent
+LOST_S = 1.0  # after which a silent voter counts as lost
 
 
 def desired_members(model: Model, state: State, process: Process, operation: Operation) -> DesiredMembers | None:
-    """As Membership.change, with what it would have heard of the others."""
+    """Returns the voters that a change asks for, as Membership.change does; None if there is nothing to change."""
     if operation.kind is not OperationKind.CHANGE or process.chosen is None:
         return None
     value = process.chosen.value
     report = member_report(state, process, operation)
-    wanted = voter_set.next_members(value.voters.members, report, model.size, LOST_S)
+    members = voter_set.next_members(value.voters.members, report, model.size, LOST_S)
     if operation.members:
-        wanted = tuple(one for one in value.voters.members if one.address in operation.members)
-    return DesiredMembers(value, wanted) if voter_set.change_of_voters(value, wanted) else None
+        members = tuple(one for one in value.voters.members if one.address in operation.members)
+    return DesiredMembers(value, members) if voter_set.change_of_voters(value, members) else None
 
 
 def member_report(state: State, process: Process, operation: Operation) -> MemberReport:
-    """As Membership.report and learners."""
+    """Returns what the proposer of a change believes of the other controllers, as Membership.report does."""
     assert process.chosen
     members = process.chosen.value.voters.members
     learners: tuple[ReplicaId, ...] = tuple(
@@ -49,11 +44,16 @@
 
 
 def may_begin(operation: Operation, desired: DesiredMembers | None) -> bool:
+    """Returns whether an operation can start: a change of voters needs something to change."""
     return operation.kind is not OperationKind.CHANGE or desired is not None
 
 
 def reads_first(process: Process, operation: Operation) -> bool:
-    """As ConfigurationService.already_chosen: orders that are not above what is known are settled by a read."""
+    """Returns whether an operation starts with a read.
+
+    Like ConfigurationService.already_chosen: a configuration whose number is not above the one in force is settled by a
+    read, without a round.
+    """
     if operation.kind is OperationKind.READ:
         return True
     known = process.chosen.value.version.number if process.chosen else 0
@@ -61,21 +61,21 @@
 
 
 def change(operation: Operation, desired: DesiredMembers | None) -> Change:
+    """Returns the change that the operation's round makes to the register's value."""
     if operation.kind is OperationKind.ORDER:
         orders = tuple(configuration(version) for version in operation.versions)
         return functools.partial(configuration_service.apply_replacements, orders)
-    if desired and (membership_change := voter_set.change_of_voters(desired.on, desired.members)):
+    if desired and (membership_change := voter_set.change_of_voters(desired.based_on, desired.members)):
         return membership_change
     return unchanged
 
 
 def answer(state: State, operation: Operation, chosen: Accepted) -> State:
-    """What the operator is told."""
+    """Tells the operator the result, and checks each acknowledgement and each conflict."""
     if operation.kind is OperationKind.READ:
         return invariants.record_shown(state, chosen)
     for version in operation.versions:
-        told = configuration_service.outcome_of(configuration(version), chosen.value)
-        match told:
+        match configuration_service.outcome_of(configuration(version), chosen.value):
             case Acknowledged():
                 state = invariants.check_acknowledged(state, version)
                 in_force = (version,) if chosen.value.version == version else ()
--- a/stoneyoke/lab/simulation/exhaustive/reads.py
+++ b/stoneyoke/lab/simulation/exhaustive/reads.py
@@ -1,11 +1,12 @@
-"""Reads by controllers and views of gateways: what is asked around Query and newest_view."""
+"""Read transitions: controllers query a majority, and gateways compare the views of controllers."""
 
 from collections.abc import Iterator
 
-from stoneyoke.consensus.protocol import Accepted, Query, newest_view
+from stoneyoke.consensus.protocol import Accepted, newest_view
 from stoneyoke.lab.simulation.exhaustive import invariants
 from stoneyoke.lab.simulation.exhaustive.models import Model
-from stoneyoke.lab.simulation.exhaustive.rounds import check_known, decided
+from stoneyoke.lab.simulation.exhaustive.rounds import check_known, finish
+from stoneyoke.lab.simulation.exhaustive.snapshots import restore_query, restore_replica, snapshot_query
 from stoneyoke.lab.simulation.exhaustive.state import (
     Gateway,
     OngoingOperation,
@@ -13,60 +14,64 @@
     State,
     Transition,
     process_at,
-    restore_query,
-    restore_replica,
-    snapshot_query,
     with_ongoing,
 )
 
 
 def begin_query(model: Model, state: State, ongoing: OngoingOperation) -> State:
-    """As Replication.query."""
-    at = model.operations[ongoing.operation].at
-    replica = restore_replica(process_at(state, at))
+    """Starts the query of an operation, as Replication.query does."""
+    address = model.operations[ongoing.operation].address
+    replica = restore_replica(process_at(state, address))
     known = replica.view()
     assert known
-    state = check_known(state, replica, at)
-    return with_ongoing(state, None, ongoing._replace(query=QuerySnapshot(known, replica.chosen_number(), frozenset())))
+    state = check_known(state, replica, address)
+    query = QuerySnapshot(known, replica.chosen_number(), frozenset())
+    return with_ongoing(state, None, ongoing._replace(query=query))
 
 
 def answers_to_queries(model: Model, state: State) -> Iterator[Transition]:
-    """A voter tells a reader what it has accepted. The answer comes at once: the reader does nothing until then."""
+    """Yields the answer of each voter that a query still needs.
+
+    The answer arrives at once: the reader does nothing until then, so a late answer reaches no other state.
+    """
     for ongoing in state.ongoing:
         if not ongoing.query:
             continue
-        at = model.operations[ongoing.operation].at
-        current = restore_query(ongoing.query)
-        for address in sorted(current.targets() - ongoing.contacted):
-            yield f"{address} answers the read of {at}", query_answered(model, state, ongoing, address)
+        reader = model.operations[ongoing.operation].address
+        query = restore_query(ongoing.query)
+        for address in sorted(query.targets() - ongoing.contacted):
+            yield Transition(f"{address} answers the read of {reader}", query_answered(model, state, ongoing, address))
 
 
 def query_answered(model: Model, state: State, ongoing: OngoingOperation, address: str) -> State:
+    """Adds one voter's answer to a query; ends the operation if that settles it."""
     assert ongoing.query
-    current: Query = restore_query(ongoing.query)
+    query = restore_query(ongoing.query)
     voter = process_at(state, address)
-    current.replied(voter.replica, voter.accepted)
-    if chosen := current.chosen():
-        return decided(model, state, ongoing, chosen)
-    after = ongoing._replace(query=snapshot_query(current), contacted=ongoing.contacted | {address})
+    query.replied(voter.replica, voter.accepted)
+    if chosen := query.chosen():
+        return finish(model, state, ongoing, chosen)
+    after = ongoing._replace(query=snapshot_query(query), contacted=ongoing.contacted | {address})
     return with_ongoing(state, ongoing, after)
 
 
 def gateway_views(state: State) -> Iterator[Transition]:
-    """A gateway hears from a controller: the newest value that it knows, without its text."""
+    """Yields each view that the gateway may receive next: the newest value that a controller knows, without its body.
+
+    The lower bound is taken with the first view. The gateway ends once `newest_view` finds an answer.
+    """
     gateway = state.gateway
     if gateway is None:
         return
-    heard = {member.address for member, _ in gateway.views}
+    received_from = {member.address for member, _ in gateway.views}
     for process in state.processes:
         view = restore_replica(process).view()
-        if process.replica.address in heard or view is None:
+        if process.replica.address in received_from or view is None:
             continue
-        told = Accepted(view.ballot, view.value.without_body())
         lower_bound = gateway.lower_bound if gateway.views else state.history.shown
-        after = Gateway(lower_bound, gateway.views | {(process.replica, told)})
-        newest = newest_view(dict(after.views))
+        received = Accepted(view.ballot, view.value.without_body())
+        after = Gateway(lower_bound, gateway.views | {(process.replica, received)})
         result = state._replace(gateway=after)
-        if newest:
+        if newest := newest_view(dict(after.views)):
             result = invariants.check_view(result, newest, lower_bound)._replace(gateway=None)
-        yield f"a gateway hears {process.replica.address}", result
+        yield Transition(f"a gateway hears {process.replica.address}", result)
--- a/stoneyoke/lab/simulation/exhaustive/search.py
+++ b/stoneyoke/lab/simulation/exhaustive/search.py
@@ -1,4 +1,4 @@
-"""Walks a world breadth first: the shortest way to a broken state is found first."""
+"""Breadth-first search through the states of a model: the shortest counterexample is found first."""
 
 import time
 from concurrent.futures import ProcessPoolExecutor
@@ -10,13 +10,24 @@
 from stoneyoke.lab.simulation.exhaustive.state import State
 from stoneyoke.lab.simulation.exhaustive.transitions import initial_state, transitions
 
-MAX_STATES = 150_000  # states: bounds memory
+MAX_STATES = 150_000  # bounds memory
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, kw_only=True)
 class Result:
-    """ended: every state that can be reached was seen; else those within depth steps. changes: of voters, chosen one
-    after the other in some state. configurations: contents that were chosen in any state."""
+    """The result of one search.
+
+    Attributes:
+        model: The model's name.
+        states: Distinct states that were reached.
+        depth: Transitions from the initial state to the farthest ones.
+        exhausted: Whether every reachable state was seen; else only those within `depth` transitions were.
+        seconds: Wall time.
+        changes: Changes of voters chosen one after the other in some state.
+        configurations: Distinct configurations that were chosen in any state.
+        violation: The invariant that does not hold; empty if all hold.
+        counterexample: The transitions from the initial state to the violation.
+    """
 
     model: str
     states: int
@@ -29,121 +40,147 @@
     counterexample: tuple[str, ...] = ()
 
     def describe(self) -> str:
-        extent = "walked to its end" if self.exhausted else f"all within {self.depth} steps"
+        """Returns the result in one line."""
+        extent = "searched to its end" if self.exhausted else f"all within {self.depth} steps"
         if self.violation:
             extent = f"stopped after {len(self.counterexample)} steps"
-        met = f"{self.configurations} contents and {self.changes} changes of voters chosen"
-        seconds = f"{self.seconds:.0f} s"
-        return f"{self.model}: {self.states} states, {extent}, {met}, {seconds}: {self.violation or 'nothing broken'}"
+        chosen = f"{self.configurations} contents and {self.changes} changes of voters chosen"
+        outcome = self.violation or "no violation"
+        return f"{self.model}: {self.states} states, {extent}, {chosen}, {self.seconds:.0f} s: {outcome}"
 
 
 Key = tuple[int, ...]
 
 
 def parts(state: State) -> tuple[Any, ...]:
+    """Returns the parts of a state that are numbered: each process, then each other field."""
     return (*state.processes, *state[1:])
 
 
 class VisitedStates:
-    """Which states were seen, and how each was reached. A state is kept as the numbers of its parts, each part once."""
+    """The states that were reached, and how.
+
+    A state is stored as the numbers of its parts; each distinct part is stored once.
+    """
 
     def __init__(self) -> None:
+        """Starts with no state."""
         self.numbers: dict[Any, int] = {}
         self.predecessors: dict[Key, tuple[Key, str] | None] = {}
 
     def key(self, state: State) -> Key:
+        """Returns the key of a state."""
         return tuple(self.number(part) for part in parts(state))
 
     def key_after(self, state: State, before: State, key: Key) -> Key:
-        """The same, of a state that shares most of its parts with the one before it."""
+        """Returns the key of a state that shares most of its parts with the one before it, whose key is known."""
         pairs = zip(parts(state), parts(before), key, strict=True)
         return tuple(number if part is old else self.number(part) for part, old, number in pairs)
 
     def number(self, part: Any) -> int:
+        """Returns the number of a part."""
         return self.numbers.setdefault(part, len(self.numbers))
 
-    def add(self, key: Key, before: Key | None, what: str) -> bool:
-        """Whether it is new."""
+    def add(self, key: Key, predecessor: Key | None, label: str) -> bool:
+        """Stores a state with the transition that reached it first; returns whether the state is new."""
         if key in self.predecessors:
             return False
-        self.predecessors[key] = (before, what) if before is not None else None
+        self.predecessors[key] = (predecessor, label) if predecessor is not None else None
         return True
 
     def counterexample(self, key: Key) -> tuple[str, ...]:
-        found = []
+        """Returns the labels of the transitions from the initial state to this one."""
+        labels = []
         while before := self.predecessors[key]:
-            key, what = before
-            found.append(what)
-        return tuple(reversed(found))
+            key, label = before
+            labels.append(label)
+        return tuple(reversed(labels))
 
 
 class BreadthFirstSearch:
-    """One walk through a world."""
+    """One search through a model, a layer of states at a time."""
 
     def __init__(self, model: Model) -> None:
-        self.model, self.seen, self.begun = model, VisitedStates(), time.monotonic()
+        """Starts at the model's initial state."""
+        self.model, self.visited, self.started_at = model, VisitedStates(), time.monotonic()
         self.chosen: set[Accepted] = set()
         start = initial_state(model)
-        self.layer = [(self.seen.key(start), start)]
-        self.seen.add(self.layer[0][0], None, "")
+        self.layer = [(self.visited.key(start), start)]
+        self.visited.add(self.layer[0][0], None, "")
         self.violation: tuple[Key, str] | None = None
 
     def expand_layer(self) -> None:
-        """All states one step on that are new; ends at the first that is broken."""
-        following: list[tuple[Key, State]] = []
+        """Replaces the layer by its new successors; stops at the first violation."""
+        successors: list[tuple[Key, State]] = []
         for key, state in self.layer:
-            for what, after in transitions(self.model, state):
-                key_after = self.seen.key_after(after, state, key)
-                if not self.seen.add(key_after, key, what):
+            for label, after in transitions(self.model, state):
+                key_after = self.visited.key_after(after, state, key)
+                if not self.visited.add(key_after, key, label):
                     continue
                 if after.violation:
                     self.violation = (key_after, after.violation)
                     return
                 if after.history.chosen is not state.history.chosen:
                     self.chosen.update(after.history.chosen)
-                following.append((key_after, after))
-        self.layer = following
+                successors.append((key_after, after))
+        self.layer = successors
 
     def result(self, depth: int) -> Result:
+        """Returns what the search has found so far."""
         key, violation = self.violation or ((), "")
         return Result(
-            self.model.name,
-            len(self.seen.predecessors),
-            depth,
-            not self.layer,
-            time.monotonic() - self.begun,
-            max((one.value.voters.number - 1 for one in self.chosen), default=0),
-            len({one.value.version for one in self.chosen if one.value.version.number}),
-            violation,
-            self.seen.counterexample(key) if violation else (),
+            model=self.model.name,
+            states=len(self.visited.predecessors),
+            depth=depth,
+            exhausted=not self.layer,
+            seconds=time.monotonic() - self.started_at,
+            changes=max((one.value.voters.number - 1 for one in self.chosen), default=0),
+            configurations=len({one.value.version for one in self.chosen if one.value.version.number}),
+            violation=violation,
+            counterexample=self.visited.counterexample(key) if violation else (),
         )
 
 
 def explore(model: Model, depth: int = 0, max_states: int = MAX_STATES) -> Result:
-    """Every state within so many steps (0: no bound); ends after the step with which so many were seen."""
-    search, step = BreadthFirstSearch(model), 0
-    while (
-        search.layer
-        and not search.violation
-        and (not depth or step < depth)
-        and len(search.seen.predecessors) <= max_states
-    ):
+    """Searches a model.
+
+    Args:
+        model: What is searched.
+        depth: Transitions from the initial state; 0 for no bound.
+        max_states: The search ends after the layer in which it has reached more states than this.
+
+    Returns:
+        The result, with a counterexample if an invariant does not hold.
+    """
+    search, steps = BreadthFirstSearch(model), 0
+    while search.layer and not search.violation and len(search.visited.predecessors) <= max_states:
+        if depth and steps >= depth:
+            break
         search.expand_layer()
-        step += 1
-    return search.result(step)
+        steps += 1
+    return search.result(steps)
 
 
 def report(depth: int, jobs: int) -> int:
-    """Prints a line a world; 1 if anything is broken."""
-    violation = 0
+    """Searches all models and prints a line for each, with the counterexample of a violation.
+
+    Args:
+        depth: See `explore`.
+        jobs: Processes at once.
+
+    Returns:
+        An exit status: 1 if any invariant does not hold.
+    """
+    violations = 0
     with ProcessPoolExecutor(jobs) as pool:
         for result in pool.map(explore, MODELS, [depth] * len(MODELS)):
             print(result.describe(), flush=True)
-            for what in result.counterexample:
-                print(f"    {what}")
-            violation += bool(result.violation)
-    return bool(violation)
+            for label in result.counterexample:
+                print(f"    {label}")
+            violations += bool(result.violation)
+    return int(violations > 0)
 
 
 def model_named(name: str) -> Model:
+    """Returns the model of this name."""
     return next(model for model in MODELS if model.name == name)
--- /dev/null
+++ b/stoneyoke/lab/simulation/exhaustive/snapshots.py
@@ -0,0 +1,100 @@
+"""Conversions between the hashable states of a model and the real objects whose code each transition runs."""
+
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+from stoneyoke.api.configuration import Configuration, Version
+from stoneyoke.consensus.protocol import Acceptor, Change, Phase, Query, Round
+from stoneyoke.consensus.replica import Replica
+from stoneyoke.lab.simulation.exhaustive.state import Process, QuerySnapshot, RoundSnapshot
+
+
+class NullRecordStore:
+    """A record store that keeps nothing: what is on disk is part of the state."""
+
+    def keep(self, family: str, record: Any) -> None:
+        """Ignores the record."""
+
+    def load(self, family: str) -> tuple[None, list[str]]:
+        """Finds no record, and no damaged file."""
+        return None, []
+
+
+NULL_RECORD_STORE = NullRecordStore()
+
+
+async def run_inline(work: Callable[..., Any], *arguments: Any) -> Any:
+    """Runs work that a controller gives to a thread at once, in place."""
+    return work(*arguments)
+
+
+def run_to_completion(coroutine: Coroutine[Any, Any, Any]) -> Any:
+    """Returns the result of a coroutine that never waits."""
+    try:
+        coroutine.send(None)
+    except StopIteration as done:
+        return done.value
+    raise AssertionError("the coroutine waits")
+
+
+def do_nothing() -> None:
+    """Stands in for the callback of a changed value."""
+
+
+def restore_replica(process: Process) -> Replica:
+    """Returns a replica in the state of a process."""
+    replica = Replica(process.replica.address, NULL_RECORD_STORE, run_inline, do_nothing)
+    replica.identity = process.replica
+    replica.acceptor = Acceptor(process.promised, process.accepted)
+    replica.chosen = process.chosen
+    return replica
+
+
+def snapshot_replica(replica: Replica, process: Process) -> Process:
+    """Returns the process with what the replica holds now."""
+    acceptor = replica.acceptor
+    return process._replace(promised=acceptor.promised, accepted=acceptor.accepted, chosen=replica.chosen)
+
+
+def restore_round(snapshot: RoundSnapshot, change: Change) -> Round:
+    """Returns the round of a snapshot. Its change is a function, so it is no part of the snapshot."""
+    return Round(
+        snapshot.ballot,
+        snapshot.known,
+        snapshot.chosen_number,
+        change,
+        snapshot.phase,
+        dict(snapshot.promises),
+        set(snapshot.accepts),
+        snapshot.proposal,
+        snapshot.highest,
+    )
+
+
+def snapshot_round(current: Round) -> RoundSnapshot:
+    """Returns the snapshot of a round. Promises count in the first phase only: the proposal has their result."""
+    return RoundSnapshot(
+        current.ballot,
+        current.known,
+        current.chosen_number,
+        current.phase,
+        frozenset(current.promises.items()) if current.phase is Phase.PREPARE else frozenset(),
+        frozenset(current.accepts),
+        current.proposal,
+        current.highest,
+    )
+
+
+def restore_query(snapshot: QuerySnapshot) -> Query:
+    """Returns the query of a snapshot."""
+    return Query(snapshot.known, snapshot.chosen_number, dict(snapshot.replies))
+
+
+def snapshot_query(current: Query) -> QuerySnapshot:
+    """Returns the snapshot of a query."""
+    return QuerySnapshot(current.known, current.chosen_number, frozenset(current.replies.items()))
+
+
+def configuration(version: Version) -> Configuration:
+    """Returns an operator's configuration. Its text is its digest, so that a mixed-up text is seen."""
+    return Configuration(version, version.digest, {}, {}, None, [])
--- a/stoneyoke/lab/simulation/exhaustive/state.py
+++ b/stoneyoke/lab/simulation/exhaustive/state.py
@@ -1,43 +1,35 @@
-"""A state of a small world, as plain hashable values, and the real objects made from it and taken back into it."""
+"""The state of a model: plain hashable values, which the search compares and stores."""
 
-from collections.abc import Callable, Coroutine
 from enum import Enum
-from typing import Any, NamedTuple
-
-from stoneyoke.api.configuration import Configuration, Version
-from stoneyoke.consensus.protocol import (
-    NO_BALLOT,
-    Accepted,
-    Acceptor,
-    Ballot,
-    Change,
-    Phase,
-    Query,
-    RegisterValue,
-    ReplicaId,
-    Round,
-    VoterSet,
-)
-from stoneyoke.consensus.replica import Replica
+from typing import NamedTuple
+
+from stoneyoke.api.configuration import Version
+from stoneyoke.consensus.protocol import NO_BALLOT, Accepted, Ballot, Phase, RegisterValue, ReplicaId
 
 
 class OperationKind(Enum):
-    """What an operation does."""
+    """What an operation does to the register."""
 
-    ORDER = "order"
+    ORDER = "order"  # an operator writes a configuration
     CHANGE = "change of voters"
     READ = "read"
 
 
 class Operation(NamedTuple):
-    """Something that one process is to do, at any time.
-
-    versions: what is ordered, all in one round. silent, leaving: addresses that the proposer of a change takes for
-    silent, or was told are ending. members: addresses of the voters that are to stay, in
-    place of what next_members would say. tries: rounds that it may begin."""
+    """One operation that a model runs once, at any time.
+
+    Attributes:
+        kind: What it does.
+        address: The process that runs it.
+        versions: The configurations that it writes, all in one round.
+        silent: Addresses that the proposer of a change believes to be silent.
+        leaving: Addresses that have announced their shutdown to the proposer of a change.
+        members: Addresses of the voters that stay; where empty, `next_members` decides.
+        tries: Rounds that the operation may start.
+    """
 
     kind: OperationKind
-    at: str
+    address: str
     versions: tuple[Version, ...] = ()
     silent: tuple[str, ...] = ()
     leaving: tuple[str, ...] = ()
@@ -46,20 +38,34 @@
 
 
 class Process(NamedTuple):
-    """A controller. promised and accepted are on its disk, the rest is lost with the process."""
+    """A controller process.
+
+    `promised` and `accepted` are on its disk and survive a restart; the other fields are lost with the process.
+
+    Attributes:
+        replica: Its address and the name of its disk.
+        promised: The highest ballot that it has promised.
+        accepted: The proposal that it has accepted, if any.
+        incarnation: The number of restarts.
+        chosen: The newest value that it knows to be chosen.
+        counter: The counter of the last ballot that it used as a proposer.
+    """
 
     replica: ReplicaId
     promised: Ballot = NO_BALLOT
     accepted: Accepted | None = None
     incarnation: int = 0
     chosen: Accepted | None = None
-    counter: int = 0  # of the last ballot that it has used
+    counter: int = 0
 
     def proposer(self) -> str:
+        """The name in its ballots. It differs between incarnations, so that no ballot is used twice."""
         return f"{self.replica.address}.{self.incarnation}"
 
 
 class RoundSnapshot(NamedTuple):
+    """The hashable form of a `Round`."""
+
     ballot: Ballot
     known: Accepted
     chosen_number: int
@@ -71,27 +77,44 @@
 
 
 class QuerySnapshot(NamedTuple):
+    """The hashable form of a `Query`."""
+
     known: Accepted
     chosen_number: int
     replies: frozenset[tuple[ReplicaId, Accepted | None]]
 
 
 class DesiredMembers(NamedTuple):
-    """What a change of voters wants. It stays the same in each of its rounds."""
+    """The voters that a change asks for, based on one chosen value. Each round of the operation asks for the same."""
 
-    on: RegisterValue
+    based_on: RegisterValue
     members: tuple[ReplicaId, ...]
 
 
 class LowerBound(NamedTuple):
-    """What had been shown to anybody when something began: its result may not be older."""
+    """The newest state shown to anybody before an operation started: its result may not be older.
+
+    Attributes:
+        ballot: Of the value that was shown.
+        number: Of the configuration that was shown.
+    """
 
     ballot: Ballot = NO_BALLOT
-    number: int = 0  # of the configuration
+    number: int = 0
 
 
 class OngoingOperation(NamedTuple):
-    """An operation under way: a round or a query. asked: addresses asked in this phase."""
+    """An operation between its start and its result. It runs either a round or a query.
+
+    Attributes:
+        operation: Its index in the model's operations.
+        tries: Rounds that it may still start.
+        lower_bound: What its result may not be older than.
+        round: The round that it runs, if any.
+        query: The query that it runs, if any.
+        contacted: Addresses that were asked in the current phase.
+        desired: What a change of voters asks for.
+    """
 
     operation: int
     tries: int
@@ -103,7 +126,7 @@
 
 
 class Request(NamedTuple):
-    """A message to an acceptor. proposal: None to prepare."""
+    """A message to an acceptor that is on its way: prepare where `proposal` is None, else accept."""
 
     to: str
     sender: str
@@ -112,7 +135,7 @@
 
 
 class Reply(NamedTuple):
-    """Its answer. accepted: told with a promise."""
+    """The answer to a request, on its way back. `accepted` comes with a promise only."""
 
     request: Request
     ok: bool
@@ -122,18 +145,22 @@
 
 
 class Gateway(NamedTuple):
-    """A gateway that collects views."""
+    """A gateway that collects the views of controllers until it can tell which is the newest."""
 
     lower_bound: LowerBound
     views: frozenset[tuple[ReplicaId, Accepted]]
 
 
 class History(NamedTuple):
-    """What the checks know and no process: seen from outside, over all time.
+    """History variables: what has happened over all time. Only the invariants read them, no process does.
 
-    votes: members that have accepted under a ballot, of values that are not chosen yet. chosen: by ballot, counted here
-    and not by the code under test. parents: on which ballot's value each proposal was built. shown: the newest that any
-    operator was told. acknowledged: contents whose operators were told that they are in force."""
+    Attributes:
+        votes: Pairs of a proposal that is not chosen yet and a member that has accepted it.
+        chosen: The chosen values in the order of their ballots, counted from `votes`, not by the code under test.
+        parents: Pairs of a proposal's ballot and the ballot of the value that it was built on.
+        shown: The newest state that any operator was shown.
+        acknowledged: Configurations that operators were told to be in force.
+    """
 
     votes: frozenset[tuple[Accepted, ReplicaId]]
     chosen: tuple[Accepted, ...]
@@ -143,7 +170,21 @@
 
 
 class State(NamedTuple):
-    """waiting: operations that have not begun. known: values that any process knows, or knew, to be chosen."""
+    """One state of a model.
+
+    Attributes:
+        processes: The controllers, in a fixed order.
+        ongoing: The operations that have started and not ended, by their index.
+        requests: Requests on their way.
+        replies: Replies on their way; always empty unless the model has separate replies.
+        not_started: Indexes of the operations that have not started.
+        crashes: Restarts that may still happen.
+        losses: Disks that may still be lost.
+        known: Values that any process knows, or once knew, to be chosen.
+        gateway: A gateway that collects views; None if the model has none, or if it has its answer.
+        history: The history variables.
+        violation: The invariant that does not hold, in words; empty while all hold.
+    """
 
     processes: tuple[Process, ...]
     ongoing: tuple[OngoingOperation, ...]
@@ -158,122 +199,36 @@
     violation: str = ""
 
 
-Transition = tuple[str, State]  # what happens, and the state after it
-
-
-# ---- the real objects ----
-
-
-class NullRecordStore:
-    """A disk that holds what the state holds."""
-
-    def keep(self, family: str, record: Any) -> None:
-        pass
-
-    def load(self, family: str) -> tuple[None, list[str]]:
-        return None, []
-
-
-NULL_RECORD_STORE = NullRecordStore()
-
-
-async def run_inline(step: Callable[..., Any], *arguments: Any) -> Any:
-    return step(*arguments)
-
-
-def run_to_completion(coroutine: Coroutine[Any, Any, Any]) -> Any:
-    """The result of one that never waits."""
-    try:
-        coroutine.send(None)
-    except StopIteration as done:
-        return done.value
-    raise AssertionError("it waits")
-
-
-def do_nothing() -> None:
-    pass
-
-
-def restore_replica(process: Process) -> Replica:
-    replica = Replica(process.replica.address, NULL_RECORD_STORE, run_inline, do_nothing)
-    replica.identity = process.replica
-    replica.acceptor = Acceptor(process.promised, process.accepted)
-    replica.chosen = process.chosen
-    return replica
-
-
-def snapshot_replica(replica: Replica, process: Process) -> Process:
-    acceptor = replica.acceptor
-    return process._replace(promised=acceptor.promised, accepted=acceptor.accepted, chosen=replica.chosen)
-
-
-def restore_round(snapshot: RoundSnapshot, change: Change) -> Round:
-    return Round(
-        snapshot.ballot,
-        snapshot.known,
-        snapshot.chosen_number,
-        change,
-        snapshot.phase,
-        dict(snapshot.promises),
-        set(snapshot.accepts),
-        snapshot.proposal,
-        snapshot.highest,
-    )
-
-
-def snapshot_round(current: Round) -> RoundSnapshot:
-    """Promises count in the first phase only: what was found there is in the proposal."""
-    return RoundSnapshot(
-        current.ballot,
-        current.known,
-        current.chosen_number,
-        current.phase,
-        frozenset(current.promises.items()) if current.phase is Phase.PREPARE else frozenset(),
-        frozenset(current.accepts),
-        current.proposal,
-        current.highest,
-    )
-
-
-def restore_query(snapshot: QuerySnapshot) -> Query:
-    return Query(snapshot.known, snapshot.chosen_number, dict(snapshot.replies))
-
-
-def snapshot_query(current: Query) -> QuerySnapshot:
-    return QuerySnapshot(current.known, current.chosen_number, frozenset(current.replies.items()))
-
-
-def configuration(version: Version) -> Configuration:
-    """An order's content: its text is its digest."""
-    return Configuration(version, version.digest, {}, {}, None, [])
-
-
-def voters_text(voters: VoterSet) -> str:
-    return f"{voters.number}:" + ",".join(f"{one.address}/{one.disk}" for one in voters.members)
-
+class Transition(NamedTuple):
+    """A step from one state to the next: what happens, in words, and the state after it."""
 
-# ---- records in a state ----
+    label: str
+    after: State
 
 
 def process_at(state: State, address: str) -> Process:
-    return next(one for one in state.processes if one.replica.address == address)
+    """Returns the process at an address."""
+    return next(process for process in state.processes if process.replica.address == address)
 
 
 def with_process(state: State, process: Process) -> State:
+    """Returns the state with one process replaced; its address stays."""
     address = process.replica.address
-    return state._replace(
-        processes=tuple(process if one.replica.address == address else one for one in state.processes)
-    )
+    processes = tuple(process if other.replica.address == address else other for other in state.processes)
+    return state._replace(processes=processes)
 
 
 def with_ongoing(state: State, before: OngoingOperation | None, after: OngoingOperation | None) -> State:
-    """One operation's record replaced, added or taken out."""
-    kept = [one for one in state.ongoing if one is not before]
-    return state._replace(ongoing=tuple(sorted((*kept, *((after,) if after else ())), key=lambda one: one.operation)))
+    """Returns the state with one ongoing operation replaced, added (no `before`) or removed (no `after`)."""
+    ongoing = [operation for operation in state.ongoing if operation is not before]
+    if after is not None:
+        ongoing.append(after)
+    return state._replace(ongoing=tuple(sorted(ongoing, key=lambda one: one.operation)))
 
 
 def round_of(state: State, ballot: Ballot) -> tuple[OngoingOperation, RoundSnapshot] | None:
-    for one in state.ongoing:
-        if one.round and one.round.ballot == ballot:
-            return one, one.round
+    """Returns the ongoing operation and the round that use a ballot, if that round still runs."""
+    for operation in state.ongoing:
+        if operation.round and operation.round.ballot == ballot:
+            return operation, operation.round
     return None
--- a/stoneyoke/lab/simulation/exhaustive/transitions.py
+++ b/stoneyoke/lab/simulation/exhaustive/transitions.py
@@ -1,8 +1,10 @@
-"""Whatever may happen next in a state.
+"""The successors of a state.
 
-The logic of each step is the real code: Replica, Acceptor, Round, Query, applied, verdict, next_members. Only what
-Replication does around them, with sockets and timers, is written here: who is asked, and who is told of an answer. A
-message that never comes is one that is never taken; a request that a process sends to itself ends with it."""
+Each transition runs the real code: Replica, Acceptor, Round, Query, apply_replacements, outcome_of and next_members.
+Only what Replication does around them with sockets and timers is written here: who is asked, and who receives an
+answer. A lost message is one that no transition delivers. A request that a process sends to itself ends with the
+process.
+"""
 
 from collections.abc import Iterator
 
@@ -14,42 +16,39 @@
 from stoneyoke.lab.simulation.exhaustive.rounds import (
     apply_reply,
     begin_round,
-    describe,
+    describe_request,
     request_deliveries,
     value_deliveries,
 )
-from stoneyoke.lab.simulation.exhaustive.state import (
-    OngoingOperation,
-    Reply,
-    Request,
-    State,
-    Transition,
-    process_at,
-    restore_query,
-    restore_replica,
-)
+from stoneyoke.lab.simulation.exhaustive.snapshots import restore_query, restore_replica
+from stoneyoke.lab.simulation.exhaustive.state import OngoingOperation, Reply, Request, State, Transition, process_at
 
 
 def initial_state(model: Model) -> State:
-    """The state in which the walk begins: after the steps that the world names."""
+    """Returns the state in which the search starts: the model's first one, after the transitions of its prefix."""
     state = model.start()
-    for wanted in model.prefix:
-        state = next(after for what, after in transitions(model, state) if what == wanted)
+    for label in model.prefix:
+        state = next(transition.after for transition in transitions(model, state) if transition.label == label)
         assert not state.violation, state.violation
     return state
 
 
 def transitions(model: Model, state: State) -> Iterator[Transition]:
-    for what, after in unpruned_transitions(model, state):
-        yield what, after if after.violation else prune(model, after)
+    """Yields every transition out of a state, without messages that can reach no other state."""
+    for transition in unpruned_transitions(model, state):
+        if transition.after.violation:
+            yield transition
+        else:
+            yield Transition(transition.label, prune(model, transition.after))
 
 
 def unpruned_transitions(model: Model, state: State) -> Iterator[Transition]:
+    """Yields every transition out of a state."""
     yield from operation_starts(model, state)
     for request in state.requests:
         yield from request_deliveries(model, state, request)
     for reply in state.replies:
-        yield f"{describe(reply.request)} answered", apply_reply(model, state, reply)
+        yield Transition(f"{describe_request(reply.request)} answered", apply_reply(model, state, reply))
     yield from answers_to_queries(model, state)
     yield from retries(model, state)
     yield from value_deliveries(model, state)
@@ -58,60 +57,69 @@
 
 
 def operation_starts(model: Model, state: State) -> Iterator[Transition]:
-    for number in state.not_started:
-        operation = model.operations[number]
-        process = process_at(state, operation.at)
+    """Yields the start of each operation that can start now, as a query or as a round."""
+    for index in state.not_started:
+        operation = model.operations[index]
+        process = process_at(state, operation.address)
         if restore_replica(process).view() is None:
             continue
         desired = operations.desired_members(model, state, process, operation)
         if not operations.may_begin(operation, desired):
             continue
-        left = state._replace(not_started=tuple(one for one in state.not_started if one != number))
-        ongoing = OngoingOperation(number, operation.tries, state.history.shown, desired=desired)
-        what = f"{operation.at} begins {operation.kind.value}"
+        left = state._replace(not_started=tuple(one for one in state.not_started if one != index))
+        ongoing = OngoingOperation(index, operation.tries, state.history.shown, desired=desired)
         if operations.reads_first(process, operation):
-            yield what, begin_query(model, left, ongoing)
+            after = begin_query(model, left, ongoing)
         else:
-            yield what, begin_round(model, left, None, ongoing)
+            after = begin_round(model, left, None, ongoing)
+        yield Transition(f"{operation.address} begins {operation.kind.value}", after)
 
 
 def retries(model: Model, state: State) -> Iterator[Transition]:
-    """A round that was lost or is given up is begun anew; a read whose replies do not agree runs a round."""
+    """Yields the next round of each operation whose round was lost or whose query found no agreement."""
     for ongoing in state.ongoing:
-        at = model.operations[ongoing.operation].at
+        address = model.operations[ongoing.operation].address
         if ongoing.tries <= 0:
             continue
         if ongoing.round:
-            yield f"{at} tries again", begin_round(model, state, ongoing, ongoing)
+            yield Transition(f"{address} tries again", begin_round(model, state, ongoing, ongoing))
         elif ongoing.query and restore_query(ongoing.query).complete():
-            yield f"{at} settles by a round", begin_round(model, state, ongoing, ongoing)
+            yield Transition(f"{address} settles by a round", begin_round(model, state, ongoing, ongoing))
 
 
 def prune(model: Model, state: State) -> State:
-    """Messages that can only hold others up, or change nothing, are left out: to get them is like never to get them."""
-    phases = {one.round.ballot: one.round.phase for one in state.ongoing if one.round}
-    tries = {one.round.ballot: one.tries for one in state.ongoing if one.round}
-    processes = {one.replica.address: one for one in state.processes}
-
-    def counts(request: Request) -> bool:
-        live = phases.get(request.ballot)
-        acceptor = Acceptor(processes[request.to].promised)
-        allowed = acceptor.may_promise if request.proposal is None else acceptor.may_accept
-        if not state.losses and not allowed(request.ballot):
-            return live in (Phase.PREPARE, Phase.ACCEPT) and tries[request.ballot] > 0
-        if request.proposal is None:
-            return live is Phase.PREPARE
-        if model.duplicates and live is None:
-            accepted = processes[request.to].accepted
-            return accepted is None or accepted.ballot != request.ballot
-        return True
-
-    def is_heard(reply: Reply) -> bool:
-        wanted = Phase.PREPARE if reply.request.proposal is None else Phase.ACCEPT
-        return phases.get(reply.request.ballot) is wanted
-
-    lost = [one for one in state.requests if not counts(one)]
-    late = [one for one in state.replies if not is_heard(one)]
+    """Removes messages whose delivery changes nothing or only holds others up: that equals their loss."""
+    lost = [request for request in state.requests if not request_matters(model, state, request)]
+    late = [reply for reply in state.replies if not reply_matters(state, reply)]
     if not lost and not late:
         return state
     return state._replace(requests=state.requests.difference(lost), replies=state.replies.difference(late))
+
+
+def request_matters(model: Model, state: State, request: Request) -> bool:
+    """Returns whether the delivery of a request can reach a state that its loss can't."""
+    process = process_at(state, request.to)
+    phase, tries = phase_and_tries(state, request)
+    acceptor = Acceptor(process.promised)
+    allowed = acceptor.may_promise if request.proposal is None else acceptor.may_accept
+    if not state.losses and not allowed(request.ballot):
+        return phase in (Phase.PREPARE, Phase.ACCEPT) and tries > 0
+    if request.proposal is None:
+        return phase is Phase.PREPARE
+    if model.duplicates and phase is None:
+        return process.accepted is None or process.accepted.ballot != request.ballot
+    return True
+
+
+def phase_and_tries(state: State, request: Request) -> tuple[Phase | None, int]:
+    """Returns the phase of a request's round and the rounds its operation has left; no phase if the round ended."""
+    for ongoing in state.ongoing:
+        if ongoing.round and ongoing.round.ballot == request.ballot:
+            return ongoing.round.phase, ongoing.tries
+    return None, 0
+
+
+def reply_matters(state: State, reply: Reply) -> bool:
+    """Returns whether a round still waits for a reply."""
+    expected = Phase.PREPARE if reply.request.proposal is None else Phase.ACCEPT
+    return phase_and_tries(state, reply.request)[0] is expected
