--- a/stoneyoke/controlplane/http_api.py
+++ b/stoneyoke/controlplane/http_api.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from stoneyoke.api.calls import Answer, Asked, Rejected, Unavailable, answer, ask
-from stoneyoke.net.http import Line, Malformed, Messages, status_line, write_message
+from stoneyoke.net.http import MalformedMessage, MessageReader, StreamProtocol, status_line, write_message
 
 IDLE_S = 30.0
 
@@ -20,13 +20,13 @@
 
     async def open(self, address: tuple[str, int]) -> None:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: Line(self.serve), *address, backlog=512)
+        self.server = await loop.create_server(lambda: StreamProtocol(self.serve), *address, backlog=512)
 
     def close(self) -> None:
         self.server.close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        messages = Messages(reader, answers=False, body_top=self.body_top)
+        messages = MessageReader(reader, responses=False, body_max_bytes=self.body_top)
         try:
             while True:
                 async with asyncio.timeout(IDLE_S):
@@ -42,13 +42,13 @@
                 except Exception:  # a fault costs this one call
                     logger.exception("a call at the desk failed")
                     given = Unavailable("failed here")
-                self.say(writer, *answer(given), keeps=message.keeps)
-                if not message.keeps:
+                self.say(writer, *answer(given), keeps=message.keep_alive)
+                if not message.keep_alive:
                     break
                 await writer.drain()
-        except Malformed as bad:
+        except MalformedMessage as bad:
             self.say(writer, *answer(Rejected(bad.status, "message", str(bad))), keeps=False)
-            cast(Line, writer.transport.get_protocol()).deafen()
+            cast(StreamProtocol, writer.transport.get_protocol()).discard_input()
             await asyncio.sleep(0.2)  # closing at once would reset the answer away
         except (OSError, asyncio.CancelledError):  # a TimeoutError is one
             pass
--- a/stoneyoke/fleet/transport.py
+++ b/stoneyoke/fleet/transport.py
@@ -14,7 +14,7 @@
 from stoneyoke.fleet.messages import Member
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.runtime import Clock, Runtime
-from stoneyoke.single_gateway.options import FleetTerms
+from stoneyoke.single_gateway.options import FleetParameters
 
 STATES = ("is there", "is suspected", "is dead", "has left")
 FLOOD = 100  # datagrams a tick; what comes beyond is dropped unread
@@ -30,7 +30,7 @@
 }
 
 
-def own_member(parameters: FleetTerms, zone: str) -> Member:
+def own_member(parameters: FleetParameters, zone: str) -> Member:
     """This gateway, in a life that began now: a restart comes after its earlier life."""
     return Member(parameters.name, *parameters.advertise, zone[:64], time.time_ns() // 1_000_000)
 
@@ -57,7 +57,7 @@
         self.came = 0  # datagrams since the last tick
         self.told = PeerEvidence(frozenset(), frozenset())
         self.deposed = False
-        runtime.watch = self
+        runtime.attempt_observer = self
 
     async def start(self) -> None:
         """Raises OSError where the address can't be had."""
@@ -82,10 +82,10 @@
 
     # ---- from the runtime ----
 
-    def sent(self, rpc: int, backend: int) -> None:
+    def attempt_started(self, rpc: int, backend: int) -> None:
         self.agent.evidence.sent(rpc, backend, self.clock.now())
 
-    def ended(self, rpc: int, outcome: AttemptOutcome) -> None:
+    def attempt_ended(self, rpc: int, outcome: AttemptOutcome) -> None:
         self.agent.evidence.ended(rpc, GOOD.get(outcome), self.clock.now())
 
     def listed(self, backends: Iterable[KnownBackend]) -> None:
@@ -106,7 +106,7 @@
             self.send(self.agent.datagram(data, self.clock.now()))
         except Exception:  # a fault here must not cost an RPC
             logger.exception("a datagram could not be taken")
-            self.metrics.must(False, "fleet failed")
+            self.metrics.check_invariant(False, "fleet failed")
 
     def error_received(self, _: Exception) -> None:
         self.metrics.add("fleet: datagrams not delivered")
@@ -128,7 +128,7 @@
                 self.advise(self.agent.advice)
             except Exception:
                 logger.exception("the fleet part failed")
-                self.metrics.must(False, "fleet failed")
+                self.metrics.check_invariant(False, "fleet failed")
 
     def advise(self, advice: PeerEvidence) -> None:
         if advice != self.told:
@@ -138,7 +138,7 @@
             for index in sorted((self.told.left_out | self.told.probed) - out):
                 self.metrics.report("fleet: back in", self.names.get(index, "?"))
             self.told = advice
-            self.runtime.tell(advice)
+            self.runtime.dispatch(advice)
 
     def report(self) -> None:
         for member in self.agent.changes():
--- a/stoneyoke/gateway/request_handler.py
+++ b/stoneyoke/gateway/request_handler.py
@@ -8,7 +8,7 @@
 from stoneyoke.control.actions import Abandon, StartAttempt, Reject
 from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.backends import Backends
-from stoneyoke.net.clients import CROSSING_S, Client, Clients
+from stoneyoke.net.clients import IN_TRANSIT_S, ClientConnection, ClientConnections
 from stoneyoke.net.http import Message
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.net.reply import CLIENT_GONE, Reply
@@ -18,7 +18,7 @@
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 from stoneyoke.gateway.routes import Route, Table, Tenant
 from stoneyoke.gateway.quota_client import QuotaClient
-from stoneyoke.runtime.runtime import Clock, Held
+from stoneyoke.runtime.runtime import Clock, PendingRequest
 from stoneyoke.runtime.metrics import Metrics
 
 SLACK_US = 15_000  # before the client's time is up, so that the answer is there
@@ -39,14 +39,14 @@
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
 
-    def came(self) -> int:
+    def arrival_time(self) -> int:
         return self.clock.now()
 
     async def catch_up(self) -> None:
         pass
 
 
-class RequestHandler(Clients):
+class RequestHandler(ClientConnections):
     """table: the configuration in force, swapped whole; None before the first."""
 
     admission: Admission
@@ -62,15 +62,15 @@
         self, clock: Clock, metrics: Metrics, descriptor_budget: DescriptorBudget, descriptors: int, backends: Backends
     ) -> None:
         super().__init__(clock, metrics, Steady(clock), backends, None, SLACK_US, descriptor_budget, descriptors)
-        self.informed.set()
+        self.endpoints_known.set()
 
     def take(self, table: Table) -> None:
         """From here on this version decides: never an older one in this life."""
         if self.table is None or table.version > self.table.version:
             self.table = table
-            self.head_top, self.idle_us = table.head_top, table.idle_us
-            self.part_us = table.head_us
-            self.body_top = min(table.body_top, self.body_most)
+            self.head_max_bytes, self.idle_timeout_us = table.head_top, table.idle_us
+            self.message_timeout_us = table.head_us
+            self.body_max_bytes = min(table.body_top, self.body_most)
 
     async def leave(self, grace_s: float, shut: Callable[[], None]) -> None:
         """After SIGTERM: serves on while clients may still be sent here, then closes what is idle, then ends what
@@ -78,25 +78,25 @@
 
         From here on no backend is called off: with no other one to take the request, this gateway would give its own
         answer in place of one that is still being worked on (RULES, LOST)."""
-        self.leaving, self.backends.may_call_off = True, False
+        self.leaving, self.backends.may_cancel_attempts = True, False
         stay_s = min(STAY_S, 0.5 * grace_s)
-        self.last_at = self.clock.now() + int((grace_s - END_S) * 1_000_000)
+        self.respond_by_us = self.clock.now() + int((grace_s - END_S) * 1_000_000)
         await asyncio.sleep(stay_s)
         self.ending = True
-        for client in list(self.open.values()):
-            if client.idle and client.quiet():
+        for client in list(self.connections.values()):
+            if client.idle and client.can_close_safely():
                 client.writer.close()
-        await asyncio.sleep(CROSSING_S)
+        await asyncio.sleep(IN_TRANSIT_S)
         shut()
-        self.longest_s = max(0.1, grace_s - stay_s - CROSSING_S - END_S)
-        await self.answer_held()
+        self.longest_deadline_s = max(0.1, grace_s - stay_s - IN_TRANSIT_S - END_S)
+        await self.finish_pending()
 
-    async def answer(self, client: Client, message: Message) -> None:
-        if self.leaving and not client.more_came():  # what has been read of the next request is answered too
-            message.keeps = False
-        await super().answer(client, message)
+    async def respond(self, client: ClientConnection, message: Message) -> None:
+        if self.leaving and not client.has_unanswered_input():  # what has been read of the next request is answered too
+            message.keep_alive = False
+        await super().respond(client, message)
 
-    async def handle(self, client: Client, message: Message) -> Reply:
+    async def handle(self, client: ClientConnection, message: Message) -> Reply:
         """One request, from its head to its answer."""
         request, table = Request(message), self.table
         self.metrics.add("requests")
@@ -113,13 +113,13 @@
             tenant = known or NONE
         now = self.clock.now()
         wait_us = route.timeout_us if request.wait_us is None else min(request.wait_us, route.timeout_us)
-        until = client.since + wait_us - SLACK_US
+        until = client.since_us + wait_us - SLACK_US
         if until <= now:
             return self.own(503, "its time is up", request, route.target_us)
         if tenant.rate > 0 and (refused := await self.admit(tenant, until - now)):
             self.metrics.add("requests: over quota")
             return self.own(429, f"over the quota of {tenant.label}", request, refused)
-        if client.gone:
+        if client.disconnected:
             return CLIENT_GONE
         return await self.forward(client, message, request, route, tenant, until)
 
@@ -134,17 +134,19 @@
         return verdict
 
     async def forward(
-        self, client: Client, message: Message, request: Request, route: Route, tenant: Tenant, until: int
+        self, client: ClientConnection, message: Message, request: Request, route: Route, tenant: Tenant, until: int
     ) -> Reply:
         upstream = self.upstreams.upstream(route.service(self.draw()))
         method = self.upstreams.method(upstream, route)
-        held = client.held = upstream.runtime.take_in(method, min(tenant.rank, RANKS - 1), 0, until, 1.0, 1.0, None)
+        held = client.pending = upstream.runtime.open_request(
+            method, min(tenant.rank, RANKS - 1), 0, until, 1.0, 1.0, None
+        )
         last: Message | None = None  # a backend's own failure, passed on where nothing better comes
         unrun = True
         try:
             while True:
-                match await held.wish(until):
-                    case None if held.gone:
+                match await held.next_decision(until):
+                    case None if held.client_gone:
                         return CLIENT_GONE
                     case None if unrun:
                         return self.own(503, "no backend in time", request, route.target_us)
@@ -152,9 +154,9 @@
                         self.metrics.add("requests: pressed")
                         return self.own(503, "the service is full", request, wait)
                     case StartAttempt(_, backend, _):
-                        n, now = held.calls, self.clock.now()
-                        held.calls += 1
-                        outcome, answer = await self.call_out(
+                        n, now = held.attempts_started, self.clock.now()
+                        held.attempts_started += 1
+                        outcome, answer = await self.send_attempt(
                             upstream, held, n, backend, message, request, tenant, until, now
                         )
                         if outcome not in (
@@ -166,25 +168,27 @@
                             unrun = False
                         last = answer if outcome is AttemptOutcome.ERROR else None
                         upstream.runtime.attempt_ended(held, n, backend, outcome)
-                        if held.gone:
+                        if held.client_gone:
                             return CLIENT_GONE
                         if outcome is AttemptOutcome.OK and answer:
                             return Reply(answer.status, answer.body, head_back(answer))
                         if outcome is AttemptOutcome.TIMED_OUT:
                             return self.own(504, "no answer in time", request)
                     case wish:
-                        self.metrics.must(isinstance(wish, Abandon | Reject) or wish is None, "an unknown wish")
+                        self.metrics.check_invariant(
+                            isinstance(wish, Abandon | Reject) or wish is None, "an unknown wish"
+                        )
                         if last:
                             return Reply(last.status, last.body, head_back(last))
                         return self.own(502, "it may have run, and no answer came", request)
         finally:
-            client.held = None
-            upstream.runtime.let_go(held)
+            client.pending = None
+            upstream.runtime.close_request(held)
 
-    async def call_out(
+    async def send_attempt(
         self,
         upstream: Upstream,
-        held: Held,
+        held: PendingRequest,
         n: int,
         backend: int,
         message: Message,
@@ -197,7 +201,7 @@
         if instance_known is None:
             return AttemptOutcome.NOT_SENT, None
         instance = instance_known.row.instance
-        outcome, answer = await self.backends.call_out(
+        outcome, answer = await self.backends.send_attempt(
             held,
             n,
             backend,
--- a/stoneyoke/gateway/request_head.py
+++ b/stoneyoke/gateway/request_head.py
@@ -2,7 +2,7 @@
 
 import re
 
-from stoneyoke.net.http import Malformed, Message
+from stoneyoke.net.http import MalformedMessage, Message
 
 HOP = frozenset(
     (
@@ -35,17 +35,17 @@
 
     def __init__(self, message: Message) -> None:
         if message.repeated and (twice := message.repeated & ONCE):
-            raise Malformed(f"{min(twice).decode()} comes twice")
+            raise MalformedMessage(f"{min(twice).decode()} comes twice")
         headers = message.headers
         host, mark = headers.get(b"host", b""), headers.get(b"attempt-id", b"")
         if not HOST(host):
-            raise Malformed("host is missing or can not be read")
+            raise MalformedMessage("host is missing or can not be read")
         if not SEEN(mark):
-            raise Malformed("attempt-id is missing or can not be read")
+            raise MalformedMessage("attempt-id is missing or can not be read")
         if not TARGET(message.target) or not METHOD(message.method):
-            raise Malformed("a target or method that can not be read")
+            raise MalformedMessage("a target or method that can not be read")
         if message.method == b"HEAD":
-            raise Malformed("HEAD is not served here", 501)
+            raise MalformedMessage("HEAD is not served here", 501)
         self.id = mark
         name, _, port = host.partition(b":")
         self.host = (name if port.isdigit() or not port else host).decode("ascii").lower()
@@ -53,7 +53,7 @@
         self.key = headers.get(b"api-key", b"").decode("latin-1")
         wait = headers.get(b"deadline-ms")
         if wait is not None and not WHOLE(wait):
-            raise Malformed("deadline-ms is no number")
+            raise MalformedMessage("deadline-ms is no number")
         self.wait_us = None if wait is None else int(float(wait) * 1000)
 
 
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -58,7 +58,7 @@
         self.indices = IdIndex[str]()  # backends, by instance
         self.at: dict[int, KnownInstance] = {}  # listed backends, by index
         self.fleet, self.turn = Fleet(), -1
-        self.backends.takes = self.takes
+        self.backends.accepts_new_work = self.takes
 
     def takes(self, backend: int) -> bool:
         instance_known = self.at.get(backend)
@@ -137,7 +137,7 @@
                 attempts_max=route.tries,
             )
             number = upstream.methods[kind] = len(parameters.methods)
-            upstream.runtime.tell(ParametersChanged(self.parameters((*parameters.methods, method))))
+            upstream.runtime.dispatch(ParametersChanged(self.parameters((*parameters.methods, method))))
         return number
 
     def among(self, fleet: Fleet) -> None:
@@ -145,7 +145,9 @@
         if fleet != self.fleet:
             self.fleet = fleet
             for upstream in self.upstreams.values():
-                upstream.runtime.tell(ParametersChanged(self.parameters(upstream.runtime.gateway.parameters.methods)))
+                upstream.runtime.dispatch(
+                    ParametersChanged(self.parameters(upstream.runtime.gateway.parameters.methods))
+                )
 
     def renew(self) -> None:
         """Tells each module of its backends, if anything has changed."""
@@ -154,15 +156,15 @@
         self.turn = self.instance_directory.turn
         self.at = {}
         for instance_known in self.instance_directory.known.values():
-            index = self.indices.enter(instance_known.row.instance)
+            index = self.indices.acquire(instance_known.row.instance)
             self.at[index] = instance_known
             host, _, port = instance_known.row.address.rpartition(":")
-            self.backends.place(index, (host, int(port)))
-        for index in list(self.indices.index.values()):
+            self.backends.set_address(index, (host, int(port)))
+        for index in list(self.indices.index_by_id.values()):
             if index not in self.at:
-                self.backends.forget(index)
-                if not any(upstream.runtime.knows(index) for upstream in self.upstreams.values()):
-                    self.indices.leave(index)
+                self.backends.remove(index)
+                if not any(upstream.runtime.knows_backend(index) for upstream in self.upstreams.values()):
+                    self.indices.release(index)
         for service in {instance_known.row.service for instance_known in self.at.values()}:
             self.upstream(service)
         for upstream in self.upstreams.values():
@@ -184,9 +186,11 @@
                         state,
                     )
                 )
-        upstream.runtime.listed(EndpointsChanged(True, False, entries))
+        upstream.runtime.endpoints_changed(EndpointsChanged(True, False, entries))
         doubted = self.instance_directory.doubted(upstream.service)
-        upstream.runtime.tell(PeerEvidence(frozenset(self.indices.index[one] for one in doubted), frozenset()))
+        upstream.runtime.dispatch(
+            PeerEvidence(frozenset(self.indices.index_by_id[one] for one in doubted), frozenset())
+        )
 
 
 def judge(answer: Message | None) -> AttemptOutcome:
--- a/stoneyoke/lab/cluster.py
+++ b/stoneyoke/lab/cluster.py
@@ -19,7 +19,7 @@
 
 from absl import app, flags
 
-from stoneyoke.net.http import Malformed, Message, Messages, status_line, write_message
+from stoneyoke.net.http import MalformedMessage, Message, MessageReader, status_line, write_message
 
 SECONDS = flags.DEFINE_float("seconds", 0.0, "Length of a trial; 0: up until Ctrl-C, without traffic or faults.")
 GATEWAYS = flags.DEFINE_integer("gateways", 2, "Gateways.", lower_bound=1)
@@ -91,10 +91,10 @@
             reader, writer = await asyncio.open_connection(*address)
             try:
                 writer.write(head + b"Content-Length: %d\r\n\r\n" % len(body) + body)
-                return await Messages(reader, answers=True, body_top=1 << 24).next()
+                return await MessageReader(reader, responses=True, body_max_bytes=1 << 24).next()
             finally:
                 writer.transport.abort()
-    except (OSError, Malformed):
+    except (OSError, MalformedMessage):
         return None
 
 
@@ -124,7 +124,7 @@
             await asyncio.sleep(BEAT_S)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        messages = Messages(reader, answers=False)
+        messages = MessageReader(reader, responses=False)
         try:
             while message := await messages.next():
                 mark = message.headers.get(b"attempt-id", b"").decode()
@@ -138,7 +138,7 @@
                     await asyncio.sleep(WORK_S)
                 head = b"Attempt-Id: %s\r\n%sContent-Length: 3\r\n" % (mark.encode(), more)
                 write_message(writer, [status_line(status), head], b"ok\n")
-        except (OSError, Malformed):
+        except (OSError, MalformedMessage):
             pass
         finally:
             writer.close()
--- a/stoneyoke/net/backends.py
+++ b/stoneyoke/net/backends.py
@@ -8,21 +8,30 @@
 from collections.abc import Callable
 
 from stoneyoke.control.parameters import AttemptOutcome
-from stoneyoke.net.descriptor_budget import DescriptorBudget, Victim
-from stoneyoke.net.http import BODY_TOP, Line, Malformed, Message, Messages, RequestWrite, connect, readable
+from stoneyoke.net.descriptor_budget import DescriptorBudget, EvictionCandidate
+from stoneyoke.net.http import (
+    BODY_MAX_BYTES,
+    MalformedMessage,
+    Message,
+    MessageReader,
+    RequestWrite,
+    StreamProtocol,
+    connect,
+    readable,
+)
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Clock, Held
+from stoneyoke.runtime.runtime import Clock, PendingRequest
 
 # A backend closes an idle connection when the settings' time is up; one idle for this part of it isn't used.
 IDLE_PART = 0.75
 
 
-class Link:
+class BackendConnection:
     """One connection to a backend."""
 
-    def __init__(self, line: Line, writer: asyncio.StreamWriter, answer_top: int) -> None:
+    def __init__(self, line: StreamProtocol, writer: asyncio.StreamWriter, answer_top: int) -> None:
         self.line, self.writer = line, writer
-        self.answers = Messages(line.reader, answers=True, body_top=answer_top)
+        self.answers = MessageReader(line.reader, responses=True, body_max_bytes=answer_top)
         self.used_at = 0
         self.doubted = False  # an answer to something else came on it
 
@@ -36,12 +45,12 @@
         self.writer.transport.abort()
 
 
-class Site:
+class BackendPool:
     """Where a backend is reached, and the connections to it that are idle, the last used at the right."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
-        self.idle: deque[Link] = deque()
+        self.idle: deque[BackendConnection] = deque()
         self.busy = 0  # connections with a call-out on them
 
 
@@ -51,9 +60,9 @@
     It is never written twice. Its outcome says that it has not run only where no byte of it can have left; a failure
     after that, at whichever await, tells that it may have run."""
 
-    def __init__(self, site: Site) -> None:
+    def __init__(self, site: BackendPool) -> None:
         self.site = site
-        self.link: Link | None = None
+        self.link: BackendConnection | None = None
         self.request: RequestWrite | None = None
 
     async def send(self, head: list[bytes], body: bytes) -> None:
@@ -72,7 +81,7 @@
             metrics.add("answers of backends: to something else")
         return answer
 
-    def failed(self, bad: OSError, time_up: bool, called_off: bool) -> AttemptOutcome:
+    def failure_outcome(self, bad: OSError, time_up: bool, called_off: bool) -> AttemptOutcome:
         """What its end tells. Its connection is aborted before the loop turns again (see RequestWrite)."""
         ended_here = time_up and isinstance(bad, TimeoutError)
         if self.request and self.request.may_have_left():
@@ -88,7 +97,9 @@
 
 
 class Backends:
-    may_call_off = True  # False once this process is to end: what a backend is at work on is not broken off any more
+    may_cancel_attempts = (
+        True  # False once this process is to end: what a backend is at work on is not broken off any more
+    )
 
     def __init__(
         self,
@@ -97,7 +108,7 @@
         dial_us: int,
         idle_us: int,
         descriptor_budget: DescriptorBudget,
-        answer_top: int = BODY_TOP,
+        answer_top: int = BODY_MAX_BYTES,
     ) -> None:
         self.clock, self.metrics, self.descriptor_budget, self.answer_top = (
             clock,
@@ -106,36 +117,36 @@
             answer_top,
         )
         self.dial_s, self.idle_us = dial_us / 1_000_000, int(idle_us * IDLE_PART)
-        self.sites: dict[int, Site] = {}  # by backend; emptied by forget()
-        self.judge = outcome  # what an answer, or the end of the stream in its place, tells
-        self.takes: Callable[[int], bool] = lambda _: True  # new work; set by whoever knows discovery's list
-        descriptor_budget.victims.append(self.idle_longest)
+        self.pools: dict[int, BackendPool] = {}  # by backend; emptied by forget()
+        self.classify = outcome  # what an answer, or the end of the stream in its place, tells
+        self.accepts_new_work: Callable[[int], bool] = lambda _: True  # new work; set by whoever knows discovery's list
+        descriptor_budget.eviction_sources.append(self.eviction_candidate)
 
-    def place(self, backend: int, address: tuple[str, int]) -> None:
+    def set_address(self, backend: int, address: tuple[str, int]) -> None:
         """Where a backend is from now on; connections to where it was are not used again."""
-        site = self.sites.get(backend)
+        site = self.pools.get(backend)
         if site is None or site.address != address:
-            self.forget(backend)
-            self.sites[backend] = Site(address)
+            self.remove(backend)
+            self.pools[backend] = BackendPool(address)
 
-    def forget(self, backend: int) -> None:
-        if site := self.sites.pop(backend, None):
+    def remove(self, backend: int) -> None:
+        if site := self.pools.pop(backend, None):
             while site.idle:
                 self.drop(site.idle.pop())
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Closes what has been idle for too long; called now and then."""
-        for site in self.sites.values():
+        for site in self.pools.values():
             while site.idle and self.clock.now() - site.idle[0].used_at >= self.idle_us:
                 self.drop(site.idle.popleft())
 
-    def drop(self, link: Link) -> None:
+    def drop(self, link: BackendConnection) -> None:
         self.descriptor_budget.free()
         link.close()
 
-    async def call_out(
+    async def send_attempt(
         self,
-        held: Held,
+        held: PendingRequest,
         n: int,
         backend: int,
         head: list[bytes],
@@ -147,7 +158,7 @@
 
         ours: whether an answer belongs to this request. One that does not came late or was sent twice: the next one
         on the connection may be."""
-        site = self.sites.get(backend)
+        site = self.pools.get(backend)
         if site is None or self.clock.now() >= until:
             return AttemptOutcome.NOT_SENT, None
         called_off = False
@@ -155,12 +166,12 @@
 
         def stop(number: int) -> None:
             nonlocal called_off
-            if number == n and self.may_call_off and not called_off and not scope.expired():
+            if number == n and self.may_cancel_attempts and not called_off and not scope.expired():
                 called_off = True
                 scope.reschedule(0.0)
 
         attempt, answer = Attempt(site), None
-        held.stop = stop
+        held.cancel_attempt = stop
         try:
             async with scope:
                 if not await self.reach(attempt, backend):
@@ -168,14 +179,14 @@
                 await attempt.send(head, body)
                 answer = await attempt.answer(ours, self.metrics)
         except OSError as bad:  # a TimeoutError is one: the scope's, the dial's, or the kernel's own
-            return attempt.failed(bad, scope.expired(), called_off), None
-        except Malformed as bad:
+            return attempt.failure_outcome(bad, scope.expired(), called_off), None
+        except MalformedMessage as bad:
             self.metrics.report("answers of backends: malformed", f"{site.address}: {bad}")
             return AttemptOutcome.BROKEN, None
         finally:
-            held.stop = None
+            held.cancel_attempt = None
             self.release(attempt, backend, answer)
-        return self.judge(answer), answer
+        return self.classify(answer), answer
 
     async def reach(self, attempt: Attempt, backend: int) -> bool:
         """Gives it a connection. False: there is no descriptor, or the backend takes no new work any more."""
@@ -188,7 +199,9 @@
             link = await self.connect(site)
         attempt.link = link
         site.busy += 1
-        if not self.takes(backend) or self.sites.get(backend) is not site:  # told so while it was dialled, say
+        if (
+            not self.accepts_new_work(backend) or self.pools.get(backend) is not site
+        ):  # told so while it was dialled, say
             self.metrics.add("call-outs: backend left meanwhile")
             return False
         return True
@@ -197,13 +210,13 @@
         """Keeps the connection if it ended with this request's own answer and there is no doubt about it."""
         if link := attempt.link:
             attempt.site.busy -= 1
-            current = self.sites.get(backend) is attempt.site
-            if current and answer and answer.keeps and link.clean():
+            current = self.pools.get(backend) is attempt.site
+            if current and answer and answer.keep_alive and link.clean():
                 self.put_back(attempt.site, link)
             else:
                 self.drop(link)
 
-    async def connect(self, site: Site) -> Link:
+    async def connect(self, site: BackendPool) -> BackendConnection:
         """A new connection, for which there is room."""
         try:
             line, writer = await connect(site.address, self.dial_s)
@@ -211,9 +224,9 @@
             self.descriptor_budget.free()
             raise
         self.metrics.add("connections to backends")
-        return Link(line, writer, self.answer_top)
+        return BackendConnection(line, writer, self.answer_top)
 
-    def take_idle(self, site: Site) -> Link | None:
+    def take_idle(self, site: BackendPool) -> BackendConnection | None:
         while site.idle:
             link = site.idle.pop()
             link.line.on_bytes = link.line.on_close = None
@@ -223,7 +236,7 @@
             self.drop(link)
         return None
 
-    def put_back(self, site: Site, link: Link) -> None:
+    def put_back(self, site: BackendPool, link: BackendConnection) -> None:
         """Idle: any byte or close that comes now ends it, so that nothing late meets the next RPC."""
 
         def end() -> None:
@@ -235,11 +248,11 @@
         link.line.on_bytes = link.line.on_close = end
         site.idle.append(link)
 
-    def idle_longest(self) -> Victim | None:
-        sites = [site for site in self.sites.values() if site.idle]
-        if not sites:
+    def eviction_candidate(self) -> EvictionCandidate | None:
+        pools = [site for site in self.pools.values() if site.idle]
+        if not pools:
             return None
-        site = min(sites, key=lambda one: one.idle[0].used_at)
+        site = min(pools, key=lambda one: one.idle[0].used_at)
         return False, site.idle[0].used_at, lambda: self.drop(site.idle.popleft())
 
 
--- a/stoneyoke/net/clients.py
+++ b/stoneyoke/net/clients.py
@@ -11,22 +11,22 @@
 from stoneyoke.control.actions import Abandon, Reject, StartAttempt
 from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.backends import Backends
-from stoneyoke.net.descriptor_budget import DescriptorBudget, Victim
+from stoneyoke.net.descriptor_budget import DescriptorBudget, EvictionCandidate
 from stoneyoke.net.http import (
-    BODY_TOP,
-    HEAD_TOP,
-    Line,
-    Malformed,
+    BODY_MAX_BYTES,
+    HEAD_MAX_BYTES,
+    MalformedMessage,
     Message,
-    Messages,
+    MessageReader,
+    StreamProtocol,
     status_line,
     unread,
     write_message,
 )
 from stoneyoke.net.reply import CLIENT_GONE, Reply
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Clock, Held, Runtime
-from stoneyoke.single_gateway.request_head import TEXT, Asked, Names
+from stoneyoke.runtime.runtime import Clock, PendingRequest, Runtime
+from stoneyoke.single_gateway.request_head import TEXT, RpcHead, RpcVocabulary
 
 # The operators' page: whoever connects is owed an error or a close within 3 s, and a connection may be closed
 # 2 s after its last RPC. A message's time runs from its first byte, the first one's from the connection's.
@@ -39,37 +39,37 @@
 # of that are stayed, since the gateways beside this one may be away too; what comes last still has the rest.
 KILL_S, SHORTEST_S, STAY_S = 0.7, 3.0, 1.5
 QUIET_LOOKS = 3  # in a row, 20 ms apart, in which nothing is owed, before all ends
-CROSSING_S = 0.2  # after closing what is idle: what has crossed with that comes on new connections
+IN_TRANSIT_S = 0.2  # after closing what is idle: what has crossed with that comes on new connections
 
 
-class Client:
+class ClientConnection:
     """One client's connection."""
 
-    def __init__(self, line: Line, writer: asyncio.StreamWriter, now: int) -> None:
+    def __init__(self, line: StreamProtocol, writer: asyncio.StreamWriter, now: int) -> None:
         self.line, self.writer = line, writer
-        self.messages = Messages(line.reader, answers=False)
+        self.messages = MessageReader(line.reader, responses=False)
         self.met = now
-        self.since = now  # when it fell idle, or when its message, or the writing of its answer, began
+        self.since_us = now  # when it fell idle, or when its message, or the writing of its answer, began
         self.ahead = 0  # while an answer is owed: when the first byte beyond its message came
         self.idle = True  # nothing of a message has come, nothing is owed
         self.fresh = True  # no message has come whole yet
         self.whole = False  # a message of it is, and not yet answered to the last byte
         self.over = False  # it has had its last answer; what still comes is thrown away
-        self.held: Held | None = None
-        self.gone = False
+        self.pending: PendingRequest | None = None
+        self.disconnected = False
 
-    def owed(self) -> bool:
-        return self.whole and not self.gone
+    def owes_response(self) -> bool:
+        return self.whole and not self.disconnected
 
     def begun(self) -> bool:
         """Something of a message has come, or waits on the socket."""
-        return not (self.gone or self.over or self.writer.is_closing() or self.quiet())
+        return not (self.disconnected or self.over or self.writer.is_closing() or self.can_close_safely())
 
-    def more_came(self) -> bool:
+    def has_unanswered_input(self) -> bool:
         """Something beyond the message that is being answered has been read from the socket."""
         return self.messages.pending() or self.line.received != self.messages.taken
 
-    def quiet(self) -> bool:
+    def can_close_safely(self) -> bool:
         """No whole message has come and no byte waits to be read: closing it loses no RPC."""
         if self.over:
             return True
@@ -78,7 +78,7 @@
         return not unread(self.writer)
 
 
-class Clients:
+class ClientConnections:
     """Clients' connections, from accepting them to the last answer."""
 
     def __init__(
@@ -87,7 +87,7 @@
         metrics: Metrics,
         runtime: Runtime | Any,
         backends: Backends,
-        names: Names | Any,
+        names: RpcVocabulary | Any,
         slack_us: int,
         descriptor_budget: DescriptorBudget,
         descriptors: int,
@@ -97,49 +97,52 @@
         # The operators' page: clients open a third of the descriptors at most for RPCs. What is kept open, by
         # fronts for later and by those who ask once for good, leaves them a quarter of that.
         self.fresh_most, self.asked_most = max(1, descriptor_budget.most // 3), max(1, descriptors // 4)
-        descriptor_budget.victims.append(self.idle_longest)
-        self.open: dict[asyncio.StreamWriter, Client] = {}  # emptied as connections close
-        self.fresh: dict[Client, None] = {}  # the oldest first; emptied by a first whole message or a close
-        self.idle: dict[Client, None] = {}  # after an answer, the longest first; emptied by a byte or a close
+        descriptor_budget.eviction_sources.append(self.eviction_candidate)
+        self.connections: dict[asyncio.StreamWriter, ClientConnection] = {}  # emptied as connections close
+        self.fresh: dict[ClientConnection, None] = {}  # the oldest first; emptied by a first whole message or a close
+        self.idle: dict[ClientConnection, None] = {}  # after an answer, the longest first; emptied by a byte or a close
         self.ids: set[bytes] = set()  # of RPCs that are held; emptied as they are let go
-        self.informed = asyncio.Event()  # set by discovery's first word: no RPC is sent on before
+        self.endpoints_known = asyncio.Event()  # set by discovery's first word: no RPC is sent on before
         self.ending = False
-        self.part_us, self.idle_us = PART_US, PART_US  # a message's time; how long a connection may be idle
-        self.head_top, self.body_top = HEAD_TOP, BODY_TOP
-        self.longest_s = SHORTEST_S  # the longest deadline
+        self.message_timeout_us, self.idle_timeout_us = (
+            PART_US,
+            PART_US,
+        )  # a message's time; how long a connection may be idle
+        self.head_max_bytes, self.body_max_bytes = HEAD_MAX_BYTES, BODY_MAX_BYTES
+        self.longest_deadline_s = SHORTEST_S  # the longest deadline
         if isinstance(runtime, Runtime):
-            self.longest_s = max(method.deadline_us for method in runtime.parameters.methods) / 1_000_000
-        self.last_at = sys.maxsize  # by when all must be answered; set by SIGTERM
+            self.longest_deadline_s = max(method.deadline_us for method in runtime.parameters.methods) / 1_000_000
+        self.respond_by_us = sys.maxsize  # by when all must be answered; set by SIGTERM
 
-    def line(self) -> Line:
+    def line(self) -> StreamProtocol:
         """For the server: the protocol of a connection that has just been accepted."""
-        return Line(self.serve)
+        return StreamProtocol(self.serve)
 
     async def serve(self, _: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """A client's connection, from its first byte to its last."""
-        line = cast(Line, writer.transport.get_protocol())
+        line = cast(StreamProtocol, writer.transport.get_protocol())
         if len(self.fresh) >= self.fresh_most:  # those that say nothing go first, whoever else is idle
-            if silent := next((client for client in self.fresh if client.quiet()), None):
-                self.close_for_room(silent)
+            if silent := next((client for client in self.fresh if client.can_close_safely()), None):
+                self.evict(silent)
         if not self.descriptor_budget.take(spare=True):
             self.metrics.add("connections of clients: no descriptor left")
             return writer.transport.abort()
-        client = self.open[writer] = Client(line, writer, self.runtime.came())
-        client.messages.head_top, client.messages.body_top = self.head_top, self.body_top
+        client = self.connections[writer] = ClientConnection(line, writer, self.runtime.arrival_time())
+        client.messages.head_max_bytes, client.messages.body_max_bytes = self.head_max_bytes, self.body_max_bytes
         self.fresh[client] = None
 
         def came() -> None:
             client.messages.hungry = False
             if client.idle:
                 self.idle.pop(client, None)
-                client.idle, client.since = False, self.runtime.came()
+                client.idle, client.since_us = False, self.runtime.arrival_time()
             elif client.whole and not client.ahead:
-                client.ahead = self.runtime.came()
+                client.ahead = self.runtime.arrival_time()
 
         def gone() -> None:
-            client.gone = True
-            if client.held:
-                client.held.home.client_gone(client.held)
+            client.disconnected = True
+            if client.pending:
+                client.pending.runtime.client_gone(client.pending)
 
         self.metrics.add("connections of clients")
         line.on_bytes, line.on_close = came, gone
@@ -147,19 +150,19 @@
             while message := await client.messages.next():
                 client.whole, client.fresh = True, False
                 self.fresh.pop(client, None)
-                await self.answer(client, message)
+                await self.respond(client, message)
                 if writer.transport.get_write_buffer_size():
-                    client.since = self.clock.now()
+                    client.since_us = self.clock.now()
                     await writer.drain()
                 # A request of which something has been read is answered before its connection closes.
-                if not message.keeps or writer.is_closing() or self.ending and not client.more_came():
+                if not message.keep_alive or writer.is_closing() or self.ending and not client.has_unanswered_input():
                     break
                 client.whole, client.idle = False, not client.ahead and not client.messages.pending()
-                client.since, client.ahead = client.ahead or self.clock.now(), 0
+                client.since_us, client.ahead = client.ahead or self.clock.now(), 0
                 if client.idle:
                     self.idle[client] = None
                     self.keep_few()
-        except Malformed as bad:
+        except MalformedMessage as bad:
             await self.complain(client, bad)
         except OSError:
             self.metrics.add("connections of clients: broken")
@@ -167,39 +170,39 @@
             writer.transport.abort()
         except Exception:  # a fault here costs this one connection, never the gateway
             logger.exception("a client's connection failed")
-            self.metrics.must(False, "connection failed")
+            self.metrics.check_invariant(False, "connection failed")
         finally:
             line.on_bytes = line.on_close = None
-            del self.open[writer]
+            del self.connections[writer]
             self.fresh.pop(client, None)
             self.idle.pop(client, None)
             self.descriptor_budget.free()
             writer.close()
 
-    async def complain(self, client: Client, bad: Malformed) -> None:
+    async def complain(self, client: ClientConnection, bad: MalformedMessage) -> None:
         """A plain 4xx or 5xx. Closing at once would reset it away where more is still on its way."""
         self.metrics.report(f"bad input: {bad.status}", str(bad))
         body = str(bad).encode()[:200] + b"\n"
         more = b"Content-Type: text/plain\r\nConnection: close\r\nContent-Length: %d\r\n" % len(body)
         write_message(client.writer, [status_line(bad.status), more], body)
-        client.since, client.over, client.whole = self.clock.now(), True, False
+        client.since_us, client.over, client.whole = self.clock.now(), True, False
         self.fresh.pop(client, None)
         ended = asyncio.Event()
         client.line.on_close = ended.set
-        client.line.deafen()
+        client.line.discard_input()
         try:
             async with asyncio.timeout(LINGER_S):
                 await client.writer.drain()
                 client.writer.write_eof()
-                if not client.gone:
+                if not client.disconnected:
                     await ended.wait()
         except OSError:
             client.writer.transport.abort()
 
-    async def answer(self, client: Client, message: Message) -> None:
+    async def respond(self, client: ClientConnection, message: Message) -> None:
         if message.target == b"/healthz" and message.method == b"GET":
             self.metrics.add("health checks")
-            ending = self.last_at < sys.maxsize
+            ending = self.respond_by_us < sys.maxsize
             reply = Reply(503, b"ending\n") if ending else Reply(200, b"ok\n")
         else:
             reply = await self.handle(client, message)
@@ -207,126 +210,134 @@
                 self.metrics.add("RPCs: client gone")
                 return
         headers = reply.headers
-        if not message.keeps or self.ending and not client.more_came():
-            message.keeps = False
+        if not message.keep_alive or self.ending and not client.has_unanswered_input():
+            message.keep_alive = False
             headers += b"Connection: close\r\n"
         head = [status_line(reply.status), headers, b"Content-Length: %d\r\n" % len(reply.body)]
         write_message(client.writer, head, reply.body)
 
-    async def handle(self, client: Client, message: Message) -> Reply:
+    async def handle(self, client: ClientConnection, message: Message) -> Reply:
         """One RPC, from its head to its answer; CLIENT_GONE when nobody waits for it any more."""
-        asked = Asked(message, self.names)
-        if not self.informed.is_set():
+        asked = RpcHead(message, self.names)
+        if not self.endpoints_known.is_set():
             self.metrics.add("RPCs: waited for the first list")
-            await self.informed.wait()
+            await self.endpoints_known.wait()
         await self.runtime.catch_up()
-        if client.gone:
+        if client.disconnected:
             return CLIENT_GONE
         if asked.id in self.ids:
-            raise Malformed(f"{asked.id[:40]!r} is open already", 409)
+            raise MalformedMessage(f"{asked.id[:40]!r} is open already", 409)
         self.ids.add(asked.id)
-        until = min(client.since + asked.wait_us, self.last_at)
+        until = min(client.since_us + asked.wait_us, self.respond_by_us)
         give_up_at = until - self.slack_us  # so that the answer is there when the client's time is up
         self.metrics.add("RPCs")
-        held = client.held = self.runtime.take_in(
+        held = client.pending = self.runtime.open_request(
             asked.method, asked.plan, asked.account, until, asked.units, asked.width, asked.repeat
         )
         try:
             while True:
-                match await held.wish(give_up_at):
-                    case None if held.gone:
+                match await held.next_decision(give_up_at):
+                    case None if held.client_gone:
                         return CLIENT_GONE
                     case Reject(_, wait_us):
                         self.metrics.add("RPCs: pushed back")
                         advice = b"Retry-After: %.3f\r\n" % (wait_us / 1_000_000)
                         return Reply(429, headers=advice if self.runtime.parameters.advises_wait else b"")
                     case StartAttempt(_, backend, limit_us):
-                        n, now = held.calls, self.clock.now()
-                        held.calls += 1
+                        n, now = held.attempts_started, self.clock.now()
+                        held.attempts_started += 1
                         end = min(give_up_at, now + limit_us) if limit_us else give_up_at
-                        outcome, answer = await self.backends.call_out(
+                        outcome, answer = await self.backends.send_attempt(
                             held, n, backend, head(message, end - now), message.body, end
                         )
                         self.metrics.add(f"call-outs: {outcome.value}")
                         await self.runtime.catch_up()
                         self.runtime.attempt_ended(held, n, backend, outcome)
-                        if outcome is AttemptOutcome.OK and answer and not held.gone:
+                        if outcome is AttemptOutcome.OK and answer and not held.client_gone:
                             self.metrics.add("RPCs: ok")
                             kind = answer.headers.get(b"content-type", b"")
                             more = b"Content-Type: %s\r\n" % kind if kind and TEXT(kind) else b""
                             return Reply(200, answer.body, more)
                     case wish:
-                        self.metrics.must(isinstance(wish, Abandon), "RPC without an answer from the module")
+                        self.metrics.check_invariant(isinstance(wish, Abandon), "RPC without an answer from the module")
                         self.metrics.add("RPCs: aborted")
                         return Reply(502)
         finally:
-            client.held = None
+            client.pending = None
             self.ids.discard(asked.id)
-            self.runtime.let_go(held)
+            self.runtime.close_request(held)
 
-    def idle_longest(self) -> Victim | None:
+    def eviction_candidate(self) -> EvictionCandidate | None:
         """Done with, else idle, else half way; never one on which an answer is owed."""
-        for client in sorted(self.open.values(), key=lambda c: (not c.over, not c.idle, c.since)):
-            if client.quiet():
-                return not (client.idle or client.over), client.since, partial(self.close_for_room, client)
+        for client in sorted(self.connections.values(), key=lambda c: (not c.over, not c.idle, c.since_us)):
+            if client.can_close_safely():
+                return not (client.idle or client.over), client.since_us, partial(self.evict, client)
         return None
 
     def keep_few(self) -> None:
         """Closes those idle longest while so many are kept that clients may find none to open."""
-        for client in list(self.idle)[: max(0, len(self.open) - len(self.fresh) - self.asked_most)]:
-            if client.quiet():
-                self.close_for_room(client)
+        for client in list(self.idle)[: max(0, len(self.connections) - len(self.fresh) - self.asked_most)]:
+            if client.can_close_safely():
+                self.evict(client)
 
-    def close_for_room(self, client: Client) -> None:
+    def evict(self, client: ClientConnection) -> None:
         self.metrics.add("connections of clients: closed for room")
         self.fresh.pop(client, None)
         self.idle.pop(client, None)
         client.writer.transport.abort()
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Ends what has been idle for long or is stuck half way: messages that don't come, answers that
         nobody takes. Called several times a second."""
         now = self.clock.now()
-        for client in list(self.open.values()):
-            age = now - (client.met if client.fresh else client.since)
+        for client in list(self.connections.values()):
+            age = now - (client.met if client.fresh else client.since_us)
             # A head has its time; a body that comes slowly has as long as a connection may be idle.
             slow = client.idle or client.messages.begun is not None and not client.messages.in_head
-            if client.over or client.held or age < (max(self.idle_us, self.part_us) if slow else self.part_us):
+            if (
+                client.over
+                or client.pending
+                or age < (max(self.idle_timeout_us, self.message_timeout_us) if slow else self.message_timeout_us)
+            ):
                 continue
             if client.whole:
                 if age >= UNTAKEN_US:
                     self.metrics.add("connections of clients: stuck")
                     client.writer.transport.abort()
             elif client.idle:
-                if client.quiet():
+                if client.can_close_safely():
                     self.metrics.add("connections of clients: closed as idle")
                     client.writer.transport.abort()
-            elif client.quiet():
+            elif client.can_close_safely():
                 self.metrics.add("connections of clients: stuck")
-                client.line.deafen()
-                client.messages.stop(Malformed("a message that does not come whole", 408))
+                client.line.discard_input()
+                client.messages.stop(MalformedMessage("a message that does not come whole", 408))
 
-    async def take_late(self) -> None:
+    async def drain(self) -> None:
         """After SIGTERM: goes on as if nothing were while clients still come, then closes what is idle."""
-        killed_s = max(self.longest_s, SHORTEST_S) + KILL_S
-        self.last_at = self.clock.now() + int((killed_s - CROSSING_S) * 1_000_000)
+        killed_s = max(self.longest_deadline_s, SHORTEST_S) + KILL_S
+        self.respond_by_us = self.clock.now() + int((killed_s - IN_TRANSIT_S) * 1_000_000)
         await asyncio.sleep(STAY_S)
         self.ending = True
-        for client in list(self.open.values()):
-            if client.idle and client.quiet():
+        for client in list(self.connections.values()):
+            if client.idle and client.can_close_safely():
                 client.writer.close()
-        await asyncio.sleep(CROSSING_S)
+        await asyncio.sleep(IN_TRANSIT_S)
 
-    async def answer_held(self) -> None:
+    async def finish_pending(self) -> None:
         """Ends once nothing is owed: as none listens any more, that is the longest deadline at most. What has
         come and is not read yet is owed too, and what was accepted in this turn of the loop shows in the next
         one only. (roll+mass: of some 47,000 RPCs one that came 0.3 s before the end had no answer.)"""
         with contextlib.suppress(TimeoutError):  # what is owed still is an answer that nobody takes
-            async with asyncio.timeout(self.longest_s):
-                quiet = 0
-                while quiet < QUIET_LOOKS:
+            async with asyncio.timeout(self.longest_deadline_s):
+                can_close_safely = 0
+                while can_close_safely < QUIET_LOOKS:
                     await asyncio.sleep(0.02)
-                    quiet = 0 if any(c.owed() or c.begun() for c in self.open.values()) else quiet + 1
+                    can_close_safely = (
+                        0
+                        if any(c.owes_response() or c.begun() for c in self.connections.values())
+                        else can_close_safely + 1
+                    )
 
 
 def head(message: Message, wait_us: int) -> list[bytes]:
--- a/stoneyoke/net/descriptor_budget.py
+++ b/stoneyoke/net/descriptor_budget.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-Victim = tuple[bool, int, Callable[[], None]]  # half way (idle ones go first), since when, what closes it
+EvictionCandidate = tuple[bool, int, Callable[[], None]]  # half way (idle ones go first), since when, what closes it
 
 
 class DescriptorBudget:
@@ -11,13 +11,13 @@
     def __init__(self, most: int, spare: int) -> None:
         self.most, self.spare = most, spare
         self.used = 0
-        self.victims: list[Callable[[], Victim | None]] = []  # each holder's next to go
+        self.eviction_sources: list[Callable[[], EvictionCandidate | None]] = []  # each holder's next to go
 
     def take(self, spare: bool = False) -> bool:
         """A place for one more connection. Those that others have opened may use what is kept spare: closing
         them could lose an RPC that is on them already."""
         if self.used >= self.most:
-            found = [victim for ask in self.victims if (victim := ask())]
+            found = [victim for ask in self.eviction_sources if (victim := ask())]
             if found:
                 min(found, key=lambda victim: victim[:2])[2]()
             elif not spare or self.used >= self.most + self.spare:
--- a/stoneyoke/net/http.py
+++ b/stoneyoke/net/http.py
@@ -12,8 +12,8 @@
 
 import httptools
 
-BODY_TOP = 65_536  # the protocol page: a body holds no more than 64 KiB
-HEAD_TOP = 16_384  # bytes of a head; the largest of the protocol page holds some 500
+BODY_MAX_BYTES = 65_536  # the protocol page: a body holds no more than 64 KiB
+HEAD_MAX_BYTES = 16_384  # bytes of a head; the largest of the protocol page holds some 500
 FRAMED = 5  # times its body's limit a message may hold with its framing: chunks may be small, not without end
 PIECE = 16_384  # bytes read at once; a stream stops reading at twice that, so that no peer fills the memory
 END_OF_HEAD = b"\r\n"
@@ -22,7 +22,7 @@
 Met = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Coroutine[None, None, None]]
 
 
-class Malformed(Exception):
+class MalformedMessage(Exception):
     """What came can't be used; the status is what a client is told of it."""
 
     def __init__(self, why: str, status: int = 400) -> None:
@@ -30,7 +30,7 @@
         self.status = status
 
 
-class Line(asyncio.StreamReaderProtocol):
+class StreamProtocol(asyncio.StreamReaderProtocol):
     """A stream's protocol that tells at once when bytes come or the other end has closed."""
 
     def __init__(self, met: Met | None = None) -> None:
@@ -41,7 +41,7 @@
         self.received = 0  # bytes given to the reader; a connection is clean only once all of them were taken
         self.deaf = False  # what comes is thrown away
 
-    def deafen(self) -> None:
+    def discard_input(self) -> None:
         self.deaf, self.on_bytes = True, None
         self.transport.max_size = WASTE
         self.transport.resume_reading()
@@ -71,11 +71,11 @@
         super().connection_lost(exc)
 
 
-async def connect(address: tuple[str, int], within_s: float) -> tuple[Line, asyncio.StreamWriter]:
+async def connect(address: tuple[str, int], within_s: float) -> tuple[StreamProtocol, asyncio.StreamWriter]:
     """A connection that is up, or an OSError (a TimeoutError is one)."""
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(within_s):
-        transport, line = await loop.create_connection(Line, *address)
+        transport, line = await loop.create_connection(StreamProtocol, *address)
     return line, asyncio.StreamWriter(transport, line, line.reader, loop)
 
 
@@ -95,7 +95,7 @@
 class Message:
     """A message: its first line's parts, its headers by lower-case name, its body."""
 
-    __slots__ = ("body", "fields", "headers", "keeps", "method", "repeated", "status", "target")
+    __slots__ = ("body", "fields", "headers", "keep_alive", "method", "repeated", "status", "target")
 
     def __init__(self) -> None:
         self.headers: dict[bytes, bytes] = {}
@@ -103,15 +103,20 @@
         self.repeated: set[bytes] = set()
         self.method = self.target = self.body = b""
         self.status = 0
-        self.keeps = True  # the connection can carry another
+        self.keep_alive = True  # the connection can carry another
 
 
-class Messages:
-    """The messages that come over one connection: what clients ask, or (answers=True) answers."""
+class MessageReader:
+    """The messages that come over one connection: what clients ask, or (responses=True) answers."""
 
-    def __init__(self, reader: asyncio.StreamReader, *, answers: bool, body_top: int = BODY_TOP) -> None:
-        self.reader, self.answers, self.body_top, self.head_top = reader, answers, body_top, HEAD_TOP
-        kind = httptools.HttpResponseParser if answers else httptools.HttpRequestParser
+    def __init__(self, reader: asyncio.StreamReader, *, responses: bool, body_max_bytes: int = BODY_MAX_BYTES) -> None:
+        self.reader, self.responses, self.body_max_bytes, self.head_max_bytes = (
+            reader,
+            responses,
+            body_max_bytes,
+            HEAD_MAX_BYTES,
+        )
+        kind = httptools.HttpResponseParser if responses else httptools.HttpRequestParser
         self.parser: Any = kind(self)
         self.whole: deque[Message] = deque()  # no more than one piece read can hold
         self.begun: Message | None = None
@@ -119,7 +124,7 @@
         self.size = self.raw = 0  # bytes of the head, then of the body, that is being read; and of it all
         self.taken = 0  # bytes read from the stream, in all
         self.parts: list[bytes] = []  # of that body
-        self.fault: Malformed | None = None
+        self.fault: MalformedMessage | None = None
         # All that has come is taken in and makes no message yet. Whoever is told of bytes first unsets it.
         self.hungry = False
 
@@ -147,18 +152,18 @@
             except httptools.HttpParserUpgrade:
                 pass  # on_headers_complete() has made it a fault
             except httptools.HttpParserError as bad:
-                self.fault = self.fault or Malformed(f"no HTTP/1.1: {bad}")
-            if self.in_head and self.size > self.head_top:
-                self.fault = self.fault or Malformed(f"head over {self.head_top} bytes", 431)
-            elif self.raw > FRAMED * self.body_top:
-                self.fault = self.fault or Malformed("a message without end", 413)
+                self.fault = self.fault or MalformedMessage(f"no HTTP/1.1: {bad}")
+            if self.in_head and self.size > self.head_max_bytes:
+                self.fault = self.fault or MalformedMessage(f"head over {self.head_max_bytes} bytes", 431)
+            elif self.raw > FRAMED * self.body_max_bytes:
+                self.fault = self.fault or MalformedMessage("a message without end", 413)
         return self.whole.popleft()
 
     def pending(self) -> bool:
         """Whether anything beyond the last message has come already."""
         return bool(self.whole or self.begun or self.fault)
 
-    def stop(self, fault: Malformed) -> None:
+    def stop(self, fault: MalformedMessage) -> None:
         """Whoever waits for the rest of a message waits no longer."""
         self.fault = fault
         self.reader.feed_eof()
@@ -187,42 +192,42 @@
         if message := self.begun:
             self.fault = self.fault or self.check(message)
 
-    def check(self, message: Message) -> Malformed | None:
+    def check(self, message: Message) -> MalformedMessage | None:
         """A head alone can show that its message is of no use. Two lengths, a length beside chunks, and
         lengths that are no plain numbers are the parser's to refuse."""
         coding, length = (message.headers.get(name) for name in (b"transfer-encoding", b"content-length"))
         if self.parser.should_upgrade():
-            return Malformed("the connection was to change its protocol")
+            return MalformedMessage("the connection was to change its protocol")
         if coding is not None and coding.lower() != b"chunked":
-            return Malformed("a transfer coding that is not known", 501)
-        if length is not None and int(length) > self.body_top:
-            return Malformed("a body that is too long", 413)
-        if self.answers:
+            return MalformedMessage("a transfer coding that is not known", 501)
+        if length is not None and int(length) > self.body_max_bytes:
+            return MalformedMessage("a body that is too long", 413)
+        if self.responses:
             message.status = self.parser.get_status_code()
             if coding is length is None and message.status >= 200 and message.status not in (204, 304):
-                return Malformed("an answer without framing")
+                return MalformedMessage("an answer without framing")
         else:
             message.method = self.parser.get_method()
-            if sum(len(name) + len(value) + 4 for name, value in message.fields) > self.head_top:
-                return Malformed(f"head over {self.head_top} bytes", 431)
+            if sum(len(name) + len(value) + 4 for name, value in message.fields) > self.head_max_bytes:
+                return MalformedMessage(f"head over {self.head_max_bytes} bytes", 431)
             if self.parser.get_http_version() != "1.1":
-                return Malformed("not HTTP/1.1", 505)
+                return MalformedMessage("not HTTP/1.1", 505)
             if b"expect" in message.headers:
-                return Malformed("no expectations are met here", 417)
+                return MalformedMessage("no expectations are met here", 417)
         return None
 
     def on_body(self, part: bytes) -> None:
         self.size += len(part)
-        if self.size > self.body_top:
-            self.fault = self.fault or Malformed("a body that is too long", 413)
+        if self.size > self.body_max_bytes:
+            self.fault = self.fault or MalformedMessage("a body that is too long", 413)
         elif not self.fault:
             self.parts.append(part)
 
     def on_message_complete(self) -> None:
         message, self.begun, self.size = self.begun, None, 0
-        if message and not self.fault and (not self.answers or message.status >= 200):
+        if message and not self.fault and (not self.responses or message.status >= 200):
             message.body = b"".join(self.parts)
-            message.keeps = self.parser.should_keep_alive()
+            message.keep_alive = self.parser.should_keep_alive()
             self.whole.append(message)
             self.raw = 0
         self.parts.clear()
--- a/stoneyoke/programs/gateway.py
+++ b/stoneyoke/programs/gateway.py
@@ -18,7 +18,7 @@
 from stoneyoke.gateway.upstreams import Upstreams, judge
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
-from stoneyoke.net.http import Line, Messages, status_line, write_message
+from stoneyoke.net.http import MessageReader, StreamProtocol, status_line, write_message
 from stoneyoke.programs.log_buffer import LogBuffer, set_up
 from stoneyoke.programs.settings import BadSettings, Settings, read_settings
 from stoneyoke.runtime.metrics import Metrics
@@ -45,7 +45,7 @@
         descriptor_budget = DescriptorBudget(free - 2 * part, part)
         body_most = settings.memory // ANSWER_PART
         self.backends = Backends(self.clock, self.metrics, DIAL_US, IDLE_US, descriptor_budget, body_most)
-        self.backends.judge = judge
+        self.backends.classify = judge
         self.control_client = ControlClient(
             settings.name,
             settings.ip,
@@ -91,13 +91,13 @@
     # ---- readiness ----
 
     async def answer_ready(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        messages = Messages(reader, answers=False)
+        messages = MessageReader(reader, responses=False)
         try:
             while message := await messages.next():
                 ready = self.control_client.config_sync.ready and not self.leaving
                 status, body = (200, b"ready\n") if ready else (503, b"not ready\n")
                 write_message(writer, [status_line(status), b"Content-Length: %d\r\n" % len(body)], body)
-                if not message.keeps:
+                if not message.keep_alive:
                     break
         except Exception:  # whoever asks gets no more than silence for bad input
             pass
@@ -130,8 +130,8 @@
         while True:
             await asyncio.sleep(SWEEP_S)
             looks += 1
-            self.backends.sweep()
-            self.front.sweep()
+            self.backends.close_expired()
+            self.front.close_expired()
             self.instance_directory.sweep(self.control_client.clock())
             self.upstreams.renew()
             if looks % 4 == 0 and self.stamp() != self.seen:
@@ -143,7 +143,7 @@
             loop.add_signal_handler(number, ended.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         loop.add_signal_handler(signal.SIGUSR1, lambda: self.report(ring))
-        ready = await loop.create_server(lambda: Line(self.answer_ready), *self.ready_at, backlog=64)
+        ready = await loop.create_server(lambda: StreamProtocol(self.answer_ready), *self.ready_at, backlog=64)
         listener = socket.create_server(self.front_at)
         front = await loop.create_server(self.front.line, sock=listener, backlog=256)
         tasks = [loop.create_task(self.sweep()), *self.control_client.start()]
@@ -156,10 +156,10 @@
         for task in tasks:
             task.cancel()
         self.control_client.config_sync.close()
-        logger.info("counts: {}", self.metrics.line())
+        logger.info("counts: {}", self.metrics.summary())
 
     def report(self, ring: LogBuffer) -> None:
-        logger.info("counts: {}", self.metrics.line())
+        logger.info("counts: {}", self.metrics.summary())
         ring.dump()
 
 
--- a/stoneyoke/runtime/id_index.py
+++ b/stoneyoke/runtime/id_index.py
@@ -10,22 +10,22 @@
     """Holds an entry for each id inside; leave() empties it."""
 
     def __init__(self) -> None:
-        self.index: dict[Name, int] = {}
-        self.names: list[Name] = []
+        self.index_by_id: dict[Name, int] = {}
+        self.id_by_index: list[Name] = []
         self.free: list[int] = []
 
-    def enter(self, name: Name) -> int:
-        at = self.index.get(name)
+    def acquire(self, name: Name) -> int:
+        at = self.index_by_id.get(name)
         if at is None:
             if self.free:
                 at = self.free.pop()
-                self.names[at] = name
+                self.id_by_index[at] = name
             else:
-                at = len(self.names)
-                self.names.append(name)
-            self.index[name] = at
+                at = len(self.id_by_index)
+                self.id_by_index.append(name)
+            self.index_by_id[name] = at
         return at
 
-    def leave(self, at: int) -> None:
-        if self.index.pop(self.names[at], None) is not None:
+    def release(self, at: int) -> None:
+        if self.index_by_id.pop(self.id_by_index[at], None) is not None:
             self.free.append(at)
--- a/stoneyoke/runtime/metrics.py
+++ b/stoneyoke/runtime/metrics.py
@@ -13,7 +13,7 @@
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.broken: Counter[str] = Counter()
+        self.violations: Counter[str] = Counter()
         self.second = self.lines = 0
 
     def add(self, what: str) -> None:
@@ -27,14 +27,14 @@
         if self.lines <= LINES_A_SECOND:
             logger.warning("{}: {}", what, detail[:200])
 
-    def must(self, holds: bool, what: str) -> bool:
+    def check_invariant(self, holds: bool, what: str) -> bool:
         """What must hold: asserted in debug builds, counted in release ones (python -O)."""
         if not holds:
-            self.broken[what] += 1
+            self.violations[what] += 1
             assert holds, what
         return holds
 
-    def line(self) -> str:
+    def summary(self) -> str:
         """All counts on one line: the broken ones first, so that they are seen."""
-        parts = [f"BROKEN {what}={n}" for what, n in sorted(self.broken.items())]
+        parts = [f"BROKEN {what}={n}" for what, n in sorted(self.violations.items())]
         return ", ".join(parts + [f"{what}={n}" for what, n in sorted(self.counts.items())]) or "nothing yet"
--- a/stoneyoke/runtime/runtime.py
+++ b/stoneyoke/runtime/runtime.py
@@ -1,7 +1,7 @@
 """Drives one Gateway in real time, for any front: events go in, actions come out, timers fire.
 
 It knows nothing of sockets or of what a front speaks, and decides nothing. A front tells of an RPC with
-take_in(), asks Held.wish() what the module wants done, does it, and tells what came of it.
+open_request(), asks PendingRequest.next_decision() what to do, does it, and reports the result.
 """
 
 import asyncio
@@ -40,7 +40,7 @@
 WAKING_US = 50_000  # connections made meanwhile are accepted within this after it woke
 CATCH_UP_TURNS = 8  # of the loop: 64 KiB of news, the most there can be, are read in four
 
-Wish = StartAttempt | Reject | Abandon
+Decision = StartAttempt | Reject | Abandon
 
 
 class Clock:
@@ -57,41 +57,50 @@
         return (at - self.base) / 1_000_000
 
 
-class Held:
+class PendingRequest:
     """One RPC, from its arrival until the front lets go of it."""
 
-    __slots__ = ("calls", "clock", "gone", "home", "index", "stop", "waiter", "wishes")
+    __slots__ = (
+        "attempts_started",
+        "cancel_attempt",
+        "client_gone",
+        "clock",
+        "decisions",
+        "index",
+        "runtime",
+        "waiter",
+    )
 
     def __init__(self, index: int, clock: Clock, home: "Runtime") -> None:
-        self.index, self.clock, self.home = index, clock, home
-        self.calls = 0  # call-outs begun; the next one's number
-        self.gone = False  # the client is
-        self.wishes: deque[Wish] = deque()
+        self.index, self.clock, self.runtime = index, clock, home
+        self.attempts_started = 0  # call-outs begun; the next one's number
+        self.client_gone = False  # the client is
+        self.decisions: deque[Decision] = deque()
         self.waiter: asyncio.Future[None] | None = None
-        self.stop: Callable[[int], None] | None = None  # calls off a call-out that is out, by number
+        self.cancel_attempt: Callable[[int], None] | None = None  # calls off a call-out that is out, by number
 
-    async def wish(self, until: int) -> Wish | None:
+    async def next_decision(self, until: int) -> Decision | None:
         """What the module wants done next. None: nothing, for its client has gone, or by then."""
-        if not self.wishes and not self.gone:
+        if not self.decisions and not self.client_gone:
             self.waiter = asyncio.get_running_loop().create_future()
             try:
                 async with asyncio.timeout_at(self.clock.loop_time(until)):
                     await self.waiter
             except TimeoutError:
                 return None
-        return self.wishes.popleft() if self.wishes and not self.gone else None
+        return self.decisions.popleft() if self.decisions and not self.client_gone else None
 
     def wake(self) -> None:
         if self.waiter and not self.waiter.done():
             self.waiter.set_result(None)
 
 
-class Watch(Protocol):
+class AttemptObserver(Protocol):
     """Sees call-outs begin and end."""
 
-    def sent(self, rpc: int, backend: int) -> None: ...
+    def attempt_started(self, rpc: int, backend: int) -> None: ...
 
-    def ended(self, rpc: int, outcome: AttemptOutcome) -> None: ...
+    def attempt_ended(self, rpc: int, outcome: AttemptOutcome) -> None: ...
 
 
 class Runtime:
@@ -100,15 +109,15 @@
     def __init__(self, parameters: GatewayParameters, clock: Clock, metrics: Metrics) -> None:
         self.parameters, self.clock, self.metrics = parameters, clock, metrics
         self.gateway = Gateway(parameters, clock.now())
-        self.held: dict[int, Held] = {}  # emptied by let_go()
+        self.pending: dict[int, PendingRequest] = {}  # emptied by let_go()
         self.rpcs = 0
         self.customers = IdIndex[int]()  # emptied by the module's Forget
         self.due = self.gateway.born  # when the timer asked for last should fire
         self.stood = self.woke = 0  # the last time that this process stood still: from when, until when
-        self.add_count: Callable[[AddToCounter], None] = lambda _: None  # set by whoever speaks to the counter
-        self.watch: Watch | None = None  # set by the fleet part
+        self.send_to_counter: Callable[[AddToCounter], None] = lambda _: None  # set by whoever speaks to the counter
+        self.attempt_observer: AttemptObserver | None = None  # set by the fleet part
 
-    def came(self) -> int:
+    def arrival_time(self) -> int:
         """The earliest time at which what is read now may have come: while this process stood still, clients
         sent on. An overdue timer shows that, or that one was overdue a moment ago."""
         now = self.clock.now()
@@ -119,7 +128,7 @@
     async def catch_up(self) -> None:
         """After standing still: lets the loop read what else has come. News that waited must reach the module
         before it sends anything on, or that goes to backends long known to drain."""
-        if self.clock.now() - self.came() > STOOD_US:
+        if self.clock.now() - self.arrival_time() > STOOD_US:
             for _ in range(CATCH_UP_TURNS):
                 await asyncio.sleep(0)
 
@@ -128,35 +137,35 @@
         if now - due > STOOD_US:
             self.stood, self.woke = due, now
             self.metrics.report("stood still", f"for {(now - due) // 1000} ms")
-        self.tell(TimerFired(token))
+        self.dispatch(TimerFired(token))
 
     # ---- events in ----
 
-    def tell(self, event: Event) -> None:
+    def dispatch(self, event: Event) -> None:
         try:
             actions = self.gateway.handle(event, self.clock.now())
         except Exception:  # a fault in the decisions costs this one event, never the gateway
             logger.exception("the module failed on {}", event)
-            self.metrics.must(False, "module failed")
+            self.metrics.check_invariant(False, "module failed")
             actions = self.gateway.actions
         for action in actions:
             try:
                 self.carry_out(action)
             except Exception:  # nor does a fault in a front's part keep the other actions from being done
                 logger.exception("{} could not be carried out", action)
-                self.metrics.must(False, "action failed")
+                self.metrics.check_invariant(False, "action failed")
 
-    def take_in(
+    def open_request(
         self, method: int, plan: int, account: int, until: int, units: float, width: float, repeat: bool | None
-    ) -> Held:
+    ) -> PendingRequest:
         self.rpcs += 1
-        held = self.held[self.rpcs] = Held(self.rpcs, self.clock, self)
-        self.tell(
+        held = self.pending[self.rpcs] = PendingRequest(self.rpcs, self.clock, self)
+        self.dispatch(
             Arrival(
                 rpc=held.index,
                 method=method,
                 plan=plan,
-                customer=self.customers.enter(account),
+                customer=self.customers.acquire(account),
                 customer_id=account,
                 wait_us=max(0, until - self.clock.now()),
                 units=units,
@@ -166,59 +175,61 @@
         )
         return held
 
-    def attempt_ended(self, held: Held, n: int, backend: int, outcome: AttemptOutcome) -> None:
-        closed = outcome is AttemptOutcome.OK or held.gone
-        if self.watch:
-            self.watch.ended(held.index, outcome)
-        self.tell(
+    def attempt_ended(self, held: PendingRequest, n: int, backend: int, outcome: AttemptOutcome) -> None:
+        closed = outcome is AttemptOutcome.OK or held.client_gone
+        if self.attempt_observer:
+            self.attempt_observer.attempt_ended(held.index, outcome)
+        self.dispatch(
             AttemptEnded(
                 rpc=held.index, attempt=n, backend=backend, outcome=outcome, is_final=closed, settled_units=0.0
             )
         )
 
-    def client_gone(self, held: Held) -> None:
-        if not held.gone:
-            held.gone = True
-            self.tell(ClientGone(held.index))
+    def client_gone(self, held: PendingRequest) -> None:
+        if not held.client_gone:
+            held.client_gone = True
+            self.dispatch(ClientGone(held.index))
             held.wake()
 
-    def let_go(self, held: Held) -> None:
+    def close_request(self, held: PendingRequest) -> None:
         """Its answer is decided, or nobody waits. What the module still wished for it was never sent."""
-        while held.wishes:
-            if isinstance(wish := held.wishes.popleft(), StartAttempt):
-                held.calls += 1
-                self.attempt_ended(held, held.calls - 1, wish.backend, AttemptOutcome.NOT_SENT)
-        self.held.pop(held.index, None)
-        self.metrics.must(held.gone or not self.gateway.holds(held.index), "RPC let go, held by the module")
+        while held.decisions:
+            if isinstance(wish := held.decisions.popleft(), StartAttempt):
+                held.attempts_started += 1
+                self.attempt_ended(held, held.attempts_started - 1, wish.backend, AttemptOutcome.NOT_SENT)
+        self.pending.pop(held.index, None)
+        self.metrics.check_invariant(
+            held.client_gone or not self.gateway.holds(held.index), "RPC let go, held by the module"
+        )
 
-    def counted(self, name: int, added: bool, total: float) -> None:
-        self.tell(CounterReply(name, added, total))
+    def counter_replied(self, name: int, added: bool, total: float) -> None:
+        self.dispatch(CounterReply(name, added, total))
 
-    def knows(self, backend: int) -> bool:
+    def knows_backend(self, backend: int) -> bool:
         return backend in self.gateway.backends
 
-    def listed(self, news: EndpointsChanged) -> None:
-        self.tell(news)
+    def endpoints_changed(self, news: EndpointsChanged) -> None:
+        self.dispatch(news)
 
     # ---- actions out ----
 
     def carry_out(self, action: Action) -> None:
         match action:
             case StartAttempt() | Reject() | Abandon():
-                if held := self.held.get(action.rpc):
-                    if self.watch and isinstance(action, StartAttempt):
-                        self.watch.sent(action.rpc, action.backend)
-                    held.wishes.append(action)
+                if held := self.pending.get(action.rpc):
+                    if self.attempt_observer and isinstance(action, StartAttempt):
+                        self.attempt_observer.attempt_started(action.rpc, action.backend)
+                    held.decisions.append(action)
                     held.wake()
             case SetTimer(delay, token):
                 self.due = self.clock.now() + delay
                 asyncio.get_running_loop().call_later(delay / 1_000_000, self.timer, self.due, token)
             case CancelAttempt(rpc, n):
-                if (held := self.held.get(rpc)) and held.stop:
-                    held.stop(n)
+                if (held := self.pending.get(rpc)) and held.cancel_attempt:
+                    held.cancel_attempt(n)
             case AddToCounter():
-                self.add_count(action)
+                self.send_to_counter(action)
             case ForgetCustomer(customer):
-                self.customers.leave(customer)
+                self.customers.release(customer)
             case _:  # Subscribe: news comes by itself here
                 pass
--- a/stoneyoke/simhost/host.py
+++ b/stoneyoke/simhost/host.py
@@ -29,7 +29,7 @@
 from stoneyoke.control.parameters import AttemptOutcome, BackendState, GatewayParameters
 from stoneyoke.runtime.id_index import IdIndex
 from stoneyoke.simhost import wire
-from stoneyoke.single_gateway.parameters import BadStart, read_terms
+from stoneyoke.single_gateway.parameters import InvalidConfiguration, read_parameters
 
 OUTCOMES = {
     200: AttemptOutcome.OK,
@@ -56,26 +56,26 @@
         for action in self.gateway.handle(event, now):
             self.put(action, reply)
             if isinstance(action, Reject | Abandon) and not self.gateway.holds(action.rpc):
-                self.rpcs.leave(action.rpc)
+                self.rpcs.release(action.rpc)
 
     def tell_rpc(self, number: int, event: Event, now: int, reply: wire.Reply) -> None:
         self.tell(event, now, reply)
-        at = self.rpcs.index.get(number)
+        at = self.rpcs.index_by_id.get(number)
         if at is not None and not self.gateway.holds(at):
-            self.rpcs.leave(at)
+            self.rpcs.release(at)
 
     def put(self, action: Action, reply: wire.Reply) -> None:
         who = self.who
         match action:
             case StartAttempt(rpc, backend, limit):
-                to = self.backends.names[backend]
-                reply.add(wire.SEND, who, self.rpcs.names[rpc], to, min(limit, MOST_US))
+                to = self.backends.id_by_index[backend]
+                reply.add(wire.SEND, who, self.rpcs.id_by_index[rpc], to, min(limit, MOST_US))
             case Reject(rpc, wait):
-                reply.add(wire.DECLINE, who, self.rpcs.names[rpc], min(wait, MOST_US))
+                reply.add(wire.DECLINE, who, self.rpcs.id_by_index[rpc], min(wait, MOST_US))
             case Abandon(rpc):
-                reply.add(wire.REPORT_FAILURE, who, self.rpcs.names[rpc])
+                reply.add(wire.REPORT_FAILURE, who, self.rpcs.id_by_index[rpc])
             case CancelAttempt(rpc, n):
-                reply.add(wire.CALL_OFF, who, self.rpcs.names[rpc], n)
+                reply.add(wire.CALL_OFF, who, self.rpcs.id_by_index[rpc], n)
             case SetTimer(delay, token):
                 reply.add(wire.TIMER, who, delay, token)
             case AddToCounter(name, life, amount):
@@ -83,7 +83,7 @@
             case Subscribe():
                 reply.add(wire.OBSERVE, who, 1)
             case ForgetCustomer(customer):
-                self.customers.leave(customer)
+                self.customers.release(customer)
 
 
 class Host:
@@ -104,7 +104,7 @@
                 self.take(code, fields, batch, reply)
             except wire.Malformed:
                 raise
-            except BadStart as bad:
+            except InvalidConfiguration as bad:
                 reply.add_text(wire.BROKEN, fields[0], str(bad))
             except Exception as error:  # whatever breaks in the decisions is told, never swallowed
                 reply.add_text(wire.BROKEN, fields[0], f"{type(error).__name__}: {error}")
@@ -116,8 +116,8 @@
             try:
                 settings = json.loads(batch.piece(*fields[2:]))
             except ValueError as bad:
-                raise BadStart(f"start message is not JSON: {bad}") from bad
-            parameters = read_terms(fields[1], settings)
+                raise InvalidConfiguration(f"start message is not JSON: {bad}") from bad
+            parameters = read_parameters(fields[1], settings)
             self.instances[who] = Instance(who, parameters, now)
             return
         if code == wire.KILLED:
@@ -131,10 +131,10 @@
             inst.tell_rpc(
                 req,
                 Arrival(
-                    rpc=inst.rpcs.enter(req),
+                    rpc=inst.rpcs.acquire(req),
                     method=method,
                     plan=plan,
-                    customer=inst.customers.enter(customer),
+                    customer=inst.customers.acquire(customer),
                     customer_id=customer,
                     wait_us=wait,
                     units=units,
@@ -148,14 +148,14 @@
             _, req, _, _, n, backend, cost, outcome, closed, *_ = fields
             if outcome not in OUTCOMES:
                 raise wire.Malformed(f"frame {batch.number}: unknown outcome {outcome}")
-            rpc = inst.rpcs.index.get(req)
+            rpc = inst.rpcs.index_by_id.get(req)
             if rpc is not None:
                 inst.tell_rpc(
                     req,
                     AttemptEnded(
                         rpc=rpc,
                         attempt=n,
-                        backend=inst.backends.enter(backend),
+                        backend=inst.backends.acquire(backend),
                         outcome=OUTCOMES[outcome],
                         is_final=bool(closed),
                         settled_units=float(cost),
@@ -164,7 +164,7 @@
                     reply,
                 )
         elif code in (wire.GONE, wire.FIRST):
-            rpc = inst.rpcs.index.get(fields[1])
+            rpc = inst.rpcs.index_by_id.get(fields[1])
             if rpc is not None:
                 event = ClientGone(rpc) if code == wire.GONE else AnswerStarted(rpc)
                 inst.tell_rpc(fields[1], event, now, reply)
@@ -181,7 +181,7 @@
             if bank not in self.banks:
                 raise wire.Malformed(f"frame {batch.number}: list {bank} was never given")
             entries = [
-                Endpoint(inst.backends.enter(backend), zone, cell, started, BackendState(state))
+                Endpoint(inst.backends.acquire(backend), zone, cell, started, BackendState(state))
                 for cell, zone, _, _, backend, started, state in self.banks[bank]
             ]
             inst.tell(EndpointsChanged(mode != 0, False, entries), now, reply)
--- a/stoneyoke/single_gateway/cli.py
+++ b/stoneyoke/single_gateway/cli.py
@@ -55,15 +55,15 @@
 @click.argument("file", type=click.Path(path_type=Path))
 def check(file: Path) -> None:
     """Whether a gateway could start with the configuration FILE."""
-    from stoneyoke.single_gateway.parameters import BadStart
-    from stoneyoke.single_gateway.program import GatewaySettings, read_given, read_options, terms_of_fleet
+    from stoneyoke.single_gateway.parameters import InvalidConfiguration
+    from stoneyoke.single_gateway.program import GatewaySettings, fleet_parameters_of, read_configuration, read_options
 
     os.environ["NODE_CONFIG"] = str(file)
     try:
-        given: dict[str, Any] = read_given()
+        given: dict[str, Any] = read_configuration()
         GatewaySettings(given)
-        terms_of_fleet(read_options(given), given)
-    except BadStart as bad:
+        fleet_parameters_of(read_options(given), given)
+    except InvalidConfiguration as bad:
         click.echo(f"stoneyoke: {bad}", err=True)
         sys.exit(2)
     click.echo(f"{file}: can be used")
--- a/stoneyoke/single_gateway/counter.py
+++ b/stoneyoke/single_gateway/counter.py
@@ -6,7 +6,7 @@
 from collections import deque
 
 from stoneyoke.control.actions import AddToCounter
-from stoneyoke.net.http import Malformed, Messages, connect
+from stoneyoke.net.http import MalformedMessage, MessageReader, connect
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.runtime import Clock, Runtime
 
@@ -110,7 +110,7 @@
         if not call.done:
             call.done = True
             self.metrics.add(f"counter calls: {ending}")
-            self.runtime.counted(call.name, added, total)
+            self.runtime.counter_replied(call.name, added, total)
 
     def end(self, link: Link) -> None:
         """Calls still out on it are given up on as their own time comes."""
@@ -129,21 +129,21 @@
             link.writer = writer
             writer.writelines(link.unsent)
             link.unsent = []
-            answers = Messages(line.reader, answers=True)
+            answers = MessageReader(line.reader, responses=True)
             while answer := await answers.next():
                 if not link.calls:
-                    raise Malformed("an answer to no call")
+                    raise MalformedMessage("an answer to no call")
                 if answer.status == 200 and not NUMBER(answer.body):
-                    raise Malformed(f"a total that is no number: {answer.body[:40]!r}")
+                    raise MalformedMessage(f"a total that is no number: {answer.body[:40]!r}")
                 if answer.status == 200:
                     self.answer(link.calls.popleft(), "answered", True, float(answer.body))
                 else:
                     self.answer(link.calls.popleft(), "turned away", False)
-                if not answer.keeps or not link.calls and link not in self.links:
+                if not answer.keep_alive or not link.calls and link not in self.links:
                     break
         except OSError:
             self.metrics.add("counter: connections lost")
-        except Malformed as bad:
+        except MalformedMessage as bad:
             self.metrics.report("counter: malformed answers", str(bad))
             if link.calls:  # it was carried out, and its total can't be read
                 self.answer(link.calls.popleft(), "answered unreadably", True, math.nan)
--- a/stoneyoke/single_gateway/discovery.py
+++ b/stoneyoke/single_gateway/discovery.py
@@ -10,7 +10,7 @@
 
 from stoneyoke.control.events import Endpoint, EndpointsChanged, KnownBackend
 from stoneyoke.control.parameters import BackendState
-from stoneyoke.net.http import BODY_TOP, Malformed, Messages, connect, write_message
+from stoneyoke.net.http import BODY_MAX_BYTES, MalformedMessage, MessageReader, connect, write_message
 from stoneyoke.runtime.id_index import IdIndex
 from stoneyoke.runtime.metrics import Metrics
 
@@ -24,12 +24,12 @@
 # start.)
 FIRST_S = 0.4
 AGAIN_S = 0.1  # pause after a failure: inside the 200 ms within which the protocol page lets a watch go on
-LIST_TOP = 16 * BODY_TOP  # of a list of thousands; the protocol page's 64 KiB hold some 400 entries
+LIST_TOP = 16 * BODY_MAX_BYTES  # of a list of thousands; the protocol page's 64 KiB hold some 400 entries
 HOST = re.compile(r"[0-9A-Za-z._:-]{1,253}").fullmatch  # what a name or number can be made of
 STATES = {"active": BackendState.READY, "leaving": BackendState.DRAINING, "left": BackendState.GONE}
 
 
-class Entry:
+class EndpointEntry:
     """One line of the list, as discovery has it."""
 
     def __init__(self, row: Any) -> None:
@@ -41,34 +41,34 @@
             self.zone, self.cell = str(row.get("zone", "")), max(0, int(row.get("group", 0)))
             self.started_us = max(0, int(row.get("since_ms", 0))) * 1000
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as bad:
-            raise Malformed(f"an entry that can't be used: {row!r}") from bad
+            raise MalformedMessage(f"an entry that can't be used: {row!r}") from bad
         if self.state is not BackendState.GONE and not named:
-            raise Malformed(f"an entry without an address of use: {row!r}")
+            raise MalformedMessage(f"an entry without an address of use: {row!r}")
 
 
-class News:
+class EndpointUpdate:
     """What one answer of discovery tells. An entry that can't be used is left out; what is not in a list with
     such an entry may well be there, so that list is taken as changes."""
 
     def __init__(self, top: Any) -> None:
-        self.entries: list[Entry] = []
+        self.entries: list[EndpointEntry] = []
         self.left_out = ""  # why the last entry left out was
         try:
             self.index, self.whole = int(top["index"]), bool(top["snapshot"])
             rows = list(top["endpoints"])
         except (KeyError, TypeError, ValueError, OverflowError) as bad:
-            raise Malformed(f"not a list of backends: {str(top)[:80]}") from bad
+            raise MalformedMessage(f"not a list of backends: {str(top)[:80]}") from bad
         for row in rows:
             try:
-                self.entries.append(Entry(row))
-            except Malformed as bad:
+                self.entries.append(EndpointEntry(row))
+            except MalformedMessage as bad:
                 self.whole, self.left_out = False, str(bad)
 
 
 class Discovery:
     """Watches one address; after a move the old one too, until the new one has told its list."""
 
-    def __init__(self, metrics: Metrics, told: Callable[[News], None]) -> None:
+    def __init__(self, metrics: Metrics, told: Callable[[EndpointUpdate], None]) -> None:
         self.metrics, self.told = metrics, told
         self.heard = True  # the last call was answered
         self.spoke = asyncio.Event()  # set by the first answer, or by its failure
@@ -79,7 +79,7 @@
         self.watches.append(loop.create_task(self.run(address)))
         loop.call_later(FIRST_S, self.spoke.set)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         while self.watches:
             self.watches.pop().cancel()
 
@@ -99,17 +99,17 @@
                 else:
                     self.metrics.add("discovery: no answer")
                 self.heard = False
-            except Malformed as bad:
+            except MalformedMessage as bad:
                 self.metrics.report("discovery: malformed answers", str(bad))
             except Exception:  # a fault here must not end the watch
                 logger.exception("discovery failed")
-                self.metrics.must(False, "discovery failed")
+                self.metrics.check_invariant(False, "discovery failed")
             self.spoke.set()
             await asyncio.sleep(AGAIN_S)
 
     async def watch(self, address: tuple[str, int]) -> None:
         line, writer = await connect(address, ANSWER_S)
-        answers = Messages(line.reader, answers=True, body_top=LIST_TOP)
+        answers = MessageReader(line.reader, responses=True, body_max_bytes=LIST_TOP)
         host = b"Host: %s:%d\r\n" % (address[0].encode(), address[1])
         try:
             target, limit = b"/v1/servers", ANSWER_S
@@ -120,11 +120,11 @@
                 if answer is None:
                     return
                 if answer.status != 200:
-                    raise Malformed(f"answered with {answer.status}")
+                    raise MalformedMessage(f"answered with {answer.status}")
                 try:
-                    news = News(json.loads(answer.body))
+                    news = EndpointUpdate(json.loads(answer.body))
                 except ValueError as bad:
-                    raise Malformed("an answer that is no JSON") from bad
+                    raise MalformedMessage("an answer that is no JSON") from bad
                 self.metrics.add("discovery: answers")
                 if news.left_out:
                     self.metrics.report("discovery: entries left out", news.left_out)
@@ -132,7 +132,7 @@
                 self.answered()
                 self.told(news)
                 self.spoke.set()
-                if not answer.keeps:
+                if not answer.keep_alive:
                     return
                 target = b"/v1/servers?from=%d&hold_ms=%d" % (news.index, HOLD_MS)
                 limit = HOLD_MS / 1000 + ANSWER_S
@@ -140,7 +140,7 @@
             writer.transport.abort()
 
 
-class Fleet:
+class EndpointTable:
     """Turns discovery's names into the module's indices and keeps the addresses in step."""
 
     def __init__(
@@ -153,9 +153,9 @@
         self.zones, self.place, self.forget, self.known = zones, place, forget, known
         self.door = IdIndex[str]()  # emptied by sweep()
         self.where: dict[str, tuple[str, int]] = {}  # emptied, as is the next, by lose()
-        self.holders: dict[tuple[str, int], Entry] = {}  # who is reached there
+        self.holders: dict[tuple[str, int], EndpointEntry] = {}  # who is reached there
 
-    def news(self, news: News) -> EndpointsChanged:
+    def news(self, news: EndpointUpdate) -> EndpointsChanged:
         listed: dict[str, Endpoint] = {}
         if news.whole:
             for name in self.where.keys() - {entry.name for entry in news.entries}:
@@ -176,31 +176,31 @@
                     holder.state = BackendState.GONE
                     listed[holder.name] = self.listed(holder)
             if entry.state is BackendState.GONE:
-                if entry.name in self.door.index:
+                if entry.name in self.door.index_by_id:
                     listed[entry.name] = self.listed(entry)
                 continue
             if self.where.get(entry.name) != entry.address:
                 self.lose(entry.name)
             self.where[entry.name], self.holders[entry.address] = entry.address, entry
-            self.place(self.door.enter(entry.name), entry.address)
+            self.place(self.door.acquire(entry.name), entry.address)
             listed[entry.name] = self.listed(entry)
         return EndpointsChanged(news.whole, False, list(listed.values()))
 
-    def listed(self, entry: Entry) -> Endpoint:
+    def listed(self, entry: EndpointEntry) -> Endpoint:
         if entry.state is BackendState.GONE:
             self.lose(entry.name)
         zone = self.zones.index(entry.zone) if entry.zone in self.zones else len(self.zones)
-        return Endpoint(self.door.index[entry.name], zone, entry.cell, entry.started_us, entry.state)
+        return Endpoint(self.door.index_by_id[entry.name], zone, entry.cell, entry.started_us, entry.state)
 
     def takes(self, backend: int) -> bool:
         """Whether a backend takes new work, as discovery told last."""
-        address = self.where.get(self.door.names[backend])
+        address = self.where.get(self.door.id_by_index[backend])
         return address is not None and self.holders[address].state is BackendState.READY
 
     def ready(self) -> list[KnownBackend]:
         """All backends that take new work, as discovery told of them."""
         return [
-            KnownBackend(self.door.index[entry.name], entry.name, entry.zone, entry.started_us)
+            KnownBackend(self.door.index_by_id[entry.name], entry.name, entry.zone, entry.started_us)
             for entry in self.holders.values()
             if entry.state is BackendState.READY
         ]
@@ -208,10 +208,10 @@
     def lose(self, name: str) -> None:
         if address := self.where.pop(name, None):
             del self.holders[address]
-            self.forget(self.door.index[name])
+            self.forget(self.door.index_by_id[name])
 
     def sweep(self) -> None:
         """The index of a backend that is gone may pass on once the module has dropped it."""
-        for name, backend in list(self.door.index.items()):
+        for name, backend in list(self.door.index_by_id.items()):
             if name not in self.where and not self.known(backend):
-                self.door.leave(backend)
+                self.door.release(backend)
--- a/stoneyoke/single_gateway/parameters.py
+++ b/stoneyoke/single_gateway/parameters.py
@@ -12,7 +12,7 @@
 }
 
 
-class BadStart(Exception):
+class InvalidConfiguration(Exception):
     """What is given at start lacks something needed; the text names it."""
 
 
@@ -25,20 +25,20 @@
                 return kind(value)
     elif isinstance(value, kind):
         return value
-    raise BadStart(f"{key!r} is missing or unusable: {value!r}")
+    raise InvalidConfiguration(f"{key!r} is missing or unusable: {value!r}")
 
 
-def read_terms(seed: int, top: Any) -> GatewayParameters:
+def read_parameters(seed: int, top: Any) -> GatewayParameters:
     """Terms out of the settings. Raises BadStart, which names the key."""
     caps, rules, extra = (field(top, key, dict) for key in ("caps", "rules", "extra"))
     methods = []
     for row in field(top, "classes", list):
         effect = field(row, "effect", str)
         if effect not in EFFECTS:
-            raise BadStart(f"'effect' is unusable: {effect!r}")
+            raise InvalidConfiguration(f"'effect' is unusable: {effect!r}")
         group = row.get("group", "cell")
         if effect == "deduplicated" and group not in {g.value for g in DeduplicationScope}:
-            raise BadStart(f"'group' is unusable: {group!r}")
+            raise InvalidConfiguration(f"'group' is unusable: {group!r}")
         methods.append(
             Method(
                 idempotency=EFFECTS[effect],
--- a/stoneyoke/single_gateway/program.py
+++ b/stoneyoke/single_gateway/program.py
@@ -13,19 +13,19 @@
 from loguru import logger
 
 from stoneyoke.net.backends import Backends
-from stoneyoke.net.clients import Clients
+from stoneyoke.net.clients import ClientConnections
 from stoneyoke.net.descriptor_budget import DescriptorBudget
-from stoneyoke.net.http import BODY_TOP, Malformed
+from stoneyoke.net.http import BODY_MAX_BYTES, MalformedMessage
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.runtime import Clock, Runtime
 from stoneyoke.single_gateway.counter import Counter
-from stoneyoke.single_gateway.discovery import Discovery, Fleet, News
-from stoneyoke.single_gateway.parameters import BadStart, field, read_terms
-from stoneyoke.single_gateway.request_head import Names
+from stoneyoke.single_gateway.discovery import Discovery, EndpointTable, EndpointUpdate
+from stoneyoke.single_gateway.parameters import InvalidConfiguration, field, read_parameters
+from stoneyoke.single_gateway.request_head import RpcVocabulary
 
 if TYPE_CHECKING:
     from stoneyoke.fleet.transport import Peers
-    from stoneyoke.single_gateway.options import FleetTerms, Options
+    from stoneyoke.single_gateway.options import FleetParameters, Options
 
 SWEEP_S = 0.25  # the shortest time-out that it ends, 2 s, has to be kept within 3
 WAITING = 1024  # connections that may wait to be accepted; the system cuts it down to what it allows
@@ -40,22 +40,22 @@
     text = field(table, key, str)
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or int(port) > 65535:
-        raise BadStart(f"{key!r} is no address: {text!r}")
+        raise InvalidConfiguration(f"{key!r} is no address: {text!r}")
     return host, int(port)
 
 
-def read_given() -> dict[str, Any]:
+def read_configuration() -> dict[str, Any]:
     """The configuration file that NODE_CONFIG names. Raises BadStart where it can't be read."""
     path = os.environ.get("NODE_CONFIG")
     if not path:
-        raise BadStart("NODE_CONFIG names no file")
+        raise InvalidConfiguration("NODE_CONFIG names no file")
     try:
         with open(path, "rb") as file:
             given = json.load(file)
     except (OSError, ValueError, RecursionError) as bad:
-        raise BadStart(f"NODE_CONFIG: {path!r} can't be read: {bad}") from bad
+        raise InvalidConfiguration(f"NODE_CONFIG: {path!r} can't be read: {bad}") from bad
     if not isinstance(given, dict):
-        raise BadStart("NODE_CONFIG: not an object")
+        raise InvalidConfiguration("NODE_CONFIG: not an object")
     return given
 
 
@@ -67,9 +67,9 @@
         try:
             seed = int(field(given, "seed", str), 16)
         except ValueError as bad:
-            raise BadStart(f"'seed' is no hex number: {given['seed']!r}") from bad
-        self.parameters = read_terms(seed, settings)
-        self.names = Names(
+            raise InvalidConfiguration(f"'seed' is no hex number: {given['seed']!r}") from bad
+        self.parameters = read_parameters(seed, settings)
+        self.names = RpcVocabulary(
             [field(row, "name", str) for row in settings["classes"]],
             [field(row, "name", str) for row in settings["tariffs"]],
             self.parameters,
@@ -88,15 +88,15 @@
             self.counter = address(given, "counter")
             self.count_limit_us = field(settings["extra"], "count-limit-us", int, 1)
         try:
-            self.known = News(field(given, "known", dict))
-        except Malformed as bad:
-            raise BadStart(f"'known': {bad}") from bad
+            self.known = EndpointUpdate(field(given, "known", dict))
+        except MalformedMessage as bad:
+            raise InvalidConfiguration(f"'known': {bad}") from bad
 
 
-class Program:
+class SingleGatewayProgram:
     """The parts of a gateway, put together from its configuration."""
 
-    def __init__(self, settings: GatewaySettings, fleet_terms: "FleetTerms | None" = None) -> None:
+    def __init__(self, settings: GatewaySettings, fleet_parameters: "FleetParameters | None" = None) -> None:
         self.settings = settings
         # An eighth is kept spare, and an eighth is for connections accepted and not yet looked at: five turns
         # of the loop pass until one closed for room is gone, and each turn accepts as many as it is let.
@@ -111,9 +111,9 @@
             settings.dial_us,
             settings.idle_us,
             descriptor_budget,
-            max(BODY_TOP, settings.memory // ANSWER_PART),
+            max(BODY_MAX_BYTES, settings.memory // ANSWER_PART),
         )
-        self.clients = Clients(
+        self.clients = ClientConnections(
             self.clock,
             self.metrics,
             self.runtime,
@@ -126,37 +126,39 @@
         self.counter: Counter | None = None
         if settings.counter:
             self.counter = Counter(self.clock, self.metrics, self.runtime, settings.counter, settings.count_limit_us)
-            self.runtime.add_count = self.counter.add
-        self.fleet = Fleet(settings.zones, self.backends.place, self.backends.forget, self.runtime.knows)
-        self.backends.takes = self.fleet.takes
-        self.discovery = Discovery(self.metrics, self.told)
+            self.runtime.send_to_counter = self.counter.add
+        self.fleet = EndpointTable(
+            settings.zones, self.backends.set_address, self.backends.remove, self.runtime.knows_backend
+        )
+        self.backends.accepts_new_work = self.fleet.takes
+        self.discovery = Discovery(self.metrics, self.update_endpoints)
         self.peers: Peers | None = None
-        if fleet_terms:
+        if fleet_parameters:
             from stoneyoke.fleet import transport
 
             zone = settings.zones[settings.parameters.zone] if settings.parameters.zone < len(settings.zones) else ""
             self.peers = transport.Peers(
-                transport.own_member(fleet_terms, str(zone)),
-                fleet_terms.listen,
-                fleet_terms.seeds,
-                fleet_terms.keys,
+                transport.own_member(fleet_parameters, str(zone)),
+                fleet_parameters.listen,
+                fleet_parameters.seeds,
+                fleet_parameters.keys,
                 self.runtime,
                 self.clock,
                 self.metrics,
             )
-        self.clients.informed = self.discovery.spoke
+        self.clients.endpoints_known = self.discovery.spoke
 
-    def told(self, news: News) -> None:
-        self.runtime.listed(self.fleet.news(news))
+    def update_endpoints(self, news: EndpointUpdate) -> None:
+        self.runtime.endpoints_changed(self.fleet.news(news))
         if self.peers:
             self.peers.listed(self.fleet.ready())
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self.loop_failed)
-        self.told(self.settings.known)
+        self.update_endpoints(self.settings.known)
         self.discovery.follow(self.settings.discovery)
-        self.sweeping = loop.create_task(self.sweep())
+        self.maintenance = loop.create_task(self.sweep())
         if self.peers:
             await self.peers.start()
         listener = socket.create_server(self.settings.listen)
@@ -173,9 +175,9 @@
         """SIGHUP: discovery and counter are where the file says now; all that is known stays. Whatever else
         it says counts from the next start on."""
         try:
-            given = read_given()
+            given = read_configuration()
             new, options = GatewaySettings(given), read_options(given)
-            fleet_terms = terms_of_fleet(options, given)
+            fleet_parameters = fleet_parameters_of(options, given)
         except Exception as bad:  # whatever is wrong with a file must not reach what runs
             self.metrics.add("reloads: unusable")
             logger.error("reload: the old configuration stays: {}", bad)
@@ -185,8 +187,8 @@
             self.discovery.follow(new.discovery)
         if self.counter and new.counter:
             self.counter.move(new.counter)
-        if self.peers and fleet_terms:
-            self.peers.reload(fleet_terms.seeds, fleet_terms.keys)
+        if self.peers and fleet_parameters:
+            self.peers.reload(fleet_parameters.seeds, fleet_parameters.keys)
         self.settings = new
         logger.info("reload: discovery at {}, counter at {}", new.discovery, new.counter)
 
@@ -194,19 +196,19 @@
         logger.info("ending: answers what is held")
         if self.peers:
             self.peers.leave()
-        await self.clients.take_late()
+        await self.clients.drain()
         self.server.close()
-        await self.clients.answer_held()
-        self.discovery.end()
-        self.sweeping.cancel()
-        logger.info("counts: {}", self.metrics.line())
+        await self.clients.finish_pending()
+        self.discovery.stop()
+        self.maintenance.cancel()
+        logger.info("counts: {}", self.metrics.summary())
 
     async def run(self) -> None:
         loop, ended = asyncio.get_running_loop(), asyncio.Event()
         loop.add_signal_handler(signal.SIGTERM, ended.set)
         loop.add_signal_handler(signal.SIGINT, ended.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        loop.add_signal_handler(signal.SIGUSR1, lambda: logger.info("counts: {}", self.metrics.line()))
+        loop.add_signal_handler(signal.SIGUSR1, lambda: logger.info("counts: {}", self.metrics.summary()))
         await self.start()
         gc.collect()
         gc.freeze()  # what is there now stays: later collections needn't look at it
@@ -216,13 +218,13 @@
     def loop_failed(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """What nothing else caught: logged and counted, and the gateway goes on."""
         logger.opt(exception=context.get("exception")).error("event loop: {}", context.get("message"))
-        self.metrics.must(False, "event loop")
+        self.metrics.check_invariant(False, "event loop")
 
     async def sweep(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_S)
-            self.backends.sweep()
-            self.clients.sweep()
+            self.backends.close_expired()
+            self.clients.close_expired()
             self.fleet.sweep()
 
 
@@ -232,21 +234,21 @@
     if not named:
         return None
     if not isinstance(named, str):
-        raise BadStart(f"'options' names no file: {named!r}")
+        raise InvalidConfiguration(f"'options' names no file: {named!r}")
     try:
         from stoneyoke.single_gateway.options import read
     except ImportError as bad:
-        raise BadStart(f"options: their library is missing, pip install .[options] ({bad})") from bad
+        raise InvalidConfiguration(f"options: their library is missing, pip install .[options] ({bad})") from bad
     return read(Path(named))
 
 
-def terms_of_fleet(options: "Options | None", given: dict[str, Any]) -> "FleetTerms | None":
+def fleet_parameters_of(options: "Options | None", given: dict[str, Any]) -> "FleetParameters | None":
     """None where no fleet part is asked for."""
     if options is None:
         return None
-    from stoneyoke.single_gateway.options import fleet_terms
+    from stoneyoke.single_gateway.options import fleet_parameters
 
-    return fleet_terms(options.fleet, str(given.get("name", "")))
+    return fleet_parameters(options.fleet, str(given.get("name", "")))
 
 
 def main() -> int:
@@ -254,13 +256,13 @@
     logger.remove()
     logger.add(sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", backtrace=False, diagnose=False)
     try:
-        given = read_given()
+        given = read_configuration()
         options = read_options(given)
         if options and options.log.form == "json":
             logger.remove()
             logger.add(sys.stderr, serialize=True, backtrace=False, diagnose=False)
-        program = Program(GatewaySettings(given), terms_of_fleet(options, given))
-    except BadStart as bad:
+        program = SingleGatewayProgram(GatewaySettings(given), fleet_parameters_of(options, given))
+    except InvalidConfiguration as bad:
         print(f"stoneyoke: {bad}", file=sys.stderr)
         return 2
     try:
--- a/stoneyoke/single_gateway/request_head.py
+++ b/stoneyoke/single_gateway/request_head.py
@@ -4,7 +4,7 @@
 import re
 
 from stoneyoke.control.parameters import GatewayParameters, Idempotency
-from stoneyoke.net.http import Malformed, Message
+from stoneyoke.net.http import MalformedMessage, Message
 
 LONGEST_S = 3600.0  # a deadline beyond this is absurd
 PLAIN = re.compile(rb"[0-9]{1,10}(\.[0-9]{1,20})?").fullmatch  # a number: no sign, blank, exponent or word
@@ -29,7 +29,7 @@
 )
 
 
-class Names:
+class RpcVocabulary:
     """What a head can name: methods, plans, and gateways by their number."""
 
     def __init__(self, methods: list[str], plans: list[str], parameters: GatewayParameters) -> None:
@@ -40,37 +40,37 @@
         self.units_max = parameters.units_max or math.inf
 
 
-class Asked:
+class RpcHead:
     """What an RPC's head says, read and checked."""
 
     __slots__ = ("account", "id", "method", "plan", "repeat", "units", "wait_us", "width")
 
-    def __init__(self, message: Message, names: Names) -> None:
+    def __init__(self, message: Message, names: RpcVocabulary) -> None:
         if message.repeated and (twice := message.repeated & ONCE):
-            raise Malformed(f"{min(twice).decode()} comes twice")
+            raise MalformedMessage(f"{min(twice).decode()} comes twice")
         kind, plan = needed(message, b"req-kind"), needed(message, b"x-plan")
         method, at = names.methods.get(kind), names.plans.get(plan)
         if method is None:
-            raise Malformed(f"unknown method {kind[:40]!r}", 404)
+            raise MalformedMessage(f"unknown method {kind[:40]!r}", 404)
         if at is None:
-            raise Malformed(f"unknown plan {plan[:40]!r}")
+            raise MalformedMessage(f"unknown plan {plan[:40]!r}")
         path = message.target.partition(b"?")[0]
         if not path.startswith(b"/") or path.split(b"/", 2)[1] != kind or not TARGET(message.target):
-            raise Malformed(f"a path that is not one of {kind[:40]!r}")
+            raise MalformedMessage(f"a path that is not one of {kind[:40]!r}")
         effect = names.effects[method]
         if message.method != (b"GET" if effect is Idempotency.IDEMPOTENT else b"POST"):
-            raise Malformed(f"{message.method[:20]!r} is not taken", 405)
+            raise MalformedMessage(f"{message.method[:20]!r} is not taken", 405)
         if message.body and effect is Idempotency.IDEMPOTENT:
-            raise Malformed("a body where none belongs")
+            raise MalformedMessage("a body where none belongs")
         self.id = needed(message, b"req-id")
         needed(message, b"host")
         if effect is Idempotency.DEDUPLICATED:
             needed(message, b"idempotency-key")
         customer, wait = needed(message, b"x-customer"), needed(message, b"req-deadline")
         if not HEX_16(customer) or (account := int(customer, 16)) >= 1 << 33:
-            raise Malformed("x-customer is no 16 hex digits under 2^33")
+            raise MalformedMessage("x-customer is no 16 hex digits under 2^33")
         if not PLAIN(wait) or float(wait) > LONGEST_S:
-            raise Malformed(f"a deadline that is none: {wait[:40]!r}")
+            raise MalformedMessage(f"a deadline that is none: {wait[:40]!r}")
         self.repeat = message.headers.get(b"req-retry") == b"1" if names.marks else None
         self.units, self.width = quota(needed(message, b"x-quota"), names)
         self.account, self.method, self.plan, self.wait_us = account, method, at, int(float(wait) * 1_000_000)
@@ -80,11 +80,11 @@
     """A header that each RPC has. Raises Malformed where it is missing."""
     value = message.headers.get(name)
     if not value or not TOKEN(value):
-        raise Malformed(f"{name.decode()} {'can not be read' if value else 'is missing'}")
+        raise MalformedMessage(f"{name.decode()} {'can not be read' if value else 'is missing'}")
     return value
 
 
-def quota(text: bytes, names: Names) -> tuple[float, float]:
+def quota(text: bytes, names: RpcVocabulary) -> tuple[float, float]:
     """Units and spread, in the one form that the protocol page gives."""
     parts = [part.partition(b"=") for part in text.split(b",")]
     fields = {name: value for name, _, value in parts}
@@ -96,4 +96,4 @@
         units, spread, first = float(fields[b"units"]), int(fields[b"spread"]), int(fields[b"first"])
         if 0 < units <= names.units_max * ROUNDING and 1 <= spread <= names.gateways > first:
             return units, float(spread)
-    raise Malformed(f"no quota of these settings: {text[:60]!r}")
+    raise MalformedMessage(f"no quota of these settings: {text[:60]!r}")
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -9,12 +9,12 @@
 
 import msgspec
 import pytest
-from helpers import SETTINGS, Town, free_port, on_loop, until
+from helpers import SETTINGS, GatewayUnderTest, free_port, on_loop, until
 
 from stoneyoke.control.events import PeerEvidence
-from stoneyoke.single_gateway.options import Fleet, FleetTerms, fleet_terms
-from stoneyoke.single_gateway.parameters import BadStart
-from stoneyoke.single_gateway.program import GatewaySettings, Program
+from stoneyoke.single_gateway.options import FleetOptions, FleetParameters, fleet_parameters
+from stoneyoke.single_gateway.parameters import InvalidConfiguration
+from stoneyoke.single_gateway.program import GatewaySettings, SingleGatewayProgram
 
 ENV = os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)}
 
@@ -61,14 +61,14 @@
 
 
 def parameters(town, name, own, others, keys=(b"0123456789abcdef",)):
-    return FleetTerms(name, own, own, list(others), list(keys))
+    return FleetParameters(name, own, own, list(others), list(keys))
 
 
 class Two:
     """Two gateways on sockets that know each other, before the same stand-ins."""
 
     def __init__(self):
-        self.town = Town()
+        self.town = GatewayUnderTest()
 
     async def __aenter__(self):
         await self.town.__aenter__()
@@ -76,8 +76,8 @@
         given["settings"] = SETTINGS | {"self-index": 2}
         one, two = (("127.0.0.1", free_port("127.0.0.1", socket.SOCK_DGRAM)) for _ in range(2))
         self.programs = [
-            Program(GatewaySettings(given), parameters(self.town, "g1", one, [two])),
-            Program(GatewaySettings(given), parameters(self.town, "g2", two, [one])),
+            SingleGatewayProgram(GatewaySettings(given), parameters(self.town, "g1", one, [two])),
+            SingleGatewayProgram(GatewaySettings(given), parameters(self.town, "g2", two, [one])),
         ]
         for program in self.programs:
             await program.start()
@@ -86,8 +86,8 @@
     async def __aexit__(self, *_):
         for program in self.programs:
             program.server.close()
-            program.discovery.end()
-            program.sweeping.cancel()
+            program.discovery.stop()
+            program.maintenance.cancel()
             if program.peers.ticking:
                 program.peers.ticking.cancel()
             program.peers.transport.close()
@@ -116,7 +116,7 @@
         assert counts["fleet: datagrams of an unknown key"] <= 200
         before = counts["fleet: datagrams"]
         await until(lambda: counts["fleet: datagrams"] > before)
-        assert not two.programs[0].metrics.broken
+        assert not two.programs[0].metrics.violations
 
 
 @on_loop
@@ -150,9 +150,9 @@
     (tmp_path / "short").write_text("00")
     (tmp_path / "word").write_text("key")
     given = {"listen": "127.0.0.1:7000", "name": "g1", "keys": "good"}
-    assert fleet_terms(Fleet(**given), "") and fleet_terms(Fleet(), "") is None
-    with pytest.raises(BadStart, match=says):
-        fleet_terms(Fleet(**(given | changes)), "")
+    assert fleet_parameters(FleetOptions(**given), "") and fleet_parameters(FleetOptions(), "") is None
+    with pytest.raises(InvalidConfiguration, match=says):
+        fleet_parameters(FleetOptions(**(given | changes)), "")
 
 
 def test_a_gateway_without_the_option_loads_no_fleet_part():
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -20,7 +20,7 @@
     Method,
     Plan,
 )
-from stoneyoke.single_gateway.program import GatewaySettings, Program
+from stoneyoke.single_gateway.program import GatewaySettings, SingleGatewayProgram
 
 Heard = tuple[list[bytes], bytes]  # a message: its head's lines and its body
 Answer = tuple[int, dict[bytes, bytes], bytes]  # status, headers, body
@@ -378,7 +378,7 @@
         return int(lines[0].split()[1]), headers, body
 
 
-class Town:
+class GatewayUnderTest:
     """A whole gateway, listening, with a backend, a counter and discovery as stand-ins."""
 
     def __init__(self, answer: Any = OK, limits: dict[str, Any] | None = None, **caps: Any) -> None:
@@ -405,15 +405,15 @@
             "known": self.list,
             "settings": SETTINGS | {"caps": self.caps},
         }
-        self.program = Program(GatewaySettings(self.given))
+        self.program = SingleGatewayProgram(GatewaySettings(self.given))
         await self.program.start()
         self.address = self.program.server.sockets[0].getsockname()
         return self
 
     async def __aexit__(self, *_: object) -> None:
         self.program.server.close()
-        self.program.discovery.end()
-        self.program.sweeping.cancel()
+        self.program.discovery.stop()
+        self.program.maintenance.cancel()
         for part in (self.backend, self.counter, self.discovery):
             await part.__aexit__()
 
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -2,7 +2,7 @@
 
 import socket
 
-from helpers import Town, json_answer, on_loop, rpc, until
+from helpers import GatewayUnderTest, json_answer, on_loop, rpc, until
 
 from stoneyoke.net import clients
 
@@ -10,7 +10,7 @@
 @on_loop
 async def test_silent_idle_and_half_sent_connections_end_in_time_whatever_bytes_trickle_in():
     async with (
-        Town() as town,
+        GatewayUnderTest() as town,
         town.caller() as silent,
         town.caller() as half,
         town.caller() as late,
@@ -22,14 +22,14 @@
         held.writer.write(rpc())
         half.writer.write(b"GET /look")
         late.writer.write(b"GET /look")
-        all_open, sweep = town.program.clients.open, town.program.clients.sweep
-        town.program.sweeping.cancel()
+        all_open, sweep = town.program.clients.connections, town.program.clients.close_expired
+        town.program.maintenance.cancel()
         await until(lambda: sum(not c.idle for c in all_open.values()) == 3 and len(town.backend.got) == 3)
 
         def age(by):
             for client in all_open.values():
                 client.met -= by
-                client.since -= by
+                client.since_us -= by
             sweep()
 
         age(clients.PART_US - 1_500_000)
@@ -47,7 +47,7 @@
 
 @on_loop
 async def test_connections_that_say_nothing_make_room_for_each_other_not_for_them_the_usual_ones():
-    async with Town() as town, town.caller() as usual:
+    async with GatewayUnderTest() as town, town.caller() as usual:
         assert (await usual.ask(rpc()))[0] == 200
         town.program.clients.fresh_most = 3
         flood = [await town.caller().__aenter__() for _ in range(9)]
@@ -59,23 +59,23 @@
 
 @on_loop
 async def test_of_those_who_ask_once_and_stay_only_so_many_are_kept_that_others_find_a_place():
-    async with Town() as town:
+    async with GatewayUnderTest() as town:
         town.program.clients.asked_most = 3
         stay = [await town.caller().__aenter__() for _ in range(6)]
         for caller in stay:
             assert (await caller.ask(rpc()))[0] == 200
         for caller in stay[:3]:
             assert await caller.reader.read() == b""
-        assert len(town.program.clients.open) == 3 and (await stay[3].ask(rpc()))[0] == 200
+        assert len(town.program.clients.connections) == 3 and (await stay[3].ask(rpc()))[0] == 200
 
 
 @on_loop
 async def test_at_the_limit_idle_connections_go_first_and_held_rpcs_stay():
-    async with Town(None) as town, town.caller() as held, town.caller() as idle, town.caller() as half:
+    async with GatewayUnderTest(None) as town, town.caller() as held, town.caller() as idle, town.caller() as half:
         town.program.clients.descriptor_budget.most = 4  # the call-out's is one
         held.writer.write(rpc())
         half.writer.write(b"GET /look")
-        clients_open = town.program.clients.open
+        clients_open = town.program.clients.connections
         await until(lambda: town.backend.got and sum(not c.idle for c in clients_open.values()) == 2)
         async with town.caller() as fourth:
             fourth.writer.write(b"GET /look")
@@ -89,18 +89,18 @@
 
 @on_loop
 async def test_an_idle_connection_on_which_an_rpc_has_just_come_is_not_closed_for_room():
-    async with Town() as town, town.caller() as caller:
+    async with GatewayUnderTest() as town, town.caller() as caller:
         assert (await caller.ask(rpc()))[0] == 200
-        (client,) = town.program.clients.open.values()
-        assert client.quiet() and town.program.clients.idle_longest()
+        (client,) = town.program.clients.connections.values()
+        assert client.can_close_safely() and town.program.clients.eviction_candidate()
         caller.writer.write(rpc())  # on the socket; the loop has not seen it yet
-        assert not client.quiet() and town.program.clients.idle_longest() is None
+        assert not client.can_close_safely() and town.program.clients.eviction_candidate() is None
         assert (await caller.hear())[0] == 200
 
 
 @on_loop
 async def test_with_every_connection_held_an_rpc_is_still_answered():
-    async with Town(None) as town, town.caller() as held:
+    async with GatewayUnderTest(None) as town, town.caller() as held:
         held.writer.write(rpc())
         await until(lambda: town.backend.got)
         town.program.clients.descriptor_budget.most = 2
@@ -112,17 +112,17 @@
 
 @on_loop
 async def test_half_heads_and_answers_that_nobody_takes_are_ended():
-    async with Town(json_answer("x" * 60_000)) as town, town.caller() as half, town.caller(4096) as slow:
+    async with GatewayUnderTest(json_answer("x" * 60_000)) as town, town.caller() as half, town.caller(4096) as slow:
         half.writer.write(b"GET /look")
         slow.writer.write(rpc(X_Quota="units=1,spread=1,first=1") * 400)  # pipelined; nothing is read
-        clients_open = town.program.clients.open
-        stuck = town.program.clients.sweep
+        clients_open = town.program.clients.connections
+        stuck = town.program.clients.close_expired
         await until(lambda: len(clients_open) == 2 and all(not c.idle for c in clients_open.values()))
         await until(lambda: any(w.transport.get_write_buffer_size() for w in clients_open))
         stuck()
         assert len(clients_open) == 2
         for client in clients_open.values():
-            client.since -= clients.PART_US + 1
+            client.since_us -= clients.PART_US + 1
         stuck()
         await until(lambda: not clients_open)
 
@@ -130,9 +130,9 @@
 @on_loop
 async def test_what_has_come_and_is_not_read_yet_is_answered_before_the_end():
     # The RPC is on the socket, and the loop has not seen it, when nothing seems to be owed any more.
-    async with Town() as town, town.caller() as caller:
+    async with GatewayUnderTest() as town, town.caller() as caller:
         assert (await caller.ask(rpc()))[0] == 200
         sock = caller.writer.get_extra_info("socket")
         socket.socket(fileno=socket.dup(sock.fileno())).send(rpc())
-        await town.program.clients.answer_held()
+        await town.program.clients.finish_pending()
         assert town.count("RPCs: ok") == 2
--- a/tests/net/test_counter_calls.py
+++ b/tests/net/test_counter_calls.py
@@ -19,7 +19,7 @@
         self.told, self.metrics = [], Metrics()
         self.counter = Counter(Clock(), self.metrics, self, address, limit_us)
 
-    def counted(self, name, added, total):
+    def counter_replied(self, name, added, total):
         self.told.append((name, total if added or total else None))
 
     def add(self, *names):
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -4,13 +4,13 @@
 import time
 
 import pytest
-from helpers import StandIn, Town, entry, json_answer, on_loop, rpc, total, until
+from helpers import GatewayUnderTest, StandIn, entry, json_answer, on_loop, rpc, total, until
 
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.runtime import Clock
-from stoneyoke.single_gateway.discovery import Discovery, Fleet, News
+from stoneyoke.single_gateway.discovery import Discovery, EndpointTable, EndpointUpdate
 
 
 def told_list(*entries, index=1, whole=True):
@@ -32,7 +32,7 @@
 @on_loop
 async def test_the_watch_goes_on_at_once_and_the_news_reaches_the_module_s_words():
     placed, news = {}, []
-    fleet = Fleet(
+    fleet = EndpointTable(
         ["hall-a", "hall-b"],
         placed.__setitem__,
         lambda backend: placed.pop(backend, None),
@@ -55,7 +55,7 @@
         discovery = Discovery(Metrics(), lambda one: news.append(fleet.news(one)))
         discovery.follow(stand_in.address)
         await until(lambda: len(at) == 4)
-        discovery.end()
+        discovery.stop()
     assert [x[0][0].split()[1] for x in stand_in.got] == [
         b"/v1/servers",
         b"/v1/servers?from=41&hold_ms=1000",
@@ -70,9 +70,9 @@
         (True, [(2, 2, 0, "READY")]),
     ]
     assert placed == {2: ("10.1.0.1", 7070)}
-    assert fleet.door.index == {"s-1": 0, "s-2": 1, "s-3": 2}
+    assert fleet.door.index_by_id == {"s-1": 0, "s-2": 1, "s-3": 2}
     fleet.sweep()  # the module has dropped s-2, not s-1
-    assert fleet.door.index == {"s-1": 0, "s-3": 2} and list(fleet.where) == ["s-3"]
+    assert fleet.door.index_by_id == {"s-1": 0, "s-3": 2} and list(fleet.where) == ["s-3"]
 
 
 @on_loop
@@ -85,29 +85,29 @@
         discovery.follow(stand_in.address)
         await until(lambda: stand_in.connections == 2 and len(stand_in.got) == 4)
         assert time.monotonic() - start < 3.0
-        discovery.end()
+        discovery.stop()
 
 
 @pytest.mark.parametrize("order", [1, -1])
 def test_an_address_under_a_new_id_takes_the_old_backend_away_whatever_comes_first(order):
-    sites = Backends(Clock(), Metrics(), 1, 1, DescriptorBudget(9, 0))
-    fleet = Fleet(["hall-b"], sites.place, sites.forget, lambda backend: False)
+    pools = Backends(Clock(), Metrics(), 1, 1, DescriptorBudget(9, 0))
+    fleet = EndpointTable(["hall-b"], pools.set_address, pools.remove, lambda backend: False)
 
     def news(*rows):
         return {
             e.backend: e.state.name
-            for e in fleet.news(News({"index": 1, "snapshot": False, "endpoints": rows[::order]})).endpoints
+            for e in fleet.news(EndpointUpdate({"index": 1, "snapshot": False, "endpoints": rows[::order]})).endpoints
         }
 
     assert set(news(line_of("s-1"), line_of("s-2", "10.1.0.2:80")).values()) == {"READY"}
-    old, before = fleet.door.index["s-1"], sites.sites[fleet.door.index["s-1"]]
+    old, before = fleet.door.index_by_id["s-1"], pools.pools[fleet.door.index_by_id["s-1"]]
     told = news(line_of("s-3", since_ms=5), line_of("s-1", status="leaving"))
-    assert told == {old: "GONE", fleet.door.index["s-3"]: "READY"}
+    assert told == {old: "GONE", fleet.door.index_by_id["s-3"]: "READY"}
     assert news(line_of("s-1", status="leaving"), line_of("s-4", status="left")) == {old: "GONE"}
-    assert sorted(site.address for site in sites.sites.values()) == [("10.1.0.1", 7070), ("10.1.0.2", 80)]
-    assert before not in sites.sites.values()
+    assert sorted(site.address for site in pools.pools.values()) == [("10.1.0.1", 7070), ("10.1.0.2", 80)]
+    assert before not in pools.pools.values()
     fleet.sweep()
-    assert set(fleet.door.index) == {"s-2", "s-3"} and old in fleet.door.free
+    assert set(fleet.door.index_by_id) == {"s-2", "s-3"} and old in fleet.door.free
 
 
 @pytest.mark.parametrize(
@@ -133,7 +133,7 @@
         discovery = Discovery(Metrics(), news.append)
         discovery.follow(stand_in.address)
         await until(lambda: len(stand_in.got) == 3)
-        discovery.end()
+        discovery.stop()
     assert [len(one.entries) for one in news] == [1]
 
 
@@ -152,7 +152,7 @@
     ],
 )
 def test_an_entry_that_cannot_be_used_is_left_out_and_takes_no_other_backend_away(bad):
-    news = News({"index": 4, "snapshot": True, "endpoints": [line_of("s-1", "[::1]:80"), bad]})
+    news = EndpointUpdate({"index": 4, "snapshot": True, "endpoints": [line_of("s-1", "[::1]:80"), bad]})
     assert [(entry.name, entry.address) for entry in news.entries] == [("s-1", ("::1", 80))]
     assert not news.whole and news.left_out
 
@@ -168,11 +168,11 @@
             return None
         return json_answer(town.list)
 
-    town = Town()
+    town = GatewayUnderTest()
     town.discovery.answer = tell
     async with town, town.caller() as caller:
         await watch.wait()
-        await until(lambda: len(town.program.clients.open) == 1)
+        await until(lambda: len(town.program.clients.connections) == 1)
         caller.writer.write(rpc())
         news = {"index": 5, "snapshot": False, "endpoints": [entry("s-1", town.backend.text, "leaving")]}
         town.watcher.write(json_answer(news))
@@ -184,7 +184,7 @@
 @on_loop
 async def test_an_rpc_of_a_new_life_waits_for_the_first_list_and_spares_what_drains_since():
     """Started with a list in which s-1 is ready; discovery knows that it drains, and says so 0.1 s later."""
-    town = Town()
+    town = GatewayUnderTest()
     hold = asyncio.Event()
     tell = town.tell
 
@@ -205,7 +205,7 @@
 @pytest.mark.parametrize("answer", [None, b"", b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"])
 @on_loop
 async def test_a_discovery_that_is_down_holds_a_new_life_back_for_a_moment_only(answer):
-    town = Town()
+    town = GatewayUnderTest()
     town.discovery.answer = answer
     async with town, town.caller() as caller:
         status, _, _ = await caller.ask(rpc())
@@ -222,13 +222,13 @@
         await up.wait()
         return await connect(self, site)
 
-    async with Town() as town, town.caller() as caller:
+    async with GatewayUnderTest() as town, town.caller() as caller:
         await until(town.program.discovery.spoke.is_set)
         monkeypatch.setattr(Backends, "connect", slowly)
         asking = asyncio.create_task(caller.ask(rpc()))
         await dialled.wait()
-        town.program.told(
-            News({"index": 6, "snapshot": False, "endpoints": [entry("s-1", town.backend.text, "leaving")]})
+        town.program.update_endpoints(
+            EndpointUpdate({"index": 6, "snapshot": False, "endpoints": [entry("s-1", town.backend.text, "leaving")]})
         )
         up.set()
         status, _, _ = await asking
--- a/tests/net/test_program.py
+++ b/tests/net/test_program.py
@@ -11,7 +11,7 @@
 from helpers import SETTINGS, rpc
 
 from stoneyoke.single_gateway import program
-from stoneyoke.single_gateway.parameters import BadStart
+from stoneyoke.single_gateway.parameters import InvalidConfiguration
 
 CONFIG = {
     "listen": "127.0.0.1:0",
@@ -109,8 +109,8 @@
     assert program.read_options({}).log.form == "json"
     for text, says in (('[log]\nform = "xml"\n', "log.form"), ("[logs]\n", "logs"), ("[log", "no TOML")):
         file.write_text(text)
-        with pytest.raises(BadStart, match=says):
+        with pytest.raises(InvalidConfiguration, match=says):
             program.read_options({})
     monkeypatch.setenv("STONEYOKE_OPTIONS", str(tmp_path / "none.toml"))
-    with pytest.raises(BadStart, match="can't be read"):
+    with pytest.raises(InvalidConfiguration, match="can't be read"):
         program.read_options({})
--- a/tests/net/test_reload_and_end.py
+++ b/tests/net/test_reload_and_end.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from helpers import OK, SETTINGS, StandIn, Town, json_answer, on_loop, rpc, total, until
+from helpers import OK, SETTINGS, GatewayUnderTest, StandIn, json_answer, on_loop, rpc, total, until
 from loguru import logger
 
 from stoneyoke.control.actions import AddToCounter
@@ -21,7 +21,7 @@
         await release.wait()
         return OK
 
-    async with Town(late) as town, town.caller() as held, town.caller() as idle:
+    async with GatewayUnderTest(late) as town, town.caller() as held, town.caller() as idle:
         assert (await idle.ask(b"GET /healthz HTTP/1.1\r\n\r\n"))[0] == 200
         held.writer.write(rpc())
         await until(lambda: town.backend.got)
@@ -48,7 +48,7 @@
 async def test_after_sigterm_a_long_deadline_ends_before_the_process_can_be_killed(monkeypatch):
     monkeypatch.setattr(clients, "SHORTEST_S", 0.0)
     monkeypatch.setattr(clients, "KILL_S", -1.3)  # the longest deadline of these settings is 2 s
-    async with Town(None) as town, town.caller() as caller:
+    async with GatewayUnderTest(None) as town, town.caller() as caller:
         finishing = asyncio.create_task(town.program.finish())
         await asyncio.sleep(0)
         start = time.monotonic()
@@ -80,11 +80,19 @@
         path.write_text(json.dumps(town.given | changes))
         town.program.reload()
 
-    async with Town(late) as town, town.caller() as held, StandIn(tell) as list_2, StandIn(total(b"7")) as count_2:
+    async with (
+        GatewayUnderTest(late) as town,
+        town.caller() as held,
+        StandIn(tell) as list_2,
+        StandIn(total(b"7")) as count_2,
+    ):
         runtime, told = town.program.runtime, []
-        counted, runtime.counted = runtime.counted, lambda *answer: (told.append(answer), counted(*answer))
+        counted, runtime.counter_replied = (
+            runtime.counter_replied,
+            lambda *answer: (told.append(answer), counted(*answer)),
+        )
         town.counter.answer = None
-        runtime.add_count(AddToCounter(1, 4_000_000, 2.0))
+        runtime.send_to_counter(AddToCounter(1, 4_000_000, 2.0))
         held.writer.write(rpc())
         await until(lambda: town.backend.got and town.counter.got and len(town.discovery.got) == 2)
         if unusable is None:
@@ -100,8 +108,8 @@
         reload(discovery=list_2.text, counter=count_2.text)
         await until(lambda: len(list_2.got) == 2 and town.discovery.closed == 1)
         assert len(town.program.discovery.watches) == 1
-        runtime.add_count(AddToCounter(2, 4_000_000, 2.0))
+        runtime.send_to_counter(AddToCounter(2, 4_000_000, 2.0))
         await until(lambda: (2, True, 7.0) in told)
         assert len(town.counter.got) == 1 and len(count_2.got) == 1
         release.set()
-        assert (await held.hear())[2] == b"yes" and not town.program.metrics.broken
+        assert (await held.hear())[2] == b"yes" and not town.program.metrics.violations
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -5,18 +5,18 @@
 import time
 
 import pytest
-from helpers import OK, Town, on_loop, read_message, rpc, until
+from helpers import OK, GatewayUnderTest, on_loop, read_message, rpc, until
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
 from stoneyoke.control.events import ClientGone
 from stoneyoke.net import clients
-from stoneyoke.net.http import BODY_TOP
+from stoneyoke.net.http import BODY_MAX_BYTES
 
 
 @on_loop
 async def test_an_rpc_passes_unchanged_and_so_does_its_answer():
-    async with Town() as town, town.caller() as caller:
+    async with GatewayUnderTest() as town, town.caller() as caller:
         data = rpc(b"order", b"\x00body\r\n", Req_Id="9b1f03aa5c7e2d41", Req_Deadline="5.000")
         assert await caller.ask(data) == (200, {b"Content-Length": b"3"}, b"yes")
         ((lines, body),) = town.backend.got
@@ -26,12 +26,12 @@
         assert 4.0 < told <= 5.0
         assert (await caller.ask(rpc(X_Quota="units=4.0000002384185791,spread=3,first=0")))[0] == 200
         assert town.backend.connections == 1 and town.count("RPCs: ok") == 2
-        assert not town.program.runtime.held and not town.program.metrics.broken
+        assert not town.program.runtime.pending and not town.program.metrics.violations
 
 
 @on_loop
 async def test_over_quota_is_pushed_back_with_a_time_and_a_backend_s_fault_is_never_passed_on():
-    async with Town(b"HTTP/1.1 500 Oops\r\nContent-Length: 4\r\n\r\noops") as town, town.caller() as caller:
+    async with GatewayUnderTest(b"HTTP/1.1 500 Oops\r\nContent-Length: 4\r\n\r\noops") as town, town.caller() as caller:
         for _ in range(400 // 3 // 4 + 2):  # a part of the burst, in the largest RPCs
             town.backend.got.clear()
             status, headers, body = await caller.ask(rpc(X_Quota="units=4,spread=3,first=1"))
@@ -42,14 +42,14 @@
 
 @on_loop
 async def test_no_time_to_return_is_told_where_the_settings_allow_none():
-    async with Town(None, **{"retry-after": False}) as town, town.caller() as caller:
+    async with GatewayUnderTest(None, **{"retry-after": False}) as town, town.caller() as caller:
         status, headers, _ = await caller.ask(rpc(Req_Deadline="0.050"))
         assert status == 429 and b"Retry-After" not in headers
 
 
 @on_loop
 async def test_what_is_silent_is_answered_when_the_client_s_time_is_up_and_its_connection_closed():
-    async with Town(None) as town, town.caller() as caller:
+    async with GatewayUnderTest(None) as town, town.caller() as caller:
         start = time.monotonic()
         status, _, _ = await caller.ask(rpc(b"order", Req_Deadline="0.200"))
         assert status == 429 and 0.15 < time.monotonic() - start < 1.0
@@ -65,7 +65,7 @@
         await release.wait()
         return OK
 
-    async with Town(late) as town:
+    async with GatewayUnderTest(late) as town:
         gateway = town.program.runtime.gateway
         handle = gateway.handle
         gateway.handle = lambda event, now: (told.append(event), handle(event, now))[1]
@@ -74,7 +74,7 @@
             await until(lambda: town.backend.got)
         await until(lambda: any(isinstance(e, ClientGone) for e in told))
         release.set()
-        await until(lambda: not town.program.runtime.held)
+        await until(lambda: not town.program.runtime.pending)
         assert town.count("call-outs: ok") == 1 and town.count("RPCs: client gone") == 1
         async with town.caller() as caller:
             assert (await caller.ask(rpc()))[2] == b"yes" and town.backend.connections == 1
@@ -87,7 +87,7 @@
     (b"GET /look HTTP/1.1\r\nX: " + b"y" * 20_000, 431),
     (rpc(Req_Kind="odd"), 404),
     (rpc(X_Plan="odd"), 400),
-    (rpc(b"order", b"x" * (BODY_TOP + 1)), 413),
+    (rpc(b"order", b"x" * (BODY_MAX_BYTES + 1)), 413),
     (rpc(b"order", b"", Idempotency_Key=None), 400),
     (rpc(Expect="100-continue"), 417),
     (rpc().replace(b"GET /", b"DELETE /"), 405),
@@ -145,17 +145,17 @@
 @pytest.mark.parametrize("data, status", BAD)
 @on_loop
 async def test_bad_input_gets_a_plain_4xx_a_count_and_a_closed_connection(data, status):
-    async with Town() as town, town.caller() as caller:
+    async with GatewayUnderTest() as town, town.caller() as caller:
         got, headers, body = await caller.ask(data)
         assert got == status and headers[b"Connection"] == b"close" and body
         assert await caller.reader.read() == b""
         assert town.count(f"bad input: {status}") == 1 and not town.backend.got
-        assert not town.program.metrics.broken
+        assert not town.program.metrics.violations
 
 
 @on_loop
 async def test_an_id_that_is_open_is_not_taken_again_and_one_that_was_is():
-    async with Town(None) as town, town.caller() as one, town.caller() as two:
+    async with GatewayUnderTest(None) as town, town.caller() as one, town.caller() as two:
         one.writer.write(rpc(Req_Id="twice", Req_Deadline="1.000"))
         await until(lambda: town.backend.got)
         assert (await two.ask(rpc(Req_Id="twice")))[0] == 409
@@ -167,7 +167,7 @@
 @on_loop
 async def test_a_4xx_arrives_while_a_body_pours_in_and_the_pouring_has_an_end(monkeypatch):
     monkeypatch.setattr(clients, "LINGER_S", 0.3)
-    async with Town() as town, town.caller() as caller:
+    async with GatewayUnderTest() as town, town.caller() as caller:
         caller.writer.write(rpc(b"order", Content_Length="60000000"))
 
         async def pour():
@@ -179,10 +179,10 @@
         pouring = asyncio.create_task(pour())
         start = time.monotonic()
         assert (await caller.hear())[0] == 413 and time.monotonic() - start < 0.3
-        (client,) = town.program.clients.open.values()
+        (client,) = town.program.clients.connections.values()
         assert not client.line.reader._buffer
         await pouring
-        await until(lambda: not town.program.clients.open)
+        await until(lambda: not town.program.clients.connections)
 
 
 @settings(max_examples=30, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
@@ -202,7 +202,7 @@
 )
 @on_loop
 async def test_whatever_bytes_come_the_next_client_is_served(parts):
-    async with Town() as town:
+    async with GatewayUnderTest() as town:
         async with town.caller() as caller:
             for part in parts:
                 caller.writer.write(part)
@@ -210,12 +210,12 @@
             assert b"HTTP/1.1 5" not in await caller.reader.read()
         async with town.caller() as caller:
             assert (await caller.ask(rpc()))[0] == 200
-        assert not town.program.metrics.broken
+        assert not town.program.metrics.violations
 
 
 @on_loop
 async def test_rpcs_written_one_after_another_share_a_connection():
-    async with Town() as town, town.caller() as caller:
+    async with GatewayUnderTest() as town, town.caller() as caller:
         caller.writer.write(rpc() + rpc(b"order", b"abc") + rpc())
         assert [(await caller.hear())[0] for _ in range(3)] == [200, 200, 200]
         caller.writer.write_eof()
--- a/tests/net/test_runtime.py
+++ b/tests/net/test_runtime.py
@@ -6,21 +6,21 @@
 import time
 
 import pytest
-from helpers import Town, on_loop, rpc, until
+from helpers import GatewayUnderTest, on_loop, rpc, until
 from loguru import logger
 
 from stoneyoke.control.actions import Reject, StartAttempt
 from stoneyoke.control.events import Arrival, TimerFired
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Clock, Held
+from stoneyoke.runtime.runtime import Clock, PendingRequest
 
 
 @on_loop
 async def test_a_fault_in_the_module_costs_one_event_and_its_rpc_is_still_answered():
-    async with Town() as town, town.caller() as caller:
+    async with GatewayUnderTest() as town, town.caller() as caller:
         handlers, metrics = town.program.runtime.gateway.handlers, town.program.metrics
         works, handlers[Arrival] = handlers[Arrival], lambda _: 1 / 0
-        metrics.must = lambda holds, what: holds or metrics.add(f"BROKEN {what}")  # as a release build does
+        metrics.check_invariant = lambda holds, what: holds or metrics.add(f"BROKEN {what}")  # as a release build does
         assert (await caller.ask(rpc(Req_Deadline="0.100")))[0] == 502
         assert town.count("BROKEN module failed") == 1
         handlers[Arrival] = works
@@ -29,40 +29,40 @@
 
 @on_loop
 async def test_a_gateway_that_stood_still_counts_deadlines_from_before():
-    async with Town() as town:
+    async with GatewayUnderTest() as town:
         runtime = town.program.runtime
         now = runtime.clock.now()
-        assert runtime.came() >= now
+        assert runtime.arrival_time() >= now
         runtime.due = now - 3_000_000
-        assert runtime.came() == now - 3_000_000
+        assert runtime.arrival_time() == now - 3_000_000
         runtime.timer(runtime.due, 0)
-        assert runtime.due > now and runtime.came() == now - 3_000_000  # connections made meanwhile
+        assert runtime.due > now and runtime.arrival_time() == now - 3_000_000  # connections made meanwhile
         runtime.woke -= 1_000_000
-        assert runtime.came() >= now
+        assert runtime.arrival_time() >= now
 
 
 @on_loop
 async def test_wishes_wait_for_the_module_and_no_longer_than_told():
     clock = Clock()
-    held = Held(1, clock, None)
-    assert await held.wish(clock.now() + 10_000) is None and not held.gone
-    asyncio.get_running_loop().call_soon(lambda: (held.wishes.append(Reject(1, 5)), held.wake()))
-    assert await held.wish(clock.now() + 10_000_000) == Reject(1, 5)
+    held = PendingRequest(1, clock, None)
+    assert await held.next_decision(clock.now() + 10_000) is None and not held.client_gone
+    asyncio.get_running_loop().call_soon(lambda: (held.decisions.append(Reject(1, 5)), held.wake()))
+    assert await held.next_decision(clock.now() + 10_000_000) == Reject(1, 5)
 
 
 @on_loop
 async def test_a_call_out_wished_for_and_never_made_is_told_as_not_sent():
-    async with Town() as town:
+    async with GatewayUnderTest() as town:
         runtime = town.program.runtime
-        held = runtime.take_in(0, 0, 5, runtime.clock.now() + 1_000_000, 1.0, 3.0, None)
-        assert isinstance(held.wishes[0], StartAttempt) and runtime.gateway.out == 1
-        runtime.let_go(held)
-        assert runtime.gateway.out == 0 and not runtime.held and not runtime.gateway.open
+        held = runtime.open_request(0, 0, 5, runtime.clock.now() + 1_000_000, 1.0, 3.0, None)
+        assert isinstance(held.decisions[0], StartAttempt) and runtime.gateway.out == 1
+        runtime.close_request(held)
+        assert runtime.gateway.out == 0 and not runtime.pending and not runtime.gateway.open
 
 
 @on_loop
 async def test_timers_fire_and_one_clock_counts_whole_microseconds_of_unix_time():
-    async with Town() as town:
+    async with GatewayUnderTest() as town:
         told = []
         runtime = town.program.runtime
         runtime.gateway.handle = lambda event, now: told.append(event) or []
@@ -73,8 +73,11 @@
 
 def test_what_must_hold_is_asserted_in_debug_and_counted_in_release():
     with pytest.raises(AssertionError, match="sky"):
-        Metrics().must(False, "sky")
-    code = "import stoneyoke.runtime.metrics as t; t = t.Metrics(); t.must(False, 'sky'); t.add('rpc'); print(t.line())"
+        Metrics().check_invariant(False, "sky")
+    code = (
+        "from stoneyoke.runtime.metrics import Metrics; metrics = Metrics(); "
+        "metrics.check_invariant(False, 'sky'); metrics.add('rpc'); print(metrics.summary())"
+    )
     out = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, text=True, check=True)
     assert out.stdout == "BROKEN sky=1, rpc=1\n"
 
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from helpers import OK, SETTINGS, StandIn, Town, on_loop, rpc, until
+from helpers import OK, SETTINGS, GatewayUnderTest, StandIn, on_loop, rpc, until
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
@@ -13,7 +13,7 @@
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Clock, Held
+from stoneyoke.runtime.runtime import Clock, PendingRequest
 
 ANSWERS = [
     OK,
@@ -48,12 +48,12 @@
             caller.writer.write_eof()
             assert await caller.reader.read() == b"", "a second answer"
 
-    async with Town(answer) as town:
+    async with GatewayUnderTest(answer) as town:
         await asyncio.gather(*(ask(number, kind) for number, kind in enumerate(kinds)))
         ids = [line for lines, _ in town.backend.got for line in lines if line.startswith(b"Req-Id: ")]
         assert max(map(ids.count, ids), default=0) <= SETTINGS["caps"]["try-limit"]
         runtime = town.program.runtime
-        assert not runtime.held and runtime.gateway.out == 0 and not town.program.metrics.broken
+        assert not runtime.pending and runtime.gateway.out == 0 and not town.program.metrics.violations
 
 
 def answers_then_hangs_up(data):
@@ -93,7 +93,7 @@
 @on_loop
 async def test_each_outcome_over_a_connection_is_told_apart(answer, expected):
     async with StandIn(answer) as stand_in:
-        outcome, got = await Sender(stand_in.address).call_out()
+        outcome, got = await Sender(stand_in.address).send_attempt()
         assert outcome is expected
         assert outcome is not AttemptOutcome.OK or got.body == b"yes"
         assert len(stand_in.got) == 1
@@ -103,20 +103,20 @@
     """Call-outs to one backend, without a gateway around them."""
 
     def __init__(self, address, idle_us=30_000_000, most=9):
-        self.clock, self.held = Clock(), Held(1, Clock(), None)
+        self.clock, self.held = Clock(), PendingRequest(1, Clock(), None)
         self.backends = Backends(self.clock, Metrics(), 250_000, idle_us, DescriptorBudget(most, 0))
-        self.backends.place(0, address)
+        self.backends.set_address(0, address)
 
-    async def call_out(self, n=0, backend=0, within=200_000, body=b""):
+    async def send_attempt(self, n=0, backend=0, within=200_000, body=b""):
         line = [b"POST /x HTTP/1.1\r\nContent-Length: %d\r\n" % len(body)]
-        return await self.backends.call_out(self.held, n, backend, line, body, self.clock.now() + within)
+        return await self.backends.send_attempt(self.held, n, backend, line, body, self.clock.now() + within)
 
 
 @on_loop
 async def test_an_answer_may_be_as_long_as_the_memory_allows():
     body = b"x" * 1_000_000
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-    async with Town(answer) as town, town.caller() as caller:
+    async with GatewayUnderTest(answer) as town, town.caller() as caller:
         assert (await caller.ask(rpc()))[2] == body
 
 
@@ -124,15 +124,15 @@
 async def test_an_answer_cut_short_or_framed_by_nothing_but_its_stream_s_end_is_broken():
     for data in (OK[:-1], OK[:20], b"HTTP/1.1 200 OK\r\n\r\nyes"):
         async with StandIn(answers_then_hangs_up(data)) as stand_in:
-            assert (await Sender(stand_in.address).call_out())[0] is AttemptOutcome.BROKEN
+            assert (await Sender(stand_in.address).send_attempt())[0] is AttemptOutcome.BROKEN
 
 
 @on_loop
 async def test_what_never_came_up_has_never_run_and_what_left_in_part_may_have():
     async with StandIn() as stand_in:
         address = stand_in.address
-    assert (await Sender(address).call_out())[0] is AttemptOutcome.NO_CONNECTION
-    assert (await Sender(address).call_out(backend=1))[0] is AttemptOutcome.NOT_SENT
+    assert (await Sender(address).send_attempt())[0] is AttemptOutcome.NO_CONNECTION
+    assert (await Sender(address).send_attempt(backend=1))[0] is AttemptOutcome.NOT_SENT
 
     async def reads_little(reader, writer):
         await reader.read(1)  # a part has left, and what is not read keeps the rest from leaving
@@ -140,7 +140,7 @@
 
     server = await asyncio.start_server(reads_little, "127.0.0.1", 0, limit=1)
     backend = Sender(server.sockets[0].getsockname())
-    assert (await backend.call_out(within=5_000_000, body=b"x" * 30_000_000))[0] is AttemptOutcome.BROKEN
+    assert (await backend.send_attempt(within=5_000_000, body=b"x" * 30_000_000))[0] is AttemptOutcome.BROKEN
     server.close()
 
 
@@ -148,16 +148,16 @@
 async def test_a_refused_connection_tells_of_a_dead_backend_only_if_no_other_one_is_up():
     async with StandIn() as stand_in:
         sender = Sender(stand_in.address)
-        await sender.call_out()
+        await sender.send_attempt()
         stand_in.answer = None
-        out = asyncio.create_task(sender.call_out(within=5_000_000))
+        out = asyncio.create_task(sender.send_attempt(within=5_000_000))
         await until(lambda: len(stand_in.got) == 2)
         stand_in.server.close()  # takes no more; the connection that is up stays
-        assert (await sender.call_out())[0] is AttemptOutcome.CUT
+        assert (await sender.send_attempt())[0] is AttemptOutcome.CUT
         out.cancel()
         await asyncio.wait([out])
-        assert (await sender.call_out())[0] is AttemptOutcome.NO_CONNECTION
-        assert sender.backends.descriptor_budget.used == sender.backends.sites[0].busy == 0
+        assert (await sender.send_attempt())[0] is AttemptOutcome.NO_CONNECTION
+        assert sender.backends.descriptor_budget.used == sender.backends.pools[0].busy == 0
 
 
 @on_loop
@@ -167,11 +167,11 @@
         silent.listen(0)
         with socket.create_connection(silent.getsockname()):
             sender, start = Sender(silent.getsockname()), time.monotonic()
-            assert (await sender.call_out(within=5_000_000))[0] is AttemptOutcome.NO_CONNECTION
+            assert (await sender.send_attempt(within=5_000_000))[0] is AttemptOutcome.NO_CONNECTION
             assert 0.2 < time.monotonic() - start < 1.0 and sender.backends.descriptor_budget.used == 0
-            out = asyncio.create_task(sender.call_out(within=5_000_000))
-            await until(lambda: sender.held.stop)
-            sender.held.stop(0)
+            out = asyncio.create_task(sender.send_attempt(within=5_000_000))
+            await until(lambda: sender.held.cancel_attempt)
+            sender.held.cancel_attempt(0)
             assert (await out)[0] is AttemptOutcome.NOT_SENT and sender.backends.descriptor_budget.used == 0
 
 
@@ -179,14 +179,14 @@
 async def test_a_call_off_closes_the_connection_so_that_a_late_answer_meets_no_other_rpc():
     async with StandIn(None) as stand_in:
         sender = Sender(stand_in.address)
-        out = asyncio.create_task(sender.call_out(n=3, within=5_000_000))
+        out = asyncio.create_task(sender.send_attempt(n=3, within=5_000_000))
         await until(lambda: stand_in.got)
-        sender.held.stop(2)
-        sender.held.stop(3)
+        sender.held.cancel_attempt(2)
+        sender.held.cancel_attempt(3)
         assert (await out)[0] is AttemptOutcome.CANCELLED
         await until(lambda: stand_in.closed == 1)
         stand_in.answer = OK
-        assert (await sender.call_out())[0] is AttemptOutcome.OK and stand_in.connections == 2
+        assert (await sender.send_attempt())[0] is AttemptOutcome.OK and stand_in.connections == 2
         assert sender.backends.descriptor_budget.used == 1
 
 
@@ -194,12 +194,12 @@
 async def test_a_call_off_that_meets_the_end_of_its_time_does_no_harm():
     async with StandIn(None) as stand_in:
         sender = Sender(stand_in.address)
-        out = asyncio.create_task(sender.call_out(within=20_000))
+        out = asyncio.create_task(sender.send_attempt(within=20_000))
         await until(lambda: stand_in.got)
         time.sleep(0.05)  # noqa: ASYNC251 -- the time is up, and the call-off comes in the same turn of the loop
         loop, faults = asyncio.get_running_loop(), []
         loop.set_exception_handler(lambda _, context: faults.append(context))
-        loop.call_later(0.0, lambda: sender.held.stop(0))
+        loop.call_later(0.0, lambda: sender.held.cancel_attempt(0))
         assert (await out)[0] is AttemptOutcome.TIMED_OUT and not faults
 
 
@@ -211,16 +211,16 @@
 
     async with StandIn(speaks_up) as stand_in:
         sender = Sender(stand_in.address)
-        site = sender.backends.sites[0]
+        site = sender.backends.pools[0]
         for made in (1, 2, 3, 3):
-            assert (await sender.call_out())[0] is AttemptOutcome.OK
+            assert (await sender.send_attempt())[0] is AttemptOutcome.OK
             assert stand_in.connections == made
             await until(lambda made=made: stand_in.closed >= min(made, 2))
             await until(lambda: not site.idle or len(stand_in.got) > 2)
         site.idle[0].used_at -= sender.backends.idle_us
-        assert (await sender.call_out())[0] is AttemptOutcome.OK and stand_in.connections == 4
+        assert (await sender.send_attempt())[0] is AttemptOutcome.OK and stand_in.connections == 4
         site.idle[0].used_at -= sender.backends.idle_us
-        sender.backends.sweep()
+        sender.backends.close_expired()
         assert not site.idle and sender.backends.descriptor_budget.used == 0
         assert len(stand_in.got) == 5, "each call-out was written once"
 
@@ -229,10 +229,10 @@
 async def test_a_backend_s_new_address_is_used_and_its_old_connections_are_not():
     async with StandIn() as old, StandIn() as new:
         sender = Sender(old.address)
-        await sender.call_out()
-        sender.backends.place(0, new.address)
+        await sender.send_attempt()
+        sender.backends.set_address(0, new.address)
         await until(lambda: old.closed == 1)
-        assert (await sender.call_out())[0] is AttemptOutcome.OK
+        assert (await sender.send_attempt())[0] is AttemptOutcome.OK
         assert len(new.got) == sender.backends.descriptor_budget.used == 1
 
 
@@ -240,9 +240,9 @@
 async def test_with_no_descriptor_left_idle_connections_go_else_nothing_is_sent():
     async with StandIn() as one, StandIn(None) as two:
         sender = Sender(one.address, most=1)
-        sender.backends.place(1, two.address)
-        await sender.call_out()
-        out = asyncio.create_task(sender.call_out(backend=1))
+        sender.backends.set_address(1, two.address)
+        await sender.send_attempt()
+        out = asyncio.create_task(sender.send_attempt(backend=1))
         await until(lambda: two.got and one.closed)
-        assert (await sender.call_out())[0] is AttemptOutcome.NOT_SENT
+        assert (await sender.send_attempt())[0] is AttemptOutcome.NOT_SENT
         assert (await out)[0] is AttemptOutcome.TIMED_OUT
--- a/tests/system/gateway_fixture.py
+++ b/tests/system/gateway_fixture.py
@@ -91,7 +91,7 @@
         self.clock, self.metrics = Clock(), Metrics()
         descriptor_budget = DescriptorBudget(200, 20)
         self.backends = Backends(self.clock, self.metrics, 300_000, 4_000_000, descriptor_budget, 1 << 20)
-        self.backends.judge = judge
+        self.backends.classify = judge
         self.instance_directory = InstanceDirectory(("10.0.0.1",))
         self.upstreams = Upstreams(
             self.clock, self.metrics, self.backends, self.instance_directory, ("east",), "east", 7, BOUNDS
--- a/tests/system/raw_backend.py
+++ b/tests/system/raw_backend.py
@@ -7,7 +7,7 @@
 
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
-from stoneyoke.runtime.runtime import Clock, Held
+from stoneyoke.runtime.runtime import Clock, PendingRequest
 from stoneyoke.runtime.metrics import Metrics
 
 BUFFER = 4096  # bytes that the peer's kernel takes of what is not read, or little more
@@ -90,9 +90,9 @@
 
     def __init__(self, address, dial_us=LONG_US, most=9):
         self.clock, self.metrics, self.links = Clock(), Metrics(), []
-        self.held = Held(1, self.clock, None)
+        self.held = PendingRequest(1, self.clock, None)
         self.backends = Backends(self.clock, self.metrics, dial_us, 30_000_000, DescriptorBudget(most, 0))
-        self.backends.place(0, address)
+        self.backends.set_address(0, address)
         connect = self.backends.connect
 
         async def connect_and_keep(site):
@@ -107,8 +107,8 @@
     async def send(self, body=b"order", within=LONG_US, ours=None):
         """The outcome and the answer."""
         head = [b"POST /x HTTP/1.1\r\nContent-Length: %d\r\n" % len(body)]
-        return await self.backends.call_out(self.held, 0, 0, head, body, self.clock.now() + within, ours)
+        return await self.backends.send_attempt(self.held, 0, 0, head, body, self.clock.now() + within, ours)
 
     def all_closed(self):
-        site = self.backends.sites[0]
+        site = self.backends.pools[0]
         return self.backends.descriptor_budget.used == site.busy == len(site.idle) == 0
--- a/tests/system/test_backend_at_work.py
+++ b/tests/system/test_backend_at_work.py
@@ -46,7 +46,7 @@
     runtime = gateway.upstreams.upstream(gateway.service).runtime
     for _ in range(BEATS):
         gateway.clock.base += BEAT
-        runtime.tell(TimerFired(0))
+        runtime.dispatch(TimerFired(0))
 
 
 @test("after SIGTERM a backend at work is not called off, and its answer reaches the client; before, it may be")
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -277,7 +277,7 @@
         for wrong in wrongs:
             status, _, _ = await gateway.ask(raw=wrong)
             assert 400 <= status < 600 and status not in (408, 421, 429, 503), f"{wrong!r} {status}"
-        assert not backend.got and not gateway.metrics.broken
+        assert not backend.got and not gateway.metrics.violations
         assert (await gateway.ask())[0] == 200
 
 
@@ -290,9 +290,9 @@
         status, headers, _ = await gateway.ask()
         assert status == 200 and headers["connection"] == b"close"
         ended = []
-        gateway.front.CROSSING_S = 0
+        gateway.front.IN_TRANSIT_S = 0
         await gateway.front.leave(0.6, lambda: ended.append(1))
-        assert ended and not gateway.front.open
+        assert ended and not gateway.front.connections
 
 
 @test("what each answer of a backend tells")
--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -12,7 +12,7 @@
 
 from stoneyoke.control.parameters import PROVEN_NOT_RUN
 from stoneyoke.control.parameters import AttemptOutcome
-from stoneyoke.net.backends import Attempt, Site
+from stoneyoke.net.backends import Attempt, BackendPool
 from stoneyoke.net.http import RequestWrite
 
 OK = b"HTTP/1.1 200 OK\r\nAttempt-Id: a-1\r\nContent-Length: 3\r\n\r\nyes"
@@ -63,7 +63,7 @@
     with RawBackend() as peer:
         sender = Sender(peer.address)
         assert (await sender.send(within=0))[0] is AttemptOutcome.NOT_SENT and not peer.waiting()
-        sender.backends.forget(0)
+        sender.backends.remove(0)
         assert (await sender.send())[0] is AttemptOutcome.NOT_SENT
 
 
@@ -79,8 +79,8 @@
             late = Sender(full.getsockname())
             assert (await late.send(within=SHORT_US))[0] is AttemptOutcome.NOT_SENT and late.all_closed()
             out = late.begin()
-            await until(lambda: late.held.stop)
-            late.held.stop(0)
+            await until(lambda: late.held.cancel_attempt)
+            late.held.cancel_attempt(0)
             assert (await out)[0] is AttemptOutcome.NOT_SENT and late.all_closed()
             out = late.begin()
             await until(lambda: late.backends.descriptor_budget.used)
@@ -101,10 +101,10 @@
 
             def takes(_, sender=sender, leaves=leaves):
                 if not leaves:
-                    sender.backends.place(0, ("127.0.0.1", 1))
+                    sender.backends.set_address(0, ("127.0.0.1", 1))
                 return not leaves
 
-            sender.backends.takes = takes
+            sender.backends.accepts_new_work = takes
             assert (await sender.send())[0] is AttemptOutcome.NOT_SENT and sender.backends.descriptor_budget.used == 0
             assert arrived(peer.accept()) == b""
 
@@ -120,7 +120,7 @@
             seen_by_kernel(sender.links[0].writer)
             return True
 
-        sender.backends.takes = takes
+        sender.backends.accepts_new_work = takes
         assert (await sender.send())[0] is AttemptOutcome.CUT and sender.all_closed()
 
 
@@ -134,7 +134,7 @@
             sender.links[0].line.data_received(OK)
             return True
 
-        sender.backends.takes = takes
+        sender.backends.accepts_new_work = takes
         assert (await sender.send())[0] is AttemptOutcome.CUT and sender.all_closed()
         assert arrived(peer.accept()) == b""
 
@@ -182,17 +182,17 @@
         assert request.may_have_left() is left
     request = RequestWrite(Transport())
     request.start([b"POST / HTTP/1.1\r\n"], b"order")
-    attempt = Attempt(Site(("127.0.0.1", 1)))
+    attempt = Attempt(BackendPool(("127.0.0.1", 1)))
     attempt.request = request
     assert (
-        attempt.failed(TimeoutError(), True, True) is AttemptOutcome.NOT_SENT
+        attempt.failure_outcome(TimeoutError(), True, True) is AttemptOutcome.NOT_SENT
     )  # called off with every byte still here
     try:
         await request.finish()  # it ends without an error, as a transport does that was closed from this side
         raise AssertionError("a request that was not written whole passes for one that was")
     except ConnectionResetError as bad:
         assert request.may_have_left(), "a transport that has closed meanwhile proves nothing"
-        assert attempt.failed(bad, False, False) is AttemptOutcome.BROKEN
+        assert attempt.failure_outcome(bad, False, False) is AttemptOutcome.BROKEN
 
 
 # ---- once a byte can have left ----
@@ -204,7 +204,7 @@
     with RawBackend() as peer:
 
         def called_off(sender, *_):
-            sender.held.stop(0)
+            sender.held.cancel_attempt(0)
 
         for ends, outcome in (
             (lambda _, connection: reset(connection), AttemptOutcome.BROKEN),
@@ -235,7 +235,7 @@
     with RawBackend() as peer:
 
         def called_off(sender, *_):
-            sender.held.stop(0)
+            sender.held.cancel_attempt(0)
 
         def kernel_gives_up(sender, _):  # ETIMEDOUT is a TimeoutError, as the dial's is
             sender.links[0].line.connection_lost(TimeoutError(errno.ETIMEDOUT, "timed out"))
@@ -271,8 +271,8 @@
     with RawBackend() as peer:
         sender = Sender(peer.address)
         out, connection = await whole_request(peer, sender)
-        sender.backends.may_call_off = False
-        sender.held.stop(0)
+        sender.backends.may_cancel_attempts = False
+        sender.held.cancel_attempt(0)
         connection.sendall(OK)
         assert (await out)[0] is AttemptOutcome.OK
 
@@ -343,7 +343,7 @@
             connection.sendall(OTHER)
             await until(lambda sender=sender: sender.links[0].doubted)
             if outcome is AttemptOutcome.CANCELLED:
-                sender.held.stop(0)
+                sender.held.cancel_attempt(0)
             else:
                 await after_all_time(out)
             assert await out == (outcome, None) and sender.all_closed()
