--- a/stoneyoke/consensus/message_rows.py
+++ b/stoneyoke/consensus/message_rows.py
@@ -1,7 +1,8 @@
 """Values of the register as rows of messages, both ways. No I/O."""
 
 from stoneyoke.api.configuration import Version
-from stoneyoke.consensus.protocol import NO_BALLOT, Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
+from stoneyoke.consensus.register_value import Accepted, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.transport.messages import BallotRow, MemberRow, Stamp, ValueRow
 
 EMPTY = RegisterValue(VoterSet())
--- a/stoneyoke/consensus/record_formats.py
+++ b/stoneyoke/consensus/record_formats.py
@@ -9,14 +9,8 @@
 import msgpack
 
 from stoneyoke.api.configuration import Version
-from stoneyoke.consensus.protocol import (
-    FIRST_DISK,
-    Accepted,
-    Ballot,
-    RegisterValue,
-    ReplicaId,
-    VoterSet,
-)
+from stoneyoke.consensus.ballot import Ballot
+from stoneyoke.consensus.register_value import FIRST_DISK, Accepted, RegisterValue, ReplicaId, VoterSet
 
 Record = dict[bytes, bytes]
 IDENTITY, PROMISE, REGISTER = "identity", "promise", "register"
--- a/stoneyoke/consensus/recovery.py
+++ b/stoneyoke/consensus/recovery.py
@@ -5,7 +5,8 @@
 
 from dataclasses import replace
 
-from stoneyoke.consensus.protocol import Accepted, Ballot, ReplicaId, VoterSet
+from stoneyoke.consensus.ballot import Ballot
+from stoneyoke.consensus.register_value import Accepted, ReplicaId, VoterSet
 
 # Above any ballot and set that members which were not heard may hold.
 BALLOTS_SKIPPED = 1_000_000
--- a/stoneyoke/consensus/replica.py
+++ b/stoneyoke/consensus/replica.py
@@ -10,16 +10,8 @@
 
 from stoneyoke.api.configuration import Version, read_configuration
 from stoneyoke.api.schema import InvalidField
-from stoneyoke.consensus.protocol import (
-    FIRST_DISK,
-    NO_BALLOT,
-    Accepted,
-    Acceptor,
-    Ballot,
-    ReplicaId,
-    VoterSet,
-    initial_value,
-)
+from stoneyoke.consensus.acceptor import Acceptor
+from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
 from stoneyoke.consensus.record_formats import (
     IDENTITY,
     OLD_CONFIGURATION,
@@ -36,6 +28,7 @@
     read_register,
     register_record,
 )
+from stoneyoke.consensus.register_value import FIRST_DISK, Accepted, ReplicaId, VoterSet, initial_value
 from stoneyoke.storage.record_store import StorageError
 
 START_RETRY_S = 0.5  # a disk that refuses at the start is tried again
--- a/stoneyoke/consensus/replication.py
+++ b/stoneyoke/consensus/replication.py
@@ -10,6 +10,8 @@
 
 from loguru import logger
 
+from stoneyoke.consensus.ballot import Ballot
+from stoneyoke.consensus.majority_read import Query
 from stoneyoke.consensus.message_rows import (
     accepted_rows,
     ballot_row,
@@ -18,7 +20,8 @@
     read_value,
     value_row,
 )
-from stoneyoke.consensus.protocol import Accepted, Ballot, Change, Phase, Query, ReplicaId, Round
+from stoneyoke.consensus.proposal_round import Phase, Round
+from stoneyoke.consensus.register_value import Accepted, Change, ReplicaId, unchanged
 from stoneyoke.consensus.replica import Replica
 from stoneyoke.controlplane.peers import Peers
 from stoneyoke.storage.record_store import StorageError
@@ -46,11 +49,6 @@
 Spawn = Callable[[Coroutine[Any, Any, Any]], "asyncio.Task[Any]"]
 
 
-def unchanged(value: Any) -> Any:
-    """The change of a round that only settles what is there."""
-    return value
-
-
 class Replication:
     """proposer: this process's part of ballots: its address and life, never used by another process."""
 
--- a/stoneyoke/consensus/voter_set.py
+++ b/stoneyoke/consensus/voter_set.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, replace
 
-from stoneyoke.consensus.protocol import Change, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.register_value import Change, RegisterValue, ReplicaId, VoterSet
 
 # A voter that is silent for this part of catch_up_s is replaced if a learner stands ready. A lost machine counts as
 # lost until catch_up_s after its successor's start: the other half is left for the successor's start and the rounds.
--- a/stoneyoke/controlplane/configuration_service.py
+++ b/stoneyoke/controlplane/configuration_service.py
@@ -10,7 +10,7 @@
 
 from stoneyoke.api.calls import Acknowledged, Answer, Document, Rejected, Unavailable
 from stoneyoke.api.configuration import Configuration
-from stoneyoke.consensus.protocol import Accepted, RegisterValue
+from stoneyoke.consensus.register_value import Accepted, RegisterValue
 from stoneyoke.consensus.replication import LARGE_S, Replication
 
 ANSWER_TIMEOUT_S = 0.85  # a caller moves on after a second of silence (PROTOCOL, The operator)
--- a/stoneyoke/controlplane/controller.py
+++ b/stoneyoke/controlplane/controller.py
@@ -22,8 +22,8 @@
 )
 from stoneyoke.api.configuration import Configuration, Version, read_configuration
 from stoneyoke.api.schema import InvalidField
+from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
 from stoneyoke.consensus.message_rows import EMPTY, ballot_row, member_row, stamp, value_row
-from stoneyoke.consensus.protocol import NO_BALLOT, Ballot
 from stoneyoke.consensus.replica import RecordStorage, Replica
 from stoneyoke.consensus.replication import Replication
 from stoneyoke.consensus.voter_set import wanted_size
--- a/stoneyoke/controlplane/leases.py
+++ b/stoneyoke/controlplane/leases.py
@@ -5,8 +5,8 @@
 
 from dataclasses import dataclass, field
 
-from stoneyoke.consensus.protocol import ReplicaId
 from stoneyoke.consensus.quorum import majority
+from stoneyoke.consensus.register_value import ReplicaId
 
 LEASE_TTL_S = 1.0
 HOLDER_TTL_FRACTION = 0.85  # of the lease, after which its holder stops: clocks run apart by less
--- a/stoneyoke/controlplane/membership.py
+++ b/stoneyoke/controlplane/membership.py
@@ -6,8 +6,8 @@
 
 from loguru import logger
 
-from stoneyoke.consensus.protocol import ReplicaId, VoterSet
-from stoneyoke.consensus.replication import Replication, unchanged
+from stoneyoke.consensus.register_value import ReplicaId, VoterSet, unchanged
+from stoneyoke.consensus.replication import Replication
 from stoneyoke.consensus.voter_set import LOST_PART, STEADY_S, MemberReport, change_of_voters, next_members
 from stoneyoke.controlplane.peers import NEVER, Peers
 
--- a/stoneyoke/controlplane/peers.py
+++ b/stoneyoke/controlplane/peers.py
@@ -5,9 +5,10 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
+from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
 from stoneyoke.consensus.message_rows import read_value
-from stoneyoke.consensus.protocol import NO_BALLOT, Accepted, Ballot, ReplicaId
 from stoneyoke.consensus.quorum import majority
+from stoneyoke.consensus.register_value import Accepted, ReplicaId
 from stoneyoke.transport.messages import Message, PullResponse
 
 CONTACT_TIMEOUT_S = 1.2  # a peer that answered within this is in touch
--- a/stoneyoke/controlplane/quota_lease.py
+++ b/stoneyoke/controlplane/quota_lease.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from stoneyoke.consensus.message_rows import member_row
-from stoneyoke.consensus.protocol import ReplicaId
+from stoneyoke.consensus.register_value import ReplicaId
 from stoneyoke.consensus.replica import Replica
 from stoneyoke.consensus.replication import Spawn
 from stoneyoke.controlplane.leases import LEASE_TTL_S, RENEW_INTERVAL_S, LeaseGranter, LeaseHolder
--- a/stoneyoke/gateway/instance_directory.py
+++ b/stoneyoke/gateway/instance_directory.py
@@ -6,7 +6,9 @@
 
 from dataclasses import dataclass, field
 
-from stoneyoke.consensus.protocol import Accepted, Ballot, ReplicaId, VoterSet, newest_view
+from stoneyoke.consensus.ballot import Ballot
+from stoneyoke.consensus.majority_read import newest_view
+from stoneyoke.consensus.register_value import Accepted, ReplicaId, VoterSet
 from stoneyoke.consensus.quorum import majority
 from stoneyoke.consensus.message_rows import read_value
 from stoneyoke.controlplane.instance_registry import Phase, Row
--- a/stoneyoke/lab/simulation/consensus_defects.py
+++ b/stoneyoke/lab/simulation/consensus_defects.py
@@ -7,9 +7,13 @@
 
 from stoneyoke.api.calls import Acknowledged, Answer, Rejected
 from stoneyoke.api.configuration import Configuration
-from stoneyoke.consensus import protocol, replica, voter_set
-from stoneyoke.consensus.protocol import Accepted, Acceptor, Ballot, Query, RegisterValue, ReplicaId, Round
+from stoneyoke.consensus import quorum, replica, voter_set
+from stoneyoke.consensus.acceptor import Acceptor
+from stoneyoke.consensus.ballot import Ballot
+from stoneyoke.consensus.majority_read import Query
+from stoneyoke.consensus.proposal_round import Phase, Round
 from stoneyoke.consensus.quorum import majority
+from stoneyoke.consensus.register_value import Accepted, Change, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.controlplane import configuration_service
 from stoneyoke.lab.simulation.exhaustive import failures, operations, reads, search, snapshots, state
 
@@ -24,7 +28,7 @@
     def short(voters: int) -> int:
         return max(1, voters // 2)
 
-    return [(protocol, "majority", short)]
+    return [(quorum, "majority", short)]
 
 
 def own_wish_first() -> list[Patch]:
@@ -75,14 +79,14 @@
             return real(self, found)
         return replace(proposal, previous=found.voters.members)
 
-    def change(chosen: RegisterValue, wanted: tuple[ReplicaId, ...]) -> protocol.Change | None:
+    def change(chosen: RegisterValue, wanted: tuple[ReplicaId, ...]) -> Change | None:
         if wanted == chosen.voters.members:
             return None
 
         def with_members(found: RegisterValue) -> RegisterValue:
             if wanted == found.voters.members:
                 return found
-            return replace(found, voters=protocol.VoterSet(found.voters.number + 1, wanted))
+            return replace(found, voters=VoterSet(found.voters.number + 1, wanted))
 
         return with_members
 
@@ -182,7 +186,7 @@
 
     def newest_view(views: Mapping[ReplicaId, Accepted]) -> Accepted | None:
         newest = max(views.values(), key=lambda view: view.ballot)
-        return newest if protocol.has_copies(newest.value.voters.members, views) else None
+        return newest if quorum.has_copies(newest.value.voters.members, views) else None
 
     return [(reads, "newest_view", newest_view)]
 
@@ -196,7 +200,7 @@
     """A proposal counts as chosen once its proposer has sent it."""
 
     def accepted(self: Round, voter: ReplicaId) -> None:
-        self.phase = protocol.Phase.CHOSEN
+        self.phase = Phase.CHOSEN
 
     return [(Round, "accepted", accepted)]
 
@@ -216,7 +220,7 @@
     def has_majority(group: Iterable[ReplicaId], heard: Iterable[ReplicaId]) -> bool:
         return len(set(heard)) >= majority(len(set(group)))
 
-    return [(protocol, "has_majority", has_majority)]
+    return [(quorum, "has_majority", has_majority)]
 
 
 CONSENSUS_DEFECTS: dict[str, Callable[[], list[Patch]]] = {
--- a/stoneyoke/lab/simulation/exhaustive/invariants.py
+++ b/stoneyoke/lab/simulation/exhaustive/invariants.py
@@ -6,7 +6,8 @@
 from collections.abc import Iterable
 
 from stoneyoke.api.configuration import Version
-from stoneyoke.consensus.protocol import Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.ballot import Ballot
+from stoneyoke.consensus.register_value import Accepted, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.lab.simulation.exhaustive.state import History, LowerBound, State
 
 
--- a/stoneyoke/lab/simulation/exhaustive/models.py
+++ b/stoneyoke/lab/simulation/exhaustive/models.py
@@ -3,7 +3,8 @@
 from dataclasses import dataclass
 
 from stoneyoke.api.configuration import Version
-from stoneyoke.consensus.protocol import NO_BALLOT, ReplicaId, initial_value
+from stoneyoke.consensus.ballot import NO_BALLOT
+from stoneyoke.consensus.register_value import ReplicaId, initial_value
 from stoneyoke.lab.simulation.exhaustive.state import (
     Gateway,
     History,
--- a/stoneyoke/lab/simulation/exhaustive/operations.py
+++ b/stoneyoke/lab/simulation/exhaustive/operations.py
@@ -4,8 +4,7 @@
 
 from stoneyoke.api.calls import Acknowledged, Rejected
 from stoneyoke.consensus import voter_set
-from stoneyoke.consensus.protocol import Accepted, Change, ReplicaId
-from stoneyoke.consensus.replication import unchanged
+from stoneyoke.consensus.register_value import Accepted, Change, ReplicaId, unchanged
 from stoneyoke.consensus.voter_set import MemberReport
 from stoneyoke.controlplane import configuration_service
 from stoneyoke.lab.simulation.exhaustive import invariants
--- a/stoneyoke/lab/simulation/exhaustive/reads.py
+++ b/stoneyoke/lab/simulation/exhaustive/reads.py
@@ -2,7 +2,8 @@
 
 from collections.abc import Iterator
 
-from stoneyoke.consensus.protocol import Accepted, newest_view
+from stoneyoke.consensus.majority_read import newest_view
+from stoneyoke.consensus.register_value import Accepted
 from stoneyoke.lab.simulation.exhaustive import invariants
 from stoneyoke.lab.simulation.exhaustive.models import Model
 from stoneyoke.lab.simulation.exhaustive.rounds import check_known, finish
--- a/stoneyoke/lab/simulation/exhaustive/rounds.py
+++ b/stoneyoke/lab/simulation/exhaustive/rounds.py
@@ -2,7 +2,9 @@
 
 from collections.abc import Iterator
 
-from stoneyoke.consensus.protocol import Accepted, Ballot, Phase, Round
+from stoneyoke.consensus.ballot import Ballot
+from stoneyoke.consensus.proposal_round import Phase, Round
+from stoneyoke.consensus.register_value import Accepted
 from stoneyoke.consensus.replica import Replica
 from stoneyoke.lab.simulation.exhaustive import invariants, operations
 from stoneyoke.lab.simulation.exhaustive.models import Model
--- a/stoneyoke/lab/simulation/exhaustive/search.py
+++ b/stoneyoke/lab/simulation/exhaustive/search.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from stoneyoke.consensus.protocol import Accepted
+from stoneyoke.consensus.register_value import Accepted
 from stoneyoke.lab.simulation.exhaustive.models import MODELS, Model
 from stoneyoke.lab.simulation.exhaustive.state import State
 from stoneyoke.lab.simulation.exhaustive.transitions import initial_state, transitions
--- a/stoneyoke/lab/simulation/exhaustive/snapshots.py
+++ b/stoneyoke/lab/simulation/exhaustive/snapshots.py
@@ -4,7 +4,10 @@
 from typing import Any
 
 from stoneyoke.api.configuration import Configuration, Version
-from stoneyoke.consensus.protocol import Acceptor, Change, Phase, Query, Round
+from stoneyoke.consensus.acceptor import Acceptor
+from stoneyoke.consensus.majority_read import Query
+from stoneyoke.consensus.proposal_round import Phase, Round
+from stoneyoke.consensus.register_value import Change
 from stoneyoke.consensus.replica import Replica
 from stoneyoke.lab.simulation.exhaustive.state import Process, QuerySnapshot, RoundSnapshot
 
--- a/stoneyoke/lab/simulation/exhaustive/state.py
+++ b/stoneyoke/lab/simulation/exhaustive/state.py
@@ -4,7 +4,9 @@
 from typing import NamedTuple
 
 from stoneyoke.api.configuration import Version
-from stoneyoke.consensus.protocol import NO_BALLOT, Accepted, Ballot, Phase, RegisterValue, ReplicaId
+from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
+from stoneyoke.consensus.proposal_round import Phase
+from stoneyoke.consensus.register_value import Accepted, RegisterValue, ReplicaId
 
 
 class OperationKind(Enum):
--- a/stoneyoke/lab/simulation/exhaustive/transitions.py
+++ b/stoneyoke/lab/simulation/exhaustive/transitions.py
@@ -8,7 +8,8 @@
 
 from collections.abc import Iterator
 
-from stoneyoke.consensus.protocol import Acceptor, Phase
+from stoneyoke.consensus.acceptor import Acceptor
+from stoneyoke.consensus.proposal_round import Phase
 from stoneyoke.lab.simulation.exhaustive import operations
 from stoneyoke.lab.simulation.exhaustive.failures import failures
 from stoneyoke.lab.simulation.exhaustive.models import Model
--- a/stoneyoke/lab/simulation/fleet_defects.py
+++ b/stoneyoke/lab/simulation/fleet_defects.py
@@ -5,7 +5,7 @@
 
 from stoneyoke.api.calls import Acknowledged
 from stoneyoke.api.configuration import Version, read_configuration
-from stoneyoke.consensus import protocol
+from stoneyoke.consensus.register_value import ReplicaId
 from stoneyoke.controlplane import discovery_service, instance_registry, leases
 from stoneyoke.gateway import admission, config_sync, instance_directory
 from stoneyoke.lab.simulation.register_defects import Patch
@@ -34,9 +34,9 @@
 
     def record_reply(
         self: leases.LeaseHolder,
-        voter: protocol.ReplicaId,
+        voter: ReplicaId,
         ok: bool,
-        voters: tuple[protocol.ReplicaId, ...],
+        voters: tuple[ReplicaId, ...],
         began: float,
         now: float,
     ) -> None:
--- a/stoneyoke/lab/simulation/invariants.py
+++ b/stoneyoke/lab/simulation/invariants.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from stoneyoke.consensus.protocol import FIRST_DISK, Accepted
+from stoneyoke.consensus.register_value import FIRST_DISK, Accepted
 from stoneyoke.controlplane.controller import Controller
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.lab.simulation.bounds import BOUNDS, CONVERGE_S, TICK_S
--- a/stoneyoke/lab/simulation/register_defects.py
+++ b/stoneyoke/lab/simulation/register_defects.py
@@ -1,11 +1,14 @@
-"""Defects of the register: of protocol, its records, its voters, and what operators are told."""
+"""Defects of the register: of consensus, its records, its voters, and what operators are told."""
 
 from dataclasses import replace
 from typing import Any
 
 from stoneyoke.api.calls import Acknowledged, Rejected
-from stoneyoke.consensus import protocol, replica, replication
+from stoneyoke.consensus import quorum, replica, replication
+from stoneyoke.consensus.acceptor import Acceptor
+from stoneyoke.consensus.proposal_round import Phase, Round
 from stoneyoke.consensus.record_formats import PROMISE
+from stoneyoke.consensus.register_value import FIRST_DISK, RegisterValue
 from stoneyoke.controlplane import configuration_service, leases, membership, peers
 from stoneyoke.storage import record_store
 
@@ -18,7 +21,7 @@
     def short(voters: int) -> int:
         return max(1, voters // 2)
 
-    return [(protocol, "majority", short)]
+    return [(quorum, "majority", short)]
 
 
 def copies_short() -> list[Patch]:
@@ -27,7 +30,7 @@
     def short(voters: int) -> int:
         return max(1, (voters + 1) // 2 - 1)
 
-    return [(protocol, "copies", short)]
+    return [(quorum, "copies", short)]
 
 
 def lost_disk_votes() -> list[Patch]:
@@ -36,7 +39,7 @@
 
     async def load(self: replica.Replica, seeds: tuple[str, ...], first_start: bool, random_source: Any) -> None:
         await real(self, seeds, first_start, random_source)
-        self.identity = self.identity._replace(disk=protocol.FIRST_DISK)
+        self.identity = self.identity._replace(disk=FIRST_DISK)
 
     return [(replica.Replica, "load", load)]
 
@@ -56,12 +59,12 @@
 
 def accepts_any() -> list[Patch]:
     """A voter accepts whatever it has promised."""
-    return [(protocol.Acceptor, "may_accept", lambda self, ballot: True)]
+    return [(Acceptor, "may_accept", lambda self, ballot: True)]
 
 
 def joint_ignored() -> list[Patch]:
     """A change of voters is decided by the new ones alone."""
-    return [(protocol.RegisterValue, "groups", lambda self: (self.voters.members,))]
+    return [(RegisterValue, "groups", lambda self: (self.voters.members,))]
 
 
 def highest_digest_wins() -> list[Patch]:
@@ -126,20 +129,20 @@
 
     async def accept_at(self: replication.Replication, current: Any, address: str) -> None:
         await real(self, current, address)
-        if address == self.peers.own_address and current.phase is protocol.Phase.ACCEPT:
-            current.phase = protocol.Phase.CHOSEN
+        if address == self.peers.own_address and current.phase is Phase.ACCEPT:
+            current.phase = Phase.CHOSEN
 
     return [(replication.Replication, "accept_at", accept_at)]
 
 
 def replaced_singly() -> list[Patch]:
     """The voters before are forgotten at once: a change needs a majority of the new ones only."""
-    real = protocol.Round.build
+    real = Round.build
 
-    def build(self: protocol.Round, found: protocol.RegisterValue) -> protocol.RegisterValue:
+    def build(self: Round, found: RegisterValue) -> RegisterValue:
         return replace(real(self, found), previous=())
 
-    return [(protocol.Round, "build", build)]
+    return [(Round, "build", build)]
 
 
 def never_caught_up() -> list[Patch]:
--- a/stoneyoke/lab/simulation/register_history.py
+++ b/stoneyoke/lab/simulation/register_history.py
@@ -9,7 +9,8 @@
 from typing import NamedTuple
 
 from stoneyoke.api.configuration import Configuration, Version
-from stoneyoke.consensus.protocol import Accepted, Ballot, RegisterValue
+from stoneyoke.consensus.ballot import Ballot
+from stoneyoke.consensus.register_value import Accepted, RegisterValue
 
 Must = Callable[[bool, float, str], None]
 
--- a/stoneyoke/programs/stoneyokectl.py
+++ b/stoneyoke/programs/stoneyokectl.py
@@ -23,7 +23,7 @@
 from stoneyoke.api.calls import addressed
 from stoneyoke.api.configuration import NUMBER, Configuration, read_configuration
 from stoneyoke.api.schema import InvalidField
-from stoneyoke.consensus.protocol import NO_BALLOT, ReplicaId
+from stoneyoke.consensus.ballot import NO_BALLOT
 from stoneyoke.consensus.record_formats import (
     IDENTITY,
     OLD_CONFIGURATION,
@@ -37,6 +37,7 @@
     register_record,
 )
 from stoneyoke.consensus.recovery import recovered
+from stoneyoke.consensus.register_value import ReplicaId
 from stoneyoke.storage.record_store import RecordStore, StorageError
 
 CORES = flags.DEFINE_list("core", [], "Addresses of core machines (control_addr), asked in turn.")
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -5,21 +5,12 @@
 from ward import raises, test
 
 from stoneyoke.api.configuration import Version
-from stoneyoke.consensus.protocol import (
-    NO_BALLOT,
-    Accepted,
-    Acceptor,
-    Ballot,
-    Phase,
-    Query,
-    RegisterValue,
-    ReplicaId,
-    Round,
-    VoterSet,
-    initial_value,
-    needed_groups,
-    newest_view,
-)
+from stoneyoke.consensus.acceptor import Acceptor
+from stoneyoke.consensus.ballot import Ballot, NO_BALLOT
+from stoneyoke.consensus.majority_read import Query, newest_view
+from stoneyoke.consensus.proposal_round import Phase, Round
+from stoneyoke.consensus.register_value import Accepted, RegisterValue, ReplicaId, VoterSet, initial_value
+from stoneyoke.consensus.voter_groups import needed_groups
 
 A, B, C, D = (ReplicaId(name, "first") for name in "abcd")
 FIRST = initial_value("cab")
--- a/tests/system/test_controller.py
+++ b/tests/system/test_controller.py
@@ -6,7 +6,7 @@
 from ward import test
 
 from stoneyoke.api.calls import Acknowledged, Document, ReadConfiguration, Rejected, Unavailable, ask
-from stoneyoke.consensus.protocol import FIRST_DISK
+from stoneyoke.consensus.register_value import FIRST_DISK
 from stoneyoke.controlplane.instance_registry import Phase
 
 
--- a/tests/system/test_controlplane.py
+++ b/tests/system/test_controlplane.py
@@ -6,7 +6,8 @@
 from stoneyoke.api.calls import Acknowledged, Rejected
 from stoneyoke.api.configuration import Version, read_configuration
 from stoneyoke.controlplane.configuration_service import apply_replacements, outcome_of
-from stoneyoke.consensus.protocol import Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.ballot import Ballot
+from stoneyoke.consensus.register_value import Accepted, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.controlplane.heartbeat_ring import watchers
 from stoneyoke.controlplane.instance_registry import InstanceRegistry, Phase, Row
 from stoneyoke.controlplane.leases import HOLDER_TTL_FRACTION, LEASE_TTL_S, LeaseGranter, LeaseHolder
--- a/tests/system/test_exhaustive.py
+++ b/tests/system/test_exhaustive.py
@@ -4,7 +4,7 @@
 
 from ward import test
 
-from stoneyoke.consensus import protocol
+from stoneyoke.consensus import quorum
 from stoneyoke.lab.simulation.consensus_defects import CONSENSUS_DEFECTS, MODEL_THAT_FINDS, found, seeded
 from stoneyoke.lab.simulation.exhaustive.search import explore, model_named
 from stoneyoke.lab.simulation.exhaustive.models import MODELS
@@ -54,7 +54,7 @@
 
 @test("a defect of the register is there only while it is seeded")
 def _():
-    before = protocol.majority
+    before = quorum.majority
     with seeded("majority_one_short"):
-        assert protocol.majority(3) == 1
-    assert protocol.majority is before
+        assert quorum.majority(3) == 1
+    assert quorum.majority is before
--- a/tests/system/test_recovery.py
+++ b/tests/system/test_recovery.py
@@ -10,7 +10,8 @@
 
 from stoneyoke.api.calls import Acknowledged, Document, ReadConfiguration, Unavailable
 from stoneyoke.api.configuration import read_configuration
-from stoneyoke.consensus.protocol import FIRST_DISK, Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.ballot import Ballot
+from stoneyoke.consensus.register_value import Accepted, FIRST_DISK, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.consensus.record_formats import (
     IDENTITY,
     PROMISE,
--- a/tests/system/test_stored_data.py
+++ b/tests/system/test_stored_data.py
@@ -12,7 +12,8 @@
 from ward import fixture, test
 
 from stoneyoke.api.configuration import Version, read_configuration
-from stoneyoke.consensus.protocol import FIRST_DISK, Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.ballot import Ballot
+from stoneyoke.consensus.register_value import Accepted, FIRST_DISK, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.consensus.record_formats import (
     IDENTITY,
     PROMISE,
