--- a/stoneyoke/controlplane/http_api.py
+++ b/stoneyoke/controlplane/http_api.py
@@ -7,7 +7,10 @@
 from loguru import logger
 
 from stoneyoke.api.calls import Answer, Asked, Rejected, Unavailable, answer, ask
-from stoneyoke.net.http import MalformedMessage, MessageReader, StreamProtocol, status_line, write_message
+from stoneyoke.net.errors import MalformedMessage
+from stoneyoke.net.message_reader import MessageReader
+from stoneyoke.net.message_writer import status_line, write_message
+from stoneyoke.net.stream import StreamProtocol
 
 IDLE_S = 30.0
 
--- a/stoneyoke/fleet/transport.py
+++ b/stoneyoke/fleet/transport.py
@@ -12,8 +12,9 @@
 from stoneyoke.fleet.agent import TICK, FleetAgent
 from stoneyoke.fleet.membership import Address
 from stoneyoke.fleet.messages import Member
+from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Clock, Runtime
+from stoneyoke.runtime.runtime import Runtime
 from stoneyoke.single_gateway.options import FleetParameters
 
 STATES = ("is there", "is suspected", "is dead", "has left")
--- a/stoneyoke/gateway/request_handler.py
+++ b/stoneyoke/gateway/request_handler.py
@@ -9,7 +9,7 @@
 from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.clients import IN_TRANSIT_S, ClientConnection, ClientConnections
-from stoneyoke.net.http import Message
+from stoneyoke.net.message_reader import Message
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.net.reply import CLIENT_GONE, Reply
 from stoneyoke.gateway.admission import Admission
@@ -18,7 +18,8 @@
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 from stoneyoke.gateway.routes import Route, Table, Tenant
 from stoneyoke.gateway.quota_client import QuotaClient
-from stoneyoke.runtime.runtime import Clock, PendingRequest
+from stoneyoke.runtime.clock import Clock
+from stoneyoke.runtime.pending_request import PendingRequest, RequestDescription
 from stoneyoke.runtime.metrics import Metrics
 
 SLACK_US = 15_000  # before the client's time is up, so that the answer is there
@@ -139,7 +140,7 @@
         upstream = self.upstreams.upstream(route.service(self.draw()))
         method = self.upstreams.method(upstream, route)
         held = client.pending = upstream.runtime.open_request(
-            method, min(tenant.rank, RANKS - 1), 0, until, 1.0, 1.0, None
+            RequestDescription(method=method, plan=min(tenant.rank, RANKS - 1)), until
         )
         last: Message | None = None  # a backend's own failure, passed on where nothing better comes
         unrun = True
--- a/stoneyoke/gateway/request_head.py
+++ b/stoneyoke/gateway/request_head.py
@@ -2,7 +2,8 @@
 
 import re
 
-from stoneyoke.net.http import MalformedMessage, Message
+from stoneyoke.net.errors import MalformedMessage
+from stoneyoke.net.message_reader import Message
 
 HOP = frozenset(
     (
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -16,11 +16,12 @@
     GatewayParameters,
 )
 from stoneyoke.net.backends import Backends
-from stoneyoke.net.http import Message
+from stoneyoke.net.message_reader import Message
 from stoneyoke.gateway.control_client import Fleet
 from stoneyoke.gateway.instance_directory import KnownInstance, InstanceDirectory
 from stoneyoke.gateway.routes import Route
-from stoneyoke.runtime.runtime import Clock, Runtime
+from stoneyoke.runtime.clock import Clock
+from stoneyoke.runtime.runtime import Runtime
 from stoneyoke.runtime.metrics import Metrics
 
 WARM_UP_US = 3_000_000  # backends say how much longer they are slow; all are taken to begin this long before
--- a/stoneyoke/lab/capacity/hot_paths.py
+++ b/stoneyoke/lab/capacity/hot_paths.py
@@ -24,8 +24,8 @@
 from stoneyoke.limits.token_bucket import SECOND
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
+from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Clock
 from stoneyoke.transport.messages import (
     TYPES,
     FetchRequest,
--- a/stoneyoke/lab/cluster.py
+++ b/stoneyoke/lab/cluster.py
@@ -19,7 +19,9 @@
 
 from absl import app, flags
 
-from stoneyoke.net.http import MalformedMessage, Message, MessageReader, status_line, write_message
+from stoneyoke.net.errors import MalformedMessage
+from stoneyoke.net.message_reader import Message, MessageReader
+from stoneyoke.net.message_writer import status_line, write_message
 
 SECONDS = flags.DEFINE_float("seconds", 0.0, "Length of a trial; 0: up until Ctrl-C, without traffic or faults.")
 GATEWAYS = flags.DEFINE_integer("gateways", 2, "Gateways.", lower_bound=1)
--- a/stoneyoke/net/backends.py
+++ b/stoneyoke/net/backends.py
@@ -9,18 +9,13 @@
 
 from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.descriptor_budget import DescriptorBudget, EvictionCandidate
-from stoneyoke.net.http import (
-    BODY_MAX_BYTES,
-    MalformedMessage,
-    Message,
-    MessageReader,
-    RequestWrite,
-    StreamProtocol,
-    connect,
-    readable,
-)
+from stoneyoke.net.errors import MalformedMessage
+from stoneyoke.net.message_reader import BODY_MAX_BYTES, Message, MessageReader
+from stoneyoke.net.message_writer import RequestWrite
+from stoneyoke.net.stream import StreamProtocol, connect, is_readable
+from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Clock, PendingRequest
+from stoneyoke.runtime.pending_request import PendingRequest
 
 # A backend closes an idle connection when the settings' time is up; one idle for this part of it isn't used.
 IDLE_PART = 0.75
@@ -37,11 +32,11 @@
 
     def clean(self) -> bool:
         """Whether nothing but answers that were taken has come, each to its own request, and neither end closed it."""
-        taken_all = self.line.received == self.answers.taken and not self.answers.pending()
+        taken_all = self.line.bytes_received == self.answers.bytes_parsed and not self.answers.pending()
         return taken_all and not (self.doubted or self.line.reader.at_eof() or self.writer.is_closing())
 
     def close(self) -> None:
-        self.line.on_bytes = self.line.on_close = None
+        self.line.on_data = self.line.on_close = None
         self.writer.transport.abort()
 
 
@@ -229,9 +224,9 @@
     def take_idle(self, site: BackendPool) -> BackendConnection | None:
         while site.idle:
             link = site.idle.pop()
-            link.line.on_bytes = link.line.on_close = None
+            link.line.on_data = link.line.on_close = None
             # What waits on the socket, bytes or an end, the loop has not seen yet: after a freeze there may be both.
-            if self.clock.now() - link.used_at < self.idle_us and link.clean() and not readable(link.writer):
+            if self.clock.now() - link.used_at < self.idle_us and link.clean() and not is_readable(link.writer):
                 return link
             self.drop(link)
         return None
@@ -245,7 +240,7 @@
                 self.drop(link)
 
         link.used_at = self.clock.now()
-        link.line.on_bytes = link.line.on_close = end
+        link.line.on_data = link.line.on_close = end
         site.idle.append(link)
 
     def eviction_candidate(self) -> EvictionCandidate | None:
--- a/stoneyoke/net/clients.py
+++ b/stoneyoke/net/clients.py
@@ -12,21 +12,16 @@
 from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget, EvictionCandidate
-from stoneyoke.net.http import (
-    BODY_MAX_BYTES,
-    HEAD_MAX_BYTES,
-    MalformedMessage,
-    Message,
-    MessageReader,
-    StreamProtocol,
-    status_line,
-    unread,
-    write_message,
-)
+from stoneyoke.net.errors import MalformedMessage
+from stoneyoke.net.message_reader import BODY_MAX_BYTES, HEAD_MAX_BYTES, Message, MessageReader
+from stoneyoke.net.message_writer import status_line, write_message
 from stoneyoke.net.reply import CLIENT_GONE, Reply
+from stoneyoke.net.stream import StreamProtocol, has_unread_bytes
+from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Clock, PendingRequest, Runtime
-from stoneyoke.single_gateway.request_head import TEXT, RpcHead, RpcVocabulary
+from stoneyoke.runtime.pending_request import PendingRequest
+from stoneyoke.runtime.runtime import Runtime
+from stoneyoke.single_gateway.request_head import RpcVocabulary, is_text, read_rpc_head
 
 # The operators' page: whoever connects is owed an error or a close within 3 s, and a connection may be closed
 # 2 s after its last RPC. A message's time runs from its first byte, the first one's from the connection's.
@@ -67,15 +62,15 @@
 
     def has_unanswered_input(self) -> bool:
         """Something beyond the message that is being answered has been read from the socket."""
-        return self.messages.pending() or self.line.received != self.messages.taken
+        return self.messages.pending() or self.line.bytes_received != self.messages.bytes_parsed
 
     def can_close_safely(self) -> bool:
         """No whole message has come and no byte waits to be read: closing it loses no RPC."""
         if self.over:
             return True
-        if self.whole or not self.messages.hungry or self.writer.is_closing():
+        if self.whole or not self.messages.awaiting_input or self.writer.is_closing():
             return False
-        return not unread(self.writer)
+        return not has_unread_bytes(self.writer)
 
 
 class ClientConnections:
@@ -132,7 +127,7 @@
         self.fresh[client] = None
 
         def came() -> None:
-            client.messages.hungry = False
+            client.messages.awaiting_input = False
             if client.idle:
                 self.idle.pop(client, None)
                 client.idle, client.since_us = False, self.runtime.arrival_time()
@@ -142,10 +137,10 @@
         def gone() -> None:
             client.disconnected = True
             if client.pending:
-                client.pending.runtime.client_gone(client.pending)
+                client.pending.owner.client_gone(client.pending)
 
         self.metrics.add("connections of clients")
-        line.on_bytes, line.on_close = came, gone
+        line.on_data, line.on_close = came, gone
         try:
             while message := await client.messages.next():
                 client.whole, client.fresh = True, False
@@ -172,7 +167,7 @@
             logger.exception("a client's connection failed")
             self.metrics.check_invariant(False, "connection failed")
         finally:
-            line.on_bytes = line.on_close = None
+            line.on_data = line.on_close = None
             del self.connections[writer]
             self.fresh.pop(client, None)
             self.idle.pop(client, None)
@@ -218,7 +213,7 @@
 
     async def handle(self, client: ClientConnection, message: Message) -> Reply:
         """One RPC, from its head to its answer; CLIENT_GONE when nobody waits for it any more."""
-        asked = RpcHead(message, self.names)
+        asked = read_rpc_head(message, self.names)
         if not self.endpoints_known.is_set():
             self.metrics.add("RPCs: waited for the first list")
             await self.endpoints_known.wait()
@@ -231,9 +226,7 @@
         until = min(client.since_us + asked.wait_us, self.respond_by_us)
         give_up_at = until - self.slack_us  # so that the answer is there when the client's time is up
         self.metrics.add("RPCs")
-        held = client.pending = self.runtime.open_request(
-            asked.method, asked.plan, asked.account, until, asked.units, asked.width, asked.repeat
-        )
+        held = client.pending = self.runtime.open_request(asked, until)
         try:
             while True:
                 match await held.next_decision(give_up_at):
@@ -256,7 +249,7 @@
                         if outcome is AttemptOutcome.OK and answer and not held.client_gone:
                             self.metrics.add("RPCs: ok")
                             kind = answer.headers.get(b"content-type", b"")
-                            more = b"Content-Type: %s\r\n" % kind if kind and TEXT(kind) else b""
+                            more = b"Content-Type: %s\r\n" % kind if kind and is_text(kind) else b""
                             return Reply(200, answer.body, more)
                     case wish:
                         self.metrics.check_invariant(isinstance(wish, Abandon), "RPC without an answer from the module")
@@ -293,7 +286,7 @@
         for client in list(self.connections.values()):
             age = now - (client.met if client.fresh else client.since_us)
             # A head has its time; a body that comes slowly has as long as a connection may be idle.
-            slow = client.idle or client.messages.begun is not None and not client.messages.in_head
+            slow = client.idle or client.messages.partial is not None and not client.messages.in_head
             if (
                 client.over
                 or client.pending
--- /dev/null
+++ b/stoneyoke/net/stream.py
@@ -0,0 +1,95 @@
+"""TCP connections as asyncio streams that report input at once, and what waits unread on their sockets."""
+
+import asyncio
+import fcntl
+import select
+import sys
+import termios
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+READ_BYTES = 16_384  # read at once; a stream stops reading at twice that, so that no peer fills the memory
+DISCARD_READ_BYTES = 262_144  # read at once of input that is discarded: 60 MB take 240 reads
+
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Coroutine[None, None, None]]
+
+
+class StreamProtocol(asyncio.StreamReaderProtocol):
+    """The protocol of one connection. It reports input and the peer's close before the reader's task runs.
+
+    Attributes:
+        on_data: Called when bytes have come, before they are given to the reader.
+        on_close: Called when the peer has closed its side, or the connection is lost.
+        bytes_received: The bytes that were given to the reader. A connection may be used again only if the reader has
+            taken them all.
+        discarding: Input is thrown away instead of being given to the reader.
+    """
+
+    def __init__(self, handler: ConnectionHandler | None = None) -> None:
+        """Takes what serves an accepted connection; None on the connecting side."""
+        self.reader = asyncio.StreamReader(READ_BYTES)
+        super().__init__(self.reader, handler)
+        self.on_data: Callable[[], None] | None = None
+        self.on_close: Callable[[], None] | None = None
+        self.bytes_received = 0
+        self.discarding = False
+
+    def discard_input(self) -> None:
+        """Throws away all that comes from now on. The peer can write on, so it gets to read the response."""
+        self.discarding, self.on_data = True, None
+        self.transport.max_size = DISCARD_READ_BYTES
+        self.transport.resume_reading()
+
+    def connection_made(self, transport: Any) -> None:
+        """Sets the buffers: asyncio would set aside 256 KiB for each read, and drain() has to wait for the last byte
+        to leave.
+        """
+        self.transport = transport
+        transport.max_size = READ_BYTES
+        transport.set_write_buffer_limits(high=0)
+        super().connection_made(transport)
+
+    def data_received(self, data: bytes) -> None:
+        """Reports input, then gives it to the reader."""
+        if self.on_data:
+            self.on_data()
+        if not self.discarding:
+            self.bytes_received += len(data)
+            super().data_received(data)
+
+    def eof_received(self) -> bool | None:
+        """Reports that the peer has closed its side."""
+        if self.on_close:
+            self.on_close()
+        return super().eof_received()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Reports that the connection has ended."""
+        if self.on_close:
+            self.on_close()
+        super().connection_lost(exc)
+
+
+async def connect(address: tuple[str, int], timeout_s: float) -> tuple[StreamProtocol, asyncio.StreamWriter]:
+    """Opens a connection.
+
+    Raises:
+        OSError: The connection is refused or fails. A TimeoutError, which is one, says that it took too long.
+    """
+    loop = asyncio.get_running_loop()
+    async with asyncio.timeout(timeout_s):
+        transport, protocol = await loop.create_connection(StreamProtocol, *address)
+    return protocol, asyncio.StreamWriter(transport, protocol, protocol.reader, loop)
+
+
+def has_unread_bytes(writer: asyncio.StreamWriter) -> bool:
+    """Whether bytes wait on the socket that the event loop has not seen yet."""
+    count = fcntl.ioctl(writer.get_extra_info("socket").fileno(), termios.FIONREAD, bytes(4))
+    return int.from_bytes(count, sys.byteorder) != 0
+
+
+def is_readable(writer: asyncio.StreamWriter) -> bool:
+    """Whether bytes, the stream's end or an error wait on the socket that the event loop has not seen yet."""
+    poll = select.poll()
+    poll.register(writer.get_extra_info("socket").fileno(), select.POLLIN)
+    return bool(poll.poll(0))
--- a/stoneyoke/programs/gateway.py
+++ b/stoneyoke/programs/gateway.py
@@ -18,11 +18,13 @@
 from stoneyoke.gateway.upstreams import Upstreams, judge
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
-from stoneyoke.net.http import MessageReader, StreamProtocol, status_line, write_message
+from stoneyoke.net.message_reader import MessageReader
+from stoneyoke.net.message_writer import status_line, write_message
+from stoneyoke.net.stream import StreamProtocol
 from stoneyoke.programs.log_buffer import LogBuffer, set_up
 from stoneyoke.programs.settings import BadSettings, Settings, read_settings
+from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Clock
 
 SETTINGS = flags.DEFINE_string("settings", None, "The settings file; else the one that the environment names.")
 DIAL_US = 300_000
--- a/stoneyoke/runtime/metrics.py
+++ b/stoneyoke/runtime/metrics.py
@@ -1,40 +1,87 @@
-"""Counters of what is taken in, sent and answered, and of what should never be. Decides nothing."""
+"""Counters of a process, its rate-limited warnings, and its invariants."""
 
 import time
 from collections import Counter
 
 from loguru import logger
 
-LINES_A_SECOND = 5  # of reports: a flood of bad input must not become a flood of lines
+WARNINGS_PER_S = 5  # a flood of malformed input must not become a flood of log lines
+DETAIL_MAX_CHARACTERS = 200
+
+# Counters that have been renamed: the summary shows their values under the former names as well, for one release.
+FORMER_PREFIXES = (
+    ("attempts: ", "call-outs: "),
+    ("backend responses: to another request", "answers of backends: to something else"),
+    ("backend responses: ", "answers of backends: "),
+    ("client connections", "connections of clients"),
+    ("backend connections", "connections to backends"),
+    ("RPCs: rejected", "RPCs: pushed back"),
+    ("RPCs: abandoned", "RPCs: aborted"),
+    ("RPCs: waited for the first endpoint list", "RPCs: waited for the first list"),
+    ("counter calls: rejected", "counter calls: turned away"),
+    ("counter calls: total unreadable", "counter calls: answered unreadably"),
+    ("counter: malformed responses", "counter: malformed answers"),
+    ("discovery: malformed responses", "discovery: malformed answers"),
+    ("discovery: no response", "discovery: no answer"),
+    ("discovery: responses", "discovery: answers"),
+    ("process stalled", "stood still"),
+    ("decision logic failed", "module failed"),
+    ("request closed while the decision logic holds it", "RPC let go, held by the module"),
+    ("unexpected decision", "RPC without an answer from the module"),
+)
+
+
+def former_name(name: str) -> str | None:
+    """The name under which a counter was shown in the release before, where it was another one."""
+    for prefix, former in FORMER_PREFIXES:
+        if name.startswith(prefix):
+            return former + name.removeprefix(prefix)
+    return None
+
+
+def with_former_names(counts: Counter[str]) -> list[tuple[str, int]]:
+    """All counts by name, then the renamed ones by former name."""
+    present = sorted(counts.items())
+    former = [(former_name(name), count) for name, count in present]
+    return present + [(name, count) for name, count in former if name is not None]
 
 
 class Metrics:
-    """Counts by a word or two; the words come from the code, so it grows no further than they do."""
+    """Counts events by name. The names are literals of the code, so their number is bounded.
+
+    Attributes:
+        counts: How often each event happened.
+        violations: How often each invariant did not hold; only release builds get to count one.
+    """
 
     def __init__(self) -> None:
+        """Starts with nothing counted."""
         self.counts: Counter[str] = Counter()
         self.violations: Counter[str] = Counter()
-        self.second = self.lines = 0
+        self.warning_second = self.warnings_this_second = 0
 
-    def add(self, what: str) -> None:
-        self.counts[what] += 1
+    def add(self, name: str) -> None:
+        """Counts one event."""
+        self.counts[name] += 1
 
-    def report(self, what: str, detail: str) -> None:
-        """Counted, and logged on a line of its own unless this second has had its lines."""
-        self.counts[what] += 1
+    def report(self, name: str, detail: str) -> None:
+        """Counts one event, and logs it unless this second has had its share of warnings."""
+        self.counts[name] += 1
         second = int(time.monotonic())
-        self.second, self.lines = second, self.lines + 1 if second == self.second else 1
-        if self.lines <= LINES_A_SECOND:
-            logger.warning("{}: {}", what, detail[:200])
+        self.warnings_this_second = self.warnings_this_second + 1 if second == self.warning_second else 1
+        self.warning_second = second
+        if self.warnings_this_second <= WARNINGS_PER_S:
+            logger.warning("{}: {}", name, detail[:DETAIL_MAX_CHARACTERS])
 
-    def check_invariant(self, holds: bool, what: str) -> bool:
-        """What must hold: asserted in debug builds, counted in release ones (python -O)."""
+    def check_invariant(self, holds: bool, name: str) -> bool:
+        """Counts a violation where an invariant doesn't hold; a debug build (without -O) fails on it."""
         if not holds:
-            self.violations[what] += 1
-            assert holds, what
+            self.violations[name] += 1
+            assert holds, name
         return holds
 
     def summary(self) -> str:
-        """All counts on one line: the broken ones first, so that they are seen."""
-        parts = [f"BROKEN {what}={n}" for what, n in sorted(self.violations.items())]
-        return ", ".join(parts + [f"{what}={n}" for what, n in sorted(self.counts.items())]) or "nothing yet"
+        """All counters on one line: violations first, each marked BROKEN, so that they are seen."""
+        violations = [f"BROKEN {name}={count}" for name, count in with_former_names(self.violations)]
+        counts = [f"{name}={count}" for name, count in with_former_names(self.counts)]
+        return ", ".join(violations + counts) or "nothing counted yet"
--- /dev/null
+++ b/stoneyoke/runtime/pending_request.py
@@ -0,0 +1,95 @@
+"""A request that is in the gateway, between the front that serves its client and the decision logic."""
+
+import asyncio
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+
+from stoneyoke.control.actions import Abandon, Reject, StartAttempt
+from stoneyoke.runtime.clock import Clock
+
+Decision = StartAttempt | Reject | Abandon
+
+
+@dataclass(slots=True, kw_only=True)
+class RequestDescription:
+    """What the decision logic is told of a request on its arrival.
+
+    Attributes:
+        method: The method's number in the parameters.
+        plan: The number of the customer's plan in the parameters.
+        customer_id: The customer, by the number that it has at every gateway; 0 where quotas are kept elsewhere.
+        units: The cost that is charged to the customer's quota.
+        customer_gateways: The number of gateways through which this customer's requests come.
+        is_retry: The client sends the request again; None where clients don't mark retries.
+    """
+
+    method: int
+    plan: int
+    customer_id: int = 0
+    units: float = 1.0
+    customer_gateways: float = 1.0
+    is_retry: bool | None = None
+
+
+class RequestOwner(Protocol):
+    """Who is told of the fate of a pending request's client: the runtime that opened the request."""
+
+    def client_gone(self, request: "PendingRequest") -> None:
+        """The client has closed its connection; nobody waits for the response."""
+
+
+class PendingRequest:
+    """One request, from its arrival until its front closes it.
+
+    The decision logic puts decisions in; the front takes them out one by one and carries them out.
+
+    Attributes:
+        index: The request's number within its runtime.
+        owner: The runtime that opened the request.
+        attempts_started: The number of attempts so far, which is the next attempt's number.
+        client_gone: The client has closed its connection. There are no further decisions.
+        decisions: What is decided and not yet taken by the front.
+        cancel_attempt: Cancels the attempt with the given number, if that one is still under way. None while no
+            attempt is.
+    """
+
+    __slots__ = ("attempts_started", "cancel_attempt", "client_gone", "clock", "decisions", "index", "owner", "waiter")
+
+    def __init__(self, index: int, clock: Clock, owner: RequestOwner) -> None:
+        """Starts with no decision and no attempt."""
+        self.index, self.clock, self.owner = index, clock, owner
+        self.attempts_started = 0
+        self.client_gone = False
+        self.decisions: deque[Decision] = deque()
+        self.waiter: asyncio.Future[None] | None = None
+        self.cancel_attempt: Callable[[int], None] | None = None
+
+    async def next_decision(self, deadline_us: int) -> Decision | None:
+        """Waits for the next decision.
+
+        Args:
+            deadline_us: Until when to wait.
+
+        Returns:
+            The decision. None if the client has gone, or if there is no decision by the deadline.
+        """
+        if not self.decisions and not self.client_gone:
+            self.waiter = asyncio.get_running_loop().create_future()
+            try:
+                async with asyncio.timeout_at(self.clock.loop_time(deadline_us)):
+                    await self.waiter
+            except TimeoutError:
+                return None
+        return self.decisions.popleft() if self.decisions and not self.client_gone else None
+
+    def decide(self, decision: Decision) -> None:
+        """Adds a decision and wakes the front if it waits for one."""
+        self.decisions.append(decision)
+        self.wake()
+
+    def wake(self) -> None:
+        """Ends the wait of next_decision()."""
+        if self.waiter and not self.waiter.done():
+            self.waiter.set_result(None)
--- a/stoneyoke/runtime/runtime.py
+++ b/stoneyoke/runtime/runtime.py
@@ -1,12 +1,11 @@
-"""Drives one Gateway in real time, for any front: events go in, actions come out, timers fire.
+"""Drives one Gateway, the decision logic, in real time: events go in, actions come out, timers fire.
 
-It knows nothing of sockets or of what a front speaks, and decides nothing. A front tells of an RPC with
-open_request(), asks PendingRequest.next_decision() what to do, does it, and reports the result.
+It knows nothing of sockets or of the front's protocol, and decides nothing. A front opens a request with
+Runtime.open_request(), awaits PendingRequest.next_decision(), carries the decision out, reports what came of it with
+Runtime.attempt_ended(), and closes the request with Runtime.close_request().
 """
 
 import asyncio
-import time
-from collections import deque
 from collections.abc import Callable
 from typing import Protocol
 
@@ -33,203 +32,197 @@
     TimerFired,
 )
 from stoneyoke.control.parameters import AttemptOutcome, GatewayParameters
+from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.id_index import IdIndex
 from stoneyoke.runtime.metrics import Metrics
+from stoneyoke.runtime.pending_request import Decision, PendingRequest, RequestDescription
 
-STOOD_US = 100_000  # a timer overdue by this tells that the process stood still; a busy loop is late by 20 ms
-WAKING_US = 50_000  # connections made meanwhile are accepted within this after it woke
-CATCH_UP_TURNS = 8  # of the loop: 64 KiB of news, the most there can be, are read in four
-
-Decision = StartAttempt | Reject | Abandon
-
-
-class Clock:
-    """Whole microseconds of Unix time, in monotonic steps from a single reading of the wall."""
-
-    def __init__(self) -> None:
-        self.base = time.time_ns() // 1000 - time.monotonic_ns() // 1000
-
-    def now(self) -> int:
-        return time.monotonic_ns() // 1000 + self.base
-
-    def loop_time(self, at: int) -> float:
-        """The event loop's time of a moment; its clock is the monotonic one."""
-        return (at - self.base) / 1_000_000
-
-
-class PendingRequest:
-    """One RPC, from its arrival until the front lets go of it."""
-
-    __slots__ = (
-        "attempts_started",
-        "cancel_attempt",
-        "client_gone",
-        "clock",
-        "decisions",
-        "index",
-        "runtime",
-        "waiter",
-    )
-
-    def __init__(self, index: int, clock: Clock, home: "Runtime") -> None:
-        self.index, self.clock, self.runtime = index, clock, home
-        self.attempts_started = 0  # call-outs begun; the next one's number
-        self.client_gone = False  # the client is
-        self.decisions: deque[Decision] = deque()
-        self.waiter: asyncio.Future[None] | None = None
-        self.cancel_attempt: Callable[[int], None] | None = None  # calls off a call-out that is out, by number
-
-    async def next_decision(self, until: int) -> Decision | None:
-        """What the module wants done next. None: nothing, for its client has gone, or by then."""
-        if not self.decisions and not self.client_gone:
-            self.waiter = asyncio.get_running_loop().create_future()
-            try:
-                async with asyncio.timeout_at(self.clock.loop_time(until)):
-                    await self.waiter
-            except TimeoutError:
-                return None
-        return self.decisions.popleft() if self.decisions and not self.client_gone else None
-
-    def wake(self) -> None:
-        if self.waiter and not self.waiter.done():
-            self.waiter.set_result(None)
+STALL_US = 100_000  # a timer that is overdue by this much tells of a stalled process; a busy loop is late by 20 ms
+STALL_RECOVERY_US = 50_000  # connections that were made during a stall are accepted within this time after it
+CATCH_UP_TURNS = 8  # of the event loop: the longest endpoint list, 64 KiB, is read in four
 
 
 class AttemptObserver(Protocol):
-    """Sees call-outs begin and end."""
+    """Learns of each attempt's start and end, as evidence of the backends' health."""
 
-    def attempt_started(self, rpc: int, backend: int) -> None: ...
+    def attempt_started(self, rpc: int, backend: int) -> None:
+        """The decision logic has started an attempt at a backend."""
 
-    def attempt_ended(self, rpc: int, outcome: AttemptOutcome) -> None: ...
+    def attempt_ended(self, rpc: int, outcome: AttemptOutcome) -> None:
+        """The request's latest attempt has ended."""
 
 
 class Runtime:
-    """Drives the decisions: events in, actions out, timers and the clock."""
+    """Delivers events to the decision logic and carries out the actions that it returns.
+
+    Attributes:
+        pending: The requests that are open, by index.
+        next_timer_at: When the timer that was set last is due.
+        stalled_from: When the last stall of this process began; 0 before the first.
+        stalled_until: When that stall ended.
+        send_to_counter: Carries out AddToCounter; set by whoever speaks to the counter service.
+        attempt_observer: Set by the fleet part, if there is one.
+    """
 
     def __init__(self, parameters: GatewayParameters, clock: Clock, metrics: Metrics) -> None:
+        """Starts the decision logic with its parameters."""
         self.parameters, self.clock, self.metrics = parameters, clock, metrics
         self.gateway = Gateway(parameters, clock.now())
-        self.pending: dict[int, PendingRequest] = {}  # emptied by let_go()
-        self.rpcs = 0
-        self.customers = IdIndex[int]()  # emptied by the module's Forget
-        self.due = self.gateway.born  # when the timer asked for last should fire
-        self.stood = self.woke = 0  # the last time that this process stood still: from when, until when
-        self.send_to_counter: Callable[[AddToCounter], None] = lambda _: None  # set by whoever speaks to the counter
-        self.attempt_observer: AttemptObserver | None = None  # set by the fleet part
+        self.pending: dict[int, PendingRequest] = {}
+        self.requests_opened = 0
+        self.customers = IdIndex[int]()  # released by ForgetCustomer
+        self.next_timer_at = self.gateway.born
+        self.stalled_from = self.stalled_until = 0
+        self.send_to_counter: Callable[[AddToCounter], None] = lambda _: None
+        self.attempt_observer: AttemptObserver | None = None
+
+    # ---- time ----
 
     def arrival_time(self) -> int:
-        """The earliest time at which what is read now may have come: while this process stood still, clients
-        sent on. An overdue timer shows that, or that one was overdue a moment ago."""
+        """The earliest time, in microseconds, at which input that is read now may have come.
+
+        While the process is stalled, clients go on sending. A timer that is overdue tells of a stall that is not yet
+        noted, and one that was overdue a moment ago of a stall whose input is still being read.
+        """
         now = self.clock.now()
-        if now - self.due > STOOD_US:
-            return self.due
-        return self.stood if now - self.woke < WAKING_US else now
+        if now - self.next_timer_at > STALL_US:
+            return self.next_timer_at
+        return self.stalled_from if now - self.stalled_until < STALL_RECOVERY_US else now
 
     async def catch_up(self) -> None:
-        """After standing still: lets the loop read what else has come. News that waited must reach the module
-        before it sends anything on, or that goes to backends long known to drain."""
-        if self.clock.now() - self.arrival_time() > STOOD_US:
+        """After a stall, lets the event loop read what has come meanwhile.
+
+        An endpoint list that waits on its socket has to reach the decision logic before the next attempt starts, or
+        that attempt goes to a backend that has been draining for long.
+        """
+        if self.clock.now() - self.arrival_time() > STALL_US:
             for _ in range(CATCH_UP_TURNS):
                 await asyncio.sleep(0)
 
-    def timer(self, due: int, token: int) -> None:
+    def timer_fired(self, due_us: int, token: int) -> None:
+        """A timer that the decision logic set has fired; if it is late, this notes a stall."""
         now = self.clock.now()
-        if now - due > STOOD_US:
-            self.stood, self.woke = due, now
-            self.metrics.report("stood still", f"for {(now - due) // 1000} ms")
+        if now - due_us > STALL_US:
+            self.stalled_from, self.stalled_until = due_us, now
+            self.metrics.report("process stalled", f"for {(now - due_us) // 1000} ms; deadlines count from before it")
         self.dispatch(TimerFired(token))
 
-    # ---- events in ----
+    # ---- events ----
 
     def dispatch(self, event: Event) -> None:
+        """Delivers an event to the decision logic and carries out the actions that follow from it."""
         try:
             actions = self.gateway.handle(event, self.clock.now())
-        except Exception:  # a fault in the decisions costs this one event, never the gateway
-            logger.exception("the module failed on {}", event)
-            self.metrics.check_invariant(False, "module failed")
+        except Exception:  # outermost guard: a fault in the decision logic costs this event, never the gateway
+            logger.exception("The decision logic failed on {}; the event is lost and the gateway serves on.", event)
+            self.metrics.check_invariant(False, "decision logic failed")
             actions = self.gateway.actions
         for action in actions:
             try:
-                self.carry_out(action)
-            except Exception:  # nor does a fault in a front's part keep the other actions from being done
-                logger.exception("{} could not be carried out", action)
+                self.execute(action)
+            except Exception:  # outermost guard: a fault in one action keeps none of the others from being carried out
+                logger.exception("The action {} failed and is dropped; the gateway serves on.", action)
                 self.metrics.check_invariant(False, "action failed")
 
-    def open_request(
-        self, method: int, plan: int, account: int, until: int, units: float, width: float, repeat: bool | None
-    ) -> PendingRequest:
-        self.rpcs += 1
-        held = self.pending[self.rpcs] = PendingRequest(self.rpcs, self.clock, self)
+    def open_request(self, description: RequestDescription, deadline_us: int) -> PendingRequest:
+        """Tells the decision logic of a request that has arrived.
+
+        Args:
+            description: What the request is.
+            deadline_us: Until when its client waits for the response.
+        """
+        self.requests_opened += 1
+        request = self.pending[self.requests_opened] = PendingRequest(self.requests_opened, self.clock, self)
         self.dispatch(
             Arrival(
-                rpc=held.index,
-                method=method,
-                plan=plan,
-                customer=self.customers.acquire(account),
-                customer_id=account,
-                wait_us=max(0, until - self.clock.now()),
-                units=units,
-                customer_gateways=width,
-                is_retry=repeat,
+                rpc=request.index,
+                method=description.method,
+                plan=description.plan,
+                customer=self.customers.acquire(description.customer_id),
+                customer_id=description.customer_id,
+                wait_us=max(0, deadline_us - self.clock.now()),
+                units=description.units,
+                customer_gateways=description.customer_gateways,
+                is_retry=description.is_retry,
             )
         )
-        return held
+        return request
 
-    def attempt_ended(self, held: PendingRequest, n: int, backend: int, outcome: AttemptOutcome) -> None:
-        closed = outcome is AttemptOutcome.OK or held.client_gone
+    def attempt_ended(self, request: PendingRequest, attempt: int, backend: int, outcome: AttemptOutcome) -> None:
+        """Tells the decision logic how an attempt has ended."""
         if self.attempt_observer:
-            self.attempt_observer.attempt_ended(held.index, outcome)
+            self.attempt_observer.attempt_ended(request.index, outcome)
         self.dispatch(
             AttemptEnded(
-                rpc=held.index, attempt=n, backend=backend, outcome=outcome, is_final=closed, settled_units=0.0
+                rpc=request.index,
+                attempt=attempt,
+                backend=backend,
+                outcome=outcome,
+                is_final=outcome is AttemptOutcome.OK or request.client_gone,
+                settled_units=0.0,
             )
         )
 
-    def client_gone(self, held: PendingRequest) -> None:
-        if not held.client_gone:
-            held.client_gone = True
-            self.dispatch(ClientGone(held.index))
-            held.wake()
-
-    def close_request(self, held: PendingRequest) -> None:
-        """Its answer is decided, or nobody waits. What the module still wished for it was never sent."""
-        while held.decisions:
-            if isinstance(wish := held.decisions.popleft(), StartAttempt):
-                held.attempts_started += 1
-                self.attempt_ended(held, held.attempts_started - 1, wish.backend, AttemptOutcome.NOT_SENT)
-        self.pending.pop(held.index, None)
+    def client_gone(self, request: PendingRequest) -> None:
+        """Tells the decision logic, once, that the client has closed its connection."""
+        if not request.client_gone:
+            request.client_gone = True
+            self.dispatch(ClientGone(request.index))
+            request.wake()
+
+    def close_request(self, request: PendingRequest) -> None:
+        """Ends a request whose response is decided, or for whose response nobody waits.
+
+        Decisions that the front has not taken are never carried out: an attempt among them ends as not sent.
+        """
+        while request.decisions:
+            decision = request.decisions.popleft()
+            if isinstance(decision, StartAttempt):
+                attempt = request.attempts_started
+                request.attempts_started += 1
+                self.attempt_ended(request, attempt, decision.backend, AttemptOutcome.NOT_SENT)
+        self.pending.pop(request.index, None)
         self.metrics.check_invariant(
-            held.client_gone or not self.gateway.holds(held.index), "RPC let go, held by the module"
+            request.client_gone or not self.gateway.holds(request.index),
+            "request closed while the decision logic holds it",
         )
 
     def counter_replied(self, name: int, added: bool, total: float) -> None:
+        """Tells the decision logic of the counter service's reply (see CounterReply)."""
         self.dispatch(CounterReply(name, added, total))
 
+    def endpoints_changed(self, change: EndpointsChanged) -> None:
+        """Tells the decision logic of a new endpoint list, or of changes to it."""
+        self.dispatch(change)
+
     def knows_backend(self, backend: int) -> bool:
+        """Whether the decision logic still keeps a row for a backend, so that its index is in use."""
         return backend in self.gateway.backends
 
-    def endpoints_changed(self, news: EndpointsChanged) -> None:
-        self.dispatch(news)
+    # ---- actions ----
 
-    # ---- actions out ----
-
-    def carry_out(self, action: Action) -> None:
+    def execute(self, action: Action) -> None:
+        """Carries out one action of the decision logic."""
         match action:
             case StartAttempt() | Reject() | Abandon():
-                if held := self.pending.get(action.rpc):
-                    if self.attempt_observer and isinstance(action, StartAttempt):
-                        self.attempt_observer.attempt_started(action.rpc, action.backend)
-                    held.decisions.append(action)
-                    held.wake()
-            case SetTimer(delay, token):
-                self.due = self.clock.now() + delay
-                asyncio.get_running_loop().call_later(delay / 1_000_000, self.timer, self.due, token)
-            case CancelAttempt(rpc, n):
-                if (held := self.pending.get(rpc)) and held.cancel_attempt:
-                    held.cancel_attempt(n)
+                self.decide(action)
+            case SetTimer(delay_us, token):
+                self.next_timer_at = self.clock.now() + delay_us
+                loop = asyncio.get_running_loop()
+                loop.call_later(delay_us / 1_000_000, self.timer_fired, self.next_timer_at, token)
+            case CancelAttempt(rpc, attempt):
+                if (request := self.pending.get(rpc)) and request.cancel_attempt:
+                    request.cancel_attempt(attempt)
             case AddToCounter():
                 self.send_to_counter(action)
             case ForgetCustomer(customer):
                 self.customers.release(customer)
-            case _:  # Subscribe: news comes by itself here
+            case _:  # Subscribe: discovery sends each change without being asked
                 pass
+
+    def decide(self, decision: Decision) -> None:
+        """Hands a decision to the front that serves the request. A request that is closed has none."""
+        if request := self.pending.get(decision.rpc):
+            if self.attempt_observer and isinstance(decision, StartAttempt):
+                self.attempt_observer.attempt_started(decision.rpc, decision.backend)
+            request.decide(decision)
--- a/stoneyoke/single_gateway/counter.py
+++ b/stoneyoke/single_gateway/counter.py
@@ -6,9 +6,12 @@
 from collections import deque
 
 from stoneyoke.control.actions import AddToCounter
-from stoneyoke.net.http import MalformedMessage, MessageReader, connect
+from stoneyoke.net.errors import MalformedMessage
+from stoneyoke.net.message_reader import MessageReader
+from stoneyoke.net.stream import connect
+from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Clock, Runtime
+from stoneyoke.runtime.runtime import Runtime
 
 # Of the 32 that the protocol page has the counter hold. A call goes where none is out, if it can: whatever
 # ends a connection takes all calls on it along. Those gone silent are replaced.
--- a/stoneyoke/single_gateway/discovery.py
+++ b/stoneyoke/single_gateway/discovery.py
@@ -10,7 +10,10 @@
 
 from stoneyoke.control.events import Endpoint, EndpointsChanged, KnownBackend
 from stoneyoke.control.parameters import BackendState
-from stoneyoke.net.http import BODY_MAX_BYTES, MalformedMessage, MessageReader, connect, write_message
+from stoneyoke.net.errors import MalformedMessage
+from stoneyoke.net.message_reader import BODY_MAX_BYTES, MessageReader
+from stoneyoke.net.message_writer import write_message
+from stoneyoke.net.stream import connect
 from stoneyoke.runtime.id_index import IdIndex
 from stoneyoke.runtime.metrics import Metrics
 
--- a/stoneyoke/single_gateway/program.py
+++ b/stoneyoke/single_gateway/program.py
@@ -15,9 +15,11 @@
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.clients import ClientConnections
 from stoneyoke.net.descriptor_budget import DescriptorBudget
-from stoneyoke.net.http import BODY_MAX_BYTES, MalformedMessage
+from stoneyoke.net.errors import MalformedMessage
+from stoneyoke.net.message_reader import BODY_MAX_BYTES
+from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Clock, Runtime
+from stoneyoke.runtime.runtime import Runtime
 from stoneyoke.single_gateway.counter import Counter
 from stoneyoke.single_gateway.discovery import Discovery, EndpointTable, EndpointUpdate
 from stoneyoke.single_gateway.parameters import InvalidConfiguration, field, read_parameters
--- a/stoneyoke/single_gateway/request_head.py
+++ b/stoneyoke/single_gateway/request_head.py
@@ -1,20 +1,27 @@
-"""What an RPC's head says, read strictly: whatever is not plainly right is Malformed."""
+"""Reads an RPC's request line and headers strictly: whatever is not plainly right is malformed."""
 
 import math
 import re
+from dataclasses import dataclass
 
 from stoneyoke.control.parameters import GatewayParameters, Idempotency
-from stoneyoke.net.http import MalformedMessage, Message
-
-LONGEST_S = 3600.0  # a deadline beyond this is absurd
-PLAIN = re.compile(rb"[0-9]{1,10}(\.[0-9]{1,20})?").fullmatch  # a number: no sign, blank, exponent or word
-WHOLE = re.compile(rb"[0-9]{1,10}").fullmatch
-HEX_16 = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
-TOKEN = re.compile(rb"[!-~]{1,255}").fullmatch  # what passes on to a backend: seen bytes only
-ROUNDING = 1 + 1e-6  # the settings' figure and a client's may differ by a single precision's last digit
-TARGET = re.compile(rb"[!-~]+").fullmatch
-TEXT = re.compile(rb"[ -~]*").fullmatch
-ONCE = frozenset(
+from stoneyoke.net.errors import MalformedMessage
+from stoneyoke.net.message_reader import Message
+from stoneyoke.runtime.pending_request import RequestDescription
+
+DEADLINE_MAX_S = 3600.0  # a longer one is taken for a mistake
+CUSTOMER_IDS = 1 << 33
+QUOTED_BYTES = 40  # of a header's value, in an error message
+UNITS_TOLERANCE = 1 + 1e-6  # the settings' figure and a client's may differ in the last digit of single precision
+
+is_decimal = re.compile(rb"[0-9]{1,10}(\.[0-9]{1,20})?").fullmatch  # no sign, blank, exponent or word
+is_whole_number = re.compile(rb"[0-9]{1,10}").fullmatch
+is_customer_id = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
+is_token = re.compile(rb"[!-~]{1,255}").fullmatch  # what passes on to a backend holds visible bytes only
+is_target = re.compile(rb"[!-~]+").fullmatch
+is_text = re.compile(rb"[ -~]*").fullmatch
+
+SINGLE_HEADERS = frozenset(
     (
         b"host",
         b"req-id",
@@ -27,73 +34,124 @@
         b"req-retry",
     )
 )
+"""Headers that must not come twice: two readers could take different ones for valid."""
+
+QUOTA_FIELDS = frozenset((b"units", b"spread", b"first"))
 
 
 class RpcVocabulary:
-    """What a head can name: methods, plans, and gateways by their number."""
+    """The names and numbers that a request's head can hold under the settings in force.
+
+    Attributes:
+        methods: The number of each method, by name.
+        plans: The number of each plan, by name.
+        idempotency: The idempotency of each method, by number.
+        gateways: How many gateways there are.
+        clients_mark_retries: Clients say which of their requests are retries.
+        units_max: The largest cost of one RPC; infinite where the settings have none.
+    """
 
     def __init__(self, methods: list[str], plans: list[str], parameters: GatewayParameters) -> None:
-        self.methods = {name.encode(): at for at, name in enumerate(methods)}
-        self.plans = {name.encode(): at for at, name in enumerate(plans)}
-        self.effects = [method.idempotency for method in parameters.methods]
-        self.gateways, self.marks = parameters.gateways, parameters.clients_mark_retries
+        """Numbers methods and plans in the order of the settings."""
+        self.methods = {name.encode(): number for number, name in enumerate(methods)}
+        self.plans = {name.encode(): number for number, name in enumerate(plans)}
+        self.idempotency = [method.idempotency for method in parameters.methods]
+        self.gateways = parameters.gateways
+        self.clients_mark_retries = parameters.clients_mark_retries
         self.units_max = parameters.units_max or math.inf
 
 
-class RpcHead:
-    """What an RPC's head says, read and checked."""
-
-    __slots__ = ("account", "id", "method", "plan", "repeat", "units", "wait_us", "width")
-
-    def __init__(self, message: Message, names: RpcVocabulary) -> None:
-        if message.repeated and (twice := message.repeated & ONCE):
-            raise MalformedMessage(f"{min(twice).decode()} comes twice")
-        kind, plan = needed(message, b"req-kind"), needed(message, b"x-plan")
-        method, at = names.methods.get(kind), names.plans.get(plan)
-        if method is None:
-            raise MalformedMessage(f"unknown method {kind[:40]!r}", 404)
-        if at is None:
-            raise MalformedMessage(f"unknown plan {plan[:40]!r}")
-        path = message.target.partition(b"?")[0]
-        if not path.startswith(b"/") or path.split(b"/", 2)[1] != kind or not TARGET(message.target):
-            raise MalformedMessage(f"a path that is not one of {kind[:40]!r}")
-        effect = names.effects[method]
-        if message.method != (b"GET" if effect is Idempotency.IDEMPOTENT else b"POST"):
-            raise MalformedMessage(f"{message.method[:20]!r} is not taken", 405)
-        if message.body and effect is Idempotency.IDEMPOTENT:
-            raise MalformedMessage("a body where none belongs")
-        self.id = needed(message, b"req-id")
-        needed(message, b"host")
-        if effect is Idempotency.DEDUPLICATED:
-            needed(message, b"idempotency-key")
-        customer, wait = needed(message, b"x-customer"), needed(message, b"req-deadline")
-        if not HEX_16(customer) or (account := int(customer, 16)) >= 1 << 33:
-            raise MalformedMessage("x-customer is no 16 hex digits under 2^33")
-        if not PLAIN(wait) or float(wait) > LONGEST_S:
-            raise MalformedMessage(f"a deadline that is none: {wait[:40]!r}")
-        self.repeat = message.headers.get(b"req-retry") == b"1" if names.marks else None
-        self.units, self.width = quota(needed(message, b"x-quota"), names)
-        self.account, self.method, self.plan, self.wait_us = account, method, at, int(float(wait) * 1_000_000)
-
-
-def needed(message: Message, name: bytes) -> bytes:
-    """A header that each RPC has. Raises Malformed where it is missing."""
+@dataclass(slots=True, kw_only=True)
+class RpcHead(RequestDescription):
+    """What a request's head says, checked.
+
+    Attributes:
+        id: The RPC's identifier, which the client chose.
+        wait_us: How long the client waits for the response.
+    """
+
+    id: bytes
+    wait_us: int
+
+
+def read_rpc_head(message: Message, vocabulary: RpcVocabulary) -> RpcHead:
+    """Reads a request's head.
+
+    Raises:
+        MalformedMessage: Something is missing, repeated, unknown or out of its bounds. Its status is what the client
+            is told: 404 for a method's name, 405 for an HTTP method, else 400.
+    """
+    if message.repeated and (repeated := message.repeated & SINGLE_HEADERS):
+        raise MalformedMessage(f"{min(repeated).decode()} comes twice")
+    name, plan_name = required_header(message, b"req-kind"), required_header(message, b"x-plan")
+    method, plan = vocabulary.methods.get(name), vocabulary.plans.get(plan_name)
+    if method is None:
+        raise MalformedMessage(f"unknown method {name[:QUOTED_BYTES]!r}", 404)
+    if plan is None:
+        raise MalformedMessage(f"unknown plan {plan_name[:QUOTED_BYTES]!r}")
+    idempotency = vocabulary.idempotency[method]
+    check_request_line(message, name, idempotency)
+    rpc_id = required_header(message, b"req-id")
+    required_header(message, b"host")
+    if idempotency is Idempotency.DEDUPLICATED:
+        required_header(message, b"idempotency-key")
+    customer_id, wait_us = read_customer_and_deadline(message)
+    units, customer_gateways = read_quota(required_header(message, b"x-quota"), vocabulary)
+    return RpcHead(
+        method=method,
+        plan=plan,
+        customer_id=customer_id,
+        units=units,
+        customer_gateways=customer_gateways,
+        is_retry=message.headers.get(b"req-retry") == b"1" if vocabulary.clients_mark_retries else None,
+        id=rpc_id,
+        wait_us=wait_us,
+    )
+
+
+def check_request_line(message: Message, name: bytes, idempotency: Idempotency) -> None:
+    """Checks that path, HTTP method and body are those of the RPC method that the headers name."""
+    path = message.target.partition(b"?")[0]
+    if not path.startswith(b"/") or path.split(b"/", 2)[1] != name or not is_target(message.target):
+        raise MalformedMessage(f"a path that is not one of {name[:QUOTED_BYTES]!r}")
+    if message.method != (b"GET" if idempotency is Idempotency.IDEMPOTENT else b"POST"):
+        raise MalformedMessage(f"{message.method[:20]!r} is not taken", 405)
+    if message.body and idempotency is Idempotency.IDEMPOTENT:
+        raise MalformedMessage("a body where none belongs")
+
+
+def read_customer_and_deadline(message: Message) -> tuple[int, int]:
+    """The customer's number, and how long the client waits in microseconds."""
+    customer, deadline = required_header(message, b"x-customer"), required_header(message, b"req-deadline")
+    if not is_customer_id(customer) or (customer_id := int(customer, 16)) >= CUSTOMER_IDS:
+        raise MalformedMessage("x-customer is no 16 hex digits under 2^33")
+    if not is_decimal(deadline) or float(deadline) > DEADLINE_MAX_S:
+        raise MalformedMessage(f"a deadline that is none: {deadline[:QUOTED_BYTES]!r}")
+    return customer_id, int(float(deadline) * 1_000_000)
+
+
+def required_header(message: Message, name: bytes) -> bytes:
+    """The value of a header that each RPC has. Raises MalformedMessage where it is missing or unreadable."""
     value = message.headers.get(name)
-    if not value or not TOKEN(value):
+    if not value or not is_token(value):
         raise MalformedMessage(f"{name.decode()} {'can not be read' if value else 'is missing'}")
     return value
 
 
-def quota(text: bytes, names: RpcVocabulary) -> tuple[float, float]:
-    """Units and spread, in the one form that the protocol page gives."""
+def read_quota(text: bytes, vocabulary: RpcVocabulary) -> tuple[float, float]:
+    """The RPC's cost in units, and the number of gateways that its customer's RPCs come through.
+
+    Raises:
+        MalformedMessage: The header has another form than `units=U,spread=N,first=I`, or a number out of bounds.
+    """
     parts = [part.partition(b"=") for part in text.split(b",")]
     fields = {name: value for name, _, value in parts}
     if (
-        len(parts) == 3
-        and fields.keys() == {b"units", b"spread", b"first"}
-        and (PLAIN(fields[b"units"]) and WHOLE(fields[b"spread"]) and WHOLE(fields[b"first"]))
+        len(parts) == len(QUOTA_FIELDS)
+        and fields.keys() == QUOTA_FIELDS
+        and (is_decimal(fields[b"units"]) and is_whole_number(fields[b"spread"]) and is_whole_number(fields[b"first"]))
     ):
         units, spread, first = float(fields[b"units"]), int(fields[b"spread"]), int(fields[b"first"])
-        if 0 < units <= names.units_max * ROUNDING and 1 <= spread <= names.gateways > first:
+        if 0 < units <= vocabulary.units_max * UNITS_TOLERANCE and 1 <= spread <= vocabulary.gateways > first:
             return units, float(spread)
     raise MalformedMessage(f"no quota of these settings: {text[:60]!r}")
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -35,7 +35,7 @@
         age(clients.PART_US - 1_500_000)
         for caller in (half, late):
             caller.writer.write(b"/x")  # renews nothing
-        await until(lambda: sum(c.messages.raw == 11 for c in all_open.values()) == 1)
+        await until(lambda: sum(c.messages.message_bytes == 11 for c in all_open.values()) == 1)
         assert len(all_open) == 5
         age(1_500_000)
         assert await silent.reader.read() == b""
--- a/tests/net/test_counter_calls.py
+++ b/tests/net/test_counter_calls.py
@@ -6,8 +6,8 @@
 from helpers import StandIn, on_loop, total, until
 
 from stoneyoke.control.actions import AddToCounter
+from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Clock
 from stoneyoke.single_gateway import counter
 from stoneyoke.single_gateway.counter import Counter
 
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -8,8 +8,8 @@
 
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
+from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Clock
 from stoneyoke.single_gateway.discovery import Discovery, EndpointTable, EndpointUpdate
 
 
@@ -107,7 +107,7 @@
     assert sorted(site.address for site in pools.pools.values()) == [("10.1.0.1", 7070), ("10.1.0.2", 80)]
     assert before not in pools.pools.values()
     fleet.sweep()
-    assert set(fleet.door.index_by_id) == {"s-2", "s-3"} and old in fleet.door.free
+    assert set(fleet.door.index_by_id) == {"s-2", "s-3"} and old in fleet.door.free_indices
 
 
 @pytest.mark.parametrize(
@@ -178,7 +178,7 @@
         town.watcher.write(json_answer(news))
         time.sleep(0.3)  # noqa: ASYNC251 -- the process stands still, and the loop finds both at once
         assert (await caller.hear())[0] == 429 and not town.backend.got
-        assert town.count("stood still") == 1
+        assert town.count("process stalled") == 1
 
 
 @on_loop
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -11,7 +11,7 @@
 
 from stoneyoke.control.events import ClientGone
 from stoneyoke.net import clients
-from stoneyoke.net.http import BODY_MAX_BYTES
+from stoneyoke.net.message_reader import BODY_MAX_BYTES
 
 
 @on_loop
--- a/tests/net/test_runtime.py
+++ b/tests/net/test_runtime.py
@@ -11,8 +11,9 @@
 
 from stoneyoke.control.actions import Reject, StartAttempt
 from stoneyoke.control.events import Arrival, TimerFired
+from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Clock, PendingRequest
+from stoneyoke.runtime.pending_request import PendingRequest, RequestDescription
 
 
 @on_loop
@@ -22,7 +23,7 @@
         works, handlers[Arrival] = handlers[Arrival], lambda _: 1 / 0
         metrics.check_invariant = lambda holds, what: holds or metrics.add(f"BROKEN {what}")  # as a release build does
         assert (await caller.ask(rpc(Req_Deadline="0.100")))[0] == 502
-        assert town.count("BROKEN module failed") == 1
+        assert town.count("BROKEN decision logic failed") == 1
         handlers[Arrival] = works
         assert (await caller.ask(rpc()))[0] == 200
 
@@ -33,11 +34,11 @@
         runtime = town.program.runtime
         now = runtime.clock.now()
         assert runtime.arrival_time() >= now
-        runtime.due = now - 3_000_000
+        runtime.next_timer_at = now - 3_000_000
         assert runtime.arrival_time() == now - 3_000_000
-        runtime.timer(runtime.due, 0)
-        assert runtime.due > now and runtime.arrival_time() == now - 3_000_000  # connections made meanwhile
-        runtime.woke -= 1_000_000
+        runtime.timer_fired(runtime.next_timer_at, 0)
+        assert runtime.next_timer_at > now and runtime.arrival_time() == now - 3_000_000  # connections made meanwhile
+        runtime.stalled_until -= 1_000_000
         assert runtime.arrival_time() >= now
 
 
@@ -54,7 +55,8 @@
 async def test_a_call_out_wished_for_and_never_made_is_told_as_not_sent():
     async with GatewayUnderTest() as town:
         runtime = town.program.runtime
-        held = runtime.open_request(0, 0, 5, runtime.clock.now() + 1_000_000, 1.0, 3.0, None)
+        description = RequestDescription(method=0, plan=0, customer_id=5, units=1.0, customer_gateways=3.0)
+        held = runtime.open_request(description, runtime.clock.now() + 1_000_000)
         assert isinstance(held.decisions[0], StartAttempt) and runtime.gateway.out == 1
         runtime.close_request(held)
         assert runtime.gateway.out == 0 and not runtime.pending and not runtime.gateway.open
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -12,8 +12,9 @@
 from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
+from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Clock, PendingRequest
+from stoneyoke.runtime.pending_request import PendingRequest
 
 ANSWERS = [
     OK,
--- a/tests/system/gateway_fixture.py
+++ b/tests/system/gateway_fixture.py
@@ -16,7 +16,7 @@
 from stoneyoke.gateway.upstreams import Upstreams, judge
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 from stoneyoke.gateway.routes import table_of
-from stoneyoke.runtime.runtime import Clock
+from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
 
 BOUNDS = {
--- a/tests/system/raw_backend.py
+++ b/tests/system/raw_backend.py
@@ -7,7 +7,8 @@
 
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
-from stoneyoke.runtime.runtime import Clock, PendingRequest
+from stoneyoke.runtime.clock import Clock
+from stoneyoke.runtime.pending_request import PendingRequest
 from stoneyoke.runtime.metrics import Metrics
 
 BUFFER = 4096  # bytes that the peer's kernel takes of what is not read, or little more
--- a/tests/system/test_backend_at_work.py
+++ b/tests/system/test_backend_at_work.py
@@ -12,7 +12,7 @@
 from stoneyoke.gateway.upstreams import judge
 from stoneyoke.control.events import TimerFired
 from stoneyoke.control.parameters import AttemptOutcome
-from stoneyoke.net.http import Message
+from stoneyoke.net.message_reader import Message
 
 GRACE_S = 60.0
 BEATS = 100  # of the module: 5 s, well beyond its patience with a quiet backend
@@ -45,7 +45,7 @@
     """Time passes for the decisions alone, beat by beat."""
     runtime = gateway.upstreams.upstream(gateway.service).runtime
     for _ in range(BEATS):
-        gateway.clock.base += BEAT
+        gateway.clock.monotonic_to_unix_us += BEAT
         runtime.dispatch(TimerFired(0))
 
 
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -297,7 +297,7 @@
 
 @test("what each answer of a backend tells")
 def _():
-    from stoneyoke.net.http import Message
+    from stoneyoke.net.message_reader import Message
     from stoneyoke.gateway.upstreams import judge
 
     def told(status, **headers):
--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -13,7 +13,7 @@
 from stoneyoke.control.parameters import PROVEN_NOT_RUN
 from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.backends import Attempt, BackendPool
-from stoneyoke.net.http import RequestWrite
+from stoneyoke.net.message_writer import RequestWrite
 
 OK = b"HTTP/1.1 200 OK\r\nAttempt-Id: a-1\r\nContent-Length: 3\r\n\r\nyes"
 OTHER = OK.replace(b"a-1", b"z-9")
