--- a/stoneyoke/consensus/acceptor.py
+++ b/stoneyoke/consensus/acceptor.py
@@ -1,13 +1,13 @@
 """One voter's promises and its accepted value. No I/O."""
 
 from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
-from stoneyoke.consensus.register_value import Accepted
+from stoneyoke.consensus.register_value import Proposal
 
 
 class Acceptor:
     """The durable state of one voter.
 
-    The caller first asks (`may_promise`, `may_accept`, `lacks`), then writes the new state to disk, then records it
+    The caller first asks (`may_promise`, `may_accept`, `is_behind`), then writes the new state to disk, then records it
     here (`promise`, `accept`), and only then answers the proposer. An answer that outran the disk could be forgotten in
     a crash, and two values could be chosen.
 
@@ -16,7 +16,7 @@
         accepted: The proposal accepted last; None: none yet.
     """
 
-    def __init__(self, promised: Ballot = NO_BALLOT, accepted: Accepted | None = None) -> None:
+    def __init__(self, promised: Ballot = NO_BALLOT, accepted: Proposal | None = None) -> None:
         """Restores a state from disk. To accept a ballot is to promise it, so the higher one of the two counts."""
         self.accepted = accepted
         self.promised = max(promised, accepted.ballot) if accepted else promised
@@ -37,12 +37,12 @@
         """Whether a proposal under this ballot may be accepted."""
         return ballot >= self.promised
 
-    def accept(self, proposal: Accepted) -> None:
+    def accept(self, proposal: Proposal) -> None:
         """Records an accepted proposal that is on disk."""
         self.promised = max(self.promised, proposal.ballot)
         self.accepted = proposal
 
-    def lacks(self, chosen: Accepted) -> bool:
+    def is_behind(self, chosen: Proposal) -> bool:
         """Whether a chosen proposal is newer than the accepted one.
 
         Then it may be accepted whatever was promised, since every later proposal builds on it.
--- a/stoneyoke/consensus/majority_read.py
+++ b/stoneyoke/consensus/majority_read.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass, field
 
 from stoneyoke.consensus import quorum, voter_groups
-from stoneyoke.consensus.register_value import Accepted, Group, ReplicaId
+from stoneyoke.consensus.register_value import Group, Proposal, ReplicaId
 
 
 @dataclass(slots=True)
-class Query:
+class MajorityRead:
     """A linearizable read: it returns nothing older than what was chosen before it began.
 
     It succeeds where a quorum already holds the newest value. Where the voters disagree, a proposal is under way or
@@ -16,44 +16,44 @@
 
     Attributes:
         known: The newest proposal that this process knows.
-        chosen_number: Highest number of a voter set that is known to be chosen; 0: none.
+        chosen_voters_number: Highest number of a voter set that is known to be chosen; 0: none.
         replies: What each voter has accepted, with or without its body.
     """
 
-    known: Accepted
-    chosen_number: int
-    replies: dict[ReplicaId, Accepted | None] = field(default_factory=dict)
+    known: Proposal
+    chosen_voters_number: int
+    replies: dict[ReplicaId, Proposal | None] = field(default_factory=dict)
 
-    def found(self) -> Accepted:
+    def newest_found(self) -> Proposal:
         """The proposal with the highest ballot seen so far."""
         return voter_groups.newest(self.known, self.replies.values())
 
-    def groups(self) -> tuple[Group, ...]:
+    def required_groups(self) -> tuple[Group, ...]:
         """The groups of which a majority each has to answer."""
-        return voter_groups.groups_to_ask(self.known, self.found(), self.chosen_number)
+        return voter_groups.groups_to_ask(self.known, self.newest_found(), self.chosen_voters_number)
 
-    def targets(self) -> set[str]:
+    def addresses_to_ask(self) -> set[str]:
         """Addresses to ask. The set grows as newer voter sets are found."""
-        return voter_groups.addresses_of(self.groups())
+        return voter_groups.addresses_of(self.required_groups())
 
-    def replied(self, voter: ReplicaId, accepted: Accepted | None) -> None:
+    def on_reply(self, voter: ReplicaId, accepted: Proposal | None) -> None:
         """A voter has told what it has accepted."""
         self.replies[voter] = accepted
 
-    def complete(self) -> bool:
-        """Whether nothing that was chosen before the read began can be newer than `found()`."""
-        return all(quorum.has_majority(group, self.replies) for group in self.groups())
+    def has_quorum(self) -> bool:
+        """Whether nothing that was chosen before the read began can be newer than `newest_found()`."""
+        return all(quorum.has_majority(group, self.replies) for group in self.required_groups())
 
-    def chosen(self) -> Accepted | None:
+    def chosen_proposal(self) -> Proposal | None:
         """The newest chosen proposal, None while the replies don't prove one."""
-        if not self.complete():
+        if not self.has_quorum():
             return None
-        newest = self.found()
+        newest = self.newest_found()
         holders = [voter for voter, accepted in self.replies.items() if accepted and accepted.ballot == newest.ballot]
-        return newest if all(quorum.has_majority(group, holders) for group in newest.value.groups()) else None
+        return newest if all(quorum.has_majority(group, holders) for group in newest.value.quorum_groups()) else None
 
 
-def newest_view(views: Mapping[ReplicaId, Accepted]) -> Accepted | None:
+def newest_view(views: Mapping[ReplicaId, Proposal]) -> Proposal | None:
     """The newest of the proposals that replicas know, chosen or not.
 
     Args:
@@ -66,4 +66,4 @@
     if not views:
         return None
     newest = max(views.values(), key=lambda view: view.ballot)
-    return newest if all(quorum.has_copies(group, views) for group in newest.value.groups()) else None
+    return newest if all(quorum.has_read_quorum(group, views) for group in newest.value.quorum_groups()) else None
--- a/stoneyoke/consensus/proposal_round.py
+++ b/stoneyoke/consensus/proposal_round.py
@@ -13,7 +13,7 @@
 
 from stoneyoke.consensus import quorum, voter_groups
 from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
-from stoneyoke.consensus.register_value import Accepted, Change, Group, RegisterValue, ReplicaId
+from stoneyoke.consensus.register_value import Change, Group, Proposal, RegisterValue, ReplicaId
 
 
 class Phase(Enum):
@@ -37,59 +37,59 @@
 
 
 @dataclass(slots=True)
-class Round:
+class ProposalRound:
     """One round under one ballot.
 
-    The caller asks `targets()` for what the phase needs and reports each answer: `promised`, `accepted` or `refused`.
-    Answers that come after their phase change nothing.
+    The caller asks the voters at `addresses_to_ask()` and reports each answer by `on_promised`, `on_accepted` or
+    `on_refused`. Answers that come after their phase change nothing.
 
     Attributes:
         ballot: Used by no other round.
         known: The newest proposal that this process knows: chosen, or accepted here.
-        chosen_number: Highest number of a voter set that is known to be chosen; 0: none.
+        chosen_voters_number: Highest number of a voter set that is known to be chosen; 0: none.
         change: Makes the value to propose of the value found. It is called once.
         phase: Where the round stands.
         promises: What each voter had accepted before it promised this ballot.
-        accepts: Voters that have accepted the proposal.
-        proposal: The value proposed, from phase ACCEPT on.
-        highest: Highest ballot that a refusal named. The next round has to be above it.
+        acceptances: Voters that have accepted the proposal.
+        proposed_value: The value proposed, from phase ACCEPT on.
+        highest_refusal: Highest ballot that a refusal named. The next round has to be above it.
     """
 
     ballot: Ballot
-    known: Accepted
-    chosen_number: int
+    known: Proposal
+    chosen_voters_number: int
     change: Change
     phase: Phase = Phase.PREPARE
-    promises: dict[ReplicaId, Accepted | None] = field(default_factory=dict)
-    accepts: set[ReplicaId] = field(default_factory=set)
-    proposal: RegisterValue | None = None
-    highest: Ballot = NO_BALLOT
+    promises: dict[ReplicaId, Proposal | None] = field(default_factory=dict)
+    acceptances: set[ReplicaId] = field(default_factory=set)
+    proposed_value: RegisterValue | None = None
+    highest_refusal: Ballot = NO_BALLOT
 
-    def found(self) -> Accepted:
+    def newest_found(self) -> Proposal:
         """The proposal with the highest ballot seen so far."""
         return voter_groups.newest(self.known, self.promises.values())
 
-    def groups(self) -> tuple[Group, ...]:
+    def required_groups(self) -> tuple[Group, ...]:
         """The groups of which a majority each is needed in this phase."""
-        if self.proposal:
-            return self.proposal.groups()
-        return voter_groups.groups_to_ask(self.known, self.found(), self.chosen_number)
+        if self.proposed_value:
+            return self.proposed_value.quorum_groups()
+        return voter_groups.groups_to_ask(self.known, self.newest_found(), self.chosen_voters_number)
 
-    def targets(self) -> set[str]:
+    def addresses_to_ask(self) -> set[str]:
         """Addresses to ask in this phase. The set grows as newer voter sets are found."""
-        return voter_groups.addresses_of(self.groups())
+        return voter_groups.addresses_of(self.required_groups())
 
     def is_running(self) -> bool:
         """Whether an answer can still change the outcome."""
         return self.phase in RUNNING_PHASES
 
-    def refused(self, promised: Ballot) -> None:
+    def on_refused(self, promised: Ballot) -> None:
         """A voter has promised a higher ballot to another proposer."""
         if self.is_running():
-            self.highest = max(self.highest, promised)
+            self.highest_refusal = max(self.highest_refusal, promised)
             self.phase = Phase.LOST
 
-    def promised(self, voter: ReplicaId, accepted: Accepted | None) -> None:
+    def on_promised(self, voter: ReplicaId, accepted: Proposal | None) -> None:
         """A voter has promised this ballot.
 
         Args:
@@ -99,31 +99,31 @@
         if self.phase is not Phase.PREPARE:
             return
         self.promises[voter] = accepted
-        if all(quorum.has_majority(group, self.promises) for group in self.groups()):
-            self.proposal = self.build(self.found().value)
+        if all(quorum.has_majority(group, self.promises) for group in self.required_groups()):
+            self.proposed_value = self.build_value(self.newest_found().value)
             self.phase = Phase.ACCEPT
 
-    def build(self, found: RegisterValue) -> RegisterValue:
+    def build_value(self, found: RegisterValue) -> RegisterValue:
         """Applies the change to the value found.
 
         A change of the voters that isn't known to be chosen stays joint, and no other one is begun on top of it.
         """
         proposal = self.change(found)
-        is_undecided = found.previous and found.voters.number > self.chosen_number
+        is_undecided = found.previous and found.voters.number > self.chosen_voters_number
         if is_undecided or proposal.voters == found.voters:
             previous = found.previous if is_undecided else ()
             return replace(proposal, voters=found.voters, previous=previous)
         return replace(proposal, previous=found.voters.members)
 
-    def accepted(self, voter: ReplicaId) -> None:
+    def on_accepted(self, voter: ReplicaId) -> None:
         """A voter has the proposal on its disk."""
         if self.phase is not Phase.ACCEPT:
             return
-        self.accepts.add(voter)
-        if all(quorum.has_majority(group, self.accepts) for group in self.groups()):
+        self.acceptances.add(voter)
+        if all(quorum.has_majority(group, self.acceptances) for group in self.required_groups()):
             self.phase = Phase.CHOSEN
 
-    def chosen(self) -> Accepted:
+    def chosen_proposal(self) -> Proposal:
         """What was decided. Only valid in phase CHOSEN."""
-        assert self.phase is Phase.CHOSEN and self.proposal
-        return Accepted(self.ballot, self.proposal)
+        assert self.phase is Phase.CHOSEN and self.proposed_value
+        return Proposal(self.ballot, self.proposed_value)
--- a/stoneyoke/consensus/quorum.py
+++ b/stoneyoke/consensus/quorum.py
@@ -1,14 +1,14 @@
 """How many voters are enough to choose a value, and how many to be sure of seeing it.
 
-With n voters a value is chosen once `majority(n)` of them have it on disk. Of any `copies(n)` voters at least one has
-it, since no more than n - majority(n) voters lack it.
+With n voters a value is chosen once `majority(n)` of them have it on disk. Of any `read_quorum(n)` voters at
+least one has it, since no more than n - majority(n) voters lack it.
 
 A voter that lost its disk needs the answers of as many *other* voters, though it may have been one of the majority
 itself: at least majority(n) - 1 of the n - 1 others have the value, so no more than n - majority(n) of them lack it.
 
     n           1  2  3  4  5  7
     majority    1  2  2  3  3  4
-    copies      1  1  2  2  3  4
+    read quorum 1  1  2  2  3  4
 """
 
 from collections.abc import Hashable, Iterable
@@ -19,7 +19,7 @@
     return voters // 2 + 1
 
 
-def copies(voters: int) -> int:
+def read_quorum(voters: int) -> int:
     """The smallest number of voters that has a member in common with every majority."""
     return voters - majority(voters) + 1
 
@@ -30,7 +30,7 @@
     return len(members.intersection(answered)) >= majority(len(members))
 
 
-def has_copies(group: Iterable[Hashable], answered: Iterable[Hashable]) -> bool:
+def has_read_quorum(group: Iterable[Hashable], answered: Iterable[Hashable]) -> bool:
     """Whether one of those that answered has whatever a majority of the group has accepted."""
     members = set(group)
-    return len(members.intersection(answered)) >= copies(len(members))
+    return len(members.intersection(answered)) >= read_quorum(len(members))
--- a/stoneyoke/consensus/record_formats.py
+++ b/stoneyoke/consensus/record_formats.py
@@ -10,14 +10,14 @@
 
 from stoneyoke.api.configuration import Version
 from stoneyoke.consensus.ballot import Ballot
-from stoneyoke.consensus.register_value import FIRST_DISK, Accepted, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.register_value import FIRST_DISK, Proposal, RegisterValue, ReplicaId, VoterSet
 
 Record = dict[bytes, bytes]
 IDENTITY, PROMISE, REGISTER = "identity", "promise", "register"
-OLD_CONFIGURATION, OLD_VOTERS = "word", "crew"  # families of the release before
+LEGACY_CONFIGURATION, LEGACY_VOTERS = "word", "crew"  # families of the release before
 
 
-class BadRecord(ValueError):
+class InvalidRecord(ValueError):
     """A whole record that does not hold what it should."""
 
 
@@ -29,7 +29,7 @@
     try:
         return record[b"disk"].decode()
     except (KeyError, UnicodeDecodeError) as bad:
-        raise BadRecord(f"identity: {bad}") from bad
+        raise InvalidRecord(f"identity: {bad}") from bad
 
 
 def promise_record(ballot: Ballot) -> Record:
@@ -40,32 +40,35 @@
     try:
         return Ballot(int(record[b"counter"]), record[b"proposer"].decode())
     except (KeyError, ValueError) as bad:
-        raise BadRecord(f"promise: {bad}") from bad
+        raise InvalidRecord(f"promise: {bad}") from bad
 
 
-def register_record(accepted: Accepted) -> Record:
+def register_record(accepted: Proposal) -> Record:
     value = accepted.value
     version = (value.version.number, value.version.digest)
     header = (tuple(accepted.ballot), value.voters.number, value.voters.members, value.previous, version)
     return {b"header": msgpack.packb(header), b"body": value.body}
 
 
-def read_register(record: Record) -> Accepted:
+def read_register(record: Record) -> Proposal:
     try:
         ballot, number, members, previous, version = msgpack.unpackb(record[b"header"], use_list=False)
         value = RegisterValue(
-            VoterSet(number, read_members(members)), read_members(previous), Version(*version), record[b"body"]
+            VoterSet(number, members_from_rows(members)),
+            members_from_rows(previous),
+            Version(*version),
+            record[b"body"],
         )
-        return Accepted(Ballot(*ballot), value)
+        return Proposal(Ballot(*ballot), value)
     except (KeyError, ValueError, TypeError, msgpack.UnpackException) as bad:
-        raise BadRecord(f"register: {bad}") from bad
+        raise InvalidRecord(f"register: {bad}") from bad
 
 
-def read_members(rows: Any) -> tuple[ReplicaId, ...]:
+def members_from_rows(rows: Any) -> tuple[ReplicaId, ...]:
     return tuple(ReplicaId(*row) for row in rows)
 
 
-def read_old_records(voters: Record | None, configuration: Record | None, version: Version) -> Accepted | None:
+def legacy_register(voters: Record | None, configuration: Record | None, version: Version) -> Proposal | None:
     """The register as the release before kept it, for a system that was stopped and starts with this one. Of the
     copies the one with the highest version goes first, as it did there. version: of the configuration's text."""
     if not voters or voters.get(b"standing") != b"1":
@@ -77,7 +80,7 @@
             return None
         number = int(voters[b"number"])
     except (KeyError, ValueError) as bad:
-        raise BadRecord(f"voters: {bad}") from bad
+        raise InvalidRecord(f"voters: {bad}") from bad
     body = configuration[b"body"] if configuration and version.number else b""
     ballot = Ballot(version.number, version.digest.hex())
-    return Accepted(ballot, RegisterValue(VoterSet(number, members), (), version, body))
+    return Proposal(ballot, RegisterValue(VoterSet(number, members), (), version, body))
--- a/stoneyoke/consensus/recovery.py
+++ b/stoneyoke/consensus/recovery.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from stoneyoke.consensus.ballot import Ballot
-from stoneyoke.consensus.register_value import Accepted, ReplicaId, VoterSet
+from stoneyoke.consensus.register_value import Proposal, ReplicaId, VoterSet
 
 # Above any ballot and set that members which were not heard may hold.
 BALLOTS_SKIPPED = 1_000_000
@@ -14,9 +14,9 @@
 PROPOSER = "recovery"
 
 
-def recovered(held: Accepted, promised: Ballot, survivor: ReplicaId) -> Accepted:
+def recovered_register(held: Proposal, promised: Ballot, survivor: ReplicaId) -> Proposal:
     """The register with this member as its only voter, and what it held. The others join as learners, with empty
     disks, and are made voters two at a time."""
     counter = max(held.ballot, promised).counter + BALLOTS_SKIPPED
     voters = VoterSet(held.value.voters.number + SETS_SKIPPED, (survivor,))
-    return Accepted(Ballot(counter, PROPOSER), replace(held.value, voters=voters, previous=()))
+    return Proposal(Ballot(counter, PROPOSER), replace(held.value, voters=voters, previous=()))
--- a/stoneyoke/consensus/register_value.py
+++ b/stoneyoke/consensus/register_value.py
@@ -66,7 +66,7 @@
     version: Version = Version()
     body: bytes = b""
 
-    def groups(self) -> tuple[Group, ...]:
+    def quorum_groups(self) -> tuple[Group, ...]:
         """The groups that each have to accept this value by a majority before it is chosen."""
         return (self.voters.members, self.previous) if self.previous else (self.voters.members,)
 
@@ -75,7 +75,7 @@
         return replace(self, body=b"")
 
 
-class Accepted(NamedTuple):
+class Proposal(NamedTuple):
     """A value and the ballot under which it was proposed. One ballot never has two values.
 
     A proposal is accepted by one voter after another, and chosen once each of its groups has a majority of them.
@@ -94,11 +94,11 @@
     return value
 
 
-def initial_value(seeds: Iterable[str]) -> Accepted:
+def initial_value(seeds: Iterable[str]) -> Proposal:
     """The value at the first start of the whole system, when all disks are empty.
 
     Args:
         seeds: Addresses of the first voters. Every replica is given the same ones, in any order.
     """
     members = tuple(ReplicaId(address, FIRST_DISK) for address in sorted(set(seeds)))
-    return Accepted(NO_BALLOT, RegisterValue(VoterSet(1, members)))
+    return Proposal(NO_BALLOT, RegisterValue(VoterSet(1, members)))
--- a/stoneyoke/consensus/replica.py
+++ b/stoneyoke/consensus/replica.py
@@ -14,21 +14,21 @@
 from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
 from stoneyoke.consensus.record_formats import (
     IDENTITY,
-    OLD_CONFIGURATION,
-    OLD_VOTERS,
+    LEGACY_CONFIGURATION,
+    LEGACY_VOTERS,
     PROMISE,
     REGISTER,
-    BadRecord,
+    InvalidRecord,
     Record,
     identity_record,
+    legacy_register,
     promise_record,
     read_identity,
-    read_old_records,
     read_promise,
     read_register,
     register_record,
 )
-from stoneyoke.consensus.register_value import FIRST_DISK, Accepted, ReplicaId, VoterSet, initial_value
+from stoneyoke.consensus.register_value import FIRST_DISK, Proposal, ReplicaId, VoterSet, initial_value
 from stoneyoke.storage.record_store import StorageError
 
 START_RETRY_S = 0.5  # a disk that refuses at the start is tried again
@@ -48,13 +48,13 @@
 
 
 class Replica:
-    """learned: called whenever a newer value is known to be chosen."""
+    """on_chosen: called whenever a newer value is known to be chosen."""
 
-    def __init__(self, address: str, store: RecordStorage, blocking: Blocking, learned: Callable[[], None]) -> None:
-        self.address, self.store, self.blocking, self.learned = address, store, blocking, learned
+    def __init__(self, address: str, store: RecordStorage, blocking: Blocking, on_chosen: Callable[[], None]) -> None:
+        self.address, self.store, self.blocking, self.on_chosen = address, store, blocking, on_chosen
         self.identity = ReplicaId(address, "")
         self.acceptor = Acceptor()
-        self.chosen: Accepted | None = None
+        self.chosen: Proposal | None = None
         self.writing = asyncio.Lock()  # one record is written at a time
         self.waiting = 0  # for the disk
 
@@ -89,26 +89,26 @@
                 await asyncio.sleep(START_RETRY_S)
 
     async def load_record(self, family: str, read: Callable[[Record], Any]) -> Any:
-        """A family's newest record, tried until the disk can tell. Raises BadRecord."""
+        """A family's newest record, tried until the disk can tell. Raises InvalidRecord."""
         record, wrong = await self.at_last(self.store.load, family)
         for what in wrong:
             logger.warning("disk: {}", what)
         return read(record) if record else None
 
-    async def load_old(self) -> Accepted | None:
+    async def load_old(self) -> Proposal | None:
         """The records of the release before, if these are all that there is."""
-        voters, _ = await self.at_last(self.store.load, OLD_VOTERS)
-        configuration, _ = await self.at_last(self.store.load, OLD_CONFIGURATION)
+        voters, _ = await self.at_last(self.store.load, LEGACY_VOTERS)
+        configuration, _ = await self.at_last(self.store.load, LEGACY_CONFIGURATION)
         try:
             held = read_configuration(configuration[b"body"]).version if configuration else Version()
-            return read_old_records(voters, configuration, held)
-        except (BadRecord, InvalidField, KeyError) as bad:
+            return legacy_register(voters, configuration, held)
+        except (InvalidRecord, InvalidField, KeyError) as bad:
             logger.error("disk: the records of the release before can't be read: {}", bad)
             return None
 
     # ---- what it knows ----
 
-    def view(self) -> Accepted | None:
+    def view(self) -> Proposal | None:
         """The newest value known here, chosen or not."""
         known = [one for one in (self.acceptor.accepted, self.chosen) if one]
         return max(known, key=lambda one: one.ballot, default=None)
@@ -118,10 +118,10 @@
         newest = self.chosen or self.acceptor.accepted
         return newest.value.voters if newest else VoterSet()
 
-    def votes(self) -> bool:
+    def is_voter(self) -> bool:
         return self.identity in self.voters().members
 
-    def chosen_number(self) -> int:
+    def chosen_voters_number(self) -> int:
         """The highest number of a voter set that is known to be chosen."""
         return self.chosen.value.voters.number if self.chosen else 0
 
@@ -141,7 +141,7 @@
                 self.acceptor.promise(ballot)
             return True
 
-    async def accept(self, proposal: Accepted) -> bool:
+    async def accept(self, proposal: Proposal) -> bool:
         """Whether it holds this proposal on disk."""
         async with Waiting(self):
             if not self.acceptor.may_accept(proposal.ballot):
@@ -151,28 +151,28 @@
                 self.acceptor.accept(proposal)
             return True
 
-    async def learn(self, chosen: Accepted) -> None:
+    async def learn(self, chosen: Proposal) -> None:
         """A value is chosen: known here from now on, and kept on disk if that can be had."""
-        self.note_chosen(chosen)
-        await self.keep_chosen(chosen)
+        self.record_chosen(chosen)
+        await self.store_chosen(chosen)
 
-    def note_chosen(self, chosen: Accepted) -> None:
+    def record_chosen(self, chosen: Proposal) -> None:
         """A value is chosen: known here from now on."""
         if self.chosen is None or chosen.ballot > self.chosen.ballot:
             self.chosen = chosen
-            self.learned()
+            self.on_chosen()
 
-    async def keep_chosen(self, chosen: Accepted) -> None:
+    async def store_chosen(self, chosen: Proposal) -> None:
         """On this disk too, if that can be had. Nobody has to wait for it: a majority holds it already."""
         try:
             async with Waiting(self):
-                if self.acceptor.lacks(chosen):
+                if self.acceptor.is_behind(chosen):
                     await self.blocking(self.store.keep, REGISTER, register_record(chosen))
                     self.acceptor.accept(chosen)
         except StorageError as bad:
             logger.error("disk: {}", bad)
 
-    def learn_ballot(self, ballot: Ballot) -> bool:
+    def learn_chosen_ballot(self, ballot: Ballot) -> bool:
         """The value under this ballot is chosen. Whether that value is known here."""
         if self.chosen and self.chosen.ballot >= ballot:
             return True
@@ -180,7 +180,7 @@
         if accepted is None or accepted.ballot != ballot:
             return False
         self.chosen = accepted
-        self.learned()
+        self.on_chosen()
         return True
 
 
--- a/stoneyoke/consensus/replication.py
+++ b/stoneyoke/consensus/replication.py
@@ -11,17 +11,17 @@
 from loguru import logger
 
 from stoneyoke.consensus.ballot import Ballot
-from stoneyoke.consensus.majority_read import Query
+from stoneyoke.consensus.majority_read import MajorityRead
 from stoneyoke.consensus.message_rows import (
-    accepted_rows,
     ballot_row,
     member_row,
-    read_accepted,
-    read_value,
+    proposal_from_rows,
+    proposal_rows,
+    value_from_row,
     value_row,
 )
-from stoneyoke.consensus.proposal_round import Phase, Round
-from stoneyoke.consensus.register_value import Accepted, Change, ReplicaId, unchanged
+from stoneyoke.consensus.proposal_round import Phase, ProposalRound
+from stoneyoke.consensus.register_value import Change, Proposal, ReplicaId, unchanged
 from stoneyoke.consensus.replica import Replica
 from stoneyoke.controlplane.peers import Peers
 from stoneyoke.storage.record_store import StorageError
@@ -41,7 +41,7 @@
 from stoneyoke.transport.peers import PeerUnreachable
 
 CALL_S = 0.7  # for one answer
-LARGE_S = 1.0 / (1 << 20)  # a second more for each MiB
+TRANSFER_S_PER_BYTE = 1.0 / (1 << 20)  # a second more for each MiB
 PAUSE_S = 0.02  # after a round that was lost to another proposer; doubled each time, with jitter
 PAUSE_MOST_S = 0.3
 QUERY_S = 0.25  # a read waits so long for replies that agree, then it runs a round
@@ -67,7 +67,7 @@
 
     # ---- proposer ----
 
-    async def propose(self, change: Change, within_s: float) -> Accepted | None:
+    async def propose(self, change: Change, within_s: float) -> Proposal | None:
         """The value chosen with this change applied; None: not known in time, it may be chosen yet."""
         try:
             async with asyncio.timeout(within_s), self.proposing:
@@ -80,29 +80,29 @@
         except TimeoutError:
             return None
 
-    async def run_round(self, change: Change) -> Accepted | None:
+    async def run_round(self, change: Change) -> Proposal | None:
         """One round under a fresh ballot; None if it was lost or too few voters answered."""
         known = self.replica.view()
         if known is None:
             return None
         promised = self.replica.acceptor.promised.counter
         self.counter = max(self.counter, promised, known.ballot.counter) + 1
-        current = Round(Ballot(self.counter, self.proposer), known, self.replica.chosen_number(), change)
+        current = ProposalRound(Ballot(self.counter, self.proposer), known, self.replica.chosen_voters_number(), change)
         await self.drive(current)
         if current.phase is not Phase.CHOSEN:
-            self.counter = max(self.counter, current.highest.counter)
+            self.counter = max(self.counter, current.highest_refusal.counter)
             return None
-        chosen = current.chosen()
+        chosen = current.chosen_proposal()
         self.learn(chosen)
         self.tell_chosen(chosen.ballot)
         return chosen
 
-    async def drive(self, current: Round) -> None:
+    async def drive(self, current: ProposalRound) -> None:
         """Asks whom the round needs, in both phases, until it is decided or nobody is left to answer."""
         asked: set[tuple[Phase, str]] = set()
         waiting: set[asyncio.Task[None]] = set()
         while current.phase in (Phase.PREPARE, Phase.ACCEPT):
-            for address in sorted(current.targets()):
+            for address in sorted(current.addresses_to_ask()):
                 if (current.phase, address) not in asked:
                     asked.add((current.phase, address))
                     step = self.prepare_at if current.phase is Phase.PREPARE else self.accept_at
@@ -111,10 +111,10 @@
                 return
             _, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
 
-    async def prepare_at(self, current: Round, address: str) -> None:
+    async def prepare_at(self, current: ProposalRound, address: str) -> None:
         if address == self.peers.own_address:
             if await self.own(self.replica.prepare(current.ballot)):
-                return current.promised(self.replica.identity, self.replica.acceptor.accepted)
+                return current.on_promised(self.replica.identity, self.replica.acceptor.accepted)
             return self.refused(current, self.replica.acceptor.promised)
         request = PrepareRequest(ballot_row(current.ballot), ballot_row(current.known.ballot))
         answer = await self.ask(address, request, CALL_S)
@@ -122,30 +122,30 @@
             return
         if not answer.ok:
             return self.refused(current, Ballot(*answer.promised))
-        accepted = read_accepted(answer.has_accepted, answer.accepted_ballot, answer.accepted)
+        accepted = proposal_from_rows(answer.has_accepted, answer.accepted_ballot, answer.accepted)
         if accepted and accepted.ballot == current.known.ballot:
             accepted = current.known
-        current.promised(ReplicaId(*answer.replica), accepted)
+        current.on_promised(ReplicaId(*answer.replica), accepted)
 
-    async def accept_at(self, current: Round, address: str) -> None:
-        assert current.proposal
-        proposal = Accepted(current.ballot, current.proposal)
+    async def accept_at(self, current: ProposalRound, address: str) -> None:
+        assert current.proposed_value
+        proposal = Proposal(current.ballot, current.proposed_value)
         if address == self.peers.own_address:
             if await self.own(self.replica.accept(proposal)):
-                return current.accepted(self.replica.identity)
+                return current.on_accepted(self.replica.identity)
             return self.refused(current, self.replica.acceptor.promised)
         request = AcceptRequest(ballot_row(proposal.ballot), value_row(proposal.value, with_body=True))
-        answer = await self.ask(address, request, CALL_S + LARGE_S * len(proposal.value.body))
+        answer = await self.ask(address, request, CALL_S + TRANSFER_S_PER_BYTE * len(proposal.value.body))
         if not isinstance(answer, AcceptResponse):
             return
         if not answer.ok:
             return self.refused(current, Ballot(*answer.promised))
-        current.accepted(ReplicaId(*answer.replica))
+        current.on_accepted(ReplicaId(*answer.replica))
 
-    def refused(self, current: Round, promised: Ballot) -> None:
+    def refused(self, current: ProposalRound, promised: Ballot) -> None:
         """A voter's disk may have failed: only a higher promise loses the round."""
         if promised > current.ballot:
-            current.refused(promised)
+            current.on_refused(promised)
 
     async def own(self, step: Coroutine[Any, Any, bool]) -> bool:
         """A step at this process's own disk."""
@@ -162,10 +162,10 @@
         except PeerUnreachable:
             return None
 
-    def learn(self, chosen: Accepted) -> None:
+    def learn(self, chosen: Proposal) -> None:
         """Known here at once; this disk may be slow, or stand still, and nobody waits for it."""
-        self.replica.note_chosen(chosen)
-        self.spawn(self.replica.keep_chosen(chosen))
+        self.replica.record_chosen(chosen)
+        self.spawn(self.replica.store_chosen(chosen))
 
     def tell_chosen(self, ballot: Ballot) -> None:
         """Voters and learners hear of it at once; who does not hears it with the next pull."""
@@ -175,7 +175,7 @@
 
     # ---- reads ----
 
-    async def read(self, within_s: float) -> Accepted | None:
+    async def read(self, within_s: float) -> Proposal | None:
         """The newest chosen value, no older than any that was chosen before this call; None: too few voters answer.
 
         Where a quorum holds one value already nothing is written; else a round settles what is left half way."""
@@ -189,34 +189,34 @@
         except TimeoutError:
             return None
 
-    async def query(self) -> Accepted | None:
+    async def query(self) -> Proposal | None:
         known = self.replica.view()
         if known is None:
             return None
-        current = Query(known, self.replica.chosen_number())
+        current = MajorityRead(known, self.replica.chosen_voters_number())
         asked: set[str] = set()
         waiting: set[asyncio.Task[None]] = set()
         loop = asyncio.get_running_loop()
         until = loop.time() + QUERY_S
-        while not (chosen := current.chosen()):
-            for address in sorted(current.targets() - asked):
+        while not (chosen := current.chosen_proposal()):
+            for address in sorted(current.addresses_to_ask() - asked):
                 asked.add(address)
                 waiting.add(self.spawn(self.query_at(current, address)))
-            if not waiting or loop.time() >= until and current.complete():
+            if not waiting or loop.time() >= until and current.has_quorum():
                 return None
-            timeout = max(0.01, until - loop.time()) if current.complete() else None
+            timeout = max(0.01, until - loop.time()) if current.has_quorum() else None
             _, waiting = await asyncio.wait(waiting, timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
         return await self.with_body(chosen, current)
 
-    async def query_at(self, current: Query, address: str) -> None:
+    async def query_at(self, current: MajorityRead, address: str) -> None:
         if address == self.peers.own_address:
-            return current.replied(self.replica.identity, self.replica.acceptor.accepted)
+            return current.on_reply(self.replica.identity, self.replica.acceptor.accepted)
         answer = await self.ask(address, QueryRequest(), CALL_S)
         if isinstance(answer, QueryResponse):
-            accepted = read_accepted(answer.has_accepted, answer.accepted_ballot, answer.accepted)
-            current.replied(ReplicaId(*answer.replica), accepted)
+            accepted = proposal_from_rows(answer.has_accepted, answer.accepted_ballot, answer.accepted)
+            current.on_reply(ReplicaId(*answer.replica), accepted)
 
-    async def with_body(self, chosen: Accepted, current: Query) -> Accepted | None:
+    async def with_body(self, chosen: Proposal, current: MajorityRead) -> Proposal | None:
         """The same value with its text, from wherever it is."""
         for own in (self.replica.acceptor.accepted, self.replica.chosen):
             if own and own.ballot == chosen.ballot:
@@ -232,12 +232,12 @@
                 return whole
         return None
 
-    async def fetch(self, address: str, ballot: Ballot) -> Accepted | None:
+    async def fetch(self, address: str, ballot: Ballot) -> Proposal | None:
         """The value under this ballot, or a newer one that is chosen, from another controller."""
         answer = await self.ask(address, ValueRequest(ballot_row(ballot)), CALL_S + 1.0)
         if not isinstance(answer, ValueResponse) or not answer.found:
             return None
-        found = Accepted(Ballot(*answer.ballot), read_value(answer.value))
+        found = Proposal(Ballot(*answer.ballot), value_from_row(answer.value))
         if found.ballot != ballot and not (answer.chosen and found.ballot > ballot):
             return None
         try:
@@ -245,41 +245,41 @@
         except zlib.error as bad:
             logger.error("a value from {} can't be read: {}", address, bad)
             return None
-        return Accepted(found.ballot, read_value((*answer.value[:4], body)))
+        return Proposal(found.ballot, value_from_row((*answer.value[:4], body)))
 
     # ---- acceptor and learner ----
 
-    async def prepared(self, asked: PrepareRequest) -> PrepareResponse:
+    async def handle_prepare(self, asked: PrepareRequest) -> PrepareResponse:
         ok = await self.own(self.replica.prepare(Ballot(*asked.ballot)))
         acceptor = self.replica.acceptor
         with_body = ok and acceptor.accepted_ballot() != Ballot(*asked.known)
-        rows = accepted_rows(acceptor.accepted, with_body=with_body)
+        rows = proposal_rows(acceptor.accepted, with_body=with_body)
         return PrepareResponse(ok, member_row(self.replica.identity), ballot_row(acceptor.promised), *rows)
 
-    async def accepted(self, asked: AcceptRequest) -> AcceptResponse:
-        proposal = Accepted(Ballot(*asked.ballot), read_value(asked.value))
+    async def handle_accept(self, asked: AcceptRequest) -> AcceptResponse:
+        proposal = Proposal(Ballot(*asked.ballot), value_from_row(asked.value))
         ok = await self.own(self.replica.accept(proposal))
         return AcceptResponse(ok, member_row(self.replica.identity), ballot_row(self.replica.acceptor.promised))
 
-    def queried(self) -> QueryResponse:
-        rows = accepted_rows(self.replica.acceptor.accepted, with_body=False)
+    def handle_query(self) -> QueryResponse:
+        rows = proposal_rows(self.replica.acceptor.accepted, with_body=False)
         return QueryResponse(member_row(self.replica.identity), *rows)
 
-    def valued(self, asked: ValueRequest) -> ValueResponse:
+    def handle_value_request(self, asked: ValueRequest) -> ValueResponse:
         wanted, chosen, accepted = Ballot(*asked.ballot), self.replica.chosen, self.replica.acceptor.accepted
         is_chosen = chosen is not None and chosen.ballot >= wanted
         held = chosen if is_chosen else accepted if accepted and accepted.ballot == wanted else None
         if held is None:
-            return ValueResponse(False, False, *accepted_rows(None, with_body=False)[1:])
+            return ValueResponse(False, False, *proposal_rows(None, with_body=False)[1:])
         row = value_row(held.value, with_body=False)
         body = zlib.compress(held.value.body, 6) if held.value.body else b""
         return ValueResponse(True, is_chosen, ballot_row(held.ballot), (*row[:4], body))
 
-    async def noticed(self, notice: ChosenNotice) -> ChosenNoticeResponse:
+    async def handle_chosen_notice(self, notice: ChosenNotice) -> ChosenNoticeResponse:
         await self.catch_up(notice.address, Ballot(*notice.ballot))
         return ChosenNoticeResponse()
 
     async def catch_up(self, address: str, chosen: Ballot) -> None:
         """Another controller knows a value to be chosen: this one learns it, whole, however many there were between."""
-        if not self.replica.learn_ballot(chosen) and (value := await self.fetch(address, chosen)):
+        if not self.replica.learn_chosen_ballot(chosen) and (value := await self.fetch(address, chosen)):
             self.learn(value)
--- a/stoneyoke/consensus/voter_set.py
+++ b/stoneyoke/consensus/voter_set.py
@@ -7,7 +7,7 @@
 
 # A voter that is silent for this part of catch_up_s is replaced if a learner stands ready. A lost machine counts as
 # lost until catch_up_s after its successor's start: the other half is left for the successor's start and the rounds.
-LOST_PART = 0.5
+LOST_FRACTION = 0.5
 STEADY_S = 0.5  # a learner in touch for so long, with all that is chosen, may vote
 
 
@@ -23,12 +23,12 @@
     learners: tuple[ReplicaId, ...]
 
 
-def wanted_size(losses: int) -> int:
+def voter_count(losses: int) -> int:
     """So many voters that a majority outlives as many losses."""
     return max(3, 2 * losses + 1)
 
 
-def next_members(
+def next_voters(
     members: tuple[ReplicaId, ...], report: MemberReport, size: int, lost_s: float
 ) -> tuple[ReplicaId, ...]:
     """The voters to propose; the same ones if nothing is to change.
@@ -56,7 +56,7 @@
     return superseded or member in report.leaving or report.silent_s.get(member, 0.0) > lost_s
 
 
-def change_of_voters(chosen: RegisterValue, wanted: tuple[ReplicaId, ...]) -> Change | None:
+def voter_change(chosen: RegisterValue, wanted: tuple[ReplicaId, ...]) -> Change | None:
     """What a round makes of the value found so that these vote; None: there is nothing to do.
 
     chosen: the value that the wish was made for. A change that is not known to be chosen goes first."""
--- a/stoneyoke/controlplane/configuration_service.py
+++ b/stoneyoke/controlplane/configuration_service.py
@@ -10,8 +10,8 @@
 
 from stoneyoke.api.calls import Acknowledged, Answer, Document, Rejected, Unavailable
 from stoneyoke.api.configuration import Configuration
-from stoneyoke.consensus.register_value import Accepted, RegisterValue
-from stoneyoke.consensus.replication import LARGE_S, Replication
+from stoneyoke.consensus.register_value import Proposal, RegisterValue
+from stoneyoke.consensus.replication import TRANSFER_S_PER_BYTE, Replication
 
 ANSWER_TIMEOUT_S = 0.85  # a caller moves on after a second of silence (PROTOCOL, The operator)
 PROPOSAL_TIMEOUT_S = 3.0  # a round goes on after its operator was told that the answer is unclear
@@ -59,7 +59,7 @@
         if not self.has_quorum():
             return Unavailable("cut off from most controllers: ask another one")
         loop = asyncio.get_running_loop()
-        limit = ANSWER_TIMEOUT_S + LARGE_S * len(configuration.body)
+        limit = ANSWER_TIMEOUT_S + TRANSFER_S_PER_BYTE * len(configuration.body)
         replacement = PendingReplacement(configuration, loop.create_future(), loop.time() + limit)
         self.pending.append(replacement)
         if self.worker is None or self.worker.done():
@@ -80,7 +80,7 @@
             chosen = await self.already_chosen(configurations)
             if chosen is None:
                 change = functools.partial(apply_replacements, configurations)
-                limit = PROPOSAL_TIMEOUT_S + LARGE_S * max(len(one.body) for one in configurations)
+                limit = PROPOSAL_TIMEOUT_S + TRANSFER_S_PER_BYTE * max(len(one.body) for one in configurations)
                 chosen = await self.replication.propose(change, limit)
             for replacement in batch:
                 answer = outcome_of(replacement.configuration, chosen.value) if chosen else None
@@ -89,7 +89,7 @@
                 if answer and not replacement.answer.done():
                     replacement.answer.set_result(answer)
 
-    async def already_chosen(self, configurations: tuple[Configuration, ...]) -> Accepted | None:
+    async def already_chosen(self, configurations: tuple[Configuration, ...]) -> Proposal | None:
         """The chosen value if it settles all these pending (sent again, or late): then nothing is written."""
         known = self.replication.replica.version().number
         if any(one.version.number > known for one in configurations):
--- a/stoneyoke/controlplane/controller.py
+++ b/stoneyoke/controlplane/controller.py
@@ -23,10 +23,10 @@
 from stoneyoke.api.configuration import Configuration, Version, read_configuration
 from stoneyoke.api.schema import InvalidField
 from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
-from stoneyoke.consensus.message_rows import EMPTY, ballot_row, member_row, stamp, value_row
+from stoneyoke.consensus.message_rows import EMPTY_VALUE, ballot_row, member_row, value_row, version_row
 from stoneyoke.consensus.replica import RecordStorage, Replica
 from stoneyoke.consensus.replication import Replication
-from stoneyoke.consensus.voter_set import wanted_size
+from stoneyoke.consensus.voter_set import voter_count
 from stoneyoke.controlplane.configuration_service import ConfigurationService
 from stoneyoke.controlplane.discovery_service import DiscoveryService, Surroundings
 from stoneyoke.controlplane.heartbeat_ring import HeartbeatWatch
@@ -119,7 +119,7 @@
         self.membership: Membership
 
     async def start(self) -> None:
-        """Raises StorageError or BadRecord if the disk can't be used."""
+        """Raises StorageError or InvalidRecord if the disk can't be used."""
         await self.replica.load(self.seeds, self.first_start, self.random_source)
         fresh = self.first_start and self.replica.acceptor.promised == NO_BALLOT
         surroundings = Surroundings(
@@ -151,7 +151,7 @@
             self.peers,
             holds_lease=self.lease.is_held,
             clock=self.clock,
-            size=wanted_size(self.losses),
+            size=voter_count(self.losses),
             catch_up_s=self.bounds["catch_up_s"],
             random_source=self.random_source,
         )
@@ -228,7 +228,7 @@
             self.zone,
             peer.incarnation,
             peer.seq,
-            stamp(self.replica.version()),
+            version_row(self.replica.version()),
             True,
             False,
             int(PULL_HOLD_S * 1000),
@@ -274,15 +274,15 @@
             case FetchRequest():
                 return self.answer_fetch()
             case PrepareRequest():
-                return await self.replication.prepared(message)
+                return await self.replication.handle_prepare(message)
             case AcceptRequest():
-                return await self.replication.accepted(message)
+                return await self.replication.handle_accept(message)
             case QueryRequest():
-                return self.replication.queried()
+                return self.replication.handle_query()
             case ValueRequest():
-                return self.replication.valued(message)
+                return self.replication.handle_value_request(message)
             case ChosenNotice():
-                return await self.replication.noticed(message)
+                return await self.replication.handle_chosen_notice(message)
             case InstanceUpdate():
                 return self.discovery.handle_update(message)
             case InstanceRefresh():
@@ -333,9 +333,9 @@
             list(rows),
             member_row(self.replica.identity),
             ballot_row(view.ballot if view else NO_BALLOT),
-            value_row(view.value if view else EMPTY, with_body=False),
+            value_row(view.value if view else EMPTY_VALUE, with_body=False),
             ballot_row(chosen.ballot if chosen else NO_BALLOT),
-            stamp(self.replica.version()),
+            version_row(self.replica.version()),
             self.discovery.synced(),
             self.lease.holder_known(),
             self.membership.leaving,
@@ -347,10 +347,10 @@
     def answer_fetch(self) -> FetchResponse:
         chosen = self.replica.chosen
         if chosen is None:
-            return FetchResponse(stamp(Version()), b"")
+            return FetchResponse(version_row(Version()), b"")
         if self.compressed[0] != chosen.ballot or not self.compressed[1]:
             self.compressed = (chosen.ballot, zlib.compress(chosen.value.body, 6))
-        return FetchResponse(stamp(chosen.value.version), self.compressed[1])
+        return FetchResponse(version_row(chosen.value.version), self.compressed[1])
 
     def allocate_quota(self, asked: QuotaRequest) -> QuotaResponse:
         allocator = self.lease.allocator
--- a/stoneyoke/controlplane/membership.py
+++ b/stoneyoke/controlplane/membership.py
@@ -8,7 +8,7 @@
 
 from stoneyoke.consensus.register_value import ReplicaId, VoterSet, unchanged
 from stoneyoke.consensus.replication import Replication
-from stoneyoke.consensus.voter_set import LOST_PART, STEADY_S, MemberReport, change_of_voters, next_members
+from stoneyoke.consensus.voter_set import LOST_FRACTION, STEADY_S, MemberReport, next_voters, voter_change
 from stoneyoke.controlplane.peers import NEVER, Peers
 
 CHECK_INTERVAL_S = 0.25
@@ -34,7 +34,7 @@
     ) -> None:
         self.replication, self.replica, self.peers = replication, replication.replica, peers
         self.holds_lease, self.clock, self.size, self.random_source = holds_lease, clock, size, random_source
-        self.lost_after_s, self.started_at = LOST_PART * catch_up_s, clock()
+        self.lost_after_s, self.started_at = LOST_FRACTION * catch_up_s, clock()
         self.leaving = False  # this controller was told to end
         self.resolve_at: float | None = None
 
@@ -70,7 +70,7 @@
         """Proposes the next voters, or takes the mark of a propose_change that is chosen off."""
         chosen = self.replica.chosen
         assert chosen
-        propose_change = change_of_voters(chosen.value, self.desired_members(chosen.value.voters))
+        propose_change = voter_change(chosen.value, self.desired_members(chosen.value.voters))
         if propose_change is None:
             return
         decided = await self.replication.propose(propose_change, PROPOSAL_TIMEOUT_S)
@@ -80,7 +80,7 @@
 
     def desired_members(self, voters: VoterSet) -> tuple[ReplicaId, ...]:
         now = self.clock()
-        return next_members(voters.members, self.member_report(voters, now), self.size, self.lost_after_s)
+        return next_voters(voters.members, self.member_report(voters, now), self.size, self.lost_after_s)
 
     def member_report(self, voters: VoterSet, now: float) -> MemberReport:
         silent = {member: self.silence_s(member, now) for member in voters.members}
@@ -119,7 +119,7 @@
             return
         try:
             async with asyncio.timeout(within_s):
-                while self.replica.votes() or (self.replica.chosen and self.replica.chosen.value.previous):
+                while self.replica.is_voter() or (self.replica.chosen and self.replica.chosen.value.previous):
                     await asyncio.sleep(0.05)
         except TimeoutError:
             logger.warning("left as a voter of set {}", self.replica.voters().number)
--- a/stoneyoke/controlplane/peers.py
+++ b/stoneyoke/controlplane/peers.py
@@ -6,9 +6,9 @@
 from typing import Protocol
 
 from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
-from stoneyoke.consensus.message_rows import read_value
+from stoneyoke.consensus.message_rows import value_from_row
 from stoneyoke.consensus.quorum import majority
-from stoneyoke.consensus.register_value import Accepted, ReplicaId
+from stoneyoke.consensus.register_value import Proposal, ReplicaId
 from stoneyoke.transport.messages import Message, PullResponse
 
 CONTACT_TIMEOUT_S = 1.2  # a peer that answered within this is in touch
@@ -30,7 +30,7 @@
 
     link: PeerLink
     replica: ReplicaId | None = None
-    view: Accepted | None = None  # without its text
+    view: Proposal | None = None  # without its text
     chosen_ballot: Ballot = NO_BALLOT
     last_heard_at: float = NEVER
     incarnation: str = ""
@@ -51,7 +51,7 @@
         ):
             self.steady_since = now
         self.replica, self.last_heard_at, self.incarnation, self.seq = replica, now, news.incarnation, news.seq
-        self.view = Accepted(Ballot(*news.view_ballot), read_value(news.view))
+        self.view = Proposal(Ballot(*news.view_ballot), value_from_row(news.view))
         self.chosen_ballot = Ballot(*news.chosen_ballot)
         self.instances_synced, self.gateways = news.instances_synced, tuple(news.gateways)
         self.lease_holder, self.leaving = news.lease_holder, news.leaving
--- a/stoneyoke/controlplane/quota_lease.py
+++ b/stoneyoke/controlplane/quota_lease.py
@@ -49,7 +49,7 @@
         )
         self.granter, self.holder = LeaseGranter(clock(), first_start), LeaseHolder()
         self.allocator: QuotaAllocator | None = None
-        self.was_voter = replica.votes()  # as this granter last saw it
+        self.was_voter = replica.is_voter()  # as this granter last saw it
 
     def is_held(self) -> bool:
         return self.holder.is_held(self.clock())
@@ -78,7 +78,7 @@
     def may_request(self, held: bool) -> bool:
         return (
             self.replica.chosen is not None
-            and self.replica.votes()
+            and self.replica.is_voter()
             and (held or self.peers.majority_reachable(self.replica.voters().members, self.replica.identity))
             and (held or self.holder_known() in ("", self.peers.own_address))
         )
@@ -141,11 +141,11 @@
     ) -> tuple[bool, str, float]:
         """Whether it is granted; who has it; for how many seconds more. Only for the voters that are known here to be
         chosen, and no more once newer ones may be: so grants of two sets never make up two majorities."""
-        now, votes = self.clock(), self.replica.votes()
+        now, votes = self.clock(), self.replica.is_voter()
         if votes and not self.was_voter:
             self.granter.delay_grants(now)
         self.was_voter = votes
-        accepted, current = self.replica.acceptor.accepted, self.replica.chosen_number()
+        accepted, current = self.replica.acceptor.accepted, self.replica.chosen_voters_number()
         superseded = accepted is not None and accepted.value.voters.number > voters_number
         if not votes or voters_number != current or superseded:
             return False, self.holder_known(), 0.0
@@ -160,7 +160,9 @@
             request.number,
             request.voters_number,
         )
-        return LeaseResponse(ok, has, int(left * 1000), self.replica.chosen_number(), member_row(self.replica.identity))
+        return LeaseResponse(
+            ok, has, int(left * 1000), self.replica.chosen_voters_number(), member_row(self.replica.identity)
+        )
 
     # ---- the holder's part ----
 
--- a/stoneyoke/controlplane/startup_sync.py
+++ b/stoneyoke/controlplane/startup_sync.py
@@ -1,10 +1,10 @@
 """Whether a controller knows each acknowledged drain, though its memory began empty with its process. No I/O.
 
 A drain is acknowledged once a majority of the voters has it in memory. The invariant for a gateway that asks
-`copies(n)` synced voters: at most n - majority(n) of the synced voters lack an acknowledged drain. It holds when the
-drain is acknowledged. A voter that restarts lacks the drain, but is not synced. It is synced again once it has pulled
-from `copies(n)` other synced voters, one of which has the drain (consensus/quorum.py: lost memory counts as a lost
-disk does). So restarts, in any order, keep the invariant.
+`read_quorum(n)` synced voters: at most n - majority(n) of the synced voters lack an acknowledged drain. It holds when
+the drain is acknowledged. A voter that restarts lacks the drain, but is not synced. It is synced again once it has
+pulled from `read_quorum(n)` other synced voters, one of which has the drain (consensus/quorum.py: lost memory counts as
+a lost disk does). So restarts, in any order, keep the invariant.
 
 A pull counts only if it began ACK_WINDOW_S or more after this process started. Another controller may still be
 counting an answer that this machine's previous process gave. By then that count has ended
@@ -17,7 +17,7 @@
 
 from dataclasses import dataclass, field
 
-from stoneyoke.consensus.quorum import copies
+from stoneyoke.consensus.quorum import read_quorum
 
 ACK_WINDOW_S = 0.7  # answers to a telling are counted for so long, by the clock of whoever counts
 CLOCK_MARGIN_S = 0.1  # for clocks that do not run quite alike
@@ -67,5 +67,5 @@
         if not self.synced and voters:
             others = self.synced_sources.intersection(voters) - {self.own_address}
             beats_known = now - self.last_gap_at >= self.heartbeat_round_s
-            self.synced = len(others) >= copies(len(voters)) or beats_known
+            self.synced = len(others) >= read_quorum(len(voters)) or beats_known
         return self.synced
--- a/stoneyoke/controlplane/status.py
+++ b/stoneyoke/controlplane/status.py
@@ -18,7 +18,7 @@
         "address": controller.ip,
         "disk": replica.identity.disk,
         "version": str(replica.version()),
-        "votes": replica.votes(),
+        "votes": replica.is_voter(),
         "ballot": {
             "promised": replica.acceptor.promised.counter,
             "accepted": view.ballot.counter if view else None,
--- a/stoneyoke/gateway/instance_directory.py
+++ b/stoneyoke/gateway/instance_directory.py
@@ -8,9 +8,9 @@
 
 from stoneyoke.consensus.ballot import Ballot
 from stoneyoke.consensus.majority_read import newest_view
-from stoneyoke.consensus.register_value import Accepted, ReplicaId, VoterSet
+from stoneyoke.consensus.register_value import Proposal, ReplicaId, VoterSet
 from stoneyoke.consensus.quorum import majority
-from stoneyoke.consensus.message_rows import read_value
+from stoneyoke.consensus.message_rows import value_from_row
 from stoneyoke.controlplane.instance_registry import Phase, Row
 from stoneyoke.api.configuration import Version
 from stoneyoke.transport.messages import PullResponse
@@ -124,14 +124,14 @@
         held = [name for name, one in self.sources.items() if one.news and Version(*one.news.stamp) >= version]
         return sorted(held, key=lambda name: (news := self.sources[name].news) is None or news.zone != zone)
 
-    def views(self, now: float | None = None) -> dict[ReplicaId, Accepted]:
+    def views(self, now: float | None = None) -> dict[ReplicaId, Proposal]:
         """What each controller, by its disk, last told of the register; now: only of those that are in touch and have
         settled."""
         told = [one for one in self.sources.values() if one.news]
         if now is not None:
             told = [one for one in told if now - one.heard_at < TOUCH_S and one.news and one.news.instances_synced]
         return {
-            ReplicaId(*one.news.replica): Accepted(Ballot(*one.news.view_ballot), read_value(one.news.view))
+            ReplicaId(*one.news.replica): Proposal(Ballot(*one.news.view_ballot), value_from_row(one.news.view))
             for one in told
             if one.news
         }
--- a/stoneyoke/lab/simulation/consensus_defects.py
+++ b/stoneyoke/lab/simulation/consensus_defects.py
@@ -10,10 +10,10 @@
 from stoneyoke.consensus import quorum, replica, voter_set
 from stoneyoke.consensus.acceptor import Acceptor
 from stoneyoke.consensus.ballot import Ballot
-from stoneyoke.consensus.majority_read import Query
-from stoneyoke.consensus.proposal_round import Phase, Round
+from stoneyoke.consensus.majority_read import MajorityRead
+from stoneyoke.consensus.proposal_round import Phase, ProposalRound
 from stoneyoke.consensus.quorum import majority
-from stoneyoke.consensus.register_value import Accepted, Change, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.register_value import Change, Proposal, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.controlplane import configuration_service
 from stoneyoke.lab.simulation.exhaustive import failures, operations, reads, search, snapshots, state
 
@@ -34,11 +34,11 @@
 def own_wish_first() -> list[Patch]:
     """A round builds on what its process knew, not on the highest value that it found."""
 
-    def build(self: Round, found: RegisterValue) -> RegisterValue:
+    def build_value(self: ProposalRound, found: RegisterValue) -> RegisterValue:
         return real(self, self.known.value)
 
-    real = Round.build
-    return [(Round, "build", build)]
+    real = ProposalRound.build_value
+    return [(ProposalRound, "build_value", build_value)]
 
 
 def accepts_below_promise() -> list[Patch]:
@@ -48,32 +48,32 @@
 
 def only_new_voters() -> list[Patch]:
     """A change of voters is chosen by a majority of the new voters alone."""
-    return [(RegisterValue, "groups", lambda self: (self.voters.members,))]
+    return [(RegisterValue, "quorum_groups", lambda self: (self.voters.members,))]
 
 
 def only_old_voters() -> list[Patch]:
     """A change of voters is chosen by a majority of the voters before alone."""
 
-    def groups(self: RegisterValue) -> tuple[tuple[ReplicaId, ...], ...]:
+    def quorum_groups(self: RegisterValue) -> tuple[tuple[ReplicaId, ...], ...]:
         return (self.previous or self.voters.members,)
 
-    return [(RegisterValue, "groups", groups)]
+    return [(RegisterValue, "quorum_groups", quorum_groups)]
 
 
 def number_believed_early() -> list[Patch]:
     """The newest voters that are known count as chosen: those before are let go early."""
 
-    def chosen_number(self: replica.Replica) -> int:
+    def chosen_voters_number(self: replica.Replica) -> int:
         view = self.view()
         return view.value.voters.number if view else 0
 
-    return [(replica.Replica, "chosen_number", chosen_number)]
+    return [(replica.Replica, "chosen_voters_number", chosen_voters_number)]
 
 
 def change_on_undecided() -> list[Patch]:
     """A second change of voters is begun on top of one that is not known to be chosen."""
 
-    def build(self: Round, found: RegisterValue) -> RegisterValue:
+    def build_value(self: ProposalRound, found: RegisterValue) -> RegisterValue:
         proposal = self.change(found)
         if proposal.voters == found.voters:
             return real(self, found)
@@ -90,8 +90,8 @@
 
         return with_members
 
-    real = Round.build
-    return [(Round, "build", build), (voter_set, "change_of_voters", change)]
+    real = ProposalRound.build_value
+    return [(ProposalRound, "build_value", build_value), (voter_set, "voter_change", change)]
 
 
 def lost_disk_same_member() -> list[Patch]:
@@ -131,10 +131,10 @@
         orders = operation.kind is state.OperationKind.ORDER
         return real(process, operation) or orders and all(one.number <= known for one in operation.versions)
 
-    def chosen(self: Query) -> Accepted:
+    def chosen_proposal(self: MajorityRead) -> Proposal:
         return self.known
 
-    return [(operations, "reads_first", reads_first), (Query, "chosen", chosen)]
+    return [(operations, "reads_first", reads_first), (MajorityRead, "chosen_proposal", chosen_proposal)]
 
 
 def conflict_for_older() -> list[Patch]:
@@ -161,21 +161,24 @@
 def query_without_agreement() -> list[Patch]:
     """A read takes the newest value that a majority tells, though one member alone may hold it."""
 
-    def chosen(self: Query) -> Accepted | None:
-        return self.found() if self.complete() else None
+    def chosen_proposal(self: MajorityRead) -> Proposal | None:
+        return self.newest_found() if self.has_quorum() else None
 
-    return [(Query, "chosen", chosen)]
+    return [(MajorityRead, "chosen_proposal", chosen_proposal)]
 
 
 def query_incomplete() -> list[Patch]:
     """A read asks no majority: what this process knows to be newest is enough."""
-    return [(Query, "complete", lambda self: True), (Query, "chosen", lambda self: self.found())]
+    return [
+        (MajorityRead, "has_quorum", lambda self: True),
+        (MajorityRead, "chosen_proposal", lambda self: self.newest_found()),
+    ]
 
 
 def one_view_enough() -> list[Patch]:
     """A gateway takes one controller's view for the newest."""
 
-    def newest_view(views: Mapping[ReplicaId, Accepted]) -> Accepted | None:
+    def newest_view(views: Mapping[ReplicaId, Proposal]) -> Proposal | None:
         return max(views.values(), key=lambda view: view.ballot, default=None)
 
     return [(reads, "newest_view", newest_view)]
@@ -184,9 +187,9 @@
 def views_of_new_voters() -> list[Patch]:
     """A gateway asks the newest voters told only, also while the change to them may fail."""
 
-    def newest_view(views: Mapping[ReplicaId, Accepted]) -> Accepted | None:
+    def newest_view(views: Mapping[ReplicaId, Proposal]) -> Proposal | None:
         newest = max(views.values(), key=lambda view: view.ballot)
-        return newest if quorum.has_copies(newest.value.voters.members, views) else None
+        return newest if quorum.has_read_quorum(newest.value.voters.members, views) else None
 
     return [(reads, "newest_view", newest_view)]
 
@@ -199,10 +202,10 @@
 def learns_unchosen() -> list[Patch]:
     """A proposal counts as chosen once its proposer has sent it."""
 
-    def accepted(self: Round, voter: ReplicaId) -> None:
+    def on_accepted(self: ProposalRound, voter: ReplicaId) -> None:
         self.phase = Phase.CHOSEN
 
-    return [(Round, "accepted", accepted)]
+    return [(ProposalRound, "on_accepted", on_accepted)]
 
 
 def promise_forgotten() -> list[Patch]:
--- a/stoneyoke/lab/simulation/exhaustive/invariants.py
+++ b/stoneyoke/lab/simulation/exhaustive/invariants.py
@@ -7,7 +7,7 @@
 
 from stoneyoke.api.configuration import Version
 from stoneyoke.consensus.ballot import Ballot
-from stoneyoke.consensus.register_value import Accepted, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.register_value import Proposal, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.lab.simulation.exhaustive.state import History, LowerBound, State
 
 
@@ -38,7 +38,7 @@
     return f"{voters.number}:" + ",".join(f"{one.address}/{one.disk}" for one in voters.members)
 
 
-def describe(value: Accepted) -> str:
+def describe(value: Proposal) -> str:
     """Returns a proposal as messages show it."""
     ballot, voters = value.ballot, describe_voters(value.value.voters)
     joint = " joint" if value.value.previous else ""
@@ -48,7 +48,7 @@
 # ---- history variables ----
 
 
-def record_vote(state: State, voter: ReplicaId, proposal: Accepted) -> State:
+def record_vote(state: State, voter: ReplicaId, proposal: Proposal) -> State:
     """Records that a member has accepted a proposal; checks the order of all chosen values if that chooses it."""
     history = state.history
     if any(one == proposal for one in history.chosen):
@@ -70,7 +70,7 @@
     return state._replace(history=history._replace(parents=history.parents | {(ballot, parent)}))
 
 
-def record_shown(state: State, chosen: Accepted, acknowledged: tuple[Version, ...] = ()) -> State:
+def record_shown(state: State, chosen: Proposal, acknowledged: tuple[Version, ...] = ()) -> State:
     """Records that an operator was shown a value, and which configurations were acknowledged as in force."""
     history = state.history
     ballot = max(history.shown.ballot, chosen.ballot)
@@ -118,7 +118,7 @@
     return next((violation for is_violated, violation in failed if is_violated), "")
 
 
-def check_chosen(state: State, value: Accepted, address: str) -> State:
+def check_chosen(state: State, value: Proposal, address: str) -> State:
     """Checks that a value which a process takes for chosen is chosen."""
     if any(one == value for one in state.history.chosen):
         return state
@@ -132,19 +132,19 @@
     return with_violation(state, f"{address} takes voters {number} for chosen, and they are not")
 
 
-def is_older(value: Accepted, lower_bound: LowerBound) -> bool:
+def is_older(value: Proposal, lower_bound: LowerBound) -> bool:
     """Returns whether a value is older than what had been shown."""
     return value.ballot < lower_bound.ballot or value.value.version.number < lower_bound.number
 
 
-def check_not_stale(state: State, chosen: Accepted, lower_bound: LowerBound, address: str) -> State:
+def check_not_stale(state: State, chosen: Proposal, lower_bound: LowerBound, address: str) -> State:
     """Checks that a result is no older than what had been shown when its operation started."""
     if is_older(chosen, lower_bound):
         return with_violation(state, f"{address} goes back to {describe(chosen)} from {lower_bound}")
     return state
 
 
-def check_view(state: State, newest: Accepted, lower_bound: LowerBound) -> State:
+def check_view(state: State, newest: Proposal, lower_bound: LowerBound) -> State:
     """Checks that what a gateway takes for the newest view is no older than what had been shown."""
     if is_older(newest, lower_bound):
         return with_violation(state, f"a gateway takes {describe(newest)} for new, {lower_bound} was shown before")
--- a/stoneyoke/lab/simulation/exhaustive/operations.py
+++ b/stoneyoke/lab/simulation/exhaustive/operations.py
@@ -4,7 +4,7 @@
 
 from stoneyoke.api.calls import Acknowledged, Rejected
 from stoneyoke.consensus import voter_set
-from stoneyoke.consensus.register_value import Accepted, Change, ReplicaId, unchanged
+from stoneyoke.consensus.register_value import Change, Proposal, ReplicaId, unchanged
 from stoneyoke.consensus.voter_set import MemberReport
 from stoneyoke.controlplane import configuration_service
 from stoneyoke.lab.simulation.exhaustive import invariants
@@ -22,10 +22,10 @@
         return None
     value = process.chosen.value
     report = member_report(state, process, operation)
-    members = voter_set.next_members(value.voters.members, report, model.size, LOST_S)
+    members = voter_set.next_voters(value.voters.members, report, model.size, LOST_S)
     if operation.members:
         members = tuple(one for one in value.voters.members if one.address in operation.members)
-    return DesiredMembers(value, members) if voter_set.change_of_voters(value, members) else None
+    return DesiredMembers(value, members) if voter_set.voter_change(value, members) else None
 
 
 def member_report(state: State, process: Process, operation: Operation) -> MemberReport:
@@ -64,12 +64,12 @@
     if operation.kind is OperationKind.ORDER:
         orders = tuple(configuration(version) for version in operation.versions)
         return functools.partial(configuration_service.apply_replacements, orders)
-    if desired and (membership_change := voter_set.change_of_voters(desired.based_on, desired.members)):
+    if desired and (membership_change := voter_set.voter_change(desired.based_on, desired.members)):
         return membership_change
     return unchanged
 
 
-def answer(state: State, operation: Operation, chosen: Accepted) -> State:
+def answer(state: State, operation: Operation, chosen: Proposal) -> State:
     """Tells the operator the result, and checks each acknowledgement and each conflict."""
     if operation.kind is OperationKind.READ:
         return invariants.record_shown(state, chosen)
--- a/stoneyoke/lab/simulation/exhaustive/reads.py
+++ b/stoneyoke/lab/simulation/exhaustive/reads.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 
 from stoneyoke.consensus.majority_read import newest_view
-from stoneyoke.consensus.register_value import Accepted
+from stoneyoke.consensus.register_value import Proposal
 from stoneyoke.lab.simulation.exhaustive import invariants
 from stoneyoke.lab.simulation.exhaustive.models import Model
 from stoneyoke.lab.simulation.exhaustive.rounds import check_known, finish
@@ -26,7 +26,7 @@
     known = replica.view()
     assert known
     state = check_known(state, replica, address)
-    query = QuerySnapshot(known, replica.chosen_number(), frozenset())
+    query = QuerySnapshot(known, replica.chosen_voters_number(), frozenset())
     return with_ongoing(state, None, ongoing._replace(query=query))
 
 
@@ -40,7 +40,7 @@
             continue
         reader = model.operations[ongoing.operation].address
         query = restore_query(ongoing.query)
-        for address in sorted(query.targets() - ongoing.contacted):
+        for address in sorted(query.addresses_to_ask() - ongoing.contacted):
             yield Transition(f"{address} answers the read of {reader}", query_answered(model, state, ongoing, address))
 
 
@@ -49,8 +49,8 @@
     assert ongoing.query
     query = restore_query(ongoing.query)
     voter = process_at(state, address)
-    query.replied(voter.replica, voter.accepted)
-    if chosen := query.chosen():
+    query.on_reply(voter.replica, voter.accepted)
+    if chosen := query.chosen_proposal():
         return finish(model, state, ongoing, chosen)
     after = ongoing._replace(query=snapshot_query(query), contacted=ongoing.contacted | {address})
     return with_ongoing(state, ongoing, after)
@@ -70,7 +70,7 @@
         if process.replica.address in received_from or view is None:
             continue
         lower_bound = gateway.lower_bound if gateway.views else state.history.shown
-        received = Accepted(view.ballot, view.value.without_body())
+        received = Proposal(view.ballot, view.value.without_body())
         after = Gateway(lower_bound, gateway.views | {(process.replica, received)})
         result = state._replace(gateway=after)
         if newest := newest_view(dict(after.views)):
--- a/stoneyoke/lab/simulation/exhaustive/rounds.py
+++ b/stoneyoke/lab/simulation/exhaustive/rounds.py
@@ -1,10 +1,10 @@
-"""Round transitions: what Replication does around Replica and Round, without sockets and timers."""
+"""Round transitions: what Replication does around Replica and ProposalRound, without sockets and timers."""
 
 from collections.abc import Iterator
 
 from stoneyoke.consensus.ballot import Ballot
-from stoneyoke.consensus.proposal_round import Phase, Round
-from stoneyoke.consensus.register_value import Accepted
+from stoneyoke.consensus.proposal_round import Phase, ProposalRound
+from stoneyoke.consensus.register_value import Proposal
 from stoneyoke.consensus.replica import Replica
 from stoneyoke.lab.simulation.exhaustive import invariants, operations
 from stoneyoke.lab.simulation.exhaustive.models import Model
@@ -56,18 +56,20 @@
     counter = max(process.counter, highest, replica.acceptor.promised.counter, known.ballot.counter) + 1
     state = with_process(state, process._replace(counter=counter))
     ballot = Ballot(counter, process.proposer())
-    current = Round(ballot, known, replica.chosen_number(), operations.change(operation, ongoing.desired))
+    current = ProposalRound(
+        ballot, known, replica.chosen_voters_number(), operations.change(operation, ongoing.desired)
+    )
     started = ongoing._replace(tries=ongoing.tries - 1, query=None, contacted=frozenset())
     return send_requests(model, state, before, started, current)
 
 
 def send_requests(
-    model: Model, state: State, before: OngoingOperation | None, ongoing: OngoingOperation, current: Round
+    model: Model, state: State, before: OngoingOperation | None, ongoing: OngoingOperation, current: ProposalRound
 ) -> State:
     """Sends the request of this phase to each target that does not have it yet, as Replication.drive does."""
     process = process_at(state, model.operations[ongoing.operation].address)
-    targets = current.targets() - ongoing.contacted
-    proposal = current.proposal if current.phase is Phase.ACCEPT else None
+    targets = current.addresses_to_ask() - ongoing.contacted
+    proposal = current.proposed_value if current.phase is Phase.ACCEPT else None
     requests = {Request(address, process.proposer(), current.ballot, proposal) for address in targets}
     after = ongoing._replace(round=snapshot_round(current), contacted=ongoing.contacted | targets)
     state = with_ongoing(state, before, after)
@@ -101,7 +103,7 @@
         ok = run_to_completion(replica.prepare(request.ballot))
         accepted = replica.acceptor.accepted if ok else None
     else:
-        ok = run_to_completion(replica.accept(Accepted(request.ballot, request.proposal)))
+        ok = run_to_completion(replica.accept(Proposal(request.ballot, request.proposal)))
     reply = Reply(request, ok, replica.identity, replica.acceptor.promised, accepted)
     after = with_process(state, snapshot_replica(replica, process))
     if request.proposal is not None and ok and replica.acceptor.accepted:
@@ -122,31 +124,31 @@
     phase_before = current.phase
     update_round(current, reply)
     if phase_before is Phase.PREPARE and current.phase is Phase.ACCEPT:
-        state = invariants.record_parent(state, current.ballot, current.found().ballot)
+        state = invariants.record_parent(state, current.ballot, current.newest_found().ballot)
         return send_requests(model, state, ongoing, ongoing._replace(contacted=frozenset()), current)
     if current.phase is Phase.CHOSEN:
-        return finish(model, state, ongoing, current.chosen())
+        return finish(model, state, ongoing, current.chosen_proposal())
     return send_requests(model, state, ongoing, ongoing, current)
 
 
-def update_round(current: Round, reply: Reply) -> None:
+def update_round(current: ProposalRound, reply: Reply) -> None:
     """Counts a reply as a promise, an acceptance or a refusal."""
     if not reply.ok:
         if reply.promised > current.ballot:
-            current.refused(reply.promised)
+            current.on_refused(reply.promised)
     elif reply.request.proposal is None:
-        current.promised(reply.voter, reply.accepted)
+        current.on_promised(reply.voter, reply.accepted)
     else:
-        current.accepted(reply.voter)
+        current.on_accepted(reply.voter)
 
 
 def check_known(state: State, replica: Replica, address: str) -> State:
     """Checks that the value a round or a query starts from is chosen."""
-    state = invariants.check_voter_set_number(state, replica.chosen_number(), address)
+    state = invariants.check_voter_set_number(state, replica.chosen_voters_number(), address)
     return invariants.check_chosen(state, replica.chosen, address) if replica.chosen else state
 
 
-def finish(model: Model, state: State, ongoing: OngoingOperation, chosen: Accepted) -> State:
+def finish(model: Model, state: State, ongoing: OngoingOperation, chosen: Proposal) -> State:
     """Ends an operation with its result: its process learns the value, and its operator gets the answer."""
     operation = model.operations[ongoing.operation]
     state = invariants.check_chosen(state, chosen, operation.address)
@@ -156,7 +158,7 @@
     return operations.answer(state, operation, chosen)
 
 
-def learn(state: State, address: str, chosen: Accepted) -> State:
+def learn(state: State, address: str, chosen: Proposal) -> State:
     """Lets a process learn a chosen value."""
     process = process_at(state, address)
     replica = restore_replica(process)
--- a/stoneyoke/lab/simulation/exhaustive/search.py
+++ b/stoneyoke/lab/simulation/exhaustive/search.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from stoneyoke.consensus.register_value import Accepted
+from stoneyoke.consensus.register_value import Proposal
 from stoneyoke.lab.simulation.exhaustive.models import MODELS, Model
 from stoneyoke.lab.simulation.exhaustive.state import State
 from stoneyoke.lab.simulation.exhaustive.transitions import initial_state, transitions
@@ -103,7 +103,7 @@
     def __init__(self, model: Model) -> None:
         """Starts at the model's initial state."""
         self.model, self.visited, self.started_at = model, VisitedStates(), time.monotonic()
-        self.chosen: set[Accepted] = set()
+        self.chosen: set[Proposal] = set()
         start = initial_state(model)
         self.layer = [(self.visited.key(start), start)]
         self.visited.add(self.layer[0][0], None, "")
--- a/stoneyoke/lab/simulation/exhaustive/snapshots.py
+++ b/stoneyoke/lab/simulation/exhaustive/snapshots.py
@@ -5,8 +5,8 @@
 
 from stoneyoke.api.configuration import Configuration, Version
 from stoneyoke.consensus.acceptor import Acceptor
-from stoneyoke.consensus.majority_read import Query
-from stoneyoke.consensus.proposal_round import Phase, Round
+from stoneyoke.consensus.majority_read import MajorityRead
+from stoneyoke.consensus.proposal_round import Phase, ProposalRound
 from stoneyoke.consensus.register_value import Change
 from stoneyoke.consensus.replica import Replica
 from stoneyoke.lab.simulation.exhaustive.state import Process, QuerySnapshot, RoundSnapshot
@@ -59,12 +59,12 @@
     return process._replace(promised=acceptor.promised, accepted=acceptor.accepted, chosen=replica.chosen)
 
 
-def restore_round(snapshot: RoundSnapshot, change: Change) -> Round:
+def restore_round(snapshot: RoundSnapshot, change: Change) -> ProposalRound:
     """Returns the round of a snapshot. Its change is a function, so it is no part of the snapshot."""
-    return Round(
+    return ProposalRound(
         snapshot.ballot,
         snapshot.known,
-        snapshot.chosen_number,
+        snapshot.chosen_voters_number,
         change,
         snapshot.phase,
         dict(snapshot.promises),
@@ -74,28 +74,28 @@
     )
 
 
-def snapshot_round(current: Round) -> RoundSnapshot:
+def snapshot_round(current: ProposalRound) -> RoundSnapshot:
     """Returns the snapshot of a round. Promises count in the first phase only: the proposal has their result."""
     return RoundSnapshot(
         current.ballot,
         current.known,
-        current.chosen_number,
+        current.chosen_voters_number,
         current.phase,
         frozenset(current.promises.items()) if current.phase is Phase.PREPARE else frozenset(),
-        frozenset(current.accepts),
-        current.proposal,
-        current.highest,
+        frozenset(current.acceptances),
+        current.proposed_value,
+        current.highest_refusal,
     )
 
 
-def restore_query(snapshot: QuerySnapshot) -> Query:
+def restore_query(snapshot: QuerySnapshot) -> MajorityRead:
     """Returns the query of a snapshot."""
-    return Query(snapshot.known, snapshot.chosen_number, dict(snapshot.replies))
+    return MajorityRead(snapshot.known, snapshot.chosen_voters_number, dict(snapshot.replies))
 
 
-def snapshot_query(current: Query) -> QuerySnapshot:
+def snapshot_query(current: MajorityRead) -> QuerySnapshot:
     """Returns the snapshot of a query."""
-    return QuerySnapshot(current.known, current.chosen_number, frozenset(current.replies.items()))
+    return QuerySnapshot(current.known, current.chosen_voters_number, frozenset(current.replies.items()))
 
 
 def configuration(version: Version) -> Configuration:
--- a/stoneyoke/lab/simulation/exhaustive/state.py
+++ b/stoneyoke/lab/simulation/exhaustive/state.py
@@ -6,7 +6,7 @@
 from stoneyoke.api.configuration import Version
 from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
 from stoneyoke.consensus.proposal_round import Phase
-from stoneyoke.consensus.register_value import Accepted, RegisterValue, ReplicaId
+from stoneyoke.consensus.register_value import Proposal, RegisterValue, ReplicaId
 
 
 class OperationKind(Enum):
@@ -55,9 +55,9 @@
 
     replica: ReplicaId
     promised: Ballot = NO_BALLOT
-    accepted: Accepted | None = None
+    accepted: Proposal | None = None
     incarnation: int = 0
-    chosen: Accepted | None = None
+    chosen: Proposal | None = None
     counter: int = 0
 
     def proposer(self) -> str:
@@ -66,24 +66,24 @@
 
 
 class RoundSnapshot(NamedTuple):
-    """The hashable form of a `Round`."""
+    """The hashable form of a `ProposalRound`."""
 
     ballot: Ballot
-    known: Accepted
-    chosen_number: int
+    known: Proposal
+    chosen_voters_number: int
     phase: Phase
-    promises: frozenset[tuple[ReplicaId, Accepted | None]]
+    promises: frozenset[tuple[ReplicaId, Proposal | None]]
     accepts: frozenset[ReplicaId]
     proposal: RegisterValue | None
     highest: Ballot
 
 
 class QuerySnapshot(NamedTuple):
-    """The hashable form of a `Query`."""
+    """The hashable form of a `MajorityRead`."""
 
-    known: Accepted
-    chosen_number: int
-    replies: frozenset[tuple[ReplicaId, Accepted | None]]
+    known: Proposal
+    chosen_voters_number: int
+    replies: frozenset[tuple[ReplicaId, Proposal | None]]
 
 
 class DesiredMembers(NamedTuple):
@@ -143,14 +143,14 @@
     ok: bool
     voter: ReplicaId
     promised: Ballot
-    accepted: Accepted | None
+    accepted: Proposal | None
 
 
 class Gateway(NamedTuple):
     """A gateway that collects the views of controllers until it can tell which is the newest."""
 
     lower_bound: LowerBound
-    views: frozenset[tuple[ReplicaId, Accepted]]
+    views: frozenset[tuple[ReplicaId, Proposal]]
 
 
 class History(NamedTuple):
@@ -164,8 +164,8 @@
         acknowledged: Configurations that operators were told to be in force.
     """
 
-    votes: frozenset[tuple[Accepted, ReplicaId]]
-    chosen: tuple[Accepted, ...]
+    votes: frozenset[tuple[Proposal, ReplicaId]]
+    chosen: tuple[Proposal, ...]
     parents: frozenset[tuple[Ballot, Ballot]] = frozenset()
     shown: LowerBound = LowerBound()
     acknowledged: frozenset[Version] = frozenset()
@@ -195,7 +195,7 @@
     not_started: tuple[int, ...]
     crashes: int
     losses: int
-    known: frozenset[Accepted]
+    known: frozenset[Proposal]
     gateway: Gateway | None
     history: History
     violation: str = ""
--- a/stoneyoke/lab/simulation/exhaustive/transitions.py
+++ b/stoneyoke/lab/simulation/exhaustive/transitions.py
@@ -1,9 +1,9 @@
 """The successors of a state.
 
-Each transition runs the real code: Replica, Acceptor, Round, Query, apply_replacements, outcome_of and next_members.
-Only what Replication does around them with sockets and timers is written here: who is asked, and who receives an
-answer. A lost message is one that no transition delivers. A request that a process sends to itself ends with the
-process.
+Each transition runs the real code: Replica, Acceptor, ProposalRound, MajorityRead, apply_replacements, outcome_of
+and next_voters. Only what Replication does around them with sockets and timers is written here: who is asked, and who
+receives an answer. A lost message is one that no transition delivers. A request that a process sends to itself ends
+with the process.
 """
 
 from collections.abc import Iterator
@@ -84,7 +84,7 @@
             continue
         if ongoing.round:
             yield Transition(f"{address} tries again", begin_round(model, state, ongoing, ongoing))
-        elif ongoing.query and restore_query(ongoing.query).complete():
+        elif ongoing.query and restore_query(ongoing.query).has_quorum():
             yield Transition(f"{address} settles by a round", begin_round(model, state, ongoing, ongoing))
 
 
--- a/stoneyoke/lab/simulation/invariants.py
+++ b/stoneyoke/lab/simulation/invariants.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from stoneyoke.consensus.register_value import FIRST_DISK, Accepted
+from stoneyoke.consensus.register_value import FIRST_DISK, Proposal
 from stoneyoke.controlplane.controller import Controller
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.lab.simulation.bounds import BOUNDS, CONVERGE_S, TICK_S
@@ -20,7 +20,7 @@
 
     def __init__(self, scenario: "Scenario") -> None:
         self.scenario, self.judge = scenario, scenario.judge
-        self.learnt: dict[str, Accepted | None] = {}
+        self.learnt: dict[str, Proposal | None] = {}
 
     async def watch(self) -> None:
         while True:
@@ -45,7 +45,7 @@
         if chosen is not None and chosen is not self.learnt.get(name):
             self.learnt[name] = chosen
             self.judge.register.learn(now, name, chosen)
-        if machine.wiped and controller.replica.votes():
+        if machine.wiped and controller.replica.is_voter():
             machine.wiped = False
             self.scenario.met["wiped, votes again"] += 1
             new = controller.replica.identity.disk != FIRST_DISK
--- a/stoneyoke/lab/simulation/register_defects.py
+++ b/stoneyoke/lab/simulation/register_defects.py
@@ -6,7 +6,7 @@
 from stoneyoke.api.calls import Acknowledged, Rejected
 from stoneyoke.consensus import quorum, replica, replication
 from stoneyoke.consensus.acceptor import Acceptor
-from stoneyoke.consensus.proposal_round import Phase, Round
+from stoneyoke.consensus.proposal_round import Phase, ProposalRound
 from stoneyoke.consensus.record_formats import PROMISE
 from stoneyoke.consensus.register_value import FIRST_DISK, RegisterValue
 from stoneyoke.controlplane import configuration_service, leases, membership, peers
@@ -30,7 +30,7 @@
     def short(voters: int) -> int:
         return max(1, (voters + 1) // 2 - 1)
 
-    return [(quorum, "copies", short)]
+    return [(quorum, "read_quorum", short)]
 
 
 def lost_disk_votes() -> list[Patch]:
@@ -64,7 +64,7 @@
 
 def joint_ignored() -> list[Patch]:
     """A change of voters is decided by the new ones alone."""
-    return [(RegisterValue, "groups", lambda self: (self.voters.members,))]
+    return [(RegisterValue, "quorum_groups", lambda self: (self.voters.members,))]
 
 
 def highest_digest_wins() -> list[Patch]:
@@ -99,7 +99,7 @@
     async def accept(self: replica.Replica, proposal: Any) -> bool:
         done = await real(self, proposal)
         if done:
-            self.learn_ballot(proposal.ballot)
+            self.learn_chosen_ballot(proposal.ballot)
         return done
 
     return [(replica.Replica, "accept", accept)]
@@ -137,19 +137,19 @@
 
 def replaced_singly() -> list[Patch]:
     """The voters before are forgotten at once: a change needs a majority of the new ones only."""
-    real = Round.build
+    real = ProposalRound.build_value
 
-    def build(self: Round, found: RegisterValue) -> RegisterValue:
+    def build_value(self: ProposalRound, found: RegisterValue) -> RegisterValue:
         return replace(real(self, found), previous=())
 
-    return [(Round, "build", build)]
+    return [(ProposalRound, "build_value", build_value)]
 
 
 def never_caught_up() -> list[Patch]:
     """A controller that missed a value waits for the next one."""
 
     async def catch_up(self: Any, address: str, chosen: Any) -> None:
-        self.replica.learn_ballot(chosen)
+        self.replica.learn_chosen_ballot(chosen)
 
     return [(replication.Replication, "catch_up", catch_up)]
 
@@ -171,7 +171,7 @@
 
 def lost_voter_stays() -> list[Patch]:
     """A voter that is gone for good is never replaced."""
-    return [(membership, "LOST_PART", 1e9)]
+    return [(membership, "LOST_FRACTION", 1e9)]
 
 
 def half_way_left() -> list[Patch]:
--- a/stoneyoke/lab/simulation/register_history.py
+++ b/stoneyoke/lab/simulation/register_history.py
@@ -10,7 +10,7 @@
 
 from stoneyoke.api.configuration import Configuration, Version
 from stoneyoke.consensus.ballot import Ballot
-from stoneyoke.consensus.register_value import Accepted, RegisterValue
+from stoneyoke.consensus.register_value import Proposal, RegisterValue
 
 Must = Callable[[bool, float, str], None]
 
@@ -36,7 +36,7 @@
     shown: dict[int, Version] = field(default_factory=dict)
     acknowledged: list[Claim] = field(default_factory=list)
     conflicts: list[Claim] = field(default_factory=list)
-    chosen: list[Accepted] = field(default_factory=list)  # white box: what any controller took for chosen, by ballot
+    chosen: list[Proposal] = field(default_factory=list)  # white box: what any controller took for chosen, by ballot
 
     def order(self, now: float, version: Version, body: bytes) -> None:
         self.sent.setdefault(version, now)
@@ -99,7 +99,7 @@
 
     # ---- white box ----
 
-    def learn(self, now: float, where: str, accepted: Accepted) -> None:
+    def learn(self, now: float, where: str, accepted: Proposal) -> None:
         """A controller takes this for chosen: it has to fit between what was chosen before and after it."""
         place = bisect.bisect_left(self.chosen, accepted.ballot, key=ballot_of)
         if place < len(self.chosen) and self.chosen[place].ballot == accepted.ballot:
@@ -147,7 +147,7 @@
     return one.number == other.number and one != other
 
 
-def ballot_of(accepted: Accepted) -> Ballot:
+def ballot_of(accepted: Proposal) -> Ballot:
     return accepted.ballot
 
 
@@ -158,6 +158,6 @@
     return grown and voters
 
 
-def told(accepted: Accepted) -> str:
+def told(accepted: Proposal) -> str:
     value = accepted.value
     return f"{value.version} voters {value.voters.number} {value.voters.addresses()} by {accepted.ballot.counter}"
--- a/stoneyoke/programs/stoneyokectl.py
+++ b/stoneyoke/programs/stoneyokectl.py
@@ -26,17 +26,17 @@
 from stoneyoke.consensus.ballot import NO_BALLOT
 from stoneyoke.consensus.record_formats import (
     IDENTITY,
-    OLD_CONFIGURATION,
-    OLD_VOTERS,
+    LEGACY_CONFIGURATION,
+    LEGACY_VOTERS,
     PROMISE,
     REGISTER,
-    BadRecord,
+    InvalidRecord,
     read_identity,
     read_promise,
     read_register,
     register_record,
 )
-from stoneyoke.consensus.recovery import recovered
+from stoneyoke.consensus.recovery import recovered_register
 from stoneyoke.consensus.register_value import ReplicaId
 from stoneyoke.storage.record_store import RecordStore, StorageError
 
@@ -214,7 +214,7 @@
 
 
 def told_of(family: str, record: dict[bytes, bytes]) -> str:
-    """What a whole record holds, in a few words. Raises BadRecord."""
+    """What a whole record holds, in a few words. Raises InvalidRecord."""
     if family == IDENTITY:
         return f"disk {read_identity(record)}"
     if family == PROMISE:
@@ -223,9 +223,9 @@
         held = read_register(record)
         voters = ", ".join(f"{one.address}/{one.disk}" for one in held.value.voters.members)
         return f"{held.value.version} under ballot {held.ballot.counter}, voters {held.value.voters.number}: {voters}"
-    if family == OLD_CONFIGURATION:
+    if family == LEGACY_CONFIGURATION:
         return f"{read_configuration(record[b'body']).version}, of an earlier release"
-    if family == OLD_VOTERS:
+    if family == LEGACY_VOTERS:
         return f"voters {record[b'names'].decode()}, of an earlier release"
     return "of no family that is known here"
 
@@ -239,7 +239,7 @@
             continue
         try:
             told = told_of(family, store.read(family, number))
-        except (StorageError, BadRecord, InvalidField, KeyError) as bad:
+        except (StorageError, InvalidRecord, InvalidField, KeyError) as bad:
             lines.append(f"{family}-{number}: {bad}")
             found.append({"family": family, "number": number, "torn": True})
             continue
@@ -259,9 +259,9 @@
             raise CommandError(f"{folder} holds no register")
         promised = read_promise(promise) if promise else NO_BALLOT
         survivor = ReplicaId(address, read_identity(identity))
-        register = recovered(read_register(held), promised, survivor)
+        register = recovered_register(read_register(held), promised, survivor)
         store.keep(REGISTER, register_record(register))
-    except (StorageError, BadRecord) as bad:
+    except (StorageError, InvalidRecord) as bad:
         raise CommandError(f"{folder}: {bad}") from bad
     voters = register.value.voters
     say(
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -7,9 +7,9 @@
 from stoneyoke.api.configuration import Version
 from stoneyoke.consensus.acceptor import Acceptor
 from stoneyoke.consensus.ballot import Ballot, NO_BALLOT
-from stoneyoke.consensus.majority_read import Query, newest_view
-from stoneyoke.consensus.proposal_round import Phase, Round
-from stoneyoke.consensus.register_value import Accepted, RegisterValue, ReplicaId, VoterSet, initial_value
+from stoneyoke.consensus.majority_read import MajorityRead, newest_view
+from stoneyoke.consensus.proposal_round import Phase, ProposalRound
+from stoneyoke.consensus.register_value import Proposal, RegisterValue, ReplicaId, VoterSet, initial_value
 from stoneyoke.consensus.voter_groups import needed_groups
 
 A, B, C, D = (ReplicaId(name, "first") for name in "abcd")
@@ -28,13 +28,13 @@
     return replace(found, voters=JOINT.voters)
 
 
-def round_of(change=to_r1, ballot=TWO, known=FIRST, chosen_number=1):
-    return Round(ballot, known, chosen_number, change)
+def round_of(change=to_r1, ballot=TWO, known=FIRST, chosen_voters_number=1):
+    return ProposalRound(ballot, known, chosen_voters_number, change)
 
 
 def prepared(current, *voters, accepted=FIRST):
     for voter in voters:
-        current.promised(voter, accepted)
+        current.on_promised(voter, accepted)
     return current
 
 
@@ -52,25 +52,25 @@
 @test("accepting a proposal promises its ballot")
 def _():
     acceptor = Acceptor()
-    acceptor.accept(Accepted(TWO, R1))
+    acceptor.accept(Proposal(TWO, R1))
     assert acceptor.promised == TWO and acceptor.accepted_ballot() == TWO and not acceptor.may_promise(ONE)
 
 
 @test("an acceptor read from disk has promised what it has accepted; an older promise lowers nothing")
 def _():
-    acceptor = Acceptor(ONE, Accepted(TWO, R1))
+    acceptor = Acceptor(ONE, Proposal(TWO, R1))
     assert acceptor.promised == TWO
     acceptor.promise(ONE)
     assert acceptor.promised == TWO
-    assert Acceptor(THREE, Accepted(TWO, R1)).promised == THREE
+    assert Acceptor(THREE, Proposal(TWO, R1)).promised == THREE
 
 
 @test("a chosen value is lacking only where an older one, or none, is accepted")
 def _():
-    assert Acceptor().lacks(FIRST) and Acceptor().accepted_ballot() == NO_BALLOT
-    assert Acceptor(THREE, Accepted(ONE, R1)).lacks(Accepted(TWO, R2))
-    assert not Acceptor(NO_BALLOT, Accepted(TWO, R1)).lacks(Accepted(TWO, R1))
-    assert not Acceptor(NO_BALLOT, Accepted(TWO, R1)).lacks(Accepted(ONE, R2))
+    assert Acceptor().is_behind(FIRST) and Acceptor().accepted_ballot() == NO_BALLOT
+    assert Acceptor(THREE, Proposal(ONE, R1)).is_behind(Proposal(TWO, R2))
+    assert not Acceptor(NO_BALLOT, Proposal(TWO, R1)).is_behind(Proposal(TWO, R1))
+    assert not Acceptor(NO_BALLOT, Proposal(TWO, R1)).is_behind(Proposal(ONE, R2))
 
 
 # ---- round ----
@@ -79,18 +79,18 @@
 @test("a round needs a majority to prepare and one to be chosen")
 def _():
     current = prepared(round_of(), A)
-    assert current.phase is Phase.PREPARE and current.targets() == {"a", "b", "c"}
+    assert current.phase is Phase.PREPARE and current.addresses_to_ask() == {"a", "b", "c"}
     prepared(current, A)
     assert current.phase is Phase.PREPARE
     prepared(current, C)
-    assert current.phase is Phase.ACCEPT and current.proposal == R1
-    current.accepted(B)
-    current.accepted(B)
+    assert current.phase is Phase.ACCEPT and current.proposed_value == R1
+    current.on_accepted(B)
+    current.on_accepted(B)
     assert current.phase is Phase.ACCEPT
     with raises(AssertionError):
-        current.chosen()
-    current.accepted(A)
-    assert current.chosen() == Accepted(TWO, R1)
+        current.chosen_proposal()
+    current.on_accepted(A)
+    assert current.chosen_proposal() == Proposal(TWO, R1)
 
 
 @test("whoever does not vote counts for nothing, nor a member with another disk")
@@ -99,38 +99,38 @@
     assert current.phase is Phase.PREPARE
     prepared(current, B)
     for voter in (A, D, ReplicaId("b", "new")):
-        current.accepted(voter)
+        current.on_accepted(voter)
     assert current.phase is Phase.ACCEPT
 
 
 @test("a round builds on the highest value found, not on what it knew")
 def _():
-    current = round_of(change=lambda found: found, ballot=THREE, known=Accepted(ONE, R1))
-    current.promised(A, Accepted(ONE, R1))
-    current.promised(B, Accepted(TWO, R2))
-    assert current.proposal == R2 and current.found() == Accepted(TWO, R2)
+    current = round_of(change=lambda found: found, ballot=THREE, known=Proposal(ONE, R1))
+    current.on_promised(A, Proposal(ONE, R1))
+    current.on_promised(B, Proposal(TWO, R2))
+    assert current.proposed_value == R2 and current.newest_found() == Proposal(TWO, R2)
 
 
 @test("an answer that comes late, or of a lost round, changes nothing")
 def _():
     current = prepared(round_of(change=lambda found: found), A, B)
-    current.promised(C, Accepted(ONE, R1))
-    assert current.proposal == VALUE
+    current.on_promised(C, Proposal(ONE, R1))
+    assert current.proposed_value == VALUE
     early = round_of()
-    early.accepted(A)
-    assert not early.accepts
-    early.refused(THREE)
+    early.on_accepted(A)
+    assert not early.acceptances
+    early.on_refused(THREE)
     prepared(early, A, B)
-    assert early.phase is Phase.LOST and early.highest == THREE and early.proposal is None
+    assert early.phase is Phase.LOST and early.highest_refusal == THREE and early.proposed_value is None
 
 
 @test("a refusal after the decision takes nothing back")
 def _():
     current = prepared(round_of(), A, B)
-    current.accepted(A)
-    current.accepted(B)
-    current.refused(THREE)
-    assert current.phase is Phase.CHOSEN and current.highest == NO_BALLOT
+    current.on_accepted(A)
+    current.on_accepted(B)
+    current.on_refused(THREE)
+    assert current.phase is Phase.CHOSEN and current.highest_refusal == NO_BALLOT
 
 
 # ---- change of voters ----
@@ -139,25 +139,25 @@
 @test("a change of voters is chosen by a majority of both sets")
 def _():
     current = prepared(round_of(to_abd), A, B)
-    assert current.proposal == JOINT and current.targets() == {"a", "b", "c", "d"}
-    current.accepted(A)
-    current.accepted(D)
+    assert current.proposed_value == JOINT and current.addresses_to_ask() == {"a", "b", "c", "d"}
+    current.on_accepted(A)
+    current.on_accepted(D)
     assert current.phase is Phase.ACCEPT
-    current.accepted(C)
+    current.on_accepted(C)
     assert current.phase is Phase.CHOSEN
     other = prepared(round_of(to_abd), A, B)
-    other.accepted(B)
-    other.accepted(C)
+    other.on_accepted(B)
+    other.on_accepted(C)
     assert other.phase is Phase.ACCEPT
 
 
 @test("a round that finds newer voters asks a majority of these too")
 def _():
     current = round_of(ballot=THREE)
-    current.promised(B, FIRST)
-    current.promised(C, Accepted(TWO, JOINT))
-    assert current.phase is Phase.PREPARE and "d" in current.targets()
-    current.promised(D, Accepted(TWO, JOINT))
+    current.on_promised(B, FIRST)
+    current.on_promised(C, Proposal(TWO, JOINT))
+    assert current.phase is Phase.PREPARE and "d" in current.addresses_to_ask()
+    current.on_promised(D, Proposal(TWO, JOINT))
     assert current.phase is Phase.ACCEPT
 
 
@@ -165,21 +165,21 @@
 def _():
     other = VoterSet(3, (A, D))
     current = round_of(lambda found: replace(found, voters=other, version=R1.version), ballot=THREE)
-    prepared(current, A, B, accepted=Accepted(TWO, JOINT))
-    assert current.proposal == replace(JOINT, version=R1.version)
+    prepared(current, A, B, accepted=Proposal(TWO, JOINT))
+    assert current.proposed_value == replace(JOINT, version=R1.version)
 
 
 @test("a change known to be chosen is joint no more, and the next one builds on it")
 def _():
-    known = Accepted(TWO, JOINT)
-    current = round_of(ballot=THREE, known=known, chosen_number=2)
-    assert current.targets() == {"a", "b", "d"}
+    known = Proposal(TWO, JOINT)
+    current = round_of(ballot=THREE, known=known, chosen_voters_number=2)
+    assert current.addresses_to_ask() == {"a", "b", "d"}
     prepared(current, A, D, accepted=known)
-    assert current.proposal == to_r1(RegisterValue(JOINT.voters))
+    assert current.proposed_value == to_r1(RegisterValue(JOINT.voters))
     following = VoterSet(3, (A, D))
     after = round_of(lambda found: replace(found, voters=following), THREE, known, 2)
     prepared(after, A, D, accepted=known)
-    assert after.proposal == RegisterValue(following, JOINT.voters.members)
+    assert after.proposed_value == RegisterValue(following, JOINT.voters.members)
 
 
 @test("the voters before are asked until those after are known to be chosen")
@@ -193,32 +193,34 @@
 
 @test("a read takes a value that a majority holds, and only that")
 def _():
-    query = Query(FIRST, 1)
-    query.replied(A, Accepted(ONE, R1))
-    assert not query.complete() and query.chosen() is None
-    query.replied(B, FIRST)
-    assert query.complete() and query.chosen() is None
-    query.replied(C, Accepted(ONE, R1))
-    assert query.chosen() == Accepted(ONE, R1)
+    query = MajorityRead(FIRST, 1)
+    query.on_reply(A, Proposal(ONE, R1))
+    assert not query.has_quorum() and query.chosen_proposal() is None
+    query.on_reply(B, FIRST)
+    assert query.has_quorum() and query.chosen_proposal() is None
+    query.on_reply(C, Proposal(ONE, R1))
+    assert query.chosen_proposal() == Proposal(ONE, R1)
 
 
 @test("a read of a change of voters needs a majority of both sets")
 def _():
-    query = Query(FIRST, 1)
-    changed = Accepted(ONE, JOINT)
-    query.replied(A, changed)
-    query.replied(D, changed)
-    assert query.targets() == {"a", "b", "c", "d"} and not query.complete() and query.chosen() is None
-    query.replied(C, changed)
-    assert query.chosen() == changed
+    query = MajorityRead(FIRST, 1)
+    changed = Proposal(ONE, JOINT)
+    query.on_reply(A, changed)
+    query.on_reply(D, changed)
+    assert (
+        query.addresses_to_ask() == {"a", "b", "c", "d"} and not query.has_quorum() and query.chosen_proposal() is None
+    )
+    query.on_reply(C, changed)
+    assert query.chosen_proposal() == changed
 
 
 @test("an empty disk's answer counts for no value")
 def _():
-    query = Query(FIRST, 1)
-    query.replied(A, None)
-    query.replied(B, None)
-    assert query.complete() and query.chosen() is None
+    query = MajorityRead(FIRST, 1)
+    query.on_reply(A, None)
+    query.on_reply(B, None)
+    assert query.has_quorum() and query.chosen_proposal() is None
 
 
 # ---- views ----
@@ -226,11 +228,11 @@
 
 @test("views are enough when no majority can lack them, of the voters before a change too")
 def _():
-    changed = Accepted(TWO, JOINT)
+    changed = Proposal(TWO, JOINT)
     assert newest_view({}) is None
     assert newest_view({A: FIRST}) is None
     assert newest_view({A: FIRST, D: FIRST}) is None
-    assert newest_view({A: FIRST, B: Accepted(ONE, R1)}) == Accepted(ONE, R1)
+    assert newest_view({A: FIRST, B: Proposal(ONE, R1)}) == Proposal(ONE, R1)
     assert newest_view({A: changed, D: changed}) is None
     assert newest_view({A: changed, D: changed, C: FIRST}) == changed
 
--- a/tests/system/test_controller.py
+++ b/tests/system/test_controller.py
@@ -192,12 +192,12 @@
         wiped = await cluster.start("10.0.0.1")
         await cluster.start("10.0.0.3")
         await asyncio.sleep(5)
-        assert not wiped.replica.votes() and wiped.replica.identity.disk != FIRST_DISK
+        assert not wiped.replica.is_voter() and wiped.replica.identity.disk != FIRST_DISK
         for asked in (ReadConfiguration(), put(4), put(9)):
             assert isinstance(await wiped.handle_call(asked), Unavailable)
             assert isinstance(await cluster.controllers["10.0.0.3"].handle_call(asked), Unavailable)
         await cluster.start("10.0.0.2")
-        await cluster.until(wiped.replica.votes)
+        await cluster.until(wiped.replica.is_voter)
         assert await wiped.handle_call(ReadConfiguration()) == Document(example(5))
         assert voters(cluster).number == 2 and wiped.replica.identity in voters(cluster).members
 
@@ -215,7 +215,7 @@
             assert await cluster.controllers[others[0]].handle_call(put(number)) == Acknowledged()
             again = await cluster.start(name)
             await asyncio.sleep(4.0)
-            assert again.replica.votes()
+            assert again.replica.is_voter()
             assert await again.handle_call(ReadConfiguration()) == Document(example(number))
 
     run(play)
@@ -259,7 +259,7 @@
         )
         cluster.cuts = [{"10.0.0.1", "10.0.0.2"}, {"10.0.0.1", "10.0.0.4"}]  # with an old friend alone
         await cluster.until(lambda: old.replica.version().number == 5)
-        assert not old.replica.votes()
+        assert not old.replica.is_voter()
         assert isinstance(await old.handle_call(put(6)), Unavailable)  # it reaches one of three voters
         cluster.cuts = []
         await touch(cluster)
@@ -362,7 +362,7 @@
         await asyncio.sleep(3)
         await leaver.leave(3.0)
         assert voters(cluster).addresses() == ("10.0.0.2", "10.0.0.3", "10.0.0.4")
-        await cluster.until(cluster.controllers["10.0.0.4"].replica.votes)
+        await cluster.until(cluster.controllers["10.0.0.4"].replica.is_voter)
         cluster.stop("10.0.0.1")
         cluster.stop("10.0.0.2")
         assert await cluster.controllers["10.0.0.3"].handle_call(put(5)) == Acknowledged()
@@ -430,7 +430,7 @@
         assert not starting.done()
         cluster.disks["10.0.0.3"].refuses = False
         again = await starting
-        await cluster.until(again.replica.votes)
+        await cluster.until(again.replica.is_voter)
 
     run(play)
 
--- a/tests/system/test_controlplane.py
+++ b/tests/system/test_controlplane.py
@@ -7,19 +7,19 @@
 from stoneyoke.api.configuration import Version, read_configuration
 from stoneyoke.controlplane.configuration_service import apply_replacements, outcome_of
 from stoneyoke.consensus.ballot import Ballot
-from stoneyoke.consensus.register_value import Accepted, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.register_value import Proposal, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.controlplane.heartbeat_ring import watchers
 from stoneyoke.controlplane.instance_registry import InstanceRegistry, Phase, Row
 from stoneyoke.controlplane.leases import HOLDER_TTL_FRACTION, LEASE_TTL_S, LeaseGranter, LeaseHolder
-from stoneyoke.consensus.quorum import copies, majority
+from stoneyoke.consensus.quorum import read_quorum, majority
 from stoneyoke.consensus.record_formats import (
     promise_record,
-    read_old_records,
+    legacy_register,
     read_promise,
     read_register,
     register_record,
 )
-from stoneyoke.consensus.voter_set import MemberReport, next_members
+from stoneyoke.consensus.voter_set import MemberReport, next_voters
 from stoneyoke.lab.simulation.seeded_defects import seeded
 
 A, B, C, D, E = (ReplicaId(name, "first") for name in "abcde")
@@ -30,10 +30,10 @@
     return MemberReport(silent or {}, frozenset(leaving), tuple(learners))
 
 
-@test("of copies(n) voters one holds what majority(n) acknowledged; one fewer may miss it")
+@test("of read_quorum(n) voters one holds what majority(n) acknowledged; one fewer may miss it")
 def _():
     for n in range(1, 10):
-        assert majority(n) + copies(n) == n + 1
+        assert majority(n) + read_quorum(n) == n + 1
 
 
 def ordered(number, change=None):
@@ -65,40 +65,40 @@
 @test("a voter that is silent, leaves or lost its disk gives its place to a learner, and to nobody else")
 def _():
     abc = (A, B, C)
-    assert next_members(abc, report({C: 9.0}), 3, LOST_S) == abc
-    assert next_members(abc, report({C: 1.0}, learners=[D]), 3, LOST_S) == abc
-    assert next_members(abc, report({C: 2.1}, learners=[D, E]), 3, LOST_S) == (A, B, D)
-    assert next_members(abc, report(leaving=[A], learners=[D]), 3, LOST_S) == (B, C, D)
-    assert next_members(abc, report({C: 2.1}, leaving=[D], learners=[D]), 3, LOST_S) == abc
+    assert next_voters(abc, report({C: 9.0}), 3, LOST_S) == abc
+    assert next_voters(abc, report({C: 1.0}, learners=[D]), 3, LOST_S) == abc
+    assert next_voters(abc, report({C: 2.1}, learners=[D, E]), 3, LOST_S) == (A, B, D)
+    assert next_voters(abc, report(leaving=[A], learners=[D]), 3, LOST_S) == (B, C, D)
+    assert next_voters(abc, report({C: 2.1}, leaving=[D], learners=[D]), 3, LOST_S) == abc
     wiped = ReplicaId("c", "5e")
-    assert next_members(abc, report(learners=[D, wiped]), 3, LOST_S) == (A, B, wiped)
+    assert next_voters(abc, report(learners=[D, wiped]), 3, LOST_S) == (A, B, wiped)
 
 
 @test("voters are added up to their wanted number, never to an even one")
 def _():
     abc = (A, B, C)
-    assert next_members(abc, report(learners=[D]), 5, LOST_S) == abc
-    assert next_members(abc, report(learners=[D, E]), 5, LOST_S) == (A, B, C, D, E)
-    assert next_members((A,), report(learners=[B]), 3, LOST_S) == (A,)
-    assert next_members((A,), report(learners=[B, C]), 3, LOST_S) == abc
-    assert next_members((A, B), report(learners=[C, D]), 3, LOST_S) == abc
+    assert next_voters(abc, report(learners=[D]), 5, LOST_S) == abc
+    assert next_voters(abc, report(learners=[D, E]), 5, LOST_S) == (A, B, C, D, E)
+    assert next_voters((A,), report(learners=[B]), 3, LOST_S) == (A,)
+    assert next_voters((A,), report(learners=[B, C]), 3, LOST_S) == abc
+    assert next_voters((A, B), report(learners=[C, D]), 3, LOST_S) == abc
     five = (A, B, C, D, E)
     others = [ReplicaId(name, "5e") for name in "fg"]
-    assert next_members(five, report({D: 3.0, E: 4.0}, learners=others), 5, LOST_S) == (A, B, C, *others)
+    assert next_voters(five, report({D: 3.0, E: 4.0}, learners=others), 5, LOST_S) == (A, B, C, *others)
 
 
 @test("the register comes back from its records as it was written, and from those of the release before")
 def _():
     version = ordered(5).version
-    accepted = Accepted(Ballot(7, "a/1"), RegisterValue(VoterSet(3, (A, B, D)), (A, B, C), version, example(5)))
+    accepted = Proposal(Ballot(7, "a/1"), RegisterValue(VoterSet(3, (A, B, D)), (A, B, C), version, example(5)))
     assert read_register(register_record(accepted)) == accepted
     assert read_promise(promise_record(Ballot(9, "b/2"))) == Ballot(9, "b/2")
     old = {b"number": b"2", b"names": b"a,b,c", b"standing": b"1", b"promised": b'[0, ""]', b"pending": b"null"}
-    held = read_old_records(old, {b"body": example(5)}, version)
+    held = legacy_register(old, {b"body": example(5)}, version)
     assert held.value == RegisterValue(VoterSet(2, (A, B, C)), (), version, example(5))
-    later = read_old_records(old, {b"body": example(6)}, ordered(6).version)
+    later = legacy_register(old, {b"body": example(6)}, ordered(6).version)
     assert later.ballot > held.ballot  # of the copies the highest version goes first
-    assert read_old_records(old | {b"standing": b"0"}, None, Version()) is None
+    assert legacy_register(old | {b"standing": b"0"}, None, Version()) is None
 
 
 @test("a duty has one holder at most, whatever is lost, late, restarted or asked again")
--- a/tests/system/test_recovery.py
+++ b/tests/system/test_recovery.py
@@ -11,7 +11,7 @@
 from stoneyoke.api.calls import Acknowledged, Document, ReadConfiguration, Unavailable
 from stoneyoke.api.configuration import read_configuration
 from stoneyoke.consensus.ballot import Ballot
-from stoneyoke.consensus.register_value import Accepted, FIRST_DISK, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.register_value import Proposal, FIRST_DISK, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.consensus.record_formats import (
     IDENTITY,
     PROMISE,
@@ -22,7 +22,7 @@
     read_register,
     register_record,
 )
-from stoneyoke.consensus.recovery import recovered
+from stoneyoke.consensus.recovery import recovered_register
 from stoneyoke.programs import stoneyokectl
 from stoneyoke.storage.record_store import RecordStore
 
@@ -43,7 +43,7 @@
         assert isinstance(await alone.handle_call(ReadConfiguration()), Unavailable)
         cluster.stop("10.0.0.1")
         promised = read_promise(left[PROMISE])
-        left[REGISTER] = register_record(recovered(read_register(left[REGISTER]), promised, A))
+        left[REGISTER] = register_record(recovered_register(read_register(left[REGISTER]), promised, A))
         alone = await cluster.start("10.0.0.1")
         await cluster.until(lambda: alone.replica.chosen is not None)
         assert await alone.handle_call(ReadConfiguration()) == Document(example(5))
@@ -61,7 +61,7 @@
 @test("the command adds one record to the folder, and only when it is confirmed; what it holds is told")
 def _():
     version = read_configuration(example(5)).version
-    held = Accepted(Ballot(7, "10.0.0.2/ab"), RegisterValue(VoterSet(4, (A, B, C)), (), version, example(5)))
+    held = Proposal(Ballot(7, "10.0.0.2/ab"), RegisterValue(VoterSet(4, (A, B, C)), (), version, example(5)))
     with tempfile.TemporaryDirectory() as folder:
         store = RecordStore(folder)
         store.keep(IDENTITY, identity_record(FIRST_DISK))
--- a/tests/system/test_stored_data.py
+++ b/tests/system/test_stored_data.py
@@ -13,7 +13,7 @@
 
 from stoneyoke.api.configuration import Version, read_configuration
 from stoneyoke.consensus.ballot import Ballot
-from stoneyoke.consensus.register_value import Accepted, FIRST_DISK, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.register_value import Proposal, FIRST_DISK, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.consensus.record_formats import (
     IDENTITY,
     PROMISE,
@@ -75,7 +75,7 @@
     voters = VoterSet(value["number"], members(value["members"]))
     version = Version(number, bytes.fromhex(digest))
     decided = RegisterValue(voters, members(value["previous"]), version, value["body"].encode())
-    return Accepted(Ballot(*value["ballot"]), decided)
+    return Proposal(Ballot(*value["ballot"]), decided)
 
 
 def started_replica(folder):
@@ -140,6 +140,6 @@
     body = values["body"].encode()
     version = read_configuration(body).version
     expected = RegisterValue(VoterSet(values["number"], members(values["members"])), (), version, body)
-    assert replica.acceptor.accepted == Accepted(Ballot(version.number, version.digest.hex()), expected)
-    assert replica.identity == ReplicaId("10.0.0.3", FIRST_DISK) and replica.votes()
+    assert replica.acceptor.accepted == Proposal(Ballot(version.number, version.digest.hex()), expected)
+    assert replica.identity == ReplicaId("10.0.0.3", FIRST_DISK) and replica.is_voter()
     assert started_replica(earlier.folder).acceptor.accepted == replica.acceptor.accepted
