--- a/stoneyoke/consensus/message_rows.py
+++ b/stoneyoke/consensus/message_rows.py
@@ -3,27 +3,28 @@
 from stoneyoke.api.configuration import Version
 from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
 from stoneyoke.consensus.register_value import Proposal, RegisterValue, ReplicaId, VoterSet
-from stoneyoke.transport.messages import BallotRow, MemberRow, Stamp, ValueRow
+from stoneyoke.transport.messages import BallotRow, MemberRow, ValueRow, VersionRow
 
 EMPTY_VALUE = RegisterValue(VoterSet())
 
 
-def version_row(version: Version) -> Stamp:
-    return version.number, version.digest
+def version_row(version: Version) -> VersionRow:
+    return VersionRow(version.number, version.digest)
 
 
 def ballot_row(ballot: Ballot) -> BallotRow:
-    return ballot.counter, ballot.proposer
+    return BallotRow(ballot.counter, ballot.proposer)
 
 
 def member_row(member: ReplicaId) -> MemberRow:
-    return member.address, member.disk
+    return MemberRow(member.address, member.disk)
 
 
 def value_row(value: RegisterValue, *, with_body: bool) -> ValueRow:
     members = [member_row(member) for member in value.voters.members]
     previous = [member_row(member) for member in value.previous]
-    return value.voters.number, members, previous, version_row(value.version), value.body if with_body else b""
+    version = version_row(value.version)
+    return ValueRow(value.voters.number, members, previous, version, value.body if with_body else b"")
 
 
 def members_from_rows(rows: list[MemberRow]) -> tuple[ReplicaId, ...]:
@@ -31,10 +32,8 @@
 
 
 def value_from_row(row: ValueRow) -> RegisterValue:
-    number, members, previous, version, body = row
-    return RegisterValue(
-        VoterSet(number, members_from_rows(members)), members_from_rows(previous), Version(*version), body
-    )
+    voters = VoterSet(row.voter_set_number, members_from_rows(row.members))
+    return RegisterValue(voters, members_from_rows(row.previous_members), Version(*row.version), row.body)
 
 
 def proposal_from_rows(has_accepted: bool, ballot: BallotRow, row: ValueRow) -> Proposal | None:
--- a/stoneyoke/consensus/replication.py
+++ b/stoneyoke/consensus/replication.py
@@ -116,7 +116,7 @@
             if await self.own(self.replica.prepare(current.ballot)):
                 return current.on_promised(self.replica.identity, self.replica.acceptor.accepted)
             return self.refused(current, self.replica.acceptor.promised)
-        request = PrepareRequest(ballot_row(current.ballot), ballot_row(current.known.ballot))
+        request = PrepareRequest(ballot=ballot_row(current.ballot), known_ballot=ballot_row(current.known.ballot))
         answer = await self.ask(address, request, CALL_S)
         if not isinstance(answer, PrepareResponse):
             return
@@ -134,7 +134,7 @@
             if await self.own(self.replica.accept(proposal)):
                 return current.on_accepted(self.replica.identity)
             return self.refused(current, self.replica.acceptor.promised)
-        request = AcceptRequest(ballot_row(proposal.ballot), value_row(proposal.value, with_body=True))
+        request = AcceptRequest(ballot=ballot_row(proposal.ballot), value=value_row(proposal.value, with_body=True))
         answer = await self.ask(address, request, CALL_S + TRANSFER_S_PER_BYTE * len(proposal.value.body))
         if not isinstance(answer, AcceptResponse):
             return
@@ -169,7 +169,7 @@
 
     def tell_chosen(self, ballot: Ballot) -> None:
         """Voters and learners hear of it at once; who does not hears it with the next pull."""
-        notice = ChosenNotice(self.peers.own_address, ballot_row(ballot))
+        notice = ChosenNotice(address=self.peers.own_address, ballot=ballot_row(ballot))
         for address in list(self.peers):
             self.spawn(self.ask(address, notice, CALL_S))
 
@@ -234,7 +234,7 @@
 
     async def fetch(self, address: str, ballot: Ballot) -> Proposal | None:
         """The value under this ballot, or a newer one that is chosen, from another controller."""
-        answer = await self.ask(address, ValueRequest(ballot_row(ballot)), CALL_S + 1.0)
+        answer = await self.ask(address, ValueRequest(ballot=ballot_row(ballot)), CALL_S + 1.0)
         if not isinstance(answer, ValueResponse) or not answer.found:
             return None
         found = Proposal(Ballot(*answer.ballot), value_from_row(answer.value))
@@ -245,35 +245,54 @@
         except zlib.error as bad:
             logger.error("a value from {} can't be read: {}", address, bad)
             return None
-        return Proposal(found.ballot, value_from_row((*answer.value[:4], body)))
+        return Proposal(found.ballot, value_from_row(answer.value._replace(body=body)))
 
     # ---- acceptor and learner ----
 
     async def handle_prepare(self, asked: PrepareRequest) -> PrepareResponse:
         ok = await self.own(self.replica.prepare(Ballot(*asked.ballot)))
         acceptor = self.replica.acceptor
-        with_body = ok and acceptor.accepted_ballot() != Ballot(*asked.known)
-        rows = proposal_rows(acceptor.accepted, with_body=with_body)
-        return PrepareResponse(ok, member_row(self.replica.identity), ballot_row(acceptor.promised), *rows)
+        with_body = ok and acceptor.accepted_ballot() != Ballot(*asked.known_ballot)
+        has_accepted, accepted_ballot, accepted = proposal_rows(acceptor.accepted, with_body=with_body)
+        return PrepareResponse(
+            ok=ok,
+            replica=member_row(self.replica.identity),
+            promised=ballot_row(acceptor.promised),
+            has_accepted=has_accepted,
+            accepted_ballot=accepted_ballot,
+            accepted=accepted,
+        )
 
     async def handle_accept(self, asked: AcceptRequest) -> AcceptResponse:
         proposal = Proposal(Ballot(*asked.ballot), value_from_row(asked.value))
         ok = await self.own(self.replica.accept(proposal))
-        return AcceptResponse(ok, member_row(self.replica.identity), ballot_row(self.replica.acceptor.promised))
+        return AcceptResponse(
+            ok=ok,
+            replica=member_row(self.replica.identity),
+            promised=ballot_row(self.replica.acceptor.promised),
+        )
 
     def handle_query(self) -> QueryResponse:
-        rows = proposal_rows(self.replica.acceptor.accepted, with_body=False)
-        return QueryResponse(member_row(self.replica.identity), *rows)
+        has_accepted, accepted_ballot, accepted = proposal_rows(self.replica.acceptor.accepted, with_body=False)
+        return QueryResponse(
+            replica=member_row(self.replica.identity),
+            has_accepted=has_accepted,
+            accepted_ballot=accepted_ballot,
+            accepted=accepted,
+        )
 
     def handle_value_request(self, asked: ValueRequest) -> ValueResponse:
         wanted, chosen, accepted = Ballot(*asked.ballot), self.replica.chosen, self.replica.acceptor.accepted
         is_chosen = chosen is not None and chosen.ballot >= wanted
         held = chosen if is_chosen else accepted if accepted and accepted.ballot == wanted else None
         if held is None:
-            return ValueResponse(False, False, *proposal_rows(None, with_body=False)[1:])
+            _, no_ballot, no_value = proposal_rows(None, with_body=False)
+            return ValueResponse(found=False, chosen=False, ballot=no_ballot, value=no_value)
         row = value_row(held.value, with_body=False)
         body = zlib.compress(held.value.body, 6) if held.value.body else b""
-        return ValueResponse(True, is_chosen, ballot_row(held.ballot), (*row[:4], body))
+        return ValueResponse(
+            found=True, chosen=is_chosen, ballot=ballot_row(held.ballot), value=row._replace(body=body)
+        )
 
     async def handle_chosen_notice(self, notice: ChosenNotice) -> ChosenNoticeResponse:
         await self.catch_up(notice.address, Ballot(*notice.ballot))
--- a/stoneyoke/controlplane/controller.py
+++ b/stoneyoke/controlplane/controller.py
@@ -52,6 +52,7 @@
     QuotaResponse,
     ValueRequest,
 )
+from stoneyoke.transport.messages.pull import CONTROLLER_KIND
 from stoneyoke.transport.peers import PeerClient, PeerUnreachable
 
 CALL_TIMEOUT_S = 0.7
@@ -222,27 +223,27 @@
 
     async def pull(self, address: str, peer: Peer) -> None:
         request = PullRequest(
-            self.name,
-            self.ip,
-            "controller",
-            self.zone,
-            peer.incarnation,
-            peer.seq,
-            version_row(self.replica.version()),
-            True,
-            False,
-            int(PULL_HOLD_S * 1000),
-            self.incarnation,
-            -1,
+            name=self.name,
+            ip=self.ip,
+            kind=CONTROLLER_KIND,
+            zone=self.zone,
+            incarnation=peer.incarnation,
+            seq=peer.seq,
+            version=version_row(self.replica.version()),
+            ready=True,
+            heartbeat=False,
+            wait_ms=int(PULL_HOLD_S * 1000),
+            own_incarnation=self.incarnation,
+            membership_version=-1,
         )
         begun_at = self.clock()
         news = await peer.link.call(request, CALL_TIMEOUT_S + PULL_HOLD_S)
         if not isinstance(news, PullResponse):
             raise PeerUnreachable("an answer of another kind")
         peer.record_response(news, self.clock())
-        self.discovery.merge_rows(news.rows)
+        self.discovery.merge_rows(news.instances)
         self.discovery.record_pull(address, news.instances_synced, begun_at)
-        self.add_peers(*news.cores)
+        self.add_peers(*news.controllers)
         if peer.chosen_ballot > (self.replica.chosen.ballot if self.replica.chosen else NO_BALLOT):
             await self.replication.catch_up(address, peer.chosen_ballot)
 
@@ -294,7 +295,7 @@
         return None
 
     async def answer_pull(self, asked: PullRequest) -> PullResponse:
-        if asked.kind == "controller":
+        if asked.kind == CONTROLLER_KIND:
             self.add_peers(asked.ip)
         else:
             self.record_gateway(asked)
@@ -309,58 +310,61 @@
 
     def record_gateway(self, asked: PullRequest) -> None:
         now = self.clock()
-        self.gateways_seen[asked.name] = GatewaySeen(Version(*asked.stamp), now, asked.ready)
-        if asked.beat and self.watch.record_heartbeat(asked.name, now):
+        self.gateways_seen[asked.name] = GatewaySeen(Version(*asked.version), now, asked.ready)
+        if asked.heartbeat and self.watch.record_heartbeat(asked.name, now):
             self.membership_version += 1
             self.notify_change()
 
     def is_up_to_date(self, asked: PullRequest) -> bool:
         """Whether there is nothing new for the asker."""
         current = asked.incarnation == self.incarnation and asked.seq >= self.discovery.registry.seq
-        rolled = asked.membership_version == self.membership_version or asked.kind == "controller"
-        return current and rolled and self.replica.version() <= Version(*asked.stamp)
+        rolled = asked.membership_version == self.membership_version or asked.kind == CONTROLLER_KIND
+        return current and rolled and self.replica.version() <= Version(*asked.version)
 
     def pull_response(self, asked: PullRequest) -> PullResponse:
         known, view, chosen = asked.incarnation == self.incarnation, self.replica.view(), self.replica.chosen
         rows = self.discovery.registry.changes_since(asked.seq if known else 0, self.clock())
-        lists: tuple[list[str], list[str]] = ([], [])
+        controllers: list[str] = []
+        gateways: list[str] = []
         if not known or asked.membership_version != self.membership_version:
-            lists = ([self.ip, *self.peers], list(self.watch.last_heard_at))
+            controllers, gateways = [self.ip, *self.peers], list(self.watch.last_heard_at)
         return PullResponse(
-            self.incarnation,
-            self.discovery.registry.seq,
-            not known,
-            list(rows),
-            member_row(self.replica.identity),
-            ballot_row(view.ballot if view else NO_BALLOT),
-            value_row(view.value if view else EMPTY_VALUE, with_body=False),
-            ballot_row(chosen.ballot if chosen else NO_BALLOT),
-            version_row(self.replica.version()),
-            self.discovery.synced(),
-            self.lease.holder_known(),
-            self.membership.leaving,
-            self.zone,
-            self.membership_version,
-            *lists,
+            incarnation=self.incarnation,
+            seq=self.discovery.registry.seq,
+            complete=not known,
+            instances=rows,
+            replica=member_row(self.replica.identity),
+            view_ballot=ballot_row(view.ballot if view else NO_BALLOT),
+            view=value_row(view.value if view else EMPTY_VALUE, with_body=False),
+            chosen_ballot=ballot_row(chosen.ballot if chosen else NO_BALLOT),
+            version=version_row(self.replica.version()),
+            instances_synced=self.discovery.synced(),
+            lease_holder=self.lease.holder_known(),
+            leaving=self.membership.leaving,
+            zone=self.zone,
+            membership_version=self.membership_version,
+            controllers=controllers,
+            gateways=gateways,
         )
 
     def answer_fetch(self) -> FetchResponse:
         chosen = self.replica.chosen
         if chosen is None:
-            return FetchResponse(version_row(Version()), b"")
+            return FetchResponse(version=version_row(Version()), body=b"")
         if self.compressed[0] != chosen.ballot or not self.compressed[1]:
             self.compressed = (chosen.ballot, zlib.compress(chosen.value.body, 6))
-        return FetchResponse(version_row(chosen.value.version), self.compressed[1])
+        return FetchResponse(version=version_row(chosen.value.version), body=self.compressed[1])
 
     def allocate_quota(self, asked: QuotaRequest) -> QuotaResponse:
         allocator = self.lease.allocator
         if not allocator or not self.lease.is_held():
-            return QuotaResponse(False, [])
+            return QuotaResponse(ok=False, grants=[])
         allocator.plans(self.configuration.tenants or [] if self.configuration else [])
-        deaf_s = asked.deaf_ms / 1000
-        return QuotaResponse(
-            True, allocator.draw(asked.name, asked.incarnation, deaf_s, asked.full, asked.wants, self.clock())
+        since_answer_s = asked.since_answer_ms / 1000
+        grants = allocator.draw(
+            asked.name, asked.incarnation, since_answer_s, asked.complete, asked.demands, self.clock()
         )
+        return QuotaResponse(ok=True, grants=grants)
 
     # ---- what backends and operators ask ----
 
--- a/stoneyoke/controlplane/discovery_service.py
+++ b/stoneyoke/controlplane/discovery_service.py
@@ -23,10 +23,16 @@
 
 from stoneyoke.api.calls import Acknowledged, Answer, Heartbeat, Leave, Unavailable
 from stoneyoke.consensus.quorum import majority
-from stoneyoke.controlplane.instance_registry import InstanceRegistry, Row, row_from_heartbeat
+from stoneyoke.controlplane.instance_registry import InstanceRegistry, row_from_heartbeat
 from stoneyoke.controlplane.startup_sync import ACK_WINDOW_S, StartupSync
-from stoneyoke.transport.messages import InstanceRefresh, InstanceUpdate, InstanceUpdateResponse, Message
-from stoneyoke.transport.messages import Row as WireRow
+from stoneyoke.transport.messages import (
+    HeartbeatRow,
+    InstanceRefresh,
+    InstanceRow,
+    InstanceUpdate,
+    InstanceUpdateResponse,
+    Message,
+)
 from stoneyoke.transport.peers import PeerUnreachable
 
 FORWARD_INTERVAL_S = 0.2
@@ -65,7 +71,7 @@
         self.startup_sync = StartupSync(surroundings.own_address, self.clock(), heartbeat_round_s)
         self.swept_at = self.clock()
         self.recovering_until = -1e9
-        self.last_forwarded: dict[str, Row] = {}  # what other controllers were told of an instance last
+        self.last_forwarded: dict[str, InstanceRow] = {}  # what other controllers were told of an instance last
         self.pending_heartbeats: dict[str, None] = {}  # instances whose heartbeats came here since others were told
 
     def mark_first_start(self) -> None:
@@ -90,7 +96,7 @@
         self.surroundings.changed()
         return await self.acknowledge_by_majority(row)
 
-    async def acknowledge_by_majority(self, row: Row) -> Answer:
+    async def acknowledge_by_majority(self, row: InstanceRow) -> Answer:
         """What must not be lost with this controller is acknowledged once a majority knows it."""
         if not self.surroundings.has_quorum():
             return Unavailable("cut off from most controllers")
@@ -102,10 +108,10 @@
 
     # ---- telling other controllers ----
 
-    async def replicate(self, rows: list[Row], voters: tuple[str, ...]) -> int:
+    async def replicate(self, rows: list[InstanceRow], voters: tuple[str, ...]) -> int:
         """How many of the voters know of these, this controller included; not waiting once it is a majority. Those
         left over are told all the same."""
-        begun_at, update = self.clock(), InstanceUpdate(list(rows))
+        begun_at, update = self.clock(), InstanceUpdate(instances=list(rows))
         known, enough = int(self.surroundings.own_address in voters), majority(len(voters) or 1)
         waiting = {
             self.surroundings.spawn(self.send(peer, update)): address
@@ -122,7 +128,7 @@
         """Whether the peer has taken it."""
         with contextlib.suppress(PeerUnreachable):
             answer = await peer.call(message, ACK_WINDOW_S)
-            return isinstance(answer, InstanceUpdateResponse) and answer.taken
+            return isinstance(answer, InstanceUpdateResponse) and answer.accepted
         return False
 
     async def run_forwarding(self) -> None:
@@ -135,38 +141,40 @@
             if len(self.last_forwarded) > 2 * len(self.registry.records) + 100:
                 self.last_forwarded.clear()
 
-    async def forward_heartbeats(self, rows: list[Row]) -> None:
+    async def forward_heartbeats(self, rows: list[InstanceRow]) -> None:
         """Rows whole where they replicate something new, else only that they were heard again."""
-        bare = [row._replace(call_seq=0, warm_s=float(row.warm_s > 0)) for row in rows]
+        bare = [row._replace(call_seq=0, warmup_left_s=float(row.warmup_left_s > 0)) for row in rows]
         new = [self.last_forwarded.get(what.instance) != what for what in bare]
         self.last_forwarded |= {what.instance: what for what in bare}
         if fresh := [row for row, is_new in zip(rows, new, strict=True) if is_new]:
             await self.replicate(fresh, self.surroundings.voters())
-        if again := [(row.instance, row.call_seq) for row, is_new in zip(rows, new, strict=True) if not is_new]:
+        if again := [
+            HeartbeatRow(row.instance, row.call_seq) for row, is_new in zip(rows, new, strict=True) if not is_new
+        ]:
             for peer in self.surroundings.peers().values():
-                self.surroundings.spawn(self.send(peer, InstanceRefresh(again)))
+                self.surroundings.spawn(self.send(peer, InstanceRefresh(heartbeats=again)))
 
     # ---- what other controllers replicate ----
 
     def handle_update(self, update: InstanceUpdate) -> InstanceUpdateResponse:
         """What may have been sent long ago is not taken."""
         if self.recovering_from_stall():
-            return InstanceUpdateResponse(False)
-        self.merge_rows(update.rows)
+            return InstanceUpdateResponse(accepted=False)
+        self.merge_rows(update.instances)
         return InstanceUpdateResponse()
 
     def handle_refresh(self, refresh: InstanceRefresh) -> InstanceUpdateResponse:
         if self.recovering_from_stall():
-            return InstanceUpdateResponse(False)
+            return InstanceUpdateResponse(accepted=False)
         now = self.clock()
-        if any([self.registry.refresh(name, call_seq, now) for name, call_seq in refresh.beats]):
+        if any([self.registry.refresh(name, call_seq, now) for name, call_seq in refresh.heartbeats]):
             self.surroundings.changed()
         return InstanceUpdateResponse()
 
-    def merge_rows(self, rows: Iterable[WireRow]) -> None:
+    def merge_rows(self, rows: Iterable[InstanceRow]) -> None:
         """Rows that a pull or an update brought."""
         now = self.clock()
-        if any([self.registry.merge(Row(*row), now) for row in rows]):
+        if any([self.registry.merge(row, now) for row in rows]):
             self.surroundings.changed()
 
     def record_pull(self, address: str, synced: bool, begun_at: float) -> None:
--- a/stoneyoke/controlplane/instance_registry.py
+++ b/stoneyoke/controlplane/instance_registry.py
@@ -12,9 +12,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 from enum import IntEnum
-from typing import NamedTuple
 
 from stoneyoke.api.calls import Heartbeat
+from stoneyoke.transport.messages import InstanceRow
 
 RECORD_TTL_S = 60.0  # silent for so long, it is dropped
 TOMBSTONE_TTL_S = 2 * RECORD_TTL_S  # so long after it has left its tombstone is dropped
@@ -30,34 +30,20 @@
     GONE = 3
 
 
-class Row(NamedTuple):
-    """A record as it is told between processes; warm_s: how much longer it is slow, at the time of telling."""
-
-    instance: str
-    address: str
-    service: str
-    zone: str
-    generation: str
-    capacity: int
-    phase: int
-    call_seq: int
-    warm_s: float
-
-
 @dataclass(slots=True)
 class InstanceRecord:
-    row: Row
+    row: InstanceRow
     last_heard_at: float
-    warm_as_of: float  # when warm_s was right
+    warm_as_of: float  # when warmup_left_s was right
     seq: int = 0  # of this core's news
 
-    def row_at(self, now: float) -> Row:
+    def row_at(self, now: float) -> InstanceRow:
         """As it is told now."""
-        return self.row._replace(warm_s=max(0.0, self.row.warm_s - (now - self.warm_as_of)))
+        return self.row._replace(warmup_left_s=max(0.0, self.row.warmup_left_s - (now - self.warm_as_of)))
 
 
-def row_from_heartbeat(beat: Heartbeat) -> Row:
-    return Row(
+def row_from_heartbeat(beat: Heartbeat) -> InstanceRow:
+    return InstanceRow(
         beat.instance,
         beat.address,
         beat.service,
@@ -70,7 +56,7 @@
     )
 
 
-def merge_rows(old: Row, new: Row) -> Row:
+def merge_rows(old: InstanceRow, new: InstanceRow) -> InstanceRow:
     """What two tellings of one backend come to; `old` itself where the new one adds nothing."""
     if old.phase == Phase.GONE or new.phase == Phase.GONE:
         return old if old.phase == Phase.GONE else new
@@ -93,7 +79,7 @@
         self.seq += 1
         record.seq = self.seq
 
-    def merge(self, row: Row, now: float) -> bool:
+    def merge(self, row: InstanceRow, now: float) -> bool:
         """A beat, or another core's telling of one. Whether it is news for others."""
         record = self.records.get(row.instance)
         if record is None:
@@ -112,7 +98,7 @@
             record.last_heard_at = record.warm_as_of = now
         record.row = row
         # A beat that tells nothing new is no news: hundreds come in a second.
-        if old._replace(call_seq=0, warm_s=0.0) == row._replace(call_seq=0, warm_s=0.0):
+        if old._replace(call_seq=0, warmup_left_s=0.0) == row._replace(call_seq=0, warmup_left_s=0.0):
             return False
         self.changed(record)
         return True
@@ -125,15 +111,15 @@
         phase = Phase.READY if record.row.phase == Phase.SILENT else Phase(record.row.phase)
         return self.merge(record.row_at(now)._replace(call_seq=call_seq, phase=int(phase)), now)
 
-    def leave(self, instance: str, now: float) -> Row:
+    def leave(self, instance: str, now: float) -> InstanceRow:
         """It has ended; what is told of it later is old."""
         record = self.records.get(instance)
-        row = record.row if record else Row(instance, PLACEHOLDER_ADDRESS, "", "", "", 0, 0, 0, 0.0)
+        row = record.row if record else InstanceRow(instance, PLACEHOLDER_ADDRESS, "", "", "", 0, 0, 0, 0.0)
         row = row._replace(phase=int(Phase.GONE))
         self.merge(row, now)
         return row
 
-    def silence_previous_owner(self, row: Row) -> None:
+    def silence_previous_owner(self, row: InstanceRow) -> None:
         """An address has a new tenant: whoever was there before is silent; one that drained has drained for good."""
         for other in self.records.values():
             if (
@@ -160,11 +146,11 @@
     def has_expired(self, record: InstanceRecord, now: float) -> bool:
         return now - record.last_heard_at > (TOMBSTONE_TTL_S if record.row.phase == Phase.GONE else RECORD_TTL_S)
 
-    def changes_since(self, seq: int, now: float) -> list[Row]:
+    def changes_since(self, seq: int, now: float) -> list[InstanceRow]:
         """What has changed after seq, as it is now: a process that stood still tells nothing from before."""
         if now - self.swept_at > MAX_SWEEP_AGE_S:
             self.sweep(now)
         return [record.row_at(now) for record in self.records.values() if record.seq > seq]
 
-    def rows_of(self, names: Iterable[str], now: float) -> list[Row]:
+    def rows_of(self, names: Iterable[str], now: float) -> list[InstanceRow]:
         return [self.records[name].row_at(now) for name in names if name in self.records]
--- a/stoneyoke/controlplane/quota_lease.py
+++ b/stoneyoke/controlplane/quota_lease.py
@@ -96,16 +96,14 @@
         number = self.holder.round_number
         ok = self.grant(QUOTA_LEASE, self.peers.own_address, self.incarnation, LEASE_TTL_S, number, voters.number)[0]
         self.holder.record_reply(self.replica.identity, ok, voters.members, began, began)
-        request = LeaseRequest(
-            QUOTA_LEASE, self.peers.own_address, self.incarnation, int(LEASE_TTL_S * 1000), number, voters.number
-        )
+        request = self.lease_request(int(LEASE_TTL_S * 1000), voters.number)
 
         async def one(peer: Peer) -> None:
             try:
                 answer = await peer.link.call(request, CALL_TIMEOUT_S)
             except PeerUnreachable:
                 return
-            if isinstance(answer, LeaseResponse) and answer.voters_number == voters.number:
+            if isinstance(answer, LeaseResponse) and answer.voter_set_number == voters.number:
                 self.holder.record_reply(ReplicaId(*answer.replica), answer.ok, voters.members, began, self.clock())
 
         asked = [self.spawn(one(self.peers[name])) for name in voters.addresses() if name in self.peers]
@@ -115,14 +113,23 @@
             self.renew_allocator()
             await self.release()
 
+    def lease_request(self, ttl_ms: int, voter_set_number: int) -> LeaseRequest:
+        """A request of the holder's current round; a `ttl_ms` of 0 releases the lease."""
+        return LeaseRequest(
+            lease_name=QUOTA_LEASE,
+            holder=self.peers.own_address,
+            incarnation=self.incarnation,
+            ttl_ms=ttl_ms,
+            round_number=self.holder.round_number,
+            voter_set_number=voter_set_number,
+        )
+
     async def release(self) -> None:
         """Rivals that each hold a part of the voters would renew that for ever: given back, and by chance later."""
         voters = self.replica.voters()
         self.holder.start_round(self.clock())
         self.grant(QUOTA_LEASE, self.peers.own_address, self.incarnation, 0.0, self.holder.round_number, voters.number)
-        request = LeaseRequest(
-            QUOTA_LEASE, self.peers.own_address, self.incarnation, 0, self.holder.round_number, voters.number
-        )
+        request = self.lease_request(0, voters.number)
         for name in voters.addresses():
             if name in self.peers:
                 self.spawn(self.send(self.peers[name], request))
@@ -153,15 +160,19 @@
 
     def answer_request(self, request: LeaseRequest) -> LeaseResponse:
         ok, has, left = self.grant(
-            request.duty,
+            request.lease_name,
             request.holder,
             request.incarnation,
             request.ttl_ms / 1000,
-            request.number,
-            request.voters_number,
+            request.round_number,
+            request.voter_set_number,
         )
         return LeaseResponse(
-            ok, has, int(left * 1000), self.replica.chosen_voters_number(), member_row(self.replica.identity)
+            ok=ok,
+            holder=has,
+            remaining_ms=int(left * 1000),
+            voter_set_number=self.replica.chosen_voters_number(),
+            replica=member_row(self.replica.identity),
         )
 
     # ---- the holder's part ----
--- a/stoneyoke/gateway/config_sync.py
+++ b/stoneyoke/gateway/config_sync.py
@@ -11,7 +11,8 @@
 from stoneyoke.api.configuration import Configuration, Version, read_configuration
 from stoneyoke.api.schema import InvalidField
 from stoneyoke.gateway.instance_directory import InstanceDirectory
-from stoneyoke.transport.messages import FetchResponse, FetchRequest, PullResponse, PullRequest
+from stoneyoke.transport.messages import FetchRequest, FetchResponse, PullRequest, PullResponse, VersionRow
+from stoneyoke.transport.messages.pull import GATEWAY_KIND
 from stoneyoke.transport.peers import PeerUnreachable, PeerClient
 
 CALL_S = 0.6
@@ -69,21 +70,21 @@
 
     async def pull(self, name: str) -> None:
         source = self.instance_directory.sources[name]
-        beat = name in watchers(self.name, self.instance_directory.sources)
+        heartbeat = name in watchers(self.name, self.instance_directory.sources)
         news = await self.wires[name].call(
             PullRequest(
-                self.name,
-                self.ip,
-                "gateway",
-                self.zone,
-                source.incarnation,
-                source.seq,
-                (self.version.number, self.version.digest),
-                self.ready,
-                beat,
-                WAIT_MS,
-                self.incarnation,
-                source.membership_version,
+                name=self.name,
+                ip=self.ip,
+                kind=GATEWAY_KIND,
+                zone=self.zone,
+                incarnation=source.incarnation,
+                seq=source.seq,
+                version=VersionRow(self.version.number, self.version.digest),
+                ready=self.ready,
+                heartbeat=heartbeat,
+                wait_ms=WAIT_MS,
+                own_incarnation=self.incarnation,
+                membership_version=source.membership_version,
             ),
             CALL_S + WAIT_MS / 1000,
         )
@@ -91,16 +92,16 @@
             raise PeerUnreachable("an answer of another kind")
         self.instance_directory.hear(name, news, self.clock())
         self.follow_all()
-        if Version(*news.stamp) > self.version:
+        if Version(*news.version) > self.version:
             await self.fetch(name)
         self.told()
 
     async def fetch(self, name: str) -> None:
         async with self.fetching:
             source = self.instance_directory.sources[name]
-            if not source.news or Version(*source.news.stamp) <= self.version:
+            if not source.news or Version(*source.news.version) <= self.version:
                 return
-            near = self.instance_directory.holders(Version(*source.news.stamp), self.zone)[0]
+            near = self.instance_directory.holders(Version(*source.news.version), self.zone)[0]
             try:
                 bill = await self.wires[near].call(FetchRequest(), CALL_S)
             except PeerUnreachable:
--- a/stoneyoke/gateway/instance_directory.py
+++ b/stoneyoke/gateway/instance_directory.py
@@ -11,9 +11,9 @@
 from stoneyoke.consensus.register_value import Proposal, ReplicaId, VoterSet
 from stoneyoke.consensus.quorum import majority
 from stoneyoke.consensus.message_rows import value_from_row
-from stoneyoke.controlplane.instance_registry import Phase, Row
+from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.api.configuration import Version
-from stoneyoke.transport.messages import PullResponse
+from stoneyoke.transport.messages import InstanceRow, PullResponse
 
 TOUCH_S = 2.2  # more than a pull may be held, and what it takes to open a connection again
 DROP_S = 20.0  # silent by all cores in touch for so long, a backend is dropped
@@ -38,7 +38,7 @@
 class KnownInstance:
     """A backend as it is known here."""
 
-    row: Row
+    row: InstanceRow
     warm_at: float
     doubted_at: float | None = None  # since when no core in touch hears it
 
@@ -55,19 +55,18 @@
 
     def hear(self, name: str, news: PullResponse, now: float) -> None:
         source = self.sources.setdefault(name, Source())
-        if news.whole or news.incarnation != source.incarnation:
+        if news.complete or news.incarnation != source.incarnation:
             source.phases = {}
         source.incarnation, source.seq, source.heard_at, source.news = news.incarnation, news.seq, now, news
-        if news.whole or news.membership_version != source.membership_version:
+        if news.complete or news.membership_version != source.membership_version:
             source.membership_version, source.gateways = news.membership_version, tuple(news.gateways)
-        for other in news.cores:
+        for other in news.controllers:
             self.sources.setdefault(other, Source())
-        for told in news.rows:
-            row = Row(*told)
+        for row in news.instances:
             source.phases[row.instance] = row.phase
             self.merge(row, now)
 
-    def merge(self, row: Row, now: float) -> None:
+    def merge(self, row: InstanceRow, now: float) -> None:
         if row.instance in self.gone:
             return
         if row.phase == Phase.GONE:
@@ -79,10 +78,10 @@
         # Draining is for good: an instance never takes work again.
         phase = max(row.phase, old.row.phase) if old and old.row.phase == Phase.DRAINING else row.phase
         row = row._replace(phase=Phase.READY if phase == Phase.SILENT else phase)
-        if old and old.row._replace(call_seq=0, warm_s=0.0) == row._replace(call_seq=0, warm_s=0.0):
+        if old and old.row._replace(call_seq=0, warmup_left_s=0.0) == row._replace(call_seq=0, warmup_left_s=0.0):
             old.row = row
             return
-        self.known[row.instance] = KnownInstance(row, now + row.warm_s)
+        self.known[row.instance] = KnownInstance(row, now + row.warmup_left_s)
         self.turn += 1
 
     def lost(self, instance: str, now: float) -> None:
@@ -121,7 +120,7 @@
 
     def holders(self, version: Version, zone: str) -> list[str]:
         """Cores that hold this version or a higher one, those of a zone first."""
-        held = [name for name, one in self.sources.items() if one.news and Version(*one.news.stamp) >= version]
+        held = [name for name, one in self.sources.items() if one.news and Version(*one.news.version) >= version]
         return sorted(held, key=lambda name: (news := self.sources[name].news) is None or news.zone != zone)
 
     def views(self, now: float | None = None) -> dict[ReplicaId, Proposal]:
@@ -143,7 +142,7 @@
 
     def newest(self) -> tuple[Version, str]:
         """The highest version that any core has told of, and who."""
-        told = [(Version(*one.news.stamp), name) for name, one in self.sources.items() if one.news]
+        told = [(Version(*one.news.version), name) for name, one in self.sources.items() if one.news]
         return max(told, default=(Version(), ""))
 
     def caught_up(self, now: float) -> Version | None:
--- a/stoneyoke/gateway/quota_client.py
+++ b/stoneyoke/gateway/quota_client.py
@@ -3,8 +3,8 @@
 import asyncio
 from collections.abc import Callable
 
-from stoneyoke.limits.quota_allocator import SILENT_S, LocalQuota, Want, wants_of
-from stoneyoke.transport.messages import QuotaRequest, QuotaResponse
+from stoneyoke.limits.quota_allocator import SILENT_S, LocalQuota, wants_of
+from stoneyoke.transport.messages import QuotaDemand, QuotaRequest, QuotaResponse
 from stoneyoke.transport.peers import PeerUnreachable, PeerClient
 
 WAIT_S = 0.1  # a request waits for the keeper no longer
@@ -12,10 +12,10 @@
 ROUND_S = 0.25  # a message at least so often: it tells demand, and that this gateway is there
 
 
-def answers(drawn: QuotaResponse, wants: list[Want]) -> bool:
+def answers(drawn: QuotaResponse, demands: list[QuotaDemand]) -> bool:
     """Whether each of its rows is for a tenant that was asked for, and none is there twice."""
-    given = [tenant for tenant, *_ in drawn.gives]
-    return len(set(given)) == len(given) and set(given) <= {tenant for tenant, *_ in wants}
+    given = [grant.tenant for grant in drawn.grants]
+    return len(set(given)) == len(given) and set(given) <= {demand.tenant for demand in demands}
 
 
 class QuotaClient:
@@ -100,9 +100,18 @@
         now = self.clock()
         deaf_s, full = min(60.0, now - self.heard_at), self.full
         # One that may not know that this gateway hears it gives nothing and takes nothing for told.
-        wants = wants_of(self.local_quotas, self.waiting, self.heard_at, full, now) if deaf_s <= SILENT_S else []
-        drawn = await wire.call(QuotaRequest(self.name, self.incarnation, int(deaf_s * 1000), full, wants), ANSWER_S)
-        if not isinstance(drawn, QuotaResponse) or not drawn.ok or not answers(drawn, wants):
+        demands = wants_of(self.local_quotas, self.waiting, self.heard_at, full, now) if deaf_s <= SILENT_S else []
+        drawn = await wire.call(
+            QuotaRequest(
+                name=self.name,
+                incarnation=self.incarnation,
+                since_answer_ms=int(deaf_s * 1000),
+                complete=full,
+                demands=demands,
+            ),
+            ANSWER_S,
+        )
+        if not isinstance(drawn, QuotaResponse) or not drawn.ok or not answers(drawn, demands):
             self.fall()
             await asyncio.sleep(0.02)
             return
@@ -114,10 +123,10 @@
             self.wanted.set()
         else:
             self.full = False
-            for tenant, _, _, used, _ in wants:
-                self.local_quotas[tenant].used_told = used
-        for tenant, units, wait, part, reserve in drawn.gives:
-            if told := self.local_quotas.get(tenant):
-                told.hear(units, wait, part, reserve, self.heard_at)
+            for demand in demands:
+                self.local_quotas[demand.tenant].used_told = demand.isolated_units
+        for grant in drawn.grants:
+            if local_quota := self.local_quotas.get(grant.tenant):
+                local_quota.hear(grant, self.heard_at)
         answered, self.answered = self.answered, asyncio.Event()
         answered.set()
--- a/stoneyoke/lab/capacity/hot_paths.py
+++ b/stoneyoke/lab/capacity/hot_paths.py
@@ -5,14 +5,13 @@
 import time
 import zlib
 from collections.abc import Callable
-from dataclasses import replace
 from types import GenericAlias
 from typing import Any, get_args, get_origin
 
 from stoneyoke.api.calls import Heartbeat, ask
 from stoneyoke.api.configuration import CONFIGURATION, Configuration, Version, read_configuration, read_json
 from stoneyoke.api.schema import read
-from stoneyoke.controlplane.instance_registry import InstanceRecord, InstanceRegistry, Phase, Row, row_from_heartbeat
+from stoneyoke.controlplane.instance_registry import InstanceRecord, InstanceRegistry, Phase, row_from_heartbeat
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 from stoneyoke.gateway.routes import Table, Tenant, table_of
@@ -20,24 +19,28 @@
 from stoneyoke.lab.capacity.figures import Figure
 from stoneyoke.lab.capacity.meters import heap, processor_once_s, processor_s
 from stoneyoke.lab.capacity.workloads import BOUNDS, configuration, heartbeat, instance_name, row
-from stoneyoke.limits.quota_allocator import LocalQuota, QuotaAllocator, Want, wants_of
+from stoneyoke.limits.quota_allocator import LocalQuota, QuotaAllocator, wants_of
 from stoneyoke.limits.token_bucket import SECOND
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.transport.messages import (
-    TYPES,
+    BallotRow,
     FetchRequest,
     FetchResponse,
+    InstanceRow,
+    MemberRow,
     Message,
     PullResponse,
+    QuotaDemand,
     QuotaRequest,
     QuotaResponse,
+    ValueRow,
+    VersionRow,
     pack,
     unpack,
 )
-from stoneyoke.transport.messages import Row as MessageRow
 from stoneyoke.transport.peers import PeerClient, PeerServer
 
 BEAT_S = 1.5
@@ -158,22 +161,31 @@
     return kind()
 
 
-def pull_response(registry: InstanceRegistry, rows: list[Row], whole: bool) -> PullResponse:
+def pull_response(registry: InstanceRegistry, rows: list[InstanceRow], whole: bool) -> PullResponse:
     """What a controller tells of backends; all that it tells besides is empty."""
-    silent = PullResponse(*(empty(kind) for kind in TYPES[PullResponse]))
-    told: list[MessageRow] = list(rows)
-    return replace(
-        silent,
+    no_ballot = BallotRow(0, "")
+    no_version = VersionRow(0, b"")
+    return PullResponse(
         incarnation="life",
         seq=registry.seq,
-        whole=whole,
-        rows=told,
+        complete=whole,
+        instances=list(rows),
+        replica=MemberRow("", ""),
+        view_ballot=no_ballot,
+        view=ValueRow(0, [], [], no_version, b""),
+        chosen_ballot=no_ballot,
+        version=no_version,
         instances_synced=True,
+        lease_holder="",
+        leaving=False,
+        zone="",
         membership_version=1,
+        controllers=[],
+        gateways=[],
     )
 
 
-def heard(beat: object) -> Row:
+def heard(beat: object) -> InstanceRow:
     assert isinstance(beat, Heartbeat)
     return row_from_heartbeat(beat)
 
@@ -229,7 +241,7 @@
 # ---- backends at a gateway ----
 
 
-def directory_with(rows: list[Row]) -> InstanceDirectory:
+def directory_with(rows: list[InstanceRow]) -> InstanceDirectory:
     directory = InstanceDirectory(CONTROLLERS)
     registry = InstanceRegistry(1.0)
     for name in CONTROLLERS:
@@ -304,7 +316,7 @@
 def allocator(size: int) -> list[Figure]:
     """The one process that hands out the units of so many tenants: one gateway's draw, four of which come a second."""
     plans = [{"label": f"tenant-{at:07d}", "rate_per_s": 33.0, "burst_size": 33.0} for at in range(size)]
-    wants: list[Want] = [(f"tenant-{at:07d}", 2.0, 2.0, 0.0, 0.0) for at in sample(size, TENANTS_A_DRAW)]
+    wants = [QuotaDemand(f"tenant-{at:07d}", 2.0, 2.0, 0.0, 0.0) for at in sample(size, TENANTS_A_DRAW)]
 
     def make() -> QuotaAllocator:
         made = QuotaAllocator(BOUNDS, 0.0)
@@ -325,10 +337,13 @@
         quotas.draw("gateway-1", "life", 0.0, False, wants, now)
 
     drawn = quotas.draw("gateway-1", "life", 0.0, False, wants, now)
-    asked = QuotaRequest("gateway-0001", "0123456789ab", 250, False, wants)
+    asked = QuotaRequest(
+        name="gateway-0001", incarnation="0123456789ab", since_answer_ms=250, complete=False, demands=wants
+    )
+    answered = QuotaResponse(ok=True, grants=drawn)
     return [
         Figure("stores held", "MB", megabytes(of_quotas.held)),
-        Figure("one draw of 100 tenants, both ways", "B", len(pack(1, asked) + pack(1, QuotaResponse(True, drawn)))),
+        Figure("one draw of 100 tenants, both ways", "B", len(pack(1, asked) + pack(1, answered))),
         Figure("one draw of 100 tenants, 0.25 s after the last", "s", processor_s(draw)),
         Figure("one draw of 100 tenants, right after another", "s", processor_s(quick_draw)),
     ]
@@ -367,7 +382,7 @@
     body = random.Random(1).randbytes(size)
 
     async def answer(message: Message) -> Message | None:
-        return FetchResponse((1, b"x"), body) if isinstance(message, FetchRequest) else None
+        return FetchResponse(version=VersionRow(1, b"x"), body=body) if isinstance(message, FetchRequest) else None
 
     async def calls() -> float:
         server = PeerServer(answer)
--- a/stoneyoke/lab/capacity/workloads.py
+++ b/stoneyoke/lab/capacity/workloads.py
@@ -5,7 +5,8 @@
 import string
 from typing import Any
 
-from stoneyoke.controlplane.instance_registry import Phase, Row
+from stoneyoke.controlplane.instance_registry import Phase
+from stoneyoke.transport.messages import InstanceRow
 
 ROUTES_PER_HOST = 20
 INSTANCES_PER_SERVICE = 54  # the operators': 200,000 in 3,700 services
@@ -106,10 +107,12 @@
     return f"10.{at >> 16 & 255}.{at >> 8 & 255}.{at & 255}:8080"
 
 
-def row(at: int, call_seq: int = 1, phase: Phase = Phase.READY) -> Row:
+def row(at: int, call_seq: int = 1, phase: Phase = Phase.READY) -> InstanceRow:
     """A backend as cores tell of it."""
     service = service_name(at // INSTANCES_PER_SERVICE)
-    return Row(instance_name(at), address(at), service, f"zone-{at % ZONES:02d}", "v1", 2, int(phase), call_seq, 0.0)
+    return InstanceRow(
+        instance_name(at), address(at), service, f"zone-{at % ZONES:02d}", "v1", 2, int(phase), call_seq, 0.0
+    )
 
 
 def heartbeat(at: int, call_seq: int, phase: str = "ready") -> bytes:
--- a/stoneyoke/lab/simulation/fleet_defects.py
+++ b/stoneyoke/lab/simulation/fleet_defects.py
@@ -10,7 +10,7 @@
 from stoneyoke.gateway import admission, config_sync, instance_directory
 from stoneyoke.lab.simulation.register_defects import Patch
 from stoneyoke.limits import quota_allocator
-from stoneyoke.transport.messages import FetchRequest, FetchResponse
+from stoneyoke.transport.messages import FetchRequest, FetchResponse, QuotaDemand, QuotaGrant
 
 
 def lease_unfenced() -> list[Patch]:
@@ -52,9 +52,9 @@
     real = quota_allocator.QuotaAllocator.give
 
     def give(
-        self: quota_allocator.QuotaAllocator, name: str, wants: quota_allocator.Want, silent: Any, now: float
-    ) -> quota_allocator.Give:
-        return real(self, name, (wants[0], wants[1], wants[2], 0.0, wants[4]), silent, now)
+        self: quota_allocator.QuotaAllocator, name: str, asked: QuotaDemand, silent: Any, now: float
+    ) -> QuotaGrant:
+        return real(self, name, asked._replace(isolated_units=0.0), silent, now)
 
     return [(quota_allocator.QuotaAllocator, "give", give)]
 
@@ -84,10 +84,10 @@
     real = quota_allocator.QuotaAllocator.give
 
     def give(
-        self: quota_allocator.QuotaAllocator, name: str, wants: quota_allocator.Want, silent: Any, now: float
-    ) -> quota_allocator.Give:
-        tenant, units, wait, part, reserve = real(self, name, wants, silent, now)
-        return tenant, units, wait, max(part, 0.9), max(reserve, 10.0)
+        self: quota_allocator.QuotaAllocator, name: str, asked: QuotaDemand, silent: Any, now: float
+    ) -> QuotaGrant:
+        grant = real(self, name, asked, silent, now)
+        return grant._replace(share=max(grant.share, 0.9), reserve_units=max(grant.reserve_units, 10.0))
 
     return [(quota_allocator.QuotaAllocator, "give", give)]
 
@@ -106,7 +106,7 @@
 
     def caught_up(self: instance_directory.InstanceDirectory, now: float) -> Any:
         heard = [one.news for one in self.sources.values() if one.news]
-        return max((Version(*news.stamp) for news in heard), default=None)
+        return max((Version(*news.version) for news in heard), default=None)
 
     return [(instance_directory.InstanceDirectory, "caught_up", caught_up)]
 
@@ -124,7 +124,7 @@
     async def pull(self: config_sync.ConfigSync, name: str) -> None:
         await real(self, name)
         news = self.instance_directory.sources[name].news
-        if news and news.stamp[0] and Version(*news.stamp) != self.version:
+        if news and news.version.number and Version(*news.version) != self.version:
             await fetch(self, name)
 
     real = config_sync.ConfigSync.pull
--- a/stoneyoke/limits/quota_allocator.py
+++ b/stoneyoke/limits/quota_allocator.py
@@ -27,6 +27,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from stoneyoke.transport.messages import QuotaDemand, QuotaGrant
+
 STOCK_S = 0.25  # of its demand that a gateway holds in advance; whole units only, so thin demand holds none
 SILENT_S = 0.7  # a gateway not heard for so long may be using its part
 LEASE_S = 10.0  # so long after it heard a keeper last a gateway goes on with its part
@@ -41,9 +43,6 @@
 UNTOLD_S = 3.0
 FEWEST = 8  # gateways that a new life counts with until it has been told how many there are
 
-Want = tuple[str, float, float, float, float]  # tenant, units wanted, demand since, units used alone in all, part held
-Give = tuple[str, float, float, float, float]  # tenant, units, wait in seconds, part, reserve
-
 
 def faded(amount: float, for_s: float) -> float:
     """What is left of an amount after so many seconds of fading."""
@@ -160,8 +159,8 @@
         return {name: at for name, at in self.heard.items() if now - at > SILENT_S}
 
     def draw(
-        self, name: str, incarnation: str, deaf_s: float, full: bool, wants: Iterable[Want], now: float
-    ) -> list[Give]:
+        self, name: str, incarnation: str, deaf_s: float, full: bool, wants: Iterable[QuotaDemand], now: float
+    ) -> list[QuotaGrant]:
         """deaf_s: since it heard an answer. full: wants has a row of each part that it holds. Nothing is given
         to one that may not hear it, nor taken for told."""
         self.now = now
@@ -181,11 +180,11 @@
         wants = list(wants)
         if full and name in self.unknown:
             self.unknown.discard(name)
-            for tenant, _, _, used, part in wants:
-                if (told := self.pools.get(tenant)) is not None:
+            for want in wants:
+                if (told := self.pools.get(want.tenant)) is not None:
                     seat = told.seats.setdefault(name, Seat(at=now))
-                    seat.used, seat.part, seat.told_at = used, part, now
-                    told.told += part
+                    seat.used, seat.part, seat.told_at = want.isolated_units, want.share, now
+                    told.told += want.share
         if now - self.heard.get(name, now) > SILENT_S:
             for pool in self.pools.values():
                 pool.back(name)
@@ -193,11 +192,11 @@
         silent = self.silent(now)
         return [self.give(name, want, silent, now) for want in wants]
 
-    def give(self, name: str, wants: Want, silent: Mapping[str, float], now: float) -> Give:
-        tenant, want, demand, used, _ = wants
+    def give(self, name: str, asked: QuotaDemand, silent: Mapping[str, float], now: float) -> QuotaGrant:
+        tenant, want, demand, used, _ = asked
         pool = self.pools.get(tenant)
         if pool is None:  # not limited here; a gateway with a newer configuration asks again
-            return tenant, 0.0, 0.2, 0.0, 0.0
+            return QuotaGrant(tenant, 0.0, 0.2, 0.0, 0.0)
         pool.fill(self.withheld(pool), silent, now)
         seat = pool.seats.setdefault(name, Seat(at=now))
         if name not in self.unknown:  # else it may have used it before this keeper was there
@@ -222,7 +221,7 @@
         # Half of the time in which its part refills a unit: more would leave units, less asks for nothing.
         wait = 0.0 if units or want < 1 else max(lack, 0.5 / max(share, 0.02)) / pool.rate
         seat.reserve = RESERVE * seat.part * max(0.0, pool.level)
-        return tenant, units, wait, seat.part, seat.reserve
+        return QuotaGrant(tenant, units, wait, seat.part, seat.reserve)
 
 
 @dataclass(slots=True)
@@ -261,18 +260,18 @@
         """Units to ask for: for those that wait, and what its demand uses in STOCK_S."""
         return waiting + float(int(self.pace * STOCK_S))
 
-    def hear(self, units: float, wait: float, part: float, reserve: float, now: float) -> None:
-        self.level += units
-        self.part, self.reserve, self.told_at = part, reserve, now
-        if units > 0:
+    def hear(self, grant: QuotaGrant, now: float) -> None:
+        self.level += grant.units
+        self.part, self.reserve, self.told_at = grant.share, grant.reserve_units, now
+        if grant.units > 0:
             self.shut_until = 0.0
-        elif wait > 0:
-            self.shut_until = now + wait
+        elif grant.wait_s > 0:
+            self.shut_until = now + grant.wait_s
 
 
 def wants_of(
     local_quotas: Mapping[str, LocalQuota], waiting: Mapping[str, int], heard_at: float, full: bool, now: float
-) -> list[Want]:
+) -> list[QuotaDemand]:
     """What a gateway asks for and tells, a row for each tenant of whom there is something to tell."""
     wants = []
     for tenant, local_quota in local_quotas.items():
@@ -285,6 +284,7 @@
             and (part > 0.005 or local_quota.used)
         ):
             want = local_quota.want(asks) if now >= local_quota.shut_until else 0.0
-            wants.append((tenant, max(0.0, want - local_quota.level), local_quota.demand, local_quota.used, part))
+            wanted = max(0.0, want - local_quota.level)
+            wants.append(QuotaDemand(tenant, wanted, local_quota.demand, local_quota.used, part))
             local_quota.demand = 0.0
     return wants
--- a/stoneyoke/transport/peers.py
+++ b/stoneyoke/transport/peers.py
@@ -16,7 +16,7 @@
 
 from loguru import logger
 
-from stoneyoke.transport.messages import FRAME_TOP, RESPONSES, MalformedMessage, Message, pack, unpack
+from stoneyoke.transport.messages import FRAME_BYTES_MAX, RESPONSES, MalformedMessage, Message, pack, unpack
 
 DIAL_S = 0.5
 ABANDONED_TOP = 1000  # calls on one connection that their callers gave up and that the peer never answered
@@ -149,7 +149,7 @@
     """The next frame's body, None where the stream ends. Raises MalformedMessage, or an OSError."""
     try:
         size = int.from_bytes(await reader.readexactly(4), "big")
-        if size > FRAME_TOP:
+        if size > FRAME_BYTES_MAX:
             raise MalformedMessage(f"a frame of {size} bytes")
         return await reader.readexactly(size)
     except asyncio.IncompleteReadError:
--- a/tests/system/gateway_fixture.py
+++ b/tests/system/gateway_fixture.py
@@ -5,7 +5,7 @@
 
 from configurations import example
 
-from stoneyoke.controlplane.instance_registry import Row
+from stoneyoke.transport.messages import InstanceRow, QuotaGrant
 from stoneyoke.api.configuration import read_configuration
 
 from stoneyoke.net.backends import Backends
@@ -80,7 +80,7 @@
 
     async def ask(self, tenant):
         self.asked += 1
-        self.local_quotas[tenant].hear(*self.gives, time.time())
+        self.local_quotas[tenant].hear(QuotaGrant(tenant, *self.gives), time.time())
 
 
 class Gateway:
@@ -120,7 +120,7 @@
 
     def add(self, instance, port, phase=0, seq=1):
         self.instance_directory.merge(
-            Row(instance, f"127.0.0.1:{port}", self.service, "east", "v1", 2, phase, seq, 0.0),
+            InstanceRow(instance, f"127.0.0.1:{port}", self.service, "east", "v1", 2, phase, seq, 0.0),
             self.clock.now() / 1_000_000,
         )
 
--- a/tests/system/test_controlplane.py
+++ b/tests/system/test_controlplane.py
@@ -9,7 +9,8 @@
 from stoneyoke.consensus.ballot import Ballot
 from stoneyoke.consensus.register_value import Proposal, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.controlplane.heartbeat_ring import watchers
-from stoneyoke.controlplane.instance_registry import InstanceRegistry, Phase, Row
+from stoneyoke.controlplane.instance_registry import InstanceRegistry, Phase
+from stoneyoke.transport.messages import InstanceRow
 from stoneyoke.controlplane.leases import HOLDER_TTL_FRACTION, LEASE_TTL_S, LeaseGranter, LeaseHolder
 from stoneyoke.consensus.quorum import read_quorum, majority
 from stoneyoke.consensus.record_formats import (
@@ -167,7 +168,7 @@
 
 
 def row(instance="i-1", seq=1, phase=Phase.READY, address="10.0.0.1:80", service="tide"):
-    return Row(instance, address, service, "east", "v1", 2, int(phase), seq, 0.0)
+    return InstanceRow(instance, address, service, "east", "v1", 2, int(phase), seq, 0.0)
 
 
 @test("the order in which beats are heard does not matter, and what is gone stays gone")
--- a/tests/system/test_discovery_service.py
+++ b/tests/system/test_discovery_service.py
@@ -15,7 +15,7 @@
 )
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.controlplane.startup_sync import ACK_WINDOW_S, CLOCK_MARGIN_S, StartupSync
-from stoneyoke.transport.messages import InstanceRefresh, InstanceUpdate, InstanceUpdateResponse
+from stoneyoke.transport.messages import HeartbeatRow, InstanceRefresh, InstanceUpdate, InstanceUpdateResponse
 from stoneyoke.transport.peers import PeerUnreachable
 
 EVERYONE_S = 4.0
@@ -170,14 +170,16 @@
         row = town.services["10.0.0.2"].registry.records["i-1"].row
         town.ahead_s += STALL_THRESHOLD_S + 0.1
         for _ in range(2):  # before its first sweep and after it
-            assert one.handle_update(InstanceUpdate([row])) == InstanceUpdateResponse(False)
-            assert one.handle_refresh(InstanceRefresh([("i-1", 9)])) == InstanceUpdateResponse(False)
+            assert one.handle_update(InstanceUpdate(instances=[row])) == InstanceUpdateResponse(accepted=False)
+            assert one.handle_refresh(InstanceRefresh(heartbeats=[HeartbeatRow("i-1", 9)])) == InstanceUpdateResponse(
+                accepted=False
+            )
             assert isinstance(await one.heartbeat(beat()), Unavailable)
             assert not one.registry.records
             one.sweep()
         assert isinstance(await town.services["10.0.0.2"].heartbeat(beat(2, True)), Unavailable)
         await town.passes(STALL_RECOVERY_S + 0.1)
-        assert one.handle_update(InstanceUpdate([row])) == InstanceUpdateResponse(True)
+        assert one.handle_update(InstanceUpdate(instances=[row])) == InstanceUpdateResponse(accepted=True)
 
     play(story)
 
--- a/tests/system/test_instance_directory.py
+++ b/tests/system/test_instance_directory.py
@@ -3,7 +3,7 @@
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.api.configuration import Version
 from stoneyoke.gateway.instance_directory import DROP_S, TOUCH_S, InstanceDirectory
-from stoneyoke.transport.messages import PullResponse
+from stoneyoke.transport.messages import BallotRow, InstanceRow, MemberRow, PullResponse, ValueRow, VersionRow
 
 VOTERS = ("a", "b", "c")
 
@@ -11,7 +11,7 @@
 def news(
     number=1,
     rows=(),
-    whole=False,
+    complete=False,
     disk="first",
     instances_synced=True,
     seq=1,
@@ -25,31 +25,32 @@
     previous=(),
 ):
     """From the controller `name`, whose newest value holds the configuration `number`, under a ballot as high."""
-    members = [(one, "first") for one in voters]
-    before = [(one, "first") for one in previous]
-    ballot = (number + 10 * voters_number, "p")
+    members = [MemberRow(one, "first") for one in voters]
+    before = [MemberRow(one, "first") for one in previous]
+    ballot = BallotRow(number + 10 * voters_number, "p")
+    version = VersionRow(number, b"x")
     return PullResponse(
-        incarnation,
-        seq,
-        whole,
-        list(rows),
-        (name, disk),
-        ballot,
-        (voters_number, members, before, (number, b"x"), b""),
-        ballot,
-        (number, b"x"),
-        instances_synced,
-        lease_holder,
-        False,
-        "east",
-        membership_version,
-        [],
-        list(gateways),
+        incarnation=incarnation,
+        seq=seq,
+        complete=complete,
+        instances=list(rows),
+        replica=MemberRow(name, disk),
+        view_ballot=ballot,
+        view=ValueRow(voters_number, members, before, version, b""),
+        chosen_ballot=ballot,
+        version=version,
+        instances_synced=instances_synced,
+        lease_holder=lease_holder,
+        leaving=False,
+        zone="east",
+        membership_version=membership_version,
+        controllers=[],
+        gateways=list(gateways),
     )
 
 
 def row(seq=1, phase=Phase.READY, instance="i-1"):
-    return (instance, "10.0.0.9:80", "tide", "east", "v1", 2, int(phase), seq, 0.0)
+    return InstanceRow(instance, "10.0.0.9:80", "tide", "east", "v1", 2, int(phase), seq, 0.0)
 
 
 @test("one stale controller does not make a gateway ready; enough voters that have settled do")
@@ -115,7 +116,7 @@
 def _():
     directory = InstanceDirectory(("a",))
     directory.hear("a", news(rows=[row(), row(instance="i-2")], voters=("a",)), 0.0)
-    directory.hear("a", news(whole=True, incarnation="new", voters=("a",)), 1.0)  # started again, knows nobody yet
+    directory.hear("a", news(complete=True, incarnation="new", voters=("a",)), 1.0)  # started again, knows nobody yet
     directory.sweep(1.0)
     assert directory.doubted("tide") == frozenset() and len(directory.known) == 2
 
--- a/tests/system/test_instance_registry.py
+++ b/tests/system/test_instance_registry.py
@@ -11,8 +11,8 @@
     MAX_ENDED_RECORDS,
     InstanceRegistry,
     Phase,
-    Row,
 )
+from stoneyoke.transport.messages import InstanceRow
 from stoneyoke.gateway import instance_directory
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 
@@ -20,7 +20,7 @@
 
 
 def row(instance="i-1", call_seq=1, phase=Phase.READY, address="10.0.0.9:80", service="tide"):
-    return Row(instance, address, service, "east", "v1", 2, int(phase), call_seq, 0.0)
+    return InstanceRow(instance, address, service, "east", "v1", 2, int(phase), call_seq, 0.0)
 
 
 def phase(registry, instance="i-1"):
--- a/tests/system/test_messages.py
+++ b/tests/system/test_messages.py
@@ -1,76 +1,11 @@
 import msgpack
 from ward import test
 
-from stoneyoke.transport.messages import (
-    KINDS,
-    AcceptRequest,
-    AcceptResponse,
-    ChosenNotice,
-    ChosenNoticeResponse,
-    FetchRequest,
-    FetchResponse,
-    InstanceRefresh,
-    InstanceUpdate,
-    InstanceUpdateResponse,
-    LeaseRequest,
-    LeaseResponse,
-    MalformedMessage,
-    PrepareRequest,
-    PrepareResponse,
-    PullRequest,
-    PullResponse,
-    QueryRequest,
-    QueryResponse,
-    QuotaRequest,
-    QuotaResponse,
-    ValueRequest,
-    ValueResponse,
-    pack,
-    unpack,
-)
+from compatibility.recorded_messages import recorded_values
 
-ROW = ("i-1", "10.0.0.1:80", "tide", "east", "v1", 2, 0, 7, 1.5)
-VALUE = (2, [("10.0.0.1", "first")], [("10.0.0.2", "5e")], (3, b"x"), b"{}")
-EXAMPLES = [
-    PullRequest("edge-1", "10.0.0.1", "gateway", "east", "ab", 4, (3, b"x"), True, False, 400, "cd", 3),
-    PullResponse(
-        "ab",
-        9,
-        True,
-        [ROW],
-        ("10.0.0.1", "first"),
-        (4, "10.0.0.1/ab"),
-        VALUE,
-        (3, "10.0.0.1/ab"),
-        (3, b"x"),
-        True,
-        "10.0.0.1",
-        False,
-        "east",
-        4,
-        ["10.0.0.2"],
-        ["edge-1"],
-    ),
-    FetchRequest(),
-    FetchResponse((3, b"x"), b"{}"),
-    PrepareRequest((4, "10.0.0.1/ab"), (3, "10.0.0.2/cd")),
-    PrepareResponse(True, ("10.0.0.1", "first"), (4, "10.0.0.1/ab"), True, (3, "10.0.0.2/cd"), VALUE),
-    AcceptRequest((4, "10.0.0.1/ab"), VALUE),
-    AcceptResponse(True, ("10.0.0.1", "first"), (4, "10.0.0.1/ab")),
-    QueryRequest(),
-    QueryResponse(("10.0.0.1", "first"), True, (3, "10.0.0.2/cd"), VALUE),
-    ChosenNotice("10.0.0.1", (4, "10.0.0.1/ab")),
-    ChosenNoticeResponse(),
-    ValueRequest((4, "10.0.0.1/ab")),
-    ValueResponse(True, True, (4, "10.0.0.1/ab"), VALUE),
-    InstanceUpdate([ROW]),
-    InstanceRefresh([("i-1", 8)]),
-    InstanceUpdateResponse(),
-    LeaseRequest("quotas", "a", "b", 1600, 3, 1),
-    LeaseResponse(True, "a", 900, 1, ("10.0.0.1", "first")),
-    QuotaRequest("edge-1", "ab", 20, True, [("anna", 2.0, 3.0, 0.0, 0.5)]),
-    QuotaResponse(True, [("anna", 1.0, 0.0, 0.25, 3.0)]),
-]
+from stoneyoke.transport.messages import KINDS, MalformedMessage, pack, unpack
+
+EXAMPLES = recorded_values()[: len(KINDS)]
 
 
 @test("every kind of message comes back as it was sent")
--- a/tests/system/test_peers.py
+++ b/tests/system/test_peers.py
@@ -8,18 +8,21 @@
     RESPONSES,
     FetchRequest,
     FetchResponse,
+    HeartbeatRow,
     InstanceRefresh,
     InstanceUpdateResponse,
     MalformedMessage,
+    QuotaGrant,
     QuotaRequest,
     QuotaResponse,
+    VersionRow,
     pack,
     unpack,
 )
 from stoneyoke.transport.peers import PeerClient, PeerServer, PeerUnreachable, frame
 
-ASKED, ANSWER = FetchRequest(), FetchResponse((3, b"digest"), b"text")
-OTHER = InstanceRefresh([("i-1", 7)])
+ASKED, ANSWER = FetchRequest(), FetchResponse(version=VersionRow(3, b"digest"), body=b"text")
+OTHER = InstanceRefresh(heartbeats=[HeartbeatRow("i-1", 7)])
 WITHIN_S = 5.0
 
 
@@ -68,6 +71,10 @@
         return asyncio.ensure_future(self.client.call(message, WITHIN_S))
 
 
+def fetched(number):
+    return FetchResponse(version=VersionRow(number, b"d"), body=b"")
+
+
 async def until(holds):
     async with asyncio.timeout(5):
         while not holds():
@@ -98,21 +105,21 @@
         if len(calls) < 3:
             return b""
         return b"".join(
-            pack(number, FetchResponse((number, b"d"), b"") if message == ASKED else InstanceUpdateResponse())
+            pack(number, fetched(number) if message == ASKED else InstanceUpdateResponse())
             for number, message in reversed(calls)
         )
 
     async with Peer(script) as peer:
         first, second, third = peer.call(), peer.call(OTHER), peer.call()
-        assert (await first).stamp[0] == 1 and await second == InstanceUpdateResponse()
-        assert (await third).stamp[0] == 3 and peer.connections == 1
+        assert (await first).version.number == 1 and await second == InstanceUpdateResponse()
+        assert (await third).version.number == 3 and peer.connections == 1
 
 
 @test("an answer of another kind, to no call, or sent twice ends its connection and whoever waits on it")
 @on_loop
 async def _():
     for wrong in (
-        lambda number: pack(number, QuotaResponse(True, [])),  # of another kind
+        lambda number: pack(number, QuotaResponse(ok=True, grants=[])),  # of another kind
         lambda number: pack(number, ASKED),  # no answer
         lambda number: pack(number + 1, ANSWER),  # to a call that was never made
         lambda number: pack(0, ANSWER),
@@ -219,7 +226,8 @@
 @test("no mutation of one answer is taken for another call's, and the next call has its own")
 @on_loop
 async def _():
-    asked, whole = QuotaRequest("edge", "l", 0, False, []), QuotaResponse(True, [("anna", 1.0, 0.0, 0.5, 2.0)])
+    asked = QuotaRequest(name="edge", incarnation="l", since_answer_ms=0, complete=False, demands=[])
+    whole = QuotaResponse(ok=True, grants=[QuotaGrant("anna", 1.0, 0.0, 0.5, 2.0)])
     data, taken = pack(1, whole), 0
     mutations = [data[:at] for at in range(len(data))]
     mutations += [data[:at] + bytes([data[at] ^ bit]) + data[at + 1 :] for at in range(len(data)) for bit in (1, 128)]
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -4,7 +4,7 @@
 
 from stoneyoke.limits.quota_allocator import LocalQuota
 from stoneyoke.gateway.quota_client import ANSWER_S, QuotaClient
-from stoneyoke.transport.messages import QuotaResponse
+from stoneyoke.transport.messages import QuotaGrant, QuotaResponse
 from stoneyoke.transport.peers import PeerUnreachable
 
 
@@ -44,11 +44,11 @@
     asyncio.run(run())
 
 
-GREETED = QuotaResponse(True, [])  # a first message asks for nothing: the keeper can't know that it is heard
+GREETED = QuotaResponse(ok=True, grants=[])  # a first message asks for nothing: the keeper can't know that it is heard
 
 
 def given(units, wait=0.0):
-    return QuotaResponse(True, [("anna", units, wait, 0.5, 2.0)])
+    return QuotaResponse(ok=True, grants=[QuotaGrant("anna", units, wait, 0.5, 2.0)])
 
 
 @test("requests that wait are asked for together, and share what comes")
@@ -57,7 +57,7 @@
 
     async def story(quota_client, heard):
         await asyncio.gather(*(quota_client.ask("anna") for _ in range(3)))
-        assert wire.asked[0].wants == [] and wire.asked[1].wants[0][:2] == ("anna", 3.0) and len(wire.asked) == 2
+        assert wire.asked[0].demands == [] and wire.asked[1].demands[0][:2] == ("anna", 3.0) and len(wire.asked) == 2
         assert quota_client.local_quotas["anna"].level == 3 and heard and not quota_client.waiting
 
     play(wire, story)
@@ -65,7 +65,7 @@
 
 @test("a keeper that does not answer, or no longer is one, makes nobody wait; its next answer ends that")
 def _():
-    wire = PeerClient([PeerUnreachable("cut"), QuotaResponse(False, []), GREETED, given(1.0)])
+    wire = PeerClient([PeerUnreachable("cut"), QuotaResponse(ok=False, grants=[]), GREETED, given(1.0)])
 
     async def story(quota_client, heard):
         await quota_client.ask("anna")
@@ -90,7 +90,7 @@
         assert quota_client.local_quotas["anna"].shut_until > asyncio.get_running_loop().time() + 4
         quota_client.local_quotas["anna"].demand = 2.0
         await quota_client.draw(wire)
-        assert wire.asked[2].wants[0][:3] == ("anna", 0.0, 2.0)
+        assert wire.asked[2].demands[0][:3] == ("anna", 0.0, 2.0)
 
     play(wire, story)
 
@@ -98,8 +98,8 @@
 @test("rows for a tenant that was not asked for, or twice, give nothing to anybody")
 def _():
     for wrong in (
-        QuotaResponse(True, [("bert", 3.0, 0.0, 0.5, 2.0)]),
-        QuotaResponse(True, [("anna", 3.0, 0.0, 0.5, 2.0)] * 2),
+        QuotaResponse(ok=True, grants=[QuotaGrant("bert", 3.0, 0.0, 0.5, 2.0)]),
+        QuotaResponse(ok=True, grants=[QuotaGrant("anna", 3.0, 0.0, 0.5, 2.0)] * 2),
     ):
         wire = PeerClient([GREETED, wrong])
 
--- a/tests/system/test_shares.py
+++ b/tests/system/test_shares.py
@@ -6,6 +6,7 @@
 from stoneyoke.limits.token_bucket import SECOND
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.routes import Tenant
+from stoneyoke.transport.messages import QuotaDemand, QuotaGrant
 
 BOUNDS = {"quota_slack": 20.0, "quota_excess": 0.1, "quota_window_s": 5.0}
 RATE, BURST = 30.0, 30.0
@@ -57,9 +58,10 @@
         )
         given = self.allocator.draw(f"g{at}", str(self.incarnations[at]), deaf, self.full[at], wants, self.now)
         self.full[at] = deaf > SILENT_S
-        for tenant, *told in given:
-            stage.local_quotas[tenant].hear(*told, self.now)
-            stage.local_quotas[tenant].used_told = stage.local_quotas[tenant].used
+        for grant in given:
+            local_quota = stage.local_quotas[grant.tenant]
+            local_quota.hear(grant, self.now)
+            local_quota.used_told = local_quota.used
         stage.heard(int(self.now * SECOND))
         if deaf > SILENT_S:
             self.draw(at, waiting)
@@ -163,11 +165,11 @@
 def _():
     allocator = QuotaAllocator(BOUNDS, 0.0)
     allocator.plans(PLANS)
-    ((_, units, wait, *_),) = allocator.draw("a", "1", 0.0, False, [("anna", 0.0, 9.0, 0.0, 0.0)], 0.1)
+    ((_, units, wait, *_),) = allocator.draw("a", "1", 0.0, False, [QuotaDemand("anna", 0.0, 9.0, 0.0, 0.0)], 0.1)
     assert units == 0 and wait == 0
-    ((_, units, wait, *_),) = allocator.draw("a", "1", 0.0, False, [("anna", 99.0, 9.0, 0.0, 0.0)], 0.1)
+    ((_, units, wait, *_),) = allocator.draw("a", "1", 0.0, False, [QuotaDemand("anna", 99.0, 9.0, 0.0, 0.0)], 0.1)
     assert units > 0 and wait == 0
-    ((_, units, wait, *_),) = allocator.draw("a", "1", 0.0, False, [("anna", 1.0, 9.0, 0.0, 0.0)], 0.1)
+    ((_, units, wait, *_),) = allocator.draw("a", "1", 0.0, False, [QuotaDemand("anna", 1.0, 9.0, 0.0, 0.0)], 0.1)
     assert units == 0 and wait > 0
 
 
@@ -175,13 +177,13 @@
 def _():
     allocator = QuotaAllocator(BOUNDS, 0.0, [f"g{at}" for at in range(8)])
     allocator.plans(PLANS)
-    ((*_, part, _),) = allocator.draw("g0", "1", 0.0, True, [("anna", 1.0, 9.0, 0.0, 0.0)], 0.2)
+    ((*_, part, _),) = allocator.draw("g0", "1", 0.0, True, [QuotaDemand("anna", 1.0, 9.0, 0.0, 0.0)], 0.2)
     assert part == 0  # the others may hold it all
     for at in range(1, 8):
-        allocator.draw(f"g{at}", "1", 0.0, True, [("anna", 0.0, 0.0, 0.0, 0.01)], 0.3)
-    ((*_, part, _),) = allocator.draw("g0", "1", 0.0, False, [("anna", 1.0, 9.0, 0.0, 0.0)], 0.4)
+        allocator.draw(f"g{at}", "1", 0.0, True, [QuotaDemand("anna", 0.0, 0.0, 0.0, 0.01)], 0.3)
+    ((*_, part, _),) = allocator.draw("g0", "1", 0.0, False, [QuotaDemand("anna", 1.0, 9.0, 0.0, 0.0)], 0.4)
     assert 0 < part <= 1 / 8
-    ((*_, part, _),) = allocator.draw("g0", "1", 0.0, False, [("anna", 1.0, 9.0, 0.0, 0.0)], 1.2)
+    ((*_, part, _),) = allocator.draw("g0", "1", 0.0, False, [QuotaDemand("anna", 1.0, 9.0, 0.0, 0.0)], 1.2)
     assert part > 0.4
 
 
@@ -190,7 +192,7 @@
     allocator.plans(PLANS)
     for at in range(40):
         for name in "ab":
-            allocator.draw(name, "1", 0.0, False, [("anna", 1.0, 10.0, 0.0, 0.0)], now - 0.2 * (39 - at))
+            allocator.draw(name, "1", 0.0, False, [QuotaDemand("anna", 1.0, 10.0, 0.0, 0.0)], now - 0.2 * (39 - at))
     return allocator, allocator.pools["anna"]
 
 
@@ -203,7 +205,7 @@
     seat = pool.seats["b"]
     assert abs(seat.lent - (seat.part * RATE + seat.reserve)) < 0.1 and abs(pool.level - (RATE - seat.lent)) < 0.1
     lent, level = pool.seats["b"].lent, pool.level
-    allocator.draw("b", "1", 0.0, False, [("anna", 0.0, 0.0, 4.0, 0.0)], 10.001)  # it used 4 alone
+    allocator.draw("b", "1", 0.0, False, [QuotaDemand("anna", 0.0, 0.0, 4.0, 0.0)], 10.001)  # it used 4 alone
     assert abs(pool.level - min(BURST, level + lent - 4.0)) < 0.1
 
 
@@ -223,9 +225,9 @@
 def _():
     allocator, pool = two(9.0)
     level = pool.level
-    allocator.draw("b", "1", 0.0, False, [("anna", 0.0, 0.0, 3.0, 0.0)], 9.0)
+    allocator.draw("b", "1", 0.0, False, [QuotaDemand("anna", 0.0, 0.0, 3.0, 0.0)], 9.0)
     assert abs(pool.level - (level - 3.0)) < 1e-6
-    allocator.draw("b", "1", 0.0, False, [("anna", 0.0, 0.0, 3.0, 0.0)], 9.0)  # told again: counted once
+    allocator.draw("b", "1", 0.0, False, [QuotaDemand("anna", 0.0, 0.0, 3.0, 0.0)], 9.0)  # told again: counted once
     assert abs(pool.level - (level - 3.0)) < 1e-6
 
 
@@ -235,9 +237,11 @@
     allocator.plans(PLANS)
     pool = allocator.pools["anna"]
     assert allocator.withheld(pool) == 1
-    allocator.draw("a", "1", 5.0, True, [("anna", 1.0, 1.0, 0.0, 0.3)], 0.1)  # it may not hear: nothing counts yet
+    allocator.draw(
+        "a", "1", 5.0, True, [QuotaDemand("anna", 1.0, 1.0, 0.0, 0.3)], 0.1
+    )  # it may not hear: nothing counts yet
     assert allocator.withheld(pool) == 1
-    allocator.draw("a", "1", 0.0, True, [("anna", 1.0, 1.0, 9.0, 0.3)], 0.2)
+    allocator.draw("a", "1", 0.0, True, [QuotaDemand("anna", 1.0, 1.0, 9.0, 0.3)], 0.2)
     assert abs(allocator.withheld(pool) - 0.7) < 0.01
     allocator.draw("a", "1", 0.0, False, [], LEASE_S + 0.1)
     assert allocator.withheld(pool) == 0
@@ -257,7 +261,7 @@
     call = stage.call(TENANT, SECOND)
     local_quota = stage.local_quotas["anna"]
     stage.heard(1 * SECOND)
-    local_quota.hear(0.0, 0.5, 0.2, 0.0, 1.0)
+    local_quota.hear(QuotaGrant("anna", 0.0, 0.5, 0.2, 0.0), 1.0)
     waits = [stage.knock(call, local_quota, 1 * SECOND) for _ in range(30)]
     assert 0.5 * SECOND <= waits[0] <= 1.5 * SECOND + 1
     assert min(waits[10:19]) >= 1.0 * SECOND and min(waits[20:]) >= 4.9 * SECOND  # doubled, then blocked
