--- a/stoneyoke/controlplane/controller.py
+++ b/stoneyoke/controlplane/controller.py
@@ -10,6 +10,7 @@
 
 from loguru import logger
 
+from stoneyoke.api.bounds import ServiceBounds
 from stoneyoke.api.calls import (
     Answer,
     Asked,
@@ -92,7 +93,7 @@
         *,
         first_start: bool,
         silent_s: float,
-        bounds: dict[str, float],
+        bounds: ServiceBounds,
         losses: int,
         clock: Callable[[], float] = time.monotonic,
         dial: Callable[[tuple[str, int]], PeerClient] = PeerClient,
@@ -153,7 +154,7 @@
             holds_lease=self.lease.is_held,
             clock=self.clock,
             size=voter_count(self.losses),
-            catch_up_s=self.bounds["catch_up_s"],
+            catch_up_s=self.bounds.catch_up_s,
             random_source=self.random_source,
         )
         self.add_peers(*self.seeds, *self.replica.voters().addresses())
--- a/stoneyoke/controlplane/quota_lease.py
+++ b/stoneyoke/controlplane/quota_lease.py
@@ -6,6 +6,7 @@
 
 from loguru import logger
 
+from stoneyoke.api.bounds import ServiceBounds
 from stoneyoke.consensus.message_rows import member_row
 from stoneyoke.consensus.register_value import ReplicaId
 from stoneyoke.consensus.replica import Replica
@@ -31,7 +32,7 @@
         peers: Peers,
         incarnation: str,
         *,
-        bounds: dict[str, float],
+        bounds: ServiceBounds,
         first_start: bool,
         gateways: Callable[[], list[str]],
         changed: Callable[[], None],
--- a/stoneyoke/gateway/admission.py
+++ b/stoneyoke/gateway/admission.py
@@ -2,9 +2,9 @@
 refused at once. Units come from the one store that a keeper holds (limits/shares.py); while that is silent, from
 the slice of it that counted demand told last, the even one for a tenant not told of."""
 
-from collections.abc import Mapping
 from dataclasses import replace
 
+from stoneyoke.api.bounds import ServiceBounds
 from stoneyoke.control.quotas import Customer, Quotas
 from stoneyoke.control.events import Arrival
 from stoneyoke.control.parameters import Idempotency, DeduplicationScope, Method, Plan, GatewayParameters
@@ -48,7 +48,7 @@
 
 
 class Admission(Quotas):
-    def __init__(self, seed: int, now: int, bounds: Mapping[str, float]) -> None:
+    def __init__(self, seed: int, now: int, bounds: ServiceBounds) -> None:
         super().__init__(parameters(seed), now)
         self.bounds, self.heard_at = bounds, now - LONG_AGO
         self.among(FEWEST)
@@ -127,7 +127,7 @@
             customer.store.level, customer.store.at = max(reserve, first), self.now
         # A new life that has heard nobody: all may have started just now. Those that were told of hardly any part
         # share what the rule allows beyond the store: even slices for small tenants, little of a large one.
-        untold = 0.25 * beyond / (plan.rate * self.bounds["quota_window_s"])
+        untold = 0.25 * beyond / (plan.rate * self.bounds.quota_window_s)
         if now - max(heard_at, self.born / SECOND) < UNTOLD_S:
             untold = UNTOLD * beyond / (plan.rate * UNTOLD_S) if heard_at > self.born / SECOND else 1.0
         customer.slice = max(part, min(1.0, untold) / gateways)
--- a/stoneyoke/gateway/control_client.py
+++ b/stoneyoke/gateway/control_client.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from stoneyoke.api.bounds import ServiceBounds
 from stoneyoke.api.configuration import Configuration
 from stoneyoke.limits.quota_allocator import FEWEST
 from stoneyoke.gateway.admission import Admission
@@ -38,7 +39,7 @@
         zone: str,
         port: int,
         seeds: tuple[str, ...],
-        bounds: dict[str, float],
+        bounds: ServiceBounds,
         *,
         clock: Callable[[], float],
         take: Callable[[Configuration], None],
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -3,6 +3,7 @@
 import time
 import zlib
 
+from stoneyoke.api.bounds import ServiceBounds
 from stoneyoke.runtime.id_index import IdIndex
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.control.events import EndpointsChanged, PeerEvidence, Endpoint, ParametersChanged
@@ -51,7 +52,7 @@
         zones: tuple[str, ...],
         zone: str,
         seed: int,
-        bounds: dict[str, float],
+        bounds: ServiceBounds,
     ) -> None:
         self.clock, self.metrics, self.backends, self.instance_directory = clock, metrics, backends, instance_directory
         self.zones, self.zone, self.seed, self.bounds = list(zones), zone, seed, bounds
@@ -75,8 +76,8 @@
         return self.zones.index(name)
 
     def parameters(self, methods: tuple[Method, ...]) -> GatewayParameters:
-        ratio, window = self.bounds["retry_ratio"], self.bounds["retry_window_s"]
-        slack = self.bounds["retry_slack"] * BUDGET_PART / self.fleet.gateways
+        ratio, window = self.bounds.retry_ratio, self.bounds.retry_window_s
+        slack = self.bounds.retry_slack_attempts * BUDGET_PART / self.fleet.gateways
         return GatewayParameters(
             seed=self.seed,
             gateways=self.fleet.gateways,
--- a/stoneyoke/lab/capacity/workloads.py
+++ b/stoneyoke/lab/capacity/workloads.py
@@ -5,6 +5,7 @@
 import string
 from typing import Any
 
+from stoneyoke.api.bounds import ServiceBounds
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.transport.messages import InstanceRow
 
@@ -14,19 +15,7 @@
 KEYS_PER_TENANT = 2  # as in the operators' pages
 KEY_CHARACTERS = 20
 ZONES = 18
-BOUNDS = {
-    "contact_s": 3.0,
-    "apply_s": 2.5,
-    "drain_s": 2.5,
-    "grace_s": 6.0,
-    "catch_up_s": 4.0,
-    "retry_ratio": 0.2,
-    "retry_window_s": 10.0,
-    "retry_slack": 56.0,
-    "quota_window_s": 5.0,
-    "quota_excess": 0.1,
-    "quota_slack": 20.0,
-}
+BOUNDS = ServiceBounds(retry_slack_attempts=56.0)
 
 
 def word(random_source: random.Random, length: int) -> str:
--- a/stoneyoke/lab/simulation/bounds.py
+++ b/stoneyoke/lab/simulation/bounds.py
@@ -1,18 +1,8 @@
 """The operators' figures that scenarios are judged by."""
 
-BOUNDS = {
-    "contact_s": 3.0,
-    "apply_s": 2.5,
-    "drain_s": 2.5,
-    "grace_s": 6.0,
-    "catch_up_s": 4.0,
-    "retry_ratio": 0.2,
-    "retry_window_s": 10.0,
-    "retry_slack": 56.0,
-    "quota_window_s": 5.0,
-    "quota_excess": 0.1,
-    "quota_slack": 20.0,
-}
+from stoneyoke.api.bounds import ServiceBounds
+
+BOUNDS = ServiceBounds(retry_slack_attempts=56.0)
 ACK_S = 5.0  # of calm, within which a valid order is acknowledged
 REFUSED_S = 0.2  # a controller that is cut off says so within this
 CUT_KNOWN_S = 2.2  # after which it knows that it is
--- a/stoneyoke/lab/simulation/faults.py
+++ b/stoneyoke/lab/simulation/faults.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from stoneyoke.lab.simulation.scenario import Scenario
 
-LEAVE_S = 0.5 * BOUNDS["grace_s"]  # as the program gives it
+LEAVE_S = 0.5 * BOUNDS.grace_s  # as the program gives it
 STRIKE_WITHIN_S = 0.004  # after an acknowledgement
 LOSES_DISK = ("wipe", "wipe_some", "exchange")
 
--- a/stoneyoke/lab/simulation/hard_days.py
+++ b/stoneyoke/lab/simulation/hard_days.py
@@ -5,7 +5,7 @@
 
 C1, C2, C3, C4, C5, C6, C7 = (controller_address(at) for at in range(7))
 G1, G2, G3 = (gateway_address(at) for at in range(3))
-CATCH_UP_S = BOUNDS["catch_up_s"]
+CATCH_UP_S = BOUNDS.catch_up_s
 GAP_S = 0.5  # between the end of a machine and its successor's start
 BEGIN_S = 4.0  # by then a system that starts for the first time has settled
 STEPS = ("PrepareRequest", "AcceptRequest", "ChosenNotice", "QueryRequest", "ValueRequest", "LeaseRequest")
--- a/stoneyoke/lab/simulation/invariants.py
+++ b/stoneyoke/lab/simulation/invariants.py
@@ -50,7 +50,7 @@
             self.scenario.met["wiped, votes again"] += 1
             new = controller.replica.identity.disk != FIRST_DISK
             self.judge.must(new, now, f"{name} votes by the name of the disk that it lost")
-        catch_up_s = BOUNDS["catch_up_s"]
+        catch_up_s = BOUNDS.catch_up_s
         calm = now > max(self.judge.controllers_at, self.judge.links_until, machine.started_at) + catch_up_s
         if calm and not self.scenario.busy(name):
             held, needed = controller.replica.version(), self.judge.register.newest_acknowledged(now - catch_up_s)
@@ -60,7 +60,7 @@
     def check_gateway(self, gateway: "GatewayMachine", now: float) -> None:
         judge, name, client = self.judge, gateway.name, gateway.client
         assert client
-        needed = judge.register.newest_acknowledged(now - BOUNDS["apply_s"])
+        needed = judge.register.newest_acknowledged(now - BOUNDS.apply_s)
         held = gateway.version()
         judge.must(held.number >= needed, now, f"CONFIG: {name} has {held} only, r{needed} was acknowledged")
         # No rule, a duty: controllers that start at once need three seconds, and a gateway hears of it then.
@@ -68,7 +68,7 @@
         judge.must(client.config_sync.ready or not expected, now, f"{name} is not ready")
         for drained in judge.drained:
             known = client.instance_directory.known.get(drained.instance)
-            gone = known is None or known.row.phase == Phase.DRAINING or now - drained.at < BOUNDS["drain_s"]
+            gone = known is None or known.row.phase == Phase.DRAINING or now - drained.at < BOUNDS.drain_s
             judge.must(gone, now, f"DRAIN: {name} takes {drained.instance} for ready")
 
     # ---- at the end ----
--- a/stoneyoke/lab/simulation/judge.py
+++ b/stoneyoke/lab/simulation/judge.py
@@ -67,14 +67,14 @@
     def disturb_controller(self, name: str, now: float, until: float) -> None:
         """It is lost until then and for catch_up_s more; so is whoever has not caught up yet."""
         self.controllers_at = max(self.controllers_at, until)
-        late = until + BOUNDS["catch_up_s"]
+        late = until + BOUNDS.catch_up_s
         self.lost_until[name] = max(self.lost_until.get(name, 0.0), late)
         self.hold_up(now, late)
 
     def disturb_links(self, now: float, until: float) -> None:
         self.controllers_at = max(self.controllers_at, until)
         self.links_until = max(self.links_until, until)
-        self.hold_up(now, until + BOUNDS["catch_up_s"])
+        self.hold_up(now, until + BOUNDS.catch_up_s)
 
     def hold_up(self, now: float, late: float) -> None:
         for other, lost_until in self.lost_until.items():
@@ -89,11 +89,11 @@
 
     def may_lose(self, names: Iterable[str], now: float) -> bool:
         """Whether the disks of these may be lost for good now, within the tolerance."""
-        settled = now > self.links_until + BOUNDS["catch_up_s"]
+        settled = now > self.links_until + BOUNDS.catch_up_s
         return settled and len({*names, *self.lost(now)}) <= self.losses
 
     def in_touch(self, name: str, now: float) -> bool:
-        return now - max(self.controllers_at, self.gateway_at.get(name, 0.0)) > BOUNDS["contact_s"]
+        return now - max(self.controllers_at, self.gateway_at.get(name, 0.0)) > BOUNDS.contact_s
 
     # ---- orders, requests ----
 
@@ -109,7 +109,7 @@
     def send(self, label: str, rate: float, burst: float, now: float) -> None:
         window = self.windows.setdefault(label, deque())
         window.append(now)
-        while now - window[0] > BOUNDS["quota_window_s"]:
+        while now - window[0] > BOUNDS.quota_window_s:
             window.popleft()
-        allowed = (rate * BOUNDS["quota_window_s"] + burst) * (1 + BOUNDS["quota_excess"]) + BOUNDS["quota_slack"]
+        allowed = (rate * BOUNDS.quota_window_s + burst) * (1 + BOUNDS.quota_excess_ratio) + BOUNDS.quota_slack_units
         self.must(len(window) <= allowed, now, f"QUOTA: {label} sent {len(window)} of {allowed:.0f}")
--- a/stoneyoke/limits/quota_allocator.py
+++ b/stoneyoke/limits/quota_allocator.py
@@ -27,6 +27,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from stoneyoke.api.bounds import ServiceBounds
 from stoneyoke.transport.messages import QuotaDemand, QuotaGrant
 
 STOCK_S = 0.25  # of its demand that a gateway holds in advance; whole units only, so thin demand holds none
@@ -102,15 +103,15 @@
             self.level, seat.lent = min(self.burst, self.level + seat.lent), 0.0
 
 
-def spare(rate: float, burst: float, bounds: Mapping[str, float]) -> float:
+def spare(rate: float, burst: float, bounds: ServiceBounds) -> float:
     """What the rule allows beyond the store in a window, in units."""
-    return bounds["quota_excess"] * (rate * bounds["quota_window_s"] + burst) + bounds["quota_slack"]
+    return bounds.quota_excess_ratio * (rate * bounds.quota_window_s + burst) + bounds.quota_slack_units
 
 
 class QuotaAllocator:
     """Holds the duty of the quotas: every tenant's store, since it has the duty. Nothing outlives it."""
 
-    def __init__(self, bounds: Mapping[str, float], now: float, expected: Iterable[str] = ()) -> None:
+    def __init__(self, bounds: ServiceBounds, now: float, expected: Iterable[str] = ()) -> None:
         """expected: gateways that may go on with parts that an earlier keeper told them."""
         self.bounds = bounds
         self.pools: dict[str, Pool] = {}
--- a/stoneyoke/programs/controller.py
+++ b/stoneyoke/programs/controller.py
@@ -57,7 +57,7 @@
     await http_api.open(settings.control)
     logger.info("controller {} of {} voters", settings.name, len(controller.replica.voters().members))
     await ended.wait()
-    await controller.leave(0.5 * settings.bounds["grace_s"])
+    await controller.leave(0.5 * settings.bounds.grace_s)
     http_api.close()
     await asyncio.sleep(LINGER_S)
     peer_server.close()
--- a/stoneyoke/programs/gateway.py
+++ b/stoneyoke/programs/gateway.py
@@ -153,7 +153,7 @@
         gc.freeze()
         await ended.wait()
         self.leaving = self.front.leaving = True
-        await self.front.leave(self.settings.bounds["grace_s"], front.close)
+        await self.front.leave(self.settings.bounds.grace_s, front.close)
         ready.close()
         for task in tasks:
             task.cancel()
--- a/stoneyoke/programs/settings.py
+++ b/stoneyoke/programs/settings.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
+from stoneyoke.api.bounds import BOUND_SETTINGS, ServiceBounds, service_bounds
 from stoneyoke.api.calls import addressed
 from stoneyoke.api.schema import NEEDED, InvalidField, Setting, Table, above, at_least, filled, read
 
@@ -67,31 +68,19 @@
             Setting("tolerance", (Setting("machine_losses", int, 1, at_least(0)),), {"machine_losses": 1}),
             Setting(
                 "bound_set",
-                (
-                    Setting("contact_s", float, 3.0, above(0)),
-                    Setting("drain_s", float, 2.5, above(0)),
-                    Setting("grace_s", float, 6.0, above(0)),
-                    Setting("catch_up_s", float, 4.0, above(0)),
-                    Setting("apply_s", float, 2.5, above(0)),
-                    Setting("retry_ratio", float, 0.2, at_least(0)),
-                    Setting("retry_window_s", float, 10.0, above(0)),
-                    Setting("retry_slack", float, 20.0, at_least(0)),
-                    Setting("quota_window_s", float, 5.0, above(0)),
-                    Setting("quota_excess", float, 0.1, at_least(0)),
-                    Setting("quota_slack", float, 20.0, at_least(0)),
-                ),
+                BOUND_SETTINGS,
                 None,
             ),
         ),
         None,
     ),
 )
-BOUNDS = next(one.kind for one in SETTINGS if one.name == "term_set")
+TERMS = next(one.kind for one in SETTINGS if one.name == "term_set")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Addresses are (host, port). bounds: the figures of the rules, by name."""
+    """Addresses are (host, port). bounds: of the operators' rules."""
 
     name: str
     ip: str
@@ -108,7 +97,7 @@
     zones: tuple[str, ...]
     beat_s: float
     losses: int
-    bounds: dict[str, float]
+    bounds: ServiceBounds
 
 
 def address(text: str) -> tuple[str, int] | None:
@@ -136,11 +125,10 @@
     """Settings out of a whole file's content. Raises InvalidField."""
     found = read(given, SETTINGS)
     own, network, limits = found["self"], found["network"], found["self"]["limits"]
-    terms = found["term_set"] or read({}, BOUNDS)
+    terms = found["term_set"] or read({}, TERMS)
     for at, seed in enumerate(network["seed_addrs"]):
         if why := addressed(seed):
             raise InvalidField(f"network.seed_addrs[{at}]", why)
-    bounds = terms["bound_set"] or read({}, next(one.kind for one in BOUNDS if one.name == "bound_set"))
     return Settings(
         own["node_name"],
         own["ip_addr"],
@@ -157,5 +145,5 @@
         tuple(sorted(network["zones"])),
         found["provider"]["beat_s"],
         terms["tolerance"]["machine_losses"],
-        bounds,
+        service_bounds(terms["bound_set"]),
     )
--- a/tests/system/gateway_fixture.py
+++ b/tests/system/gateway_fixture.py
@@ -5,6 +5,7 @@
 
 from configurations import example
 
+from stoneyoke.api.bounds import ServiceBounds
 from stoneyoke.transport.messages import InstanceRow, QuotaGrant
 from stoneyoke.api.configuration import read_configuration
 
@@ -19,14 +20,7 @@
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
 
-BOUNDS = {
-    "quota_slack": 20.0,
-    "quota_excess": 0.1,
-    "quota_window_s": 5.0,
-    "retry_ratio": 0.2,
-    "retry_window_s": 10.0,
-    "retry_slack": 6000.0,
-}
+BOUNDS = ServiceBounds(retry_slack_attempts=6000.0)
 
 
 def ok(request, body=b"yes", more=b""):
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -1,5 +1,6 @@
 import asyncio
 import functools
+from dataclasses import replace
 
 from configurations import example, route
 from gateway_fixture import Backend, Gateway, ok
@@ -149,7 +150,7 @@
 async def _():
     backends = [Backend(refusing(503)) for _ in range(4)]
     async with Gateway(backends) as gateway:
-        gateway.upstreams.bounds = dict(gateway.upstreams.bounds, retry_slack=8.0)
+        gateway.upstreams.bounds = replace(gateway.upstreams.bounds, retry_slack_attempts=8.0)
         gateway.upstreams.among(Fleet(2, 0))
         answers = [await gateway.ask() for _ in range(30)]
         arrivals = sum(len(one.got) for one in backends)
--- a/tests/system/test_programs.py
+++ b/tests/system/test_programs.py
@@ -39,8 +39,8 @@
     settings = make(GIVEN)
     assert settings.seeds == ("10.1.0.33", "10.2.0.25") and settings.port == 7340 and settings.losses == 2
     assert settings.front == ("10.1.0.30", 8782) and settings.control is None
-    assert settings.bounds["retry_slack"] == 56 and settings.bounds["quota_window_s"] == 5
-    assert make({"self": GIVEN["self"], "network": GIVEN["network"]}).bounds["grace_s"] == 6
+    assert settings.bounds.retry_slack_attempts == 56 and settings.bounds.quota_window_s == 5
+    assert make({"self": GIVEN["self"], "network": GIVEN["network"]}).bounds.grace_s == 6
 
 
 WRONG = each(
--- a/tests/system/test_shares.py
+++ b/tests/system/test_shares.py
@@ -2,13 +2,14 @@
 
 from ward import test
 
+from stoneyoke.api.bounds import ServiceBounds
 from stoneyoke.limits.quota_allocator import FEWEST, LEASE_S, SILENT_S, QuotaAllocator, LocalQuota, wants_of
 from stoneyoke.limits.token_bucket import SECOND
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.routes import Tenant
 from stoneyoke.transport.messages import QuotaDemand, QuotaGrant
 
-BOUNDS = {"quota_slack": 20.0, "quota_excess": 0.1, "quota_window_s": 5.0}
+BOUNDS = ServiceBounds(quota_window_s=5.0, quota_excess_ratio=0.1, quota_slack_units=20.0)
 RATE, BURST = 30.0, 30.0
 PLANS = [{"label": "anna", "rate_per_s": RATE, "burst_size": BURST}]
 TENANT = Tenant("anna", 0, RATE, BURST)
@@ -101,7 +102,7 @@
         """The most that was sent in any window."""
         best, first = 0, 0
         for last, at in enumerate(self.sent):
-            while at - self.sent[first] > BOUNDS["quota_window_s"]:
+            while at - self.sent[first] > BOUNDS.quota_window_s:
                 first += 1
             best = max(best, last - first + 1)
         return best
