--- a/stoneyoke/consensus/replication.py
+++ b/stoneyoke/consensus/replication.py
@@ -25,6 +25,7 @@
 from stoneyoke.consensus.replica import Replica
 from stoneyoke.controlplane.peers import Peers
 from stoneyoke.storage.record_store import StorageError
+from stoneyoke.transport.errors import PeerUnreachable
 from stoneyoke.transport.messages import (
     AcceptRequest,
     AcceptResponse,
@@ -38,7 +39,6 @@
     ValueRequest,
     ValueResponse,
 )
-from stoneyoke.transport.peers import PeerUnreachable
 
 CALL_S = 0.7  # for one answer
 TRANSFER_S_PER_BYTE = 1.0 / (1 << 20)  # a second more for each MiB
--- a/stoneyoke/controlplane/controller.py
+++ b/stoneyoke/controlplane/controller.py
@@ -36,6 +36,7 @@
 from stoneyoke.controlplane.quota_lease import QuotaLease
 from stoneyoke.controlplane.status import status_text
 from stoneyoke.limits.quota_allocator import FORGET_S
+from stoneyoke.transport.errors import PeerUnreachable
 from stoneyoke.transport.messages import (
     AcceptRequest,
     ChosenNotice,
@@ -54,7 +55,7 @@
     ValueRequest,
 )
 from stoneyoke.transport.messages.pull import CONTROLLER_KIND
-from stoneyoke.transport.peers import PeerClient, PeerUnreachable
+from stoneyoke.transport.peer_client import PeerClient
 
 CALL_TIMEOUT_S = 0.7
 PULL_HOLD_S = 0.25  # how long a controller may hold another's pull
--- a/stoneyoke/controlplane/discovery_service.py
+++ b/stoneyoke/controlplane/discovery_service.py
@@ -25,6 +25,7 @@
 from stoneyoke.consensus.quorum import majority
 from stoneyoke.controlplane.instance_registry import InstanceRegistry, row_from_heartbeat
 from stoneyoke.controlplane.startup_sync import ACK_WINDOW_S, StartupSync
+from stoneyoke.transport.errors import PeerUnreachable
 from stoneyoke.transport.messages import (
     HeartbeatRow,
     InstanceRefresh,
@@ -33,7 +34,6 @@
     InstanceUpdateResponse,
     Message,
 )
-from stoneyoke.transport.peers import PeerUnreachable
 
 FORWARD_INTERVAL_S = 0.2
 SWEEP_INTERVAL_S = 0.25
--- a/stoneyoke/controlplane/quota_lease.py
+++ b/stoneyoke/controlplane/quota_lease.py
@@ -14,8 +14,8 @@
 from stoneyoke.controlplane.leases import LEASE_TTL_S, RENEW_INTERVAL_S, LeaseGranter, LeaseHolder
 from stoneyoke.controlplane.peers import Peer, Peers
 from stoneyoke.limits.quota_allocator import QuotaAllocator
+from stoneyoke.transport.errors import PeerUnreachable
 from stoneyoke.transport.messages import LeaseRequest, LeaseResponse
-from stoneyoke.transport.peers import PeerUnreachable
 
 QUOTA_LEASE = "quotas"
 CALL_TIMEOUT_S = 0.7
--- a/stoneyoke/gateway/config_sync.py
+++ b/stoneyoke/gateway/config_sync.py
@@ -13,7 +13,8 @@
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 from stoneyoke.transport.messages import FetchRequest, FetchResponse, PullRequest, PullResponse, VersionRow
 from stoneyoke.transport.messages.pull import GATEWAY_KIND
-from stoneyoke.transport.peers import PeerUnreachable, PeerClient
+from stoneyoke.transport.errors import PeerUnreachable
+from stoneyoke.transport.peer_client import PeerClient
 
 CALL_S = 0.6
 WAIT_MS = 1000  # how long a core may hold a pull until there is news
--- a/stoneyoke/gateway/control_client.py
+++ b/stoneyoke/gateway/control_client.py
@@ -14,7 +14,7 @@
 from stoneyoke.gateway.config_sync import ConfigSync
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 from stoneyoke.gateway.quota_client import QuotaClient
-from stoneyoke.transport.peers import PeerClient
+from stoneyoke.transport.peer_client import PeerClient
 
 FORGET_S = 10.0
 YOUNG_S = 1.5  # by then the watchers have heard every gateway's beat
--- a/stoneyoke/gateway/quota_client.py
+++ b/stoneyoke/gateway/quota_client.py
@@ -5,7 +5,8 @@
 
 from stoneyoke.limits.quota_allocator import SILENT_S, LocalQuota, wants_of
 from stoneyoke.transport.messages import QuotaDemand, QuotaRequest, QuotaResponse
-from stoneyoke.transport.peers import PeerUnreachable, PeerClient
+from stoneyoke.transport.errors import PeerUnreachable
+from stoneyoke.transport.peer_client import PeerClient
 
 WAIT_S = 0.1  # a request waits for the keeper no longer
 ANSWER_S = SILENT_S / 2  # a later answer is none
--- a/stoneyoke/lab/capacity/hot_paths.py
+++ b/stoneyoke/lab/capacity/hot_paths.py
@@ -41,7 +41,8 @@
     pack,
     unpack,
 )
-from stoneyoke.transport.peers import PeerClient, PeerServer
+from stoneyoke.transport.peer_client import PeerClient
+from stoneyoke.transport.peer_server import PeerServer
 
 BEAT_S = 1.5
 CONTROLLERS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
@@ -387,7 +388,7 @@
     async def calls() -> float:
         server = PeerServer(answer)
         await server.open(("127.0.0.1", PORT_ANY))
-        client = PeerClient(("127.0.0.1", server.server.sockets[0].getsockname()[1]))
+        client = PeerClient(server.bound_address())
         await client.call(FetchRequest(), 5.0)
         done = await measured_calls(client)
         server.close()
--- a/stoneyoke/lab/simulation/network.py
+++ b/stoneyoke/lab/simulation/network.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from stoneyoke.lab.simulation.clock import MACHINE
+from stoneyoke.transport.errors import PeerUnreachable
 from stoneyoke.transport.messages import Message, pack, unpack
-from stoneyoke.transport.peers import PeerUnreachable
 
 Serve = Callable[[Message], Awaitable[Message | None]]
 DELAY_S = 0.0015
@@ -141,7 +141,7 @@
 
 
 class SimulatedPeerClient:
-    """In place of transport.peers.PeerClient."""
+    """In place of transport.peer_client.PeerClient."""
 
     def __init__(self, network: SimulatedNetwork, own: str, other: str) -> None:
         self.network, self.own, self.other, self.address = network, own, other, (other, 1)
--- a/stoneyoke/programs/controller.py
+++ b/stoneyoke/programs/controller.py
@@ -12,7 +12,7 @@
 from stoneyoke.programs.log_buffer import LogBuffer, set_up
 from stoneyoke.programs.settings import BadSettings, Settings, read_settings
 from stoneyoke.storage.record_store import RecordStore
-from stoneyoke.transport.peers import PeerServer
+from stoneyoke.transport.peer_server import PeerServer
 
 SETTINGS = flags.DEFINE_string("settings", None, "The settings file; else the one that the environment names.")
 BODY_PART = 16  # of the memory, for one configuration's text
--- a/stoneyoke/transport/__init__.py
+++ b/stoneyoke/transport/__init__.py
@@ -1,1 +1,1 @@
-"""What the system's own processes say to one another."""
+"""Connections, messages and their codec between the system's own processes: controllers and gateways."""
--- a/tests/system/controller_cluster.py
+++ b/tests/system/controller_cluster.py
@@ -6,7 +6,7 @@
 from stoneyoke.controlplane.controller import Controller
 from stoneyoke.storage.record_store import StorageError
 from stoneyoke.transport.messages import pack, unpack
-from stoneyoke.transport.peers import PeerUnreachable
+from stoneyoke.transport.errors import PeerUnreachable
 
 BOUNDS = ServiceBounds(catch_up_s=4.0, quota_window_s=5.0, quota_excess_ratio=0.1, quota_slack_units=20.0)
 
--- a/tests/system/test_discovery_service.py
+++ b/tests/system/test_discovery_service.py
@@ -16,7 +16,7 @@
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.controlplane.startup_sync import ACK_WINDOW_S, CLOCK_MARGIN_S, StartupSync
 from stoneyoke.transport.messages import HeartbeatRow, InstanceRefresh, InstanceUpdate, InstanceUpdateResponse
-from stoneyoke.transport.peers import PeerUnreachable
+from stoneyoke.transport.errors import PeerUnreachable
 
 EVERYONE_S = 4.0
 COUNTED_S = ACK_WINDOW_S + CLOCK_MARGIN_S
--- a/tests/system/test_peers.py
+++ b/tests/system/test_peers.py
@@ -19,7 +19,10 @@
     pack,
     unpack,
 )
-from stoneyoke.transport.peers import PeerClient, PeerServer, PeerUnreachable, frame
+from stoneyoke.transport.errors import PeerUnreachable
+from stoneyoke.transport.framing import read_frame
+from stoneyoke.transport.peer_client import PeerClient
+from stoneyoke.transport.peer_server import PeerServer
 
 ASKED, ANSWER = FetchRequest(), FetchResponse(version=VersionRow(3, b"digest"), body=b"text")
 OTHER = InstanceRefresh(heartbeats=[HeartbeatRow("i-1", 7)])
@@ -55,7 +58,7 @@
         self.writers.append(writer)
         own = self.connections
         try:
-            while (body := await frame(reader)) is not None:
+            while (body := await read_frame(reader)) is not None:
                 self.got.append(unpack(body))
                 data = self.script(own, *self.got[-1])
                 if data is None:
@@ -140,7 +143,7 @@
     doubled = Peer(lambda connection, number, _: pack(number, ANSWER) * (1 + (connection == 1)))
     async with doubled as peer:
         assert await peer.call() == ANSWER
-        await until(lambda: peer.client.connection.ended)
+        await until(lambda: peer.client.connection.closed)
         assert await peer.call() == ANSWER and peer.connections == 2
 
 
@@ -166,15 +169,15 @@
         await until(lambda: peer.got)
         old = peer.client.connection
         peer.writers[0].write(pack(1, ANSWER))
-        old.end("in doubt")
+        old.close("in doubt")
         try:
-            old.take(1, ANSWER)  # had been read in the turn of the loop in which it ended
+            old.accept_response(1, ANSWER)  # had been read in the turn of the loop in which it ended
             raise AssertionError("an ended connection takes answers")
         except MalformedMessage:
             assert await fails(call)
         renewed = peer.call()
         await until(lambda: len(peer.got) == 2)
-        assert not old.calls and not renewed.done() and peer.client.connection is not old
+        assert not old.pending and not renewed.done() and peer.client.connection is not old
         peer.writers[1].write(pack(2, ANSWER))
         assert await renewed == ANSWER
 
@@ -191,7 +194,7 @@
         assert await peer.call() == ANSWER and peer.connections == 1
         await until(lambda: not peer.client.connection.abandoned)
         peer.writers[0].write(pack(1, ANSWER))
-        await until(lambda: peer.client.connection.ended)
+        await until(lambda: peer.client.connection.closed)
 
 
 @test("a process that stood still with the answer in hand does not take it, and goes on on another connection")
@@ -209,7 +212,7 @@
             return answer
 
         connection.call = stands_still
-        assert await fails(peer.call()) and connection.ended
+        assert await fails(peer.call()) and connection.closed
         del loop.time
         assert await peer.call() == ANSWER and peer.connections == 2
 
@@ -267,16 +270,16 @@
 
     server = PeerServer(meet)
     await server.open(("127.0.0.1", 0))
-    address = server.server.sockets[0].getsockname()
+    address = server.bound_address()
     for second in (pack(5, ASKED), pack(4, ASKED), pack(6, ANSWER), pack(0, ASKED)):
         met.clear()
         reader, writer = await asyncio.open_connection(*address)
         writer.write(pack(5, ASKED))
-        assert unpack(await frame(reader)) == (5, ANSWER)
+        assert unpack(await read_frame(reader)) == (5, ANSWER)
         writer.write(second)
         async with asyncio.timeout(5):
             try:
-                assert await frame(reader) is None
+                assert await read_frame(reader) is None
             except ConnectionResetError:
                 pass
         assert met == [ASKED]
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -5,7 +5,7 @@
 from stoneyoke.limits.quota_allocator import LocalQuota
 from stoneyoke.gateway.quota_client import ANSWER_S, QuotaClient
 from stoneyoke.transport.messages import QuotaGrant, QuotaResponse
-from stoneyoke.transport.peers import PeerUnreachable
+from stoneyoke.transport.errors import PeerUnreachable
 
 
 class PeerClient:
