--- a/stoneyoke/fleet/agent.py
+++ b/stoneyoke/fleet/agent.py
@@ -1,174 +1,243 @@
-"""One gateway's part in the fleet: datagrams and what it sees go in, datagrams and advice come out. No
-I/O."""
+"""One gateway's part in the fleet: datagrams and observations go in, datagrams and advice come out. No I/O."""
 
 import random
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 
 from stoneyoke.control.events import KnownBackend, PeerEvidence
-from stoneyoke.fleet.evidence import ASKS, Evidence
-from stoneyoke.fleet.membership import Address, Membership, Note, size
-from stoneyoke.fleet.messages import (
-    ACK,
-    ANSWER,
-    HEAD,
-    LARGEST,
-    PAGE,
-    PULL,
-    QUERY,
-    Entry,
-    Member,
-    Message,
-    Refused,
-    Seal,
-)
-
-SECOND = 1_000_000
-TICK = 100_000  # how often tick() wants to be called
-JUDGE = 500_000
-ENTRY_BYTES = 20  # no fewer than one takes
-NOTHING = PeerEvidence(frozenset(), frozenset())
+from stoneyoke.fleet.datagram_codec import HEADER_BYTES, MAX_DATAGRAM_BYTES, DatagramCodec
+from stoneyoke.fleet.errors import DatagramRefused
+from stoneyoke.fleet.evidence import Evidence
+from stoneyoke.fleet.member_table import max_encoded_bytes
+from stoneyoke.fleet.membership import Membership
+from stoneyoke.fleet.messages import Address, BackendReport, Member, Message, MessageKind
+from stoneyoke.fleet.outbox import OutgoingMessage
+
+SECOND_US = 1_000_000
+TICK_INTERVAL_US = 100_000  # between calls of tick()
+JUDGE_INTERVAL_US = 500_000
+SWEEP_INTERVAL_US = 10 * SECOND_US
+SUPERSEDED_NOTICE_INTERVAL_US = SECOND_US
+QUERIES_PER_S = 5  # members asked for reports while a backend is disputed, beside those probed
+QUERY_INTERVAL_US = SECOND_US // QUERIES_PER_S
+MAX_AWAITED_ANSWERS = 10 * QUERIES_PER_S
+MESSAGE_OVERHEAD_BYTES = 120  # of a message beside its sender, members and reports
+MIN_REPORT_BYTES = 20
+REQUEST_NUMBER_BITS = 60  # drawn, so that nobody can answer what it was not asked
+NO_ADVICE = PeerEvidence(frozenset(), frozenset())
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class FleetSettings:
+    """What an agent is told at its start."""
+
+    own: Member
+    seeds: list[Address]  # to join through
+    keys: list[bytes]  # see DatagramCodec
+    silent_after_us: int  # an attempt without answer for so long counts as failed
+    seed: int  # of the random draws
 
 
 class FleetAgent:
-    """key material: see Seal. now: Unix time in microseconds, in monotonic steps."""
-
-    def __init__(
-        self,
-        own: Member,
-        seeds: list[Address],
-        keys: list[bytes],
-        silent_us: int,
-        seed: int,
-        now: int,
-        count: Callable[[str], None] = lambda _: None,
-    ) -> None:
-        self.random_source = random.Random(seed)
-        self.count = count
-        self.seal = Seal(keys)
-        self.members = Membership(own, seeds, self.random_source, now, count)
-        self.evidence = Evidence(own.name, silent_us, now)
-        self.sequence = 0
-        self.judged = self.swept = now
-        self.to_ask: list[str] = []  # members in an order of chance, from the end; each once a round
-        self.asked: dict[int, str] = {}  # by number, who may answer what it saw; cut short by tick()
-        self.asked_at = now
-        self.answered: dict[str, int] = {}  # when an earlier life was told of the later one, by name
-        self.advice = NOTHING
+    """Composes membership and evidence, and turns their messages into datagrams.
+
+    Times are Unix time in microseconds and never step back.
+    """
+
+    def __init__(self, settings: FleetSettings, now_us: int, count: Callable[[str], None] = lambda _: None) -> None:
+        """Starts alone.
+
+        Args:
+            settings: This gateway's record, seeds and keys.
+            now_us: Current time.
+            count: Adds one to the counter of this name.
+        """
+        own = settings.own
+        self._random_source = random.Random(settings.seed)
+        self._count = count
+        self.codec = DatagramCodec(settings.keys)
+        self.membership = Membership(own, settings.seeds, self._random_source, now_us, count)
+        self.evidence = Evidence(own.name, settings.silent_after_us, now_us)
+        self.advice = NO_ADVICE
+        self._sequence = 0
+        self._judged_at_us = self._swept_at_us = now_us
+        self._to_query: list[str] = []  # members in a random order, from the end; each once a round
+        self._awaited_answers: dict[int, str] = {}  # by request number: the member asked; bounded by tick()
+        self._queried_at_us = now_us
+        self._notified_at_us: dict[str, int] = {}  # by name: when a superseded process was told so
+
+    @property
+    def own(self) -> Member:
+        """This gateway's own record."""
+        return self.membership.table.own
 
     # ---- in ----
 
-    def datagram(self, data: bytes, now: int) -> list[tuple[Address, bytes]]:
-        """What is to be sent for it. Whatever can't be believed costs a count."""
+    def receive(self, data: bytes, now_us: int) -> list[tuple[Address, bytes]]:
+        """Handles a datagram. One that is refused is counted by its reason.
+
+        Returns:
+            The datagrams to send, each with its receiver.
+        """
         try:
-            message = self.seal.open(data, now)
-        except Refused as refused:
-            self.count(f"fleet: datagrams {refused}")
-            if refused.message:
-                return self.tell_of_later(refused.message, now)
+            message = self.codec.decode(data, now_us)
+        except DatagramRefused as refused:
+            self._count(f"fleet: datagrams {refused}")
+            if refused.superseded:
+                return self._notify_superseded(refused.superseded.sender, now_us)
             return []
-        self.count("fleet: datagrams")
-        probed = (
-            message.kind == ACK
-            and message.number == self.members.probe.number
-            and (message.sender.name == self.members.probe.name)
-        )
-        self.members.received(message, now)
+        self._count("fleet: datagrams")
+        is_probe_answer = self.membership.detector.is_direct_answer(message)
+        self.membership.receive(message, now_us)
+        if message.sender.name == self.own.name:
+            return self._send(now_us)
+        self._take_reports(message, is_probe_answer, now_us)
+        return self._send(now_us, message.reports)
+
+    def _take_reports(self, message: Message, is_probe_answer: bool, now_us: int) -> None:
+        """Counts the reports of members that this gateway chose to ask; others only start disputes."""
         sender = message.sender.name
-        if sender == self.members.own.name:
-            return self.send(now)
-        # Only what was asked for by this gateway's own choice counts; the rest makes it ask.
-        if probed or message.kind == ANSWER and self.asked.pop(message.number, "") == sender:
-            self.evidence.hear(sender, message.entries, now)
+        if is_probe_answer or self._is_query_answer(message):
+            self.evidence.receive_answer(sender, message.reports, now_us)
         else:
-            self.evidence.rumour(sender, message.entries, now)
-        return self.send(now, message.entries)
-
-    def tell_of_later(self, message: Message, now: int) -> list[tuple[Address, bytes]]:
-        """An earlier life that still runs learns that its name has passed on, once a second at most."""
-        peer = self.members.peers.get(message.sender.name)
-        if peer is None or now - self.answered.get(message.sender.name, -SECOND) < SECOND:
+            self.evidence.receive_unsolicited(sender, message.reports, now_us)
+
+    def _is_query_answer(self, message: Message) -> bool:
+        if message.kind != MessageKind.ANSWER:
+            return False
+        return self._awaited_answers.pop(message.number, "") == message.sender.name
+
+    def _notify_superseded(self, earlier: Member, now_us: int) -> list[tuple[Address, bytes]]:
+        """Tells an earlier process that still runs which gateway has its name now, once a second at most."""
+        peer = self.membership.table.peers.get(earlier.name)
+        last_us = self._notified_at_us.get(earlier.name, -SUPERSEDED_NOTICE_INTERVAL_US)
+        if peer is None or now_us - last_us < SUPERSEDED_NOTICE_INTERVAL_US:
             return []
-        self.answered[message.sender.name] = now
-        self.members.out.append(Note(message.sender.address, ACK, members=(peer.record,)))
-        return self.send(now)
-
-    def tick(self, now: int) -> list[tuple[Address, bytes]]:
-        self.members.tick(now)
-        self.evidence.watch(now)
-        if now - self.judged >= JUDGE:
-            self.judged = now
-            self.evidence.judge(now, self.members.size() - 1)
-        idle = self.members.deposed or self.members.leaving
-        self.advice = NOTHING if idle else self.evidence.advice(now, self.members.size())
-        self.ask(now)
-        if now - self.swept >= 10 * SECOND:
-            self.swept = now
-            self.seal.sweep(now)
-            self.asked = dict(list(self.asked.items())[-10 * ASKS :])
-            self.answered = {name: at for name, at in self.answered.items() if now - at < SECOND}
-        return self.send(now)
-
-    def ask(self, now: int) -> None:
-        """While a backend is disputed, or this gateway has just seen one fail, some members are asked, too.
-        Each is picked by chance: who speaks much is not asked more."""
+        self._notified_at_us[earlier.name] = now_us
+        notice = OutgoingMessage(to=earlier.address, kind=MessageKind.ACK, members=(peer.record,))
+        self.membership.outbox.add(notice)
+        return self._send(now_us)
+
+    def set_backends(self, backends: Iterable[KnownBackend]) -> None:
+        """Replaces the backends on which evidence is kept."""
+        self.evidence.set_backends(backends)
+
+    def reload(self, seeds: list[Address], keys: list[bytes]) -> None:
+        """Replaces seeds and keys; known members stay known.
+
+        Raises:
+            UnusableKeys: The number or the length of the keys is out of bounds.
+        """
+        self.codec.set_keys(keys)
+        self.membership.anti_entropy.set_seeds(seeds)
+
+    def leave(self, now_us: int) -> list[tuple[Address, bytes]]:
+        """Leaves the fleet.
+
+        Returns:
+            The datagrams that say so.
+        """
+        self.membership.leave()
+        return self._send(now_us)
+
+    # ---- time ----
+
+    def tick(self, now_us: int) -> list[tuple[Address, bytes]]:
+        """Drives all timers and renews `advice`. To be called every TICK_INTERVAL_US.
+
+        Returns:
+            The datagrams to send, each with its receiver.
+        """
+        membership = self.membership
+        members = membership.table.size
+        membership.tick(now_us)
+        self.evidence.check_silent(now_us)
+        if now_us - self._judged_at_us >= JUDGE_INTERVAL_US:
+            self._judged_at_us = now_us
+            self.evidence.judge(now_us, members() - 1)
+        self.advice = self.evidence.advice(now_us, members()) if membership.active else NO_ADVICE
+        self._query(now_us)
+        if now_us - self._swept_at_us >= SWEEP_INTERVAL_US:
+            self._sweep(now_us)
+        return self._send(now_us)
+
+    def _sweep(self, now_us: int) -> None:
+        """Drops what is no longer needed, so that nothing grows without bound."""
+        self._swept_at_us = now_us
+        self.codec.forget_silent_senders(now_us)
+        self._awaited_answers = dict(list(self._awaited_answers.items())[-MAX_AWAITED_ANSWERS:])
+        self._notified_at_us = {
+            name: at_us
+            for name, at_us in self._notified_at_us.items()
+            if now_us - at_us < SUPERSEDED_NOTICE_INTERVAL_US
+        }
+
+    def _query(self, now_us: int) -> None:
+        """Asks members for reports while a backend is disputed, is left out, or has just failed here.
+
+        The members are drawn at random: one that sends much is not asked more often.
+        """
         evidence = self.evidence
-        if not (evidence.shocked or evidence.disputed or evidence.verdicts):
-            self.asked_at = now
-        if now - self.asked_at < SECOND // ASKS:
+        if not (evidence.recent_failure or evidence.disputed or evidence.verdicts):
+            self._queried_at_us = now_us
+        if now_us - self._queried_at_us < QUERY_INTERVAL_US:
             return
-        self.asked_at = max(self.asked_at + SECOND // ASKS, now - TICK)
-        while self.to_ask:
-            peer = self.members.peers.get(self.to_ask.pop())
-            if peer and peer.present():
-                number = self.random_source.getrandbits(60)
-                self.asked[number] = peer.record.name
-                self.members.out.append(Note(peer.record.address, QUERY, number))
+        self._queried_at_us = max(self._queried_at_us + QUERY_INTERVAL_US, now_us - TICK_INTERVAL_US)
+        while self._to_query:
+            peer = self.membership.table.present_peer(self._to_query.pop())
+            if peer:
+                number = self._random_source.getrandbits(REQUEST_NUMBER_BITS)
+                self._awaited_answers[number] = peer.record.name
+                query = OutgoingMessage(to=peer.record.address, kind=MessageKind.QUERY, number=number)
+                self.membership.outbox.add(query)
                 return
-        self.to_ask = [member.name for member in self.members.present()]
-        self.random_source.shuffle(self.to_ask)
-
-    def leave(self, now: int) -> list[tuple[Address, bytes]]:
-        self.members.leave()
-        return self.send(now)
+        self._to_query = [member.name for member in self.membership.table.present()]
+        self._random_source.shuffle(self._to_query)
 
     # ---- out ----
 
-    def send(self, now: int, asked: Iterable[Entry] = ()) -> list[tuple[Address, bytes]]:
-        notes, self.members.out = self.members.out, []
-        if self.members.deposed:
+    def _send(self, now_us: int, asked: Iterable[BackendReport] = ()) -> list[tuple[Address, bytes]]:
+        messages = self.membership.outbox.take()
+        if self.membership.superseded_by:
             return []
-        return [(note.to, self.put(note, now, asked)) for note in notes]
-
-    def put(self, note: Note, now: int, asked: Iterable[Entry]) -> bytes:
-        """A note as a datagram, with as much of news and evidence as fits. What is asked for and told beside
-        probes carries no news: there is much of it."""
-        self.sequence += 1
-        members = list(note.members)
-        plain = note.kind in (PULL, PAGE)
-        if not plain and note.kind not in (QUERY, ANSWER):
-            members += [m for m in self.members.gossip(note.to) if m not in members]
-        room = LARGEST - HEAD - 120 - size(self.members.own) - sum(map(size, members))
-        about = asked if note.kind in (ACK, ANSWER) else ()
-        entries = [] if plain else self.evidence.own(now, about)[: max(0, room // ENTRY_BYTES)]
-        return self.seal.close(
+        return [(message.to, self._encode(message, now_us, asked)) for message in messages]
+
+    def _encode(self, outgoing: OutgoingMessage, now_us: int, asked: Iterable[BackendReport]) -> bytes:
+        """Encodes a message with as much gossip and as many reports as fit.
+
+        Pulls and pages carry neither. Queries and their answers carry no gossip: there are many of them.
+        """
+        self._sequence += 1
+        kind = outgoing.kind
+        members = list(outgoing.members)
+        if kind not in (MessageKind.PULL, MessageKind.PAGE, MessageKind.QUERY, MessageKind.ANSWER):
+            gossip = self.membership.gossip.select(outgoing.to)
+            members += [member for member in gossip if member not in members]
+        reports: list[BackendReport] = []
+        if kind not in (MessageKind.PULL, MessageKind.PAGE):
+            is_answer = kind in (MessageKind.ACK, MessageKind.ANSWER)
+            reports = self.evidence.reports(now_us, asked if is_answer else ())[: self._report_capacity(members)]
+        return self.codec.encode(
             Message(
-                self.members.own,
-                self.sequence,
-                now,
-                note.kind,
-                note.number,
-                note.about,
-                self.members.digest,
-                members,
-                entries,
-                list(note.sums),
+                sender=self.own,
+                sequence=self._sequence,
+                sent_at_us=now_us,
+                kind=kind,
+                number=outgoing.number,
+                subject=outgoing.subject,
+                membership_digest=self.membership.table.digest,
+                members=members,
+                reports=reports,
+                bucket_digests=list(outgoing.bucket_digests),
             )
         )
 
-    def changes(self) -> list[Member]:
-        """Members whose state has changed since this was asked last."""
-        changes, self.members.changes = self.members.changes, []
-        return changes
+    def _report_capacity(self, members: list[Member]) -> int:
+        """How many reports fit beside these members."""
+        members_bytes = max_encoded_bytes(self.own) + sum(max_encoded_bytes(member) for member in members)
+        bytes_left = MAX_DATAGRAM_BYTES - HEADER_BYTES - MESSAGE_OVERHEAD_BYTES - members_bytes
+        return max(0, bytes_left // MIN_REPORT_BYTES)
 
-    def listed(self, backends: Iterable[KnownBackend]) -> None:
-        self.evidence.listed(backends)
+    def take_changes(self) -> list[Member]:
+        """The members whose state has changed since the last call."""
+        return self.membership.table.take_changes()
--- /dev/null
+++ b/stoneyoke/fleet/observations.py
@@ -0,0 +1,217 @@
+"""What this gateway itself saw of backends, and the reports that it makes of that. No I/O.
+
+Times are microseconds.
+"""
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from hashlib import blake2b
+
+from stoneyoke.control.events import KnownBackend
+from stoneyoke.fleet.messages import NO_AGE, BackendReport
+
+SECOND_US = 1_000_000
+TENTH_US = 100_000
+MAX_REPORT_AGE_US = 20 * SECOND_US  # what was seen earlier is not reported
+HALF_LIFE_US = 5 * SECOND_US  # in which a counted attempt comes to count half
+STALL_US = SECOND_US  # a check later than this means that this process was suspended
+MAX_REPORTS = 40  # in a message
+MAX_REPORTED_COUNT = 1_000
+# A gateway that finds more of the backends unhealthy than this is cut off itself, and accuses none.
+MAX_UNHEALTHY_SHARE = 0.5
+MEAN_LATENCY_WEIGHT = 0.05  # of a new answer in the running mean over all backends
+LATENCY_RATIO_WEIGHT = 0.3  # of a new answer in a backend's running ratio to that mean
+SLOW_RATIO = 2.9  # a ratio above it rounds to one that counts as unhealthy
+USUAL_RATIO_TENTHS = 10
+NEVER_US = -1  # in place of a time: nothing of the kind was seen
+
+
+def backend_id(backend: KnownBackend) -> int:
+    """A backend's number, the same at all gateways. A restart changes it, so no verdict outlives a restart."""
+    text = f"{backend.name} {backend.started_us}"
+    return int.from_bytes(blake2b(text.encode(), digest_size=4).digest(), "big")
+
+
+def accuses_too_many(unhealthy: int, known: int) -> bool:
+    """Whether a gateway finds so many backends unhealthy that the fault is likely its own."""
+    return unhealthy > MAX_UNHEALTHY_SHARE * max(1, known)
+
+
+class BackendObservation:
+    """What this gateway saw of one backend."""
+
+    def __init__(self, now_us: int) -> None:
+        """Starts with nothing seen."""
+        self.attempts = self.failures = 0.0  # decayed
+        self.latency_ratio = 1.0  # to the usual latency
+        self.decayed_at_us = now_us
+        self.success_at_us = self.failure_at_us = NEVER_US
+
+    @property
+    def seen_at_us(self) -> int:
+        """When anything was seen last."""
+        return max(self.success_at_us, self.failure_at_us)
+
+    @property
+    def failing(self) -> bool:
+        """Whether what was seen last is a failure."""
+        return self.failure_at_us > self.success_at_us
+
+    def decay(self, now_us: int) -> None:
+        """Lets the counts fade up to now."""
+        kept = 0.5 ** ((now_us - self.decayed_at_us) / HALF_LIFE_US)
+        self.attempts *= kept
+        self.failures *= kept
+        self.decayed_at_us = now_us
+
+    def report(self, id: int, now_us: int) -> BackendReport:
+        """What other gateways are told."""
+        self.decay(now_us)
+        return BackendReport(
+            backend_id=id,
+            attempts=min(MAX_REPORTED_COUNT, round(self.attempts)),
+            failures=min(MAX_REPORTED_COUNT, round(self.failures)),
+            success_age_tenths=age_tenths(self.success_at_us, now_us),
+            failure_age_tenths=age_tenths(self.failure_at_us, now_us),
+            latency_ratio_tenths=min(MAX_REPORTED_COUNT, round(10 * self.latency_ratio)),
+        )
+
+
+def age_tenths(at_us: int, now_us: int) -> int:
+    """The age of an observation in tenths of a second; NO_AGE if there is none."""
+    return NO_AGE if at_us < 0 else min(NO_AGE - 1, max(0, now_us - at_us) // TENTH_US)
+
+
+def unknown_report(id: int) -> BackendReport:
+    """Says that this gateway saw nothing of a backend, and asks the receiver for what it saw."""
+    return BackendReport(id, 0, 0, NO_AGE, NO_AGE, USUAL_RATIO_TENTHS)
+
+
+@dataclass(slots=True)
+class PendingAttempt:
+    """An attempt that has no answer yet."""
+
+    backend: int
+    started_at_us: int
+    counted_silent: bool = False  # counted as a failure because it took too long
+
+
+class Observations:
+    """Follows this gateway's attempts from their start to their end."""
+
+    def __init__(self, silent_after_us: int, now_us: int) -> None:
+        """Starts with no backends.
+
+        Args:
+            silent_after_us: An attempt without answer for so long counts as failed.
+            now_us: Current time.
+        """
+        self._silent_after_us = silent_after_us
+        self._last_check_us = now_us
+        self.backends: dict[int, KnownBackend] = {}  # by id; replaced by set_backends
+        self.ids: dict[int, int] = {}  # by the gateway's index
+        self.seen: dict[int, BackendObservation] = {}  # by id; pruned by set_backends
+        self._pending: dict[int, PendingAttempt] = {}  # by RPC; removed at the attempt's end
+        self._mean_latency_us = 0.0  # running mean over all good answers
+
+    def set_backends(self, backends: Iterable[KnownBackend]) -> None:
+        """Replaces the backends, and drops what was seen of those that are gone."""
+        self.backends = {backend_id(backend): backend for backend in backends}
+        self.ids = {backend.index: id for id, backend in self.backends.items()}
+        self.seen = {id: seen for id, seen in self.seen.items() if id in self.backends}
+
+    def attempt_started(self, rpc: int, backend: int, now_us: int) -> None:
+        """Notes an attempt of an RPC at a backend, both by the gateway's index."""
+        self._pending[rpc] = PendingAttempt(backend, now_us)
+
+    def attempt_ended(self, rpc: int, good: bool | None, now_us: int) -> None:
+        """Notes an attempt's end.
+
+        Args:
+            rpc: The RPC's index.
+            good: Whether the backend answered well; None if the end says nothing of it, as a rejection does.
+            now_us: Current time.
+        """
+        attempt = self._pending.pop(rpc, None)
+        id = self.ids.get(attempt.backend) if attempt else None
+        if attempt is None or id is None or good is None:
+            return
+        observation = self._observation(id, now_us)
+        if good:
+            self._note_latency(observation, now_us - attempt.started_at_us)
+            observation.success_at_us = now_us
+            if attempt.counted_silent and observation.failures >= 1:
+                observation.failures -= 1  # it was slow, not silent
+        else:
+            observation.failure_at_us = now_us
+        if not attempt.counted_silent:
+            observation.attempts += 1
+            observation.failures += not good
+
+    def _note_latency(self, observation: BackendObservation, latency_us: int) -> None:
+        weight = MEAN_LATENCY_WEIGHT if self._mean_latency_us else 1.0
+        self._mean_latency_us += (latency_us - self._mean_latency_us) * weight
+        ratio = latency_us / max(1.0, self._mean_latency_us)
+        observation.latency_ratio += (ratio - observation.latency_ratio) * LATENCY_RATIO_WEIGHT
+
+    def _observation(self, id: int, now_us: int) -> BackendObservation:
+        observation = self.seen.get(id)
+        if observation is None:
+            observation = self.seen[id] = BackendObservation(now_us)
+        observation.decay(now_us)
+        return observation
+
+    def check_silent(self, now_us: int) -> None:
+        """Counts the attempts that have gone unanswered for long as failed, once each."""
+        stalled = now_us - self._last_check_us > STALL_US
+        self._last_check_us = now_us
+        if stalled:  # answers may wait unread, so no attempt has been silent yet
+            for attempt in self._pending.values():
+                attempt.started_at_us = now_us
+        for attempt in self._pending.values():
+            if not attempt.counted_silent and now_us - attempt.started_at_us >= self._silent_after_us:
+                self._count_silent(attempt, now_us)
+
+    def _count_silent(self, attempt: PendingAttempt, now_us: int) -> None:
+        id = self.ids.get(attempt.backend)
+        if id is None:
+            return
+        attempt.counted_silent = True
+        observation = self._observation(id, now_us)
+        # A good answer to anything after this attempt's start shows that the backend is not silent.
+        if observation.success_at_us < attempt.started_at_us:
+            observation.attempts += 1
+            observation.failures += 1
+            observation.failure_at_us = now_us
+
+    def failing_ids(self, now_us: int) -> set[int]:
+        """The backends whose last attempt from here failed, and not long ago."""
+        return {
+            id
+            for id, seen in self.seen.items()
+            if 0 <= seen.failure_at_us > seen.success_at_us and now_us - seen.failure_at_us < MAX_REPORT_AGE_US
+        }
+
+    def reports(self, now_us: int, relevant: set[int], *, ask_unknown: bool) -> list[BackendReport]:
+        """The reports for one message: unhealthy backends, then the relevant ones, the latest seen first.
+
+        Args:
+            now_us: Current time.
+            relevant: Ids of the backends whose good answers are reported, too.
+            ask_unknown: Whether to ask for the relevant backends of which nothing was seen here.
+        """
+        # The many backends that are healthy and not relevant cost no more than this look.
+        candidates = [
+            (seen.seen_at_us, id, seen)
+            for id, seen in self.seen.items()
+            if seen.failing or seen.latency_ratio > SLOW_RATIO or id in relevant
+        ]
+        candidates.sort(key=lambda row: row[:2], reverse=True)
+        reports = [seen.report(id, now_us) for at_us, id, seen in candidates if now_us - at_us < MAX_REPORT_AGE_US]
+        unhealthy = [report for report in reports if report.unhealthy]
+        if accuses_too_many(len(unhealthy), len(self.backends)):
+            unhealthy = []
+        healthy = [report for report in reports if not report.unhealthy and report.backend_id in relevant]
+        reported = {report.backend_id for report in unhealthy + healthy}
+        unknown = [unknown_report(id) for id in sorted(relevant - reported)] if ask_unknown else []
+        return (unhealthy + healthy + unknown)[:MAX_REPORTS]
--- a/stoneyoke/fleet/transport.py
+++ b/stoneyoke/fleet/transport.py
@@ -1,4 +1,4 @@
-"""The fleet part on a socket: datagrams to and from the other gateways, and a clock. Decides nothing."""
+"""The fleet agent on a UDP socket and a clock. Decides nothing."""
 
 import asyncio
 import time
@@ -9,18 +9,26 @@
 
 from stoneyoke.control.events import KnownBackend, PeerEvidence
 from stoneyoke.control.parameters import AttemptOutcome
-from stoneyoke.fleet.agent import TICK, FleetAgent
-from stoneyoke.fleet.membership import Address
-from stoneyoke.fleet.messages import Member
+from stoneyoke.fleet.agent import NO_ADVICE, TICK_INTERVAL_US, FleetAgent, FleetSettings
+from stoneyoke.fleet.messages import Address, Member, MemberState
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.runtime import Runtime
 from stoneyoke.single_gateway.options import FleetParameters
 
-STATES = ("is there", "is suspected", "is dead", "has left")
-FLOOD = 100  # datagrams a tick; what comes beyond is dropped unread
-# What an outcome says of its backend; the others say nothing. Only what is quiet is called off.
-GOOD = {
+SECOND_US = 1_000_000
+MAX_DATAGRAMS_PER_TICK = 100  # more are dropped unread
+MAX_ZONE_CHARACTERS = 64
+# An attempt without answer for this part of the longest soft deadline counts as failed.
+SILENT_NUMERATOR, SILENT_DENOMINATOR = 3, 5
+STATE_TEXTS = {
+    MemberState.ALIVE: "is there",
+    MemberState.SUSPECT: "is suspected",
+    MemberState.DEAD: "is dead",
+    MemberState.LEFT: "has left",
+}
+# What an outcome says of its backend; the others say nothing. Only attempts without an answer are cancelled.
+GOOD_OUTCOMES = {
     AttemptOutcome.OK: True,
     AttemptOutcome.ERROR: False,
     AttemptOutcome.TIMED_OUT: False,
@@ -32,121 +40,150 @@
 
 
 def own_member(parameters: FleetParameters, zone: str) -> Member:
-    """This gateway, in a life that began now: a restart comes after its earlier life."""
-    return Member(parameters.name, *parameters.advertise, zone[:64], time.time_ns() // 1_000_000)
+    """This gateway's record. Its start is now, so it overrides the records of earlier processes of its name."""
+    host, port = parameters.advertise
+    return Member(parameters.name, host, port, zone[:MAX_ZONE_CHARACTERS], time.time_ns() // 1_000_000)
 
 
-class Peers(asyncio.DatagramProtocol):
-    """Watches the runtime's call-outs, talks to the other gateways, tells the runtime what comes of it."""
+class FleetTransport(asyncio.DatagramProtocol):
+    """Exchanges datagrams with other gateways, reports the runtime's attempts to the agent, and returns its advice."""
 
     def __init__(
-        self,
-        own: Member,
-        listen: Address,
-        seeds: list[Address],
-        keys: list[bytes],
-        runtime: Runtime,
-        clock: Clock,
-        metrics: Metrics,
+        self, parameters: FleetParameters, zone: str, runtime: Runtime, clock: Clock, metrics: Metrics
     ) -> None:
-        self.listen, self.runtime, self.clock, self.metrics = listen, runtime, clock, metrics
-        soft = max(method.soft_deadline_us for method in runtime.parameters.methods)
-        self.agent = FleetAgent(own, seeds, keys, soft * 3 // 5, runtime.parameters.seed, clock.now(), metrics.add)
-        self.transport: asyncio.DatagramTransport | None = None
-        self.ticking: asyncio.Task[None] | None = None
-        self.names: dict[int, str] = {}  # of backends, by the module's index; renewed by listed()
-        self.came = 0  # datagrams since the last tick
-        self.told = PeerEvidence(frozenset(), frozenset())
-        self.deposed = False
+        """Attaches itself to the runtime; `start` opens the socket.
+
+        Args:
+            parameters: Addresses, seeds and keys.
+            zone: This gateway's failure domain.
+            runtime: Its attempts are watched, and it takes the advice.
+            clock: Unix time in microseconds that never steps back.
+            metrics: Counts datagrams and logs changes.
+        """
+        self.listen_address = parameters.listen
+        self.runtime = runtime
+        self.clock = clock
+        self.metrics = metrics
+        longest_soft_us = max(method.soft_deadline_us for method in runtime.parameters.methods)
+        settings = FleetSettings(
+            own=own_member(parameters, zone),
+            seeds=parameters.seeds,
+            keys=parameters.keys,
+            silent_after_us=longest_soft_us * SILENT_NUMERATOR // SILENT_DENOMINATOR,
+            seed=runtime.parameters.seed,
+        )
+        self.agent = FleetAgent(settings, clock.now(), metrics.add)
+        self.socket: asyncio.DatagramTransport | None = None
+        self.tick_task: asyncio.Task[None] | None = None
+        self._backend_names: dict[int, str] = {}  # by the gateway's index; replaced by set_backends
+        self._datagrams_this_tick = 0
+        self._applied_advice = NO_ADVICE
+        self._superseded_logged = False
         runtime.attempt_observer = self
 
     async def start(self) -> None:
-        """Raises OSError where the address can't be had."""
+        """Opens the socket and starts the timer.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
         loop = asyncio.get_running_loop()
-        await loop.create_datagram_endpoint(lambda: self, local_addr=self.listen)
-        self.ticking = loop.create_task(self.tick())
-        logger.info("fleet: {} talks on {}:{}", self.agent.members.own.name, *self.listen)
+        await loop.create_datagram_endpoint(lambda: self, local_addr=self.listen_address)
+        self.tick_task = loop.create_task(self._tick_forever(), name="fleet tick")
+        logger.info("fleet: {} talks on {}:{}", self.agent.own.name, *self.listen_address)
 
     def reload(self, seeds: list[Address], keys: list[bytes]) -> None:
-        """Seeds and keys are as given from now on; who is known stays known."""
-        self.agent.seal.renew(keys)
-        self.agent.members.seeds = [seed for seed in seeds if seed != self.agent.members.own.address]
+        """Replaces seeds and keys; known members stay known."""
+        self.agent.reload(seeds, keys)
 
     def leave(self) -> None:
-        """Says farewell; nothing is heard or told after that."""
-        if self.ticking:
-            self.ticking.cancel()
-        self.send(self.agent.leave(self.clock.now()))
-        if self.transport:
-            self.transport.close()
-        self.advise(PeerEvidence(frozenset(), frozenset()))
+        """Tells some members that this gateway leaves, and closes the socket. The runtime's advice becomes empty."""
+        if self.tick_task:
+            self.tick_task.cancel()
+        self._send(self.agent.leave(self.clock.now()))
+        if self.socket:
+            self.socket.close()
+        self.apply_advice(NO_ADVICE)
 
-    # ---- from the runtime ----
+    # ---- from the runtime: an AttemptObserver ----
 
     def attempt_started(self, rpc: int, backend: int) -> None:
-        self.agent.evidence.sent(rpc, backend, self.clock.now())
+        """Notes that an attempt of an RPC starts, both by the gateway's index."""
+        self.agent.evidence.attempt_started(rpc, backend, self.clock.now())
 
     def attempt_ended(self, rpc: int, outcome: AttemptOutcome) -> None:
-        self.agent.evidence.ended(rpc, GOOD.get(outcome), self.clock.now())
+        """Notes that an attempt of an RPC has ended."""
+        self.agent.evidence.attempt_ended(rpc, GOOD_OUTCOMES.get(outcome), self.clock.now())
 
-    def listed(self, backends: Iterable[KnownBackend]) -> None:
-        rows = list(backends)
-        self.names = {row.index: row.name for row in rows}
-        self.agent.listed(rows)
+    def set_backends(self, backends: Iterable[KnownBackend]) -> None:
+        """Replaces the backends that take new work."""
+        known = list(backends)
+        self._backend_names = {backend.index: backend.name for backend in known}
+        self.agent.set_backends(known)
 
     # ---- from the socket ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)
+        """Keeps the open socket."""
+        self.socket = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, _: Address) -> None:
-        self.came += 1
-        if self.came > FLOOD:
-            return self.metrics.add("fleet: datagrams too many")
+        """Passes a datagram to the agent, unless too many have come since the last tick."""
+        self._datagrams_this_tick += 1
+        if self._datagrams_this_tick > MAX_DATAGRAMS_PER_TICK:
+            self.metrics.add("fleet: datagrams too many")
+            return
         try:
-            self.send(self.agent.datagram(data, self.clock.now()))
-        except Exception:  # a fault here must not cost an RPC
-            logger.exception("a datagram could not be taken")
+            self._send(self.agent.receive(data, self.clock.now()))
+        except Exception:  # outermost guard of the fleet part: a fault in it must not cost an RPC
+            logger.exception("fleet: a datagram caused an error in the fleet part; it is dropped")
             self.metrics.check_invariant(False, "fleet failed")
 
     def error_received(self, _: Exception) -> None:
+        """Counts a datagram that the network rejected."""
         self.metrics.add("fleet: datagrams not delivered")
 
-    def send(self, datagrams: list[tuple[Address, bytes]]) -> None:
+    def _send(self, datagrams: list[tuple[Address, bytes]]) -> None:
         for address, data in datagrams:
-            if self.transport and not self.transport.is_closing():
-                self.transport.sendto(data, address)
+            if self.socket and not self.socket.is_closing():
+                self.socket.sendto(data, address)
 
     # ---- time ----
 
-    async def tick(self) -> None:
+    async def _tick_forever(self) -> None:
         while True:
-            await asyncio.sleep(TICK / 1_000_000)
-            self.came = 0
+            await asyncio.sleep(TICK_INTERVAL_US / SECOND_US)
+            self._datagrams_this_tick = 0
             try:
-                self.send(self.agent.tick(self.clock.now()))
-                self.report()
-                self.advise(self.agent.advice)
-            except Exception:
-                logger.exception("the fleet part failed")
+                self._tick()
+            except Exception:  # outermost guard of the fleet part: a fault in it must not cost an RPC
+                logger.exception("fleet: the timer caused an error in the fleet part; the next tick tries again")
                 self.metrics.check_invariant(False, "fleet failed")
 
-    def advise(self, advice: PeerEvidence) -> None:
-        if advice != self.told:
-            out = advice.left_out | advice.probed
-            for index in sorted(out - (self.told.left_out | self.told.probed)):
-                self.metrics.report("fleet: left out on hearsay", self.names.get(index, "?"))
-            for index in sorted((self.told.left_out | self.told.probed) - out):
-                self.metrics.report("fleet: back in", self.names.get(index, "?"))
-            self.told = advice
-            self.runtime.dispatch(advice)
-
-    def report(self) -> None:
-        for member in self.agent.changes():
-            self.metrics.report(f"fleet: a gateway {STATES[member.state]}", member.name)
-        later = self.agent.members.deposed
-        if later and not self.deposed:
-            self.deposed = True
+    def _tick(self) -> None:
+        self._send(self.agent.tick(self.clock.now()))
+        self._report_members()
+        self.apply_advice(self.agent.advice)
+
+    def apply_advice(self, advice: PeerEvidence) -> None:
+        """Passes changed advice to the runtime, and logs each backend that is newly left out or used again."""
+        if advice == self._applied_advice:
+            return
+        before = self._applied_advice.left_out | self._applied_advice.probed
+        after = advice.left_out | advice.probed
+        for index in sorted(after - before):
+            self.metrics.report("fleet: left out on hearsay", self._backend_names.get(index, "?"))
+        for index in sorted(before - after):
+            self.metrics.report("fleet: back in", self._backend_names.get(index, "?"))
+        self._applied_advice = advice
+        self.runtime.dispatch(advice)
+
+    def _report_members(self) -> None:
+        for member in self.agent.take_changes():
+            self.metrics.report(f"fleet: a gateway {STATE_TEXTS[member.state]}", member.name)
+        later = self.agent.membership.superseded_by
+        if later and not self._superseded_logged:
+            self._superseded_logged = True
             logger.error(
                 "fleet: {} is the name of a gateway at {}:{} that started later: this one goes on alone",
                 later.name,
--- a/stoneyoke/single_gateway/program.py
+++ b/stoneyoke/single_gateway/program.py
@@ -26,7 +26,7 @@
 from stoneyoke.single_gateway.request_head import RpcVocabulary
 
 if TYPE_CHECKING:
-    from stoneyoke.fleet.transport import Peers
+    from stoneyoke.fleet.transport import FleetTransport
     from stoneyoke.single_gateway.options import FleetParameters, Options
 
 SWEEP_S = 0.25  # the shortest time-out that it ends, 2 s, has to be kept within 3
@@ -134,26 +134,18 @@
         )
         self.backends.accepts_new_work = self.fleet.takes
         self.discovery = Discovery(self.metrics, self.update_endpoints)
-        self.peers: Peers | None = None
+        self.peers: FleetTransport | None = None
         if fleet_parameters:
             from stoneyoke.fleet import transport
 
             zone = settings.zones[settings.parameters.zone] if settings.parameters.zone < len(settings.zones) else ""
-            self.peers = transport.Peers(
-                transport.own_member(fleet_parameters, str(zone)),
-                fleet_parameters.listen,
-                fleet_parameters.seeds,
-                fleet_parameters.keys,
-                self.runtime,
-                self.clock,
-                self.metrics,
-            )
+            self.peers = transport.FleetTransport(fleet_parameters, str(zone), self.runtime, self.clock, self.metrics)
         self.clients.endpoints_known = self.discovery.spoke
 
     def update_endpoints(self, news: EndpointUpdate) -> None:
         self.runtime.endpoints_changed(self.fleet.news(news))
         if self.peers:
-            self.peers.listed(self.fleet.ready())
+            self.peers.set_backends(self.fleet.ready())
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
--- a/tests/fleet/test_decisions.py
+++ b/tests/fleet/test_decisions.py
@@ -1,4 +1,4 @@
-"""What the decisions make of hearsay: left out, probed before others, and never all."""
+"""What the gateway's decisions make of peer evidence: which backends get attempts."""
 
 from helpers import Bench, sent
 
@@ -6,7 +6,7 @@
 from stoneyoke.control.parameters import AttemptOutcome
 
 
-def served(bench, rpcs):
+def backends_used(bench, rpcs):
     took = []
     for _ in range(rpcs):
         (call,) = sent(bench.arrive(units=0.01))
@@ -16,26 +16,26 @@
     return took
 
 
-def test_what_is_left_out_gets_nothing_and_is_used_again_after():
+def test_a_backend_left_out_gets_no_attempts_until_it_is_reinstated():
     bench = Bench()
-    first = served(bench, 1)[0]
+    first = backends_used(bench, 1)[0]
     bench.tell(PeerEvidence(frozenset([first]), frozenset()))
-    assert first not in served(bench, 20)
+    assert first not in backends_used(bench, 20)
     bench.tell(PeerEvidence(frozenset(), frozenset()))
-    assert first in served(bench, 20)
+    assert first in backends_used(bench, 20)
 
 
-def test_what_is_probed_gets_the_next_rpc_however_it_is_ranked():
+def test_a_backend_to_probe_gets_the_next_rpc_whatever_its_rank():
     bench = Bench()
-    usual = set(served(bench, 10))
+    usual = set(backends_used(bench, 10))
     other = next(b for b in range(6) if b not in usual)
     bench.tell(PeerEvidence(frozenset(), frozenset([other])))
-    assert served(bench, 1) == [other]
+    assert backends_used(bench, 1) == [other]
     bench.tell(PeerEvidence(frozenset([other]), frozenset()))
-    assert other not in served(bench, 10)
+    assert other not in backends_used(bench, 10)
 
 
-def test_an_rpc_goes_on_past_what_is_left_out():
+def test_a_retry_avoids_a_backend_left_out():
     bench = Bench(fleet=3)
     bench.tell(PeerEvidence(frozenset([0]), frozenset()))
     (call,) = sent(bench.arrive(units=0.01))
--- a/tests/fleet/test_evidence.py
+++ b/tests/fleet/test_evidence.py
@@ -1,241 +1,240 @@
 """Evidence and verdicts of one gateway: what it takes to leave a backend out, and what never does."""
 
 import pytest
-from town import SECOND, SILENT, START
+from simulated_cluster import SECOND_US, SILENT_AFTER_US, START_US
 
 from stoneyoke.control.events import KnownBackend
 from stoneyoke.fleet.evidence import (
-    AGE,
-    ASKED,
-    FLOOR,
-    HEARD,
-    LONGEST,
-    MOST_OUT,
-    OWN,
-    PROBERS,
-    SLOT,
+    MAX_VERDICT_US,
+    MIN_ACCUSER_SHARE,
+    MIN_DISPUTE_US,
+    OWN_SUCCESS_US,
+    PROBE_SLOT_US,
+    PROBERS_PER_SLOT,
+    ZONE_EJECTION_DIVISOR,
     Evidence,
-    identity,
 )
-from stoneyoke.fleet.messages import NEVER, Entry
+from stoneyoke.fleet.messages import NO_AGE, BackendReport
+from stoneyoke.fleet.observations import MAX_REPORT_AGE_US, backend_id
+from stoneyoke.fleet.witnesses import REPORT_LIFETIME_US
 
 BACKENDS = [KnownBackend(b, f"b{b}", "a", 1) for b in range(12)]
-ID = [identity(known) for known in BACKENDS]
+IDS = [backend_id(backend) for backend in BACKENDS]
 
 
-def bad(backend, age=0):
-    return Entry(ID[backend], 1, 1, NEVER, age, 10)
+def unhealthy(backend, age=0):
+    return BackendReport(IDS[backend], 1, 1, NO_AGE, age, 10)
 
 
-def good(backend, age=0):
-    return Entry(ID[backend], 1, 0, age, NEVER, 10)
+def healthy(backend, age=0):
+    return BackendReport(IDS[backend], 1, 0, age, NO_AGE, 10)
 
 
 def slow(backend):
-    return Entry(ID[backend], 3, 0, 0, NEVER, 40)
+    return BackendReport(IDS[backend], 3, 0, 0, NO_AGE, 40)
 
 
-def evidence(name="me"):
-    one = Evidence(name, SILENT, START)
-    one.listed(BACKENDS)
-    return one
+def new_evidence(name="me"):
+    evidence = Evidence(name, SILENT_AFTER_US, START_US)
+    evidence.set_backends(BACKENDS)
+    return evidence
 
 
-def hear(one, witnesses, entries, now=START, first=0):
+def receive_answers(evidence, witnesses, entries, now=START_US, first=0):
     for n in range(first, first + witnesses):
-        one.hear(f"w{n}", entries, now)
+        evidence.receive_answer(f"w{n}", entries, now)
 
 
-def left_out(one, now=START, others=20):
+def left_out(evidence, now=START_US, others=20):
     """Of a dispute that is old enough, and where nobody probes."""
-    one.judge(now - ASKED, others)
-    one.judge(now, others)
-    return set(one.advice(now, 1_000_000).left_out)
+    evidence.judge(now - MIN_DISPUTE_US, others)
+    evidence.judge(now, others)
+    return set(evidence.advice(now, 1_000_000).left_out)
 
 
-def test_most_witnesses_that_accuse_it_leave_a_backend_out():
-    one = evidence()
-    hear(one, 8, [bad(3)])
-    hear(one, 4, [good(3)], first=8)
-    hear(one, 8, [], first=12)
-    assert left_out(one) == {3}
+def test_a_backend_that_most_witnesses_find_unhealthy_is_left_out():
+    evidence = new_evidence()
+    receive_answers(evidence, 8, [unhealthy(3)])
+    receive_answers(evidence, 4, [healthy(3)], first=8)
+    receive_answers(evidence, 8, [], first=12)
+    assert left_out(evidence) == {3}
 
 
-def test_slow_for_most_is_left_out_too():
-    one = evidence()
-    hear(one, 8, [slow(3)])
-    assert left_out(one) == {3}
+def test_a_backend_that_is_slow_for_most_is_left_out():
+    evidence = new_evidence()
+    receive_answers(evidence, 8, [slow(3)])
+    assert left_out(evidence) == {3}
 
 
 @pytest.mark.parametrize(
     "accusers, defenders, silent",
     [
         (1, 0, 0),  # one alone, however few they are
-        (7, 0, 0),  # fewer than FLOOR of the least sample
-        (19, 0, 81),  # fewer than FLOOR of those asked
+        (7, 0, 0),  # fewer than MIN_ACCUSER_SHARE of the least sample
+        (19, 0, 81),  # fewer than MIN_ACCUSER_SHARE of those asked
         (40, 40, 0),  # half of those that know it
     ],
 )
 def test_too_few_accusers_leave_nothing_out(accusers, defenders, silent):
-    one = evidence()
-    hear(one, accusers, [bad(3)])
-    hear(one, defenders, [good(3)], first=accusers)
-    hear(one, silent, [], first=accusers + defenders)
-    assert left_out(one, others=100 if accusers > 1 else 2) == set()
+    evidence = new_evidence()
+    receive_answers(evidence, accusers, [unhealthy(3)])
+    receive_answers(evidence, defenders, [healthy(3)], first=accusers)
+    receive_answers(evidence, silent, [], first=accusers + defenders)
+    assert left_out(evidence, others=100 if accusers > 1 else 2) == set()
 
 
-def test_the_floor_is_what_the_page_says():
-    one = evidence()
-    hear(one, round(FLOOR * 300), [bad(3)])
-    assert left_out(one, others=300) == {3}
-    assert left_out(evidence(), others=300) == set()
+def test_the_documented_share_of_accusers_suffices():
+    evidence = new_evidence()
+    receive_answers(evidence, round(MIN_ACCUSER_SHARE * 300), [unhealthy(3)])
+    assert left_out(evidence, others=300) == {3}
+    assert left_out(new_evidence(), others=300) == set()
 
 
-def test_a_dispute_gives_those_that_know_better_time_to_speak():
-    one = evidence()
-    hear(one, 20, [bad(3)])
-    one.judge(START, 20)
-    one.judge(START + ASKED - 1, 20)
-    assert not one.verdicts
-    one.judge(START + ASKED, 20)
-    assert one.verdicts
+def test_a_verdict_waits_for_the_least_time_of_a_dispute():
+    evidence = new_evidence()
+    receive_answers(evidence, 20, [unhealthy(3)])
+    evidence.judge(START_US, 20)
+    evidence.judge(START_US + MIN_DISPUTE_US - 1, 20)
+    assert not evidence.verdicts
+    evidence.judge(START_US + MIN_DISPUTE_US, 20)
+    assert evidence.verdicts
 
 
-def test_one_witness_counts_once_however_often_it_speaks():
-    one = evidence()
+def test_a_witness_counts_once_however_often_it_reports():
+    evidence = new_evidence()
     for _ in range(50):
-        one.hear("liar", [bad(3)], START)
-    assert left_out(one) == set()
+        evidence.receive_answer("liar", [unhealthy(3)], START_US)
+    assert left_out(evidence) == set()
 
 
-def test_who_reports_everything_dead_accuses_nobody():
-    one = evidence()
-    hear(one, 30, [bad(b) for b in range(7)])
-    assert left_out(one) == set()
-    hear(one, 30, [bad(b) for b in range(3)])
-    assert left_out(one) == {0, 1, 2}
+def test_a_witness_that_reports_most_backends_unhealthy_does_not_count():
+    evidence = new_evidence()
+    receive_answers(evidence, 30, [unhealthy(b) for b in range(7)])
+    assert left_out(evidence) == set()
+    receive_answers(evidence, 30, [unhealthy(b) for b in range(3)])
+    assert left_out(evidence) == {0, 1, 2}
 
 
-def test_a_bounded_part_of_a_zone_is_left_out_the_worst_first():
-    one = evidence()
-    hear(one, 20, [bad(b) for b in range(6)])
-    hear(one, 8, [good(b) for b in (0, 1)], first=20)
-    out = left_out(one)
-    assert len(out) == 12 // MOST_OUT and out == {2, 3, 4, 5}
+def test_a_bounded_part_of_a_zone_is_left_out_the_clearest_verdicts_first():
+    evidence = new_evidence()
+    receive_answers(evidence, 20, [unhealthy(b) for b in range(6)])
+    receive_answers(evidence, 8, [healthy(b) for b in (0, 1)], first=20)
+    out = left_out(evidence)
+    assert len(out) == 12 // ZONE_EJECTION_DIVISOR and out == {2, 3, 4, 5}
 
 
 def test_a_zone_of_two_backends_loses_none():
-    one = evidence()
-    one.listed(BACKENDS[:2])
-    hear(one, 20, [bad(0)])
-    assert left_out(one) == set()
+    evidence = new_evidence()
+    evidence.set_backends(BACKENDS[:2])
+    receive_answers(evidence, 20, [unhealthy(0)])
+    assert left_out(evidence) == set()
 
 
-def test_what_is_seen_here_overrules_what_is_heard():
-    one = evidence()
-    hear(one, 20, [bad(3)])
-    one.sent(1, 3, START)
-    one.ended(1, True, START)
-    assert left_out(one) == set()
-    hear(one, 20, [bad(3)], START + OWN)
-    assert left_out(one, START + OWN) == {3}
+def test_own_observations_overrule_reports():
+    evidence = new_evidence()
+    receive_answers(evidence, 20, [unhealthy(3)])
+    evidence.attempt_started(1, 3, START_US)
+    evidence.attempt_ended(1, True, START_US)
+    assert left_out(evidence) == set()
+    receive_answers(evidence, 20, [unhealthy(3)], START_US + OWN_SUCCESS_US)
+    assert left_out(evidence, START_US + OWN_SUCCESS_US) == {3}
 
 
-def test_a_verdict_ages_out_by_itself():
-    one = evidence()
-    hear(one, 20, [bad(3)])
-    assert left_out(one) == {3}
-    assert left_out(one, START + HEARD - 1) == {3}
-    assert left_out(one, START + HEARD) == set()
+def test_a_verdict_ends_without_new_reports():
+    evidence = new_evidence()
+    receive_answers(evidence, 20, [unhealthy(3)])
+    assert left_out(evidence) == {3}
+    assert left_out(evidence, START_US + REPORT_LIFETIME_US - 1) == {3}
+    assert left_out(evidence, START_US + REPORT_LIFETIME_US) == set()
 
 
-def test_evidence_that_was_old_when_told_is_none():
-    one = evidence()
-    hear(one, 20, [bad(3, age=AGE // 100_000)])
-    assert left_out(one) == set()
+def test_observations_that_were_old_when_reported_do_not_count():
+    evidence = new_evidence()
+    receive_answers(evidence, 20, [unhealthy(3, age=MAX_REPORT_AGE_US // 100_000)])
+    assert left_out(evidence) == set()
 
 
-def test_a_verdict_stands_on_few_but_not_for_longer_than_stated():
-    one = evidence()
-    hear(one, 100, [bad(3)])
-    assert left_out(one, others=100) == {3}
+def test_a_standing_verdict_needs_fewer_accusers_and_ends_at_its_longest_time():
+    evidence = new_evidence()
+    receive_answers(evidence, 100, [unhealthy(3)])
+    assert left_out(evidence, others=100) == {3}
     for second in range(5, 70, 5):
-        now = START + second * SECOND
-        hear(one, 8, [bad(3)], now)
-        hear(one, 92, [], now, first=8)
-        assert left_out(one, now, 100) == ({3} if second * SECOND < LONGEST else set())
+        now = START_US + second * SECOND_US
+        receive_answers(evidence, 8, [unhealthy(3)], now)
+        receive_answers(evidence, 92, [], now, first=8)
+        assert left_out(evidence, now, 100) == ({3} if second * SECOND_US < MAX_VERDICT_US else set())
 
 
-def test_no_verdict_outlives_a_restart_or_the_list():
-    one = evidence()
-    hear(one, 20, [bad(3), bad(4)])
-    assert left_out(one) == {3, 4}
+def test_no_verdict_outlives_a_restart_or_removal_of_its_backend():
+    evidence = new_evidence()
+    receive_answers(evidence, 20, [unhealthy(3), unhealthy(4)])
+    assert left_out(evidence) == {3, 4}
     again = [KnownBackend(3, "b3", "a", 9) if k.index == 3 else k for k in BACKENDS if k.index != 4]
-    one.listed(again)
-    assert left_out(one) == set()
+    evidence.set_backends(again)
+    assert left_out(evidence) == set()
 
 
-def test_somebody_always_probes_each_in_its_turn_and_sends_one_call_out():
-    ones = [evidence(f"g{n}") for n in range(60)]
-    for one in ones:
-        hear(one, 20, [bad(3)])
-        left_out(one)
+def test_gateways_take_turns_to_probe_with_one_attempt_each():
+    gateways = [new_evidence(f"g{n}") for n in range(60)]
+    for evidence in gateways:
+        receive_answers(evidence, 20, [unhealthy(3)])
+        left_out(evidence)
     probers = []
     for slot in range(40):
-        now = START + slot * SLOT
-        who = [one.name for one in ones if one.advice(now, 60).probed]
+        now = START_US + slot * PROBE_SLOT_US
+        who = [evidence.gateway for evidence in gateways if evidence.advice(now, 60).probed]
         probers += who
-        for one in ones:
-            if one.advice(now, 60).probed:
-                one.sent(1, 3, now)
-                assert one.advice(now, 60).probed == set() and 3 in one.advice(now, 60).left_out
-    assert 20 * PROBERS < len(probers) < 60 * PROBERS and len(set(probers)) > 40
+        for evidence in gateways:
+            if evidence.advice(now, 60).probed:
+                evidence.attempt_started(1, 3, now)
+                assert evidence.advice(now, 60).probed == set() and 3 in evidence.advice(now, 60).left_out
+    assert 20 * PROBERS_PER_SLOT < len(probers) < 60 * PROBERS_PER_SLOT and len(set(probers)) > 40
 
 
-def test_what_is_out_for_long_is_silent_once_and_an_answer_after_all_takes_that_back():
-    one = evidence()
-    one.sent(1, 3, START)
+def test_an_unanswered_attempt_counts_as_failed_once_until_its_late_answer():
+    evidence = new_evidence()
+    evidence.attempt_started(1, 3, START_US)
     for step in range(12):
-        one.watch(START + step * 100_000)
-    (entry,) = one.own(START + SECOND)
-    assert entry.accuses and entry.bad == 1 and entry.backend == ID[3]
-    one.ended(1, True, START + 2 * SECOND)
-    assert not any(e.accuses for e in one.own(START + 2 * SECOND))
+        evidence.check_silent(START_US + step * 100_000)
+    (entry,) = evidence.reports(START_US + SECOND_US)
+    assert entry.unhealthy and entry.failures == 1 and entry.backend_id == IDS[3]
+    evidence.attempt_ended(1, True, START_US + 2 * SECOND_US)
+    assert not any(e.unhealthy for e in evidence.reports(START_US + 2 * SECOND_US))
 
 
-def test_after_standing_still_nothing_that_was_out_accuses():
-    one = evidence()
-    one.sent(1, 3, START)
-    one.watch(START + 100_000)
-    one.watch(START + 5 * SECOND)
-    assert one.own(START + 5 * SECOND) == []
+def test_attempts_pending_during_a_stall_accuse_nobody():
+    evidence = new_evidence()
+    evidence.attempt_started(1, 3, START_US)
+    evidence.check_silent(START_US + 100_000)
+    evidence.check_silent(START_US + 5 * SECOND_US)
+    assert evidence.reports(START_US + 5 * SECOND_US) == []
 
 
-def test_a_gateway_to_which_most_seem_bad_accuses_nobody():
-    one = evidence()
+def test_a_gateway_that_finds_most_backends_unhealthy_accuses_nobody():
+    evidence = new_evidence()
     for b in range(7):
-        one.sent(b, b, START)
-        one.ended(b, False, START)
-    assert one.own(START) == []
+        evidence.attempt_started(b, b, START_US)
+        evidence.attempt_ended(b, False, START_US)
+    assert evidence.reports(START_US) == []
 
 
-def test_good_is_told_only_of_what_is_disputed():
-    one = evidence()
+def test_healthy_backends_are_reported_only_while_disputed():
+    evidence = new_evidence()
     for b in (3, 4):
-        one.sent(b, b, START)
-        one.ended(b, True, START)
-    assert one.own(START) == []
-    hear(one, 2, [bad(3)])
-    one.judge(START, 20)
-    assert [e.backend for e in one.own(START)] == [ID[3]]
+        evidence.attempt_started(b, b, START_US)
+        evidence.attempt_ended(b, True, START_US)
+    assert evidence.reports(START_US) == []
+    receive_answers(evidence, 2, [unhealthy(3)])
+    evidence.judge(START_US, 20)
+    assert [e.backend_id for e in evidence.reports(START_US)] == [IDS[3]]
 
 
 @pytest.mark.parametrize(
-    "ends, accuses", [([True, False], True), ([False, True], False), ([True, True, True, False], True), ([None], False)]
+    "ends, accused", [([True, False], True), ([False, True], False), ([True, True, True, False], True), ([None], False)]
 )
-def test_what_counts_as_an_accusation(ends, accuses):
-    one = evidence()
+def test_the_last_outcome_decides_whether_a_backend_is_reported_unhealthy(ends, accused):
+    evidence = new_evidence()
     for n, end in enumerate(ends):
-        one.sent(n, 3, START + n * 1000)
-        one.ended(n, end, START + n * 200_000)
-    assert any(e.accuses for e in one.own(START + 900_000)) is accuses
+        evidence.attempt_started(n, 3, START_US + n * 1000)
+        evidence.attempt_ended(n, end, START_US + n * 200_000)
+    assert any(e.unhealthy for e in evidence.reports(START_US + 900_000)) is accused
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,4 +1,4 @@
-"""Several real gateways that know one another, over links that lose, cut, and between kills and freezes."""
+"""Real gateways that know one another, over faulty links, with kills and freezes."""
 
 import json
 import os
@@ -12,6 +12,7 @@
 from helpers import SETTINGS, GatewayUnderTest, free_port, on_loop, until
 
 from stoneyoke.control.events import PeerEvidence
+from stoneyoke.fleet.messages import MemberState
 from stoneyoke.single_gateway.options import FleetOptions, FleetParameters, fleet_parameters
 from stoneyoke.single_gateway.parameters import InvalidConfiguration
 from stoneyoke.single_gateway.program import GatewaySettings, SingleGatewayProgram
@@ -19,7 +20,7 @@
 ENV = os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)}
 
 
-def test_gateways_share_what_they_learn_of_a_silent_backend_over_faults_of_all_kinds(tmp_path):
+def test_gateways_share_evidence_of_a_silent_backend_under_faults(tmp_path):
     out = tmp_path / "run"
     ran = subprocess.run(
         [
@@ -60,24 +61,24 @@
         assert len(missing) <= 1, (name, missing)
 
 
-def parameters(town, name, own, others, keys=(b"0123456789abcdef",)):
+def parameters(name, own, others, keys=(b"0123456789abcdef",)):
     return FleetParameters(name, own, own, list(others), list(keys))
 
 
-class Two:
+class TwoGateways:
     """Two gateways on sockets that know each other, before the same stand-ins."""
 
     def __init__(self):
-        self.town = GatewayUnderTest()
+        self.stand_ins = GatewayUnderTest()
 
     async def __aenter__(self):
-        await self.town.__aenter__()
-        given = json.loads(json.dumps(self.town.given)) | {"listen": "127.0.0.1:0"}
+        await self.stand_ins.__aenter__()
+        given = json.loads(json.dumps(self.stand_ins.given)) | {"listen": "127.0.0.1:0"}
         given["settings"] = SETTINGS | {"self-index": 2}
         one, two = (("127.0.0.1", free_port("127.0.0.1", socket.SOCK_DGRAM)) for _ in range(2))
         self.programs = [
-            SingleGatewayProgram(GatewaySettings(given), parameters(self.town, "g1", one, [two])),
-            SingleGatewayProgram(GatewaySettings(given), parameters(self.town, "g2", two, [one])),
+            SingleGatewayProgram(GatewaySettings(given), parameters("g1", one, [two])),
+            SingleGatewayProgram(GatewaySettings(given), parameters("g2", two, [one])),
         ]
         for program in self.programs:
             await program.start()
@@ -88,27 +89,27 @@
             program.server.close()
             program.discovery.stop()
             program.maintenance.cancel()
-            if program.peers.ticking:
-                program.peers.ticking.cancel()
-            program.peers.transport.close()
-        await self.town.__aexit__()
+            if program.peers.tick_task:
+                program.peers.tick_task.cancel()
+            program.peers.socket.close()
+        await self.stand_ins.__aexit__()
 
 
 @on_loop
-async def test_two_programs_find_each_other_and_one_says_farewell():
-    async with Two() as two:
-        first, second = (program.peers.agent.members for program in two.programs)
+async def test_two_programs_find_each_other_and_one_leaves():
+    async with TwoGateways() as two:
+        first, second = (program.peers.agent.membership.table for program in two.programs)
         await until(lambda: first.size() == second.size() == 2)
         two.programs[0].peers.leave()
         await until(lambda: second.size() == 1)
-        assert second.peers["g1"].record.state == 3
+        assert second.peers["g1"].record.state == MemberState.LEFT
 
 
 @on_loop
-async def test_junk_and_a_flood_of_it_cost_counts_and_the_rest_goes_on():
-    async with Two() as two:
+async def test_a_flood_of_junk_is_counted_and_the_rest_goes_on():
+    async with TwoGateways() as two:
         peers = two.programs[0].peers
-        await until(lambda: peers.agent.members.size() == 2)
+        await until(lambda: peers.agent.membership.table.size() == 2)
         for _ in range(1000):
             peers.datagram_received(b"\x01junk" * 10, ("127.0.0.1", 1))
         counts = two.programs[0].metrics.counts
@@ -120,11 +121,11 @@
 
 
 @on_loop
-async def test_what_the_others_make_of_a_backend_reaches_the_decisions():
-    async with Two() as two:
+async def test_advice_reaches_the_gateways_decisions():
+    async with TwoGateways() as two:
         program = two.programs[0]
         (index,) = program.runtime.gateway.backends
-        program.peers.advise(PeerEvidence(frozenset([index]), frozenset()))
+        program.peers.apply_advice(PeerEvidence(frozenset([index]), frozenset()))
         assert program.runtime.gateway.peer_evidence.left_out == {index}
         assert program.metrics.counts["fleet: left out on hearsay"] == 1
         program.peers.leave()
@@ -144,7 +145,7 @@
         ({"keys": "word"}, "no hex number"),
     ],
 )
-def test_options_that_cannot_be_used_are_told_by_field(tmp_path, monkeypatch, changes, says):
+def test_unusable_options_are_reported_by_field(tmp_path, monkeypatch, changes, says):
     monkeypatch.chdir(tmp_path)
     (tmp_path / "good").write_text("00" * 16)
     (tmp_path / "short").write_text("00")
@@ -155,7 +156,7 @@
         fleet_parameters(FleetOptions(**(given | changes)), "")
 
 
-def test_a_gateway_without_the_option_loads_no_fleet_part():
+def test_a_gateway_without_the_option_does_not_import_the_fleet_package():
     code = "import sys, stoneyoke.single_gateway.program; print([m for m in sys.modules if 'stoneyoke.fleet' in m])"
     ran = subprocess.run([sys.executable, "-c", code], env=ENV, capture_output=True, text=True)
     assert ran.stdout.strip() == "[]", ran.stderr
