--- a/stoneyoke/fleet/transport.py
+++ b/stoneyoke/fleet/transport.py
@@ -19,6 +19,10 @@
 SECOND_US = 1_000_000
 MAX_DATAGRAMS_PER_TICK = 100  # more are dropped unread
 MAX_ZONE_CHARACTERS = 64
+EJECTED = "fleet: backend ejected on peer evidence"
+REINSTATED = "fleet: backend reinstated"
+# Names of the same counters up to release 0.1, kept beside for one release.
+EJECTED_FORMERLY, REINSTATED_FORMERLY = "fleet: left out on hearsay", "fleet: back in"
 # An attempt without answer for this part of the longest soft deadline counts as failed.
 SILENT_NUMERATOR, SILENT_DENOMINATOR = 3, 5
 STATE_TEXTS = {
@@ -172,9 +176,11 @@
         before = self._applied_advice.left_out | self._applied_advice.probed
         after = advice.left_out | advice.probed
         for index in sorted(after - before):
-            self.metrics.report("fleet: left out on hearsay", self._backend_names.get(index, "?"))
+            self.metrics.report(EJECTED, self._backend_names.get(index, "?"))
+            self.metrics.add(EJECTED_FORMERLY)
         for index in sorted(before - after):
-            self.metrics.report("fleet: back in", self._backend_names.get(index, "?"))
+            self.metrics.report(REINSTATED, self._backend_names.get(index, "?"))
+            self.metrics.add(REINSTATED_FORMERLY)
         self._applied_advice = advice
         self.runtime.dispatch(advice)
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -47,9 +47,9 @@
     logs = {path.stem: path.read_text() for path in (out / "logs").glob("*-g*.log")}
     assert len(logs) == 9
     assert not [name for name, log in logs.items() if "Traceback" in log or "BROKEN" in log]
-    knew = [name for name, log in logs.items() if "left out on hearsay: a/b000" in log]
+    knew = [name for name, log in logs.items() if "backend ejected on peer evidence: a/b000" in log]
     assert len(knew) >= 6, knew
-    back = [name for name in knew if "back in: a/b000" in logs[name]]
+    back = [name for name in knew if "backend reinstated: a/b000" in logs[name]]
     assert len(back) >= len(knew) - 1, (knew, back)
     gone = [name for name, log in logs.items() if re.search("a gateway (is dead|has left): c/g008", log)]
     assert len(gone) >= 3, gone
@@ -127,7 +127,8 @@
         (index,) = program.runtime.gateway.backends
         program.peers.apply_advice(PeerEvidence(frozenset([index]), frozenset()))
         assert program.runtime.gateway.peer_evidence.left_out == {index}
-        assert program.metrics.counts["fleet: left out on hearsay"] == 1
+        assert program.metrics.counts["fleet: backend ejected on peer evidence"] == 1
+        assert program.metrics.counts["fleet: left out on hearsay"] == 1  # the name before, for one release
         program.peers.leave()
         assert program.runtime.gateway.peer_evidence.left_out == frozenset()
 
--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -1,4 +1,4 @@
-"""Without word of other gateways the decisions are what they were before there was a fleet part."""
+"""Without peer evidence the decisions are what they were before there was a fleet package."""
 
 import hashlib
 import random
@@ -87,9 +87,9 @@
     return digest.hexdigest()[:16]
 
 
-def test_recorded_events_are_answered_as_before():
+def test_recorded_events_get_the_recorded_actions():
     assert replay() == RECORDED
 
 
-def test_hearsay_changes_the_answers_where_there_is_some():
+def test_peer_evidence_changes_the_actions():
     assert replay(PeerEvidence(frozenset([0, 1]), frozenset())) != replay()
