--- a/stoneyoke/lab/capacity/metered_network.py
+++ b/stoneyoke/lab/capacity/metered_network.py
@@ -71,8 +71,8 @@
     def far(self, own: str, other: str) -> bool:
         return self.region_of(own) != self.region_of(other)
 
-    async def cross(self, own: str, other: str) -> bool:
-        arrives = await super().cross(own, other)
+    async def transmit(self, own: str, other: str) -> bool:
+        arrives = await super().transmit(own, other)
         if self.far(own, other):
             await asyncio.sleep(self.far_s)
         return arrives
@@ -81,6 +81,6 @@
         self.traffic.carried(own, other, len(data), self.far(own, other))
         await super().deliver(own, other, kind, data, answer)
 
-    async def bring_back(self, own: str, other: str, data: bytes, answer: asyncio.Future[bytes]) -> None:
+    async def return_answer(self, own: str, other: str, data: bytes, answer: asyncio.Future[bytes]) -> None:
         self.traffic.carried(other, own, len(data), self.far(own, other))
-        await super().bring_back(own, other, data, answer)
+        await super().return_answer(own, other, data, answer)
--- a/stoneyoke/lab/simulation/__main__.py
+++ b/stoneyoke/lab/simulation/__main__.py
@@ -19,12 +19,12 @@
 
 from stoneyoke.lab.simulation import consensus_defects as register_defects
 from stoneyoke.lab.simulation.bounds import START_S
+from stoneyoke.lab.simulation.checker import Outcome
 from stoneyoke.lab.simulation.exhaustive import search
-from stoneyoke.lab.simulation.hard_days import HARD_DAYS
-from stoneyoke.lab.simulation.judge import Outcome
+from stoneyoke.lab.simulation.hard_days import SCRIPTED_SCENARIOS
 from stoneyoke.lab.simulation.plans import read_plan, reduce
 from stoneyoke.lab.simulation.random_plans import make_plan
-from stoneyoke.lab.simulation.runs import count, play, play_hard_day, play_many, play_seed
+from stoneyoke.lab.simulation.runs import count, play, play_many, play_scripted, play_seed
 from stoneyoke.lab.simulation.scenario import Scenario
 from stoneyoke.lab.simulation.seeded_defects import SEEDED_DEFECTS, seeded
 
@@ -52,11 +52,11 @@
                 {
                     "scenarios": metrics.scenarios,
                     "broken": {one.seed: one.broken for one in metrics.broken},
-                    "met": metrics.met,
+                    "met": metrics.events,
                     "trace": metrics.trace,
                     "seconds": round(metrics.seconds, 1),
-                    "refused_inside": metrics.refused_inside,
-                    "asked_inside": metrics.asked_inside,
+                    "refused_inside": metrics.rejected_below_quota,
+                    "asked_inside": metrics.requests_below_quota,
                 }
             )
         )
@@ -68,8 +68,8 @@
 
 
 def show(what: str) -> int:
-    scenario = Scenario(HARD_DAYS[what] if what in HARD_DAYS else make_plan(int(what)))
-    scenario.judge.says = lambda now, what: print(f"{now - START_S:9.3f} {what}")
+    scenario = Scenario(SCRIPTED_SCENARIOS[what] if what in SCRIPTED_SCENARIOS else make_plan(int(what)))
+    scenario.checker.on_event = lambda now, what: print(f"{now - START_S:9.3f} {what}")
     print(scenario.plan.text())
     with seeded(DEFECT.value):
         outcome = scenario.play()
@@ -99,8 +99,8 @@
 
 def find(name: str, among: range) -> tuple[str, str]:
     """By which scenario a seeded defect is found, and as what; an empty text: by none."""
-    for day in HARD_DAYS:
-        if (outcome := play_hard_day(day, name)).broken:
+    for day in SCRIPTED_SCENARIOS:
+        if (outcome := play_scripted(day, name)).broken:
             return name, f"{day}: " + "; ".join(outcome.broken[:2])
     for seed in among:
         if (outcome := play_seed(seed, name)).broken:
--- a/stoneyoke/lab/simulation/judge.py
+++ b/stoneyoke/lab/simulation/checker.py
@@ -20,22 +20,22 @@
     seed: int
     broken: list[str]
     trace: str
-    met: Counter[str]
+    events: Counter[str]
     sent: int = 0
     refused: int = 0
-    refused_inside: int = 0  # of tenants at half their quota, long after the last trouble
-    asked_inside: int = 0
+    rejected_below_quota: int = 0  # of tenants at half their quota, long after the last trouble
+    requests_below_quota: int = 0
     disk_bytes: int = 0  # that the fullest controller's disk holds at the end
 
 
-class Drained(NamedTuple):
+class AcknowledgedDrain(NamedTuple):
     """A drain was acknowledged."""
 
     at: float
     instance: str
 
 
-class Judge:
+class InvariantChecker:
     """controllers_at: when a controller was disturbed last, or will be; gateway_at: the same of each gateway.
     lost_until: until when a controller counts as lost. links_until: until when all links are in trouble.
     calm_at: when more was last lost than is to be borne. waiting: when each order without an answer was sent."""
@@ -43,22 +43,22 @@
     def __init__(self, losses: int) -> None:
         self.losses = losses
         self.broken: list[str] = []
-        self.register = RegisterHistory(self.must)
-        self.drained: list[Drained] = []
-        self.controllers_at = self.links_until = self.calm_at = 0.0
-        self.gateway_at: dict[str, float] = {}
+        self.register = RegisterHistory(self.check)
+        self.drained: list[AcknowledgedDrain] = []
+        self.controllers_disturbed_until = self.links_disturbed_until = self.intolerable_until = 0.0
+        self.gateways_disturbed_until: dict[str, float] = {}
         self.lost_until: dict[str, float] = {}
         self.waiting: dict[int, tuple[float, Version]] = {}
-        self.windows: dict[str, deque[float]] = {}
-        self.sums = blake2b(digest_size=12)
-        self.says: Callable[[float, str], None] | None = None
+        self.admitted_at: dict[str, deque[float]] = {}
+        self.trace_digest = blake2b(digest_size=12)
+        self.on_event: Callable[[float, str], None] | None = None
 
-    def note(self, now: float, what: str) -> None:
-        if self.says:
-            self.says(now, what)
-        self.sums.update(f"{now:.4f} {what}\n".encode())
+    def record(self, now: float, what: str) -> None:
+        if self.on_event:
+            self.on_event(now, what)
+        self.trace_digest.update(f"{now:.4f} {what}\n".encode())
 
-    def must(self, holds: Any, now: float, what: str) -> None:
+    def check(self, holds: Any, now: float, what: str) -> None:
         if not holds and len(self.broken) < MOST_BROKEN:
             self.broken.append(f"{now - START_S:.2f} s: {what}")
 
@@ -66,50 +66,52 @@
 
     def disturb_controller(self, name: str, now: float, until: float) -> None:
         """It is lost until then and for catch_up_s more; so is whoever has not caught up yet."""
-        self.controllers_at = max(self.controllers_at, until)
+        self.controllers_disturbed_until = max(self.controllers_disturbed_until, until)
         late = until + BOUNDS.catch_up_s
         self.lost_until[name] = max(self.lost_until.get(name, 0.0), late)
-        self.hold_up(now, late)
+        self.extend_recovery(now, late)
 
     def disturb_links(self, now: float, until: float) -> None:
-        self.controllers_at = max(self.controllers_at, until)
-        self.links_until = max(self.links_until, until)
-        self.hold_up(now, until + BOUNDS.catch_up_s)
+        self.controllers_disturbed_until = max(self.controllers_disturbed_until, until)
+        self.links_disturbed_until = max(self.links_disturbed_until, until)
+        self.extend_recovery(now, until + BOUNDS.catch_up_s)
 
-    def hold_up(self, now: float, late: float) -> None:
+    def extend_recovery(self, now: float, late: float) -> None:
         for other, lost_until in self.lost_until.items():
             if lost_until > now:
                 self.lost_until[other] = max(lost_until, late)
 
     def disturb_gateway(self, name: str, until: float) -> None:
-        self.gateway_at[name] = max(self.gateway_at.get(name, 0.0), until)
+        self.gateways_disturbed_until[name] = max(self.gateways_disturbed_until.get(name, 0.0), until)
 
     def lost(self, now: float) -> list[str]:
         return [name for name, until in self.lost_until.items() if until > now]
 
-    def may_lose(self, names: Iterable[str], now: float) -> bool:
+    def tolerates_loss_of(self, names: Iterable[str], now: float) -> bool:
         """Whether the disks of these may be lost for good now, within the tolerance."""
-        settled = now > self.links_until + BOUNDS.catch_up_s
+        settled = now > self.links_disturbed_until + BOUNDS.catch_up_s
         return settled and len({*names, *self.lost(now)}) <= self.losses
 
-    def in_touch(self, name: str, now: float) -> bool:
-        return now - max(self.controllers_at, self.gateway_at.get(name, 0.0)) > BOUNDS.contact_s
+    def has_contact(self, name: str, now: float) -> bool:
+        return (
+            now - max(self.controllers_disturbed_until, self.gateways_disturbed_until.get(name, 0.0)) > BOUNDS.contact_s
+        )
 
     # ---- orders, requests ----
 
     def check_orders(self, now: float) -> None:
         """A valid order has an answer within ack_s of calm."""
-        if len(self.lost(now)) > self.losses or now <= self.links_until:
-            self.calm_at = now
+        if len(self.lost(now)) > self.losses or now <= self.links_disturbed_until:
+            self.intolerable_until = now
         for key, (sent_at, version) in list(self.waiting.items()):
-            if now - max(sent_at, self.calm_at) > ACK_S:
-                self.must(False, now, f"ACK: {version} has no answer after {ACK_S} s of calm")
+            if now - max(sent_at, self.intolerable_until) > ACK_S:
+                self.check(False, now, f"ACK: {version} has no answer after {ACK_S} s of calm")
                 del self.waiting[key]
 
     def send(self, label: str, rate: float, burst: float, now: float) -> None:
-        window = self.windows.setdefault(label, deque())
+        window = self.admitted_at.setdefault(label, deque())
         window.append(now)
         while now - window[0] > BOUNDS.quota_window_s:
             window.popleft()
         allowed = (rate * BOUNDS.quota_window_s + burst) * (1 + BOUNDS.quota_excess_ratio) + BOUNDS.quota_slack_units
-        self.must(len(window) <= allowed, now, f"QUOTA: {label} sent {len(window)} of {allowed:.0f}")
+        self.check(len(window) <= allowed, now, f"QUOTA: {label} sent {len(window)} of {allowed:.0f}")
--- a/stoneyoke/lab/simulation/clock.py
+++ b/stoneyoke/lab/simulation/clock.py
@@ -6,27 +6,27 @@
 from collections import deque
 from typing import Any
 
-STILL_TURNS = 200_000  # without time passing: somebody waits for nothing, again and again
+MAX_TURNS_WITHOUT_PROGRESS = 200_000  # without time passing: somebody waits for nothing, again and again
 MACHINE: contextvars.ContextVar[str] = contextvars.ContextVar("machine", default="")  # where a task or timer runs
 
 
-class StepHandle(asyncio.Handle):
+class FreezableHandle(asyncio.Handle):
     """One step. It waits while the machine that it belongs to is frozen."""
 
     __slots__ = ()
 
     def _run(self) -> None:
-        if not self._loop.park(self):  # type: ignore[attr-defined]
+        if not self._loop.hold_if_frozen(self):  # type: ignore[attr-defined]
             super()._run()
 
 
-class TimerStepHandle(asyncio.TimerHandle):
+class FreezableTimerHandle(asyncio.TimerHandle):
     """The same for a timer: time passes for a frozen machine, and it learns so once it is thawed."""
 
     __slots__ = ()
 
     def _run(self) -> None:
-        if not self._loop.park(self):  # type: ignore[attr-defined]
+        if not self._loop.hold_if_frozen(self):  # type: ignore[attr-defined]
             super()._run()
 
 
@@ -44,7 +44,7 @@
 
         def jump(timeout: float | None) -> Any:
             self.turns += 1
-            if self.turns > STILL_TURNS:
+            if self.turns > MAX_TURNS_WITHOUT_PROGRESS:
                 raise RuntimeError(f"time stands still at {self.now:.3f}")
             if timeout == 0:
                 return []
@@ -65,7 +65,7 @@
     def thaw(self, machine: str) -> None:
         self._ready.extend(self.frozen.pop(machine, ()))  # type: ignore[attr-defined]
 
-    def park(self, handle: asyncio.Handle) -> bool:
+    def hold_if_frozen(self, handle: asyncio.Handle) -> bool:
         """Whether this step has to wait for a thaw."""
         if not self.frozen:
             return False
@@ -76,12 +76,12 @@
         return True
 
     def _call_soon(self, callback: Any, args: Any, context: Any) -> asyncio.Handle:
-        handle = StepHandle(callback, args, self, context)
+        handle = FreezableHandle(callback, args, self, context)
         self._ready.append(handle)  # type: ignore[attr-defined]
         return handle
 
     def call_at(self, when: float, callback: Any, *args: Any, context: Any = None) -> asyncio.TimerHandle:  # type: ignore[override]
-        timer = TimerStepHandle(when, callback, args, self, context)
+        timer = FreezableTimerHandle(when, callback, args, self, context)
         heapq.heappush(self._scheduled, timer)  # type: ignore[attr-defined]
         timer._scheduled = True  # type: ignore[attr-defined]
         return timer
--- a/stoneyoke/lab/simulation/outside.py
+++ b/stoneyoke/lab/simulation/control_api_client.py
@@ -14,7 +14,7 @@
 WAY_S = 0.002
 
 
-class Outside:
+class ControlApiClient:
     """Whoever calls from outside. cut_off: controllers that hear no majority, since when. excused: those that were
     not able to answer for other reasons, until when."""
 
@@ -73,9 +73,9 @@
             return
         if machine.controller is None or asked_at < known_at or scenario.busy(machine.name):
             return
-        now, judge = scenario.now(), scenario.judge
+        now, checker = scenario.now(), scenario.checker
         quick = said is not None and now - asked_at <= REFUSED_S
-        judge.must(quick, now, f"CUT: {machine.name} is cut off and takes {now - asked_at:.2f} s to say so")
+        checker.check(quick, now, f"CUT: {machine.name} is cut off and takes {now - asked_at:.2f} s to say so")
         served = isinstance(said, Document | Rejected)
-        judge.must(not served, now, f"CUT: {machine.name} is cut off and says {type(said).__name__}")
-        scenario.met["refused, cut off"] += 1
+        checker.check(not served, now, f"CUT: {machine.name} is cut off and says {type(said).__name__}")
+        scenario.events["refused, cut off"] += 1
--- a/stoneyoke/lab/simulation/disks.py
+++ b/stoneyoke/lab/simulation/disks.py
@@ -106,7 +106,7 @@
                 left = files[at]
             else:
                 continue
-            after[name] = (left.synced or b"") if all_gone else torn(left, random_source)
+            after[name] = (left.synced or b"") if all_gone else torn_content(left, random_source)
         shutil.rmtree(self.folder)
         os.makedirs(self.folder)
         for name, data in after.items():
@@ -115,7 +115,7 @@
         self.state = SyncedState(after, set(after))
 
 
-def torn(file: FileState, random_source: random.Random) -> bytes:
+def torn_content(file: FileState, random_source: random.Random) -> bytes:
     """Writes after the last sync: missing, there, or there up to some byte, with zeros or nothing after it."""
     content, synced = file.content, file.synced or b""
     if content == synced or random_source.random() < 0.4:
@@ -131,7 +131,7 @@
 
     def __init__(self, folder: str, random_source: random.Random) -> None:
         self.folder, self.random_source = folder, random_source
-        self.write_s, self.hangs, self.refuses = WRITE_S, False, False
+        self.write_s, self.stalled, self.refuses = WRITE_S, False, False
         self.store = SimulatedRecordStore(folder)
         self.writing: Callable[[], Any] | None = None
 
@@ -146,7 +146,7 @@
         self.writing = lambda: work(*args)
         try:
             await asyncio.sleep(self.write_s * (0.5 + self.random_source.random()))
-            while self.hangs:
+            while self.stalled:
                 await asyncio.sleep(STALL_STEP_S)
             self.writing = None
             done = work(*args)
@@ -177,8 +177,8 @@
         """Bytes that the folder holds."""
         return sum(entry.stat().st_size for entry in os.scandir(self.folder))
 
-    def trouble(self, how: str) -> None:
+    def set_fault(self, how: str) -> None:
         """slow, hang, refuse; an empty word ends it."""
         self.write_s = SLOW_WRITE_S if how == "slow" else WRITE_S
-        self.hangs = how == "hang"
+        self.stalled = how == "hang"
         self.refuses = self.store.refuses = how == "refuse"
--- a/stoneyoke/lab/simulation/hard_days.py
+++ b/stoneyoke/lab/simulation/hard_days.py
@@ -198,8 +198,8 @@
         when, gone = BEGIN_S + 10 * at, places.pop(0)
         successor = controller_address(3 + at)
         faults.append(Fault(when, "exchange", GAP_S, (gone,), successor=successor))
-        strike = Fault(when + GAP_S, "at_message", 1.0, how="kill", message=message, sent=sent, count=1 + at)
-        faults.append(strike)
+        inject = Fault(when + GAP_S, "at_message", 1.0, how="kill", message=message, sent=sent, count=1 + at)
+        faults.append(inject)
         places.append(successor)
     return Plan(309 + sent, spares=6, seconds=62.0, faults=tuple(faults))
 
@@ -333,7 +333,7 @@
     return Plan(502, spares=1, seconds=14.0, orders=steady_orders(12, 0.8, 2, again=2), faults=faults)
 
 
-HARD_DAYS: dict[str, Plan] = {
+SCRIPTED_SCENARIOS: dict[str, Plan] = {
     "cut_off_for_20_s": cut_off_for_20_s(),
     "two_of_five_cut_off": two_of_five_cut_off(),
     "cut_off_and_restarted": cut_off_and_restarted(),
--- a/stoneyoke/lab/simulation/machines.py
+++ b/stoneyoke/lab/simulation/machines.py
@@ -9,15 +9,15 @@
 from stoneyoke.controlplane.controller import Controller
 from stoneyoke.gateway.control_client import ControlClient
 from stoneyoke.gateway.routes import Table, table_of
-from stoneyoke.lab.simulation.bounds import BEAT_S, BOUNDS
+from stoneyoke.lab.simulation.bounds import BOUNDS, HEARTBEAT_S
 from stoneyoke.lab.simulation.clock import SimulatedLoop
 from stoneyoke.lab.simulation.disks import Disk
-from stoneyoke.lab.simulation.network import in_order
+from stoneyoke.lab.simulation.network import in_creation_order
 
 if TYPE_CHECKING:
     from stoneyoke.lab.simulation.scenario import Scenario
 
-SILENT_S = 2.4 * BEAT_S + 0.5  # of a backend
+SILENT_S = 2.4 * HEARTBEAT_S + 0.5  # of a backend
 SWEEP_S = 0.25
 CLOCK_OFFSET_S = 500.0  # machines' steady clocks have nothing in common
 ZONE, PORT = "east", 1
@@ -78,7 +78,7 @@
         try:
             await controller.start()
         except Exception as bad:
-            return scenario.judge.must(False, loop.time(), f"START: {self.name}: {type(bad).__name__}: {bad}")
+            return scenario.checker.check(False, loop.time(), f"START: {self.name}: {type(bad).__name__}: {bad}")
         self.controller, self.started_at = controller, loop.time()
         scenario.network.ports[self.name] = controller.handle_message
 
@@ -90,7 +90,7 @@
         controller, self.controller = self.controller, None
         self.scenario.network.end_machine(self.name, power)
         if controller:
-            for task in in_order(controller.tasks):
+            for task in in_creation_order(controller.tasks):
                 task.cancel()
         simulated_loop().thaw(self.name)
 
@@ -108,7 +108,7 @@
         self.table: Table | None = None
         self.tasks: list[asyncio.Task[Any]] = []
         self.incarnations = 0
-        self.started_at, self.readied = 0.0, False
+        self.started_at, self.has_been_ready = 0.0, False
 
     def up(self) -> bool:
         return self.client is not None
@@ -120,7 +120,7 @@
         scenario, loop = self.scenario, asyncio.get_running_loop()
         self.incarnations += 1
         offset = scenario.random_source.uniform(-CLOCK_OFFSET_S, CLOCK_OFFSET_S)
-        self.table, self.started_at, self.readied = None, loop.time(), False
+        self.table, self.started_at, self.has_been_ready = None, loop.time(), False
         self.client = ControlClient(
             self.name,
             self.name,
@@ -143,22 +143,24 @@
             client.instance_directory.sweep(client.clock())
 
     def take(self, configuration: Configuration) -> None:
-        judge, now = self.scenario.judge, self.scenario.now()
-        judge.note(now, f"{self.name} takes {configuration.version}")
-        judge.register.show(now, self.name, configuration)
+        checker, now = self.scenario.checker, self.scenario.now()
+        checker.record(now, f"{self.name} takes {configuration.version}")
+        checker.register.show(now, self.name, configuration)
         newer = self.table is None or configuration.version > self.table.version
-        judge.must(newer, now, f"CONFIG: {self.name} goes back")
+        checker.check(newer, now, f"CONFIG: {self.name} goes back")
         self.table = table_of(configuration)
 
     def told(self) -> None:
         """The first moment at which it serves: it has all that was acknowledged before it started."""
-        if self.client is None or self.readied or not self.client.config_sync.ready:
+        if self.client is None or self.has_been_ready or not self.client.config_sync.ready:
             return
-        self.readied = True
-        judge, now = self.scenario.judge, self.scenario.now()
-        held, needed = self.table.version.number if self.table else 0, judge.register.level(self.started_at)
-        judge.must(held >= needed, now, f"CONFIG: {self.name} begins to serve with r{held}, r{needed} was shown before")
-        judge.note(now, f"{self.name} is ready")
+        self.has_been_ready = True
+        checker, now = self.scenario.checker, self.scenario.now()
+        held, needed = self.table.version.number if self.table else 0, checker.register.level(self.started_at)
+        checker.check(
+            held >= needed, now, f"CONFIG: {self.name} begins to serve with r{held}, r{needed} was shown before"
+        )
+        checker.record(now, f"{self.name} is ready")
 
     def version(self) -> Version:
         return self.table.version if self.table else Version()
--- a/stoneyoke/lab/simulation/network.py
+++ b/stoneyoke/lab/simulation/network.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Trap:
+class MessageTrigger:
     """Strikes where a message passes. machine: that sends or gets it, any if empty; kind: of the message; sent:
     whether it strikes its sender (before it leaves) or its receiver (before it is taken); count: of such messages."""
 
@@ -31,7 +31,7 @@
     kind: str
     sent: bool
     count: int
-    strike: Callable[[str], None]
+    inject: Callable[[str], None]
 
 
 class SimulatedNetwork:
@@ -47,8 +47,8 @@
         self.cuts: Counter[tuple[str, str]] = Counter()  # how many cuts lie on a way
         self.held: Counter[str] = Counter()
         self.late, self.doubled, self.answers_lost = 0.0, 0.0, 0.0
-        self.carried: Counter[str] = Counter()  # messages, by kind
-        self.traps: list[Trap] = []
+        self.messages_by_kind: Counter[str] = Counter()  # messages, by kind
+        self.message_triggers: list[MessageTrigger] = []
         self.opened = asyncio.Event()  # set and renewed when a cut or a hold ends
 
     def context(self, machine: str) -> contextvars.Context:
@@ -72,10 +72,10 @@
             self.ports.pop(machine, None)
         else:
             self.ports[machine] = None
-        for task in in_order(self.tasks.get(machine, ())):
+        for task in in_creation_order(self.tasks.get(machine, ())):
             task.cancel()
 
-    def reopen(self) -> None:
+    def release_waiting(self) -> None:
         """What waited at a cut goes on."""
         self.opened.set()
         self.opened = asyncio.Event()
@@ -83,7 +83,7 @@
     def blocked(self, own: str, other: str) -> bool:
         return self.cuts[own, other] > 0 or self.held[own] > 0 or self.held[other] > 0
 
-    async def cross(self, own: str, other: str) -> bool:
+    async def transmit(self, own: str, other: str) -> bool:
         """One message's way; whether it arrives. One that can't come through is sent again until its sender ends."""
         wait = DELAY_S * (0.7 + 0.6 * self.random_source.random())
         if self.late and self.random_source.random() < self.late:
@@ -98,23 +98,23 @@
     def dialler(self, own: str) -> Callable[[tuple[str, int]], Any]:
         return lambda address: SimulatedPeerClient(self, own, address[0])
 
-    def passes(self, machine: str, kind: str, sent: bool) -> None:
-        for trap in list(self.traps):
-            if trap.kind == kind and trap.sent == sent and trap.machine in ("", machine):
-                trap.count -= 1
-                if trap.count <= 0:
-                    self.traps.remove(trap)
-                    trap.strike(machine)
+    def fire_message_triggers(self, machine: str, kind: str, sent: bool) -> None:
+        for trigger in list(self.message_triggers):
+            if trigger.kind == kind and trigger.sent == sent and trigger.machine in ("", machine):
+                trigger.count -= 1
+                if trigger.count <= 0:
+                    self.message_triggers.remove(trigger)
+                    trigger.inject(machine)
 
     async def deliver(self, own: str, other: str, kind: str, data: bytes, answer: asyncio.Future[bytes]) -> None:
         """Carried whether or not the caller still waits."""
-        if not await self.cross(own, other):
+        if not await self.transmit(own, other):
             return
         while other not in self.ports:
             await asyncio.sleep(NO_POWER_STEP_S)  # nothing answers, and who comes back knows no old connection
             if other in self.ports:
                 return
-        self.passes(other, kind, sent=False)
+        self.fire_message_triggers(other, kind, sent=False)
         serve = self.ports.get(other)
         if serve is None:
             if not answer.done():
@@ -128,14 +128,14 @@
         said = await serve(unpack(data[4:])[1])
         if said is not None:
             # On its way back it belongs to the network: its sender's end or freeze does not hold it up.
-            self.run_on("", self.bring_back(own, other, pack(1, said), answer))
+            self.run_on("", self.return_answer(own, other, pack(1, said), answer))
 
-    async def bring_back(self, own: str, other: str, data: bytes, answer: asyncio.Future[bytes]) -> None:
-        if await self.cross(other, own) and not answer.done():
+    async def return_answer(self, own: str, other: str, data: bytes, answer: asyncio.Future[bytes]) -> None:
+        if await self.transmit(other, own) and not answer.done():
             answer.set_result(data)
 
 
-def in_order(tasks: Iterable[asyncio.Future[Any]]) -> list[asyncio.Task[Any]]:
+def in_creation_order(tasks: Iterable[asyncio.Future[Any]]) -> list[asyncio.Task[Any]]:
     """As they were begun: sets of tasks have another order in each process."""
     return sorted((one for one in tasks if isinstance(one, asyncio.Task)), key=lambda one: int(one.get_name()[5:]))
 
@@ -148,8 +148,8 @@
 
     async def call(self, message: Message, within_s: float) -> Message:
         kind = type(message).__name__
-        self.network.carried[kind] += 1
-        self.network.passes(self.own, kind, sent=True)
+        self.network.messages_by_kind[kind] += 1
+        self.network.fire_message_triggers(self.own, kind, sent=True)
         answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         # On its way it belongs to the network: its sender's end does not take it back.
         self.network.run_on("", self.network.deliver(self.own, self.other, kind, pack(1, message), answer))
--- a/stoneyoke/lab/simulation/operators.py
+++ b/stoneyoke/lab/simulation/operators.py
@@ -14,14 +14,14 @@
     from stoneyoke.lab.simulation.scenario import Scenario
 
 FIRST_PAUSE_S, MOST_PAUSE_S, PAUSE_GROWS = 0.1, 1.0, 1.5
-TWISTS = ("", "-b", "-c", "-d", "-e", "-f", "-g", "-h")  # what makes contents under one number different
+CONTENT_SUFFIXES = ("", "-b", "-c", "-d", "-e", "-f", "-g", "-h")  # what makes contents under one number different
 NOT_FOUND = 404
 
 
-def configuration_text(tenants: tuple[Tenant, ...], number: int, twist: str = "") -> bytes:
+def configuration_text(tenants: tuple[Tenant, ...], number: int, content_suffix: str = "") -> bytes:
     """A valid configuration; no two are alike."""
     route = {
-        "label": f"r-{number}{twist}",
+        "label": f"r-{number}{content_suffix}",
         "path_prefix": f"/{number}/",
         "route_kind": "pure",
         "timeout_s": 2,
@@ -43,34 +43,36 @@
 
 class Operators:
     def __init__(self, scenario: "Scenario") -> None:
-        self.scenario, self.judge, self.random_source = scenario, scenario.judge, scenario.random_source
+        self.scenario, self.checker, self.random_source = scenario, scenario.checker, scenario.random_source
         self.keys = itertools.count()
 
-    def text(self, number: int, twist: str = "") -> bytes:
-        return configuration_text(self.scenario.plan.tenants, number, twist)
+    def text(self, number: int, content_suffix: str = "") -> bytes:
+        return configuration_text(self.scenario.plan.tenants, number, content_suffix)
 
     async def carry_out(self, order: Order) -> None:
         """All that stands in one order of the plan."""
         if order.bad:
             await self.put_invalid(order.number)
         for number in range(order.number, order.number + order.series):
-            calls = [self.put(number, twist, order.again) for twist in TWISTS[: order.contents]]
+            calls = [
+                self.put(number, content_suffix, order.again) for content_suffix in CONTENT_SUFFIXES[: order.contents]
+            ]
             if order.stale and number > 2:
                 calls.append(self.put(1, again=0))
             await asyncio.gather(*calls)
 
     async def put_invalid(self, number: int) -> None:
         body = self.text(number + 50).replace(b'"target_service": "orders"', b'"target_service": "other"')
-        said = await self.scenario.outside.call(controller_address(0), ask("POST", "/config/replace", body))
+        said = await self.scenario.api_client.call(controller_address(0), ask("POST", "/config/replace", body))
         refused = isinstance(said, Rejected) and said.status != CONFLICT_STATUS
-        self.judge.must(refused, self.scenario.now(), "CONFIG: something invalid was not refused")
+        self.checker.check(refused, self.scenario.now(), "CONFIG: something invalid was not refused")
 
-    async def put(self, number: int, twist: str = "", again: int = 0) -> None:
+    async def put(self, number: int, content_suffix: str = "", again: int = 0) -> None:
         """Unchanged, to one controller after the other, until it is acknowledged or its number conflicts; then as
         often again, some time later: one that was taken is never refused."""
-        body = self.text(number, twist)
+        body = self.text(number, content_suffix)
         version = read_configuration(body).version
-        self.judge.register.order(self.scenario.now(), version, body)
+        self.checker.register.order(self.scenario.now(), version, body)
         taken = await self.put_until_clear(version, body)
         for _ in range(again if taken else 0):
             await asyncio.sleep(self.random_source.uniform(0.0, 4.0))
@@ -78,53 +80,53 @@
 
     async def put_until_clear(self, version: Version, body: bytes) -> bool:
         """Whether it was acknowledged; else its number conflicts."""
-        pause, key, names = FIRST_PAUSE_S, next(self.keys), self.scenario.outside.choices()
-        self.judge.waiting[key] = (self.scenario.now(), version)
+        pause, key, names = FIRST_PAUSE_S, next(self.keys), self.scenario.api_client.choices()
+        self.checker.waiting[key] = (self.scenario.now(), version)
         while True:
             if not names:
-                names = self.scenario.outside.choices()
+                names = self.scenario.api_client.choices()
             taken = await self.put_once(names.pop(), version, body)
             if taken is not None:
-                self.judge.waiting.pop(key, None)
+                self.checker.waiting.pop(key, None)
                 return taken
             await asyncio.sleep(pause)
             pause = min(MOST_PAUSE_S, pause * PAUSE_GROWS)
 
     async def put_once(self, name: str, version: Version, body: bytes) -> bool | None:
         """None: no clear answer."""
-        scenario, judge = self.scenario, self.judge
-        said = await scenario.outside.call(name, ask("POST", "/config/replace", body))
+        scenario, checker = self.scenario, self.checker
+        said = await scenario.api_client.call(name, ask("POST", "/config/replace", body))
         now = scenario.now()
         if isinstance(said, Rejected):
-            judge.note(now, f"{name} rejected {version} {said.path}")
-            judge.must(said.status == CONFLICT_STATUS, now, f"CONFIG: {name} refuses a valid order: {said}")
+            checker.record(now, f"{name} rejected {version} {said.path}")
+            checker.check(said.status == CONFLICT_STATUS, now, f"CONFIG: {name} refuses a valid order: {said}")
             controller = scenario.controllers[name].controller
             chosen = controller.replica.chosen if controller else None
-            judge.register.conflict(now, version, name, chosen.value if chosen else None)
-            scenario.met["conflicts"] += 1
+            checker.register.conflict(now, version, name, chosen.value if chosen else None)
+            scenario.events["conflicts"] += 1
             return False
         if said != Acknowledged():
             return None
-        judge.note(now, f"{name} acknowledged {version}")
-        judge.register.acknowledge(now, version)
-        scenario.met["acknowledged"] += 1
+        checker.record(now, f"{name} acknowledged {version}")
+        checker.register.acknowledge(now, version)
+        scenario.events["acknowledged"] += 1
         scenario.faults.acknowledged("after_ack", name)
         return True
 
-    async def read_back_often(self) -> None:
+    async def read_back_repeatedly(self) -> None:
         """Reads back, now and then, from any controller."""
         while True:
             await asyncio.sleep(self.random_source.uniform(0.2, 0.8))
-            await self.read_back(self.random_source.choice(self.scenario.outside.choices()))
+            await self.read_back(self.random_source.choice(self.scenario.api_client.choices()))
 
     async def read_back(self, name: str) -> bool:
         """Whether a configuration was told."""
         scenario, asked_at = self.scenario, self.scenario.now()
-        said = await scenario.outside.call(name, ReadConfiguration())
+        said = await scenario.api_client.call(name, ReadConfiguration())
         if isinstance(said, Document):
-            scenario.met["read back"] += 1
-            self.judge.register.read(asked_at, scenario.now(), name, read_configuration(said.body))
+            scenario.events["read back"] += 1
+            self.checker.register.read(asked_at, scenario.now(), name, read_configuration(said.body))
         elif isinstance(said, Rejected):
-            self.judge.must(said.status == NOT_FOUND, scenario.now(), f"CONFIG: {name} refuses a read: {said}")
-            self.judge.register.read_nothing(asked_at, scenario.now(), name)
+            self.checker.check(said.status == NOT_FOUND, scenario.now(), f"CONFIG: {name} refuses a read: {said}")
+            self.checker.register.read_nothing(asked_at, scenario.now(), name)
         return isinstance(said, Document)
--- a/stoneyoke/lab/simulation/plans.py
+++ b/stoneyoke/lab/simulation/plans.py
@@ -82,12 +82,12 @@
 
     def text(self) -> str:
         given = asdict(self)
-        given["faults"] = [shortened(fault) for fault in self.faults]
-        given["orders"] = [shortened(order) for order in self.orders]
+        given["faults"] = [without_defaults(fault) for fault in self.faults]
+        given["orders"] = [without_defaults(order) for order in self.orders]
         return json.dumps(given, indent=1)
 
 
-def shortened(record: Fault | Order) -> dict[str, Any]:
+def without_defaults(record: Fault | Order) -> dict[str, Any]:
     """Without what stands at its default."""
     given = asdict(record)
     return {
@@ -97,19 +97,19 @@
     }
 
 
-def tupled(value: Any) -> Any:
-    return tuple(tupled(one) for one in value) if isinstance(value, list) else value
+def to_tuples(value: Any) -> Any:
+    return tuple(to_tuples(one) for one in value) if isinstance(value, list) else value
 
 
-def record_of(kind: Any, given: dict[str, Any]) -> Any:
-    return kind(**{name: tupled(value) for name, value in given.items()})
+def parse_record(kind: Any, given: dict[str, Any]) -> Any:
+    return kind(**{name: to_tuples(value) for name, value in given.items()})
 
 
 def read_plan(text: str) -> Plan:
     given = json.loads(text)
     kinds = {"tenants": Tenant, "orders": Order, "faults": Fault}
     for name, kind in kinds.items():
-        given[name] = tuple(record_of(kind, one) for one in given[name])
+        given[name] = tuple(parse_record(kind, one) for one in given[name])
     return Plan(**given)
 
 
@@ -126,14 +126,14 @@
     smaller = True
     while smaller:
         smaller = False
-        for other in shrunk(plan):
+        for other in smaller_plans(plan):
             if breaks(other):
                 plan, smaller = other, True
                 break
     return plan
 
 
-def shrunk(plan: Plan) -> Iterator[Plan]:
+def smaller_plans(plan: Plan) -> Iterator[Plan]:
     for name in ("faults", "orders", "tenants"):
         rows = getattr(plan, name)
         for at in range(len(rows)):
--- a/stoneyoke/lab/simulation/register_history.py
+++ b/stoneyoke/lab/simulation/register_history.py
@@ -12,7 +12,7 @@
 from stoneyoke.consensus.ballot import Ballot
 from stoneyoke.consensus.register_value import Proposal, RegisterValue
 
-Must = Callable[[bool, float, str], None]
+Check = Callable[[bool, float, str], None]
 
 
 class Claim(NamedTuple):
@@ -28,11 +28,11 @@
     numbers that anybody was shown, rising, with their times; floors: the same of those acknowledged. shown: versions
     read back or in force, by number."""
 
-    must: Must
+    check: Check
     sent: dict[Version, float] = field(default_factory=dict)
     bodies: dict[Version, bytes] = field(default_factory=dict)
-    levels: list[tuple[float, int]] = field(default_factory=list)
-    floors: list[tuple[float, int]] = field(default_factory=list)
+    shown_levels: list[tuple[float, int]] = field(default_factory=list)
+    acknowledged_levels: list[tuple[float, int]] = field(default_factory=list)
     shown: dict[int, Version] = field(default_factory=dict)
     acknowledged: list[Claim] = field(default_factory=list)
     conflicts: list[Claim] = field(default_factory=list)
@@ -44,17 +44,17 @@
 
     def level(self, before: float) -> int:
         """The highest number that anybody was shown until then."""
-        at = bisect.bisect_right(self.levels, (before, 1 << 62))
-        return self.levels[at - 1][1] if at else 0
+        at = bisect.bisect_right(self.shown_levels, (before, 1 << 62))
+        return self.shown_levels[at - 1][1] if at else 0
 
     def raise_level(self, now: float, number: int) -> None:
         if number > self.level(now):
-            self.levels.append((now, number))
+            self.shown_levels.append((now, number))
 
     def newest_acknowledged(self, before: float) -> int:
         """The highest number that was acknowledged until then."""
-        at = bisect.bisect_right(self.floors, (before, 1 << 62))
-        return self.floors[at - 1][1] if at else 0
+        at = bisect.bisect_right(self.acknowledged_levels, (before, 1 << 62))
+        return self.acknowledged_levels[at - 1][1] if at else 0
 
     # ---- what is shown ----
 
@@ -62,37 +62,37 @@
         """It is read back, or in force at a gateway."""
         version = configuration.version
         known = self.bodies.get(version) == configuration.body
-        self.must(known, now, f"CONFIG: {where} has a text of {version} that nobody sent")
+        self.check(known, now, f"CONFIG: {where} has a text of {version} that nobody sent")
         first = self.shown.setdefault(version.number, version)
-        self.must(first == version, now, f"CONFIG: {where} shows another content of {version} than was shown before")
+        self.check(first == version, now, f"CONFIG: {where} shows another content of {version} than was shown before")
         told = any(claim.version == version for claim in self.conflicts)
-        self.must(not told, now, f"CONFIG: {where} shows a content of {version} whose operator was told of a conflict")
+        self.check(not told, now, f"CONFIG: {where} shows a content of {version} whose operator was told of a conflict")
         self.raise_level(now, version.number)
 
     def read(self, asked_at: float, now: float, where: str, configuration: Configuration) -> None:
         number, least = configuration.version.number, self.level(asked_at)
-        self.must(number >= least, now, f"CONFIG: {where} reads back r{number}, r{least} was shown before")
+        self.check(number >= least, now, f"CONFIG: {where} reads back r{number}, r{least} was shown before")
         self.show(now, where, configuration)
 
     def read_nothing(self, asked_at: float, now: float, where: str) -> None:
         least = self.level(asked_at)
-        self.must(least == 0, now, f"CONFIG: {where} says that there is no configuration, r{least} was shown before")
+        self.check(least == 0, now, f"CONFIG: {where} says that there is no configuration, r{least} was shown before")
 
     def acknowledge(self, now: float, version: Version) -> None:
         told = any(claim.version == version for claim in self.conflicts)
-        self.must(not told, now, f"CONFIG: {version} was rejected, then acknowledged")
+        self.check(not told, now, f"CONFIG: {version} was rejected, then acknowledged")
         self.acknowledged.append(Claim(now, version))
         if version.number > self.newest_acknowledged(now):
-            self.floors.append((now, version.number))
+            self.acknowledged_levels.append((now, version.number))
         self.raise_level(now, version.number)
 
     def conflict(self, now: float, version: Version, controller: str, chosen: RegisterValue | None) -> None:
         """An operator was told that another content is in force under its number. chosen: known to that controller."""
         decided = chosen is not None and chosen.version.number >= version.number and chosen.version != version
-        self.must(decided, now, f"CONFIG: {controller} tells of a conflict at {version}, and nothing else was decided")
+        self.check(decided, now, f"CONFIG: {controller} tells of a conflict at {version}, and nothing else was decided")
         again = any(claim.version == version for claim in self.acknowledged)
-        self.must(not again, now, f"CONFIG: {version} was acknowledged, then refused")
-        self.must(
+        self.check(not again, now, f"CONFIG: {version} was acknowledged, then refused")
+        self.check(
             self.shown.get(version.number) != version, now, f"CONFIG: {version} was shown, then refused as a conflict"
         )
         self.conflicts.append(Claim(now, version))
@@ -104,11 +104,13 @@
         place = bisect.bisect_left(self.chosen, accepted.ballot, key=ballot_of)
         if place < len(self.chosen) and self.chosen[place].ballot == accepted.ballot:
             same = self.chosen[place].value == accepted.value
-            return self.must(same, now, f"CHOSEN: {where} has another value under ballot {accepted.ballot}")
+            return self.check(same, now, f"CHOSEN: {where} has another value under ballot {accepted.ballot}")
         self.chosen.insert(place, accepted)
         for older, newer in zip(self.chosen[max(0, place - 1) :], self.chosen[place : place + 2], strict=False):
             if older is not newer:
-                self.must(follows(older.value, newer.value), now, f"CHOSEN: {where}: {told(older)}, then {told(newer)}")
+                self.check(
+                    follows(older.value, newer.value), now, f"CHOSEN: {where}: {told(older)}, then {told(newer)}"
+                )
 
     # ---- at the end ----
 
@@ -116,14 +118,14 @@
         """What can be said only once all is known."""
         for claim in self.acknowledged:
             content = self.shown.get(claim.version.number, claim.version)
-            self.must(
+            self.check(
                 content == claim.version or self.superseded(claim),
                 now,
                 f"CONFIG: {claim.version} was acknowledged, and another content was shown under its number",
             )
         for one in self.acknowledged:
             other = next((two for two in self.acknowledged if is_rival(one.version, two.version)), None)
-            self.must(
+            self.check(
                 other is None or self.superseded(one) or self.superseded(other),
                 now,
                 f"CONFIG: two contents of {one.version} were acknowledged",
@@ -131,7 +133,7 @@
         for claim in self.conflicts:
             rivals = [two for two in self.sent if is_rival(claim.version, two) and self.sent[two] <= claim.at]
             told = {claim.version for claim in self.conflicts}
-            self.must(
+            self.check(
                 any(two not in told for two in rivals), now, f"CONFIG: every content of {claim.version} was refused"
             )
 
--- a/stoneyoke/lab/simulation/runs.py
+++ b/stoneyoke/lab/simulation/runs.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 from stoneyoke.lab.simulation import seeded_defects
-from stoneyoke.lab.simulation.hard_days import HARD_DAYS
-from stoneyoke.lab.simulation.judge import Outcome
+from stoneyoke.lab.simulation.checker import Outcome
+from stoneyoke.lab.simulation.hard_days import SCRIPTED_SCENARIOS
 from stoneyoke.lab.simulation.plans import Plan, read_plan
 from stoneyoke.lab.simulation.random_plans import make_plan
 from stoneyoke.lab.simulation.scenario import Scenario
@@ -23,19 +23,19 @@
 
     scenarios: int = 0
     broken: list[Outcome] = field(default_factory=list)
-    met: Counter[str] = field(default_factory=Counter)
+    events: Counter[str] = field(default_factory=Counter)
     sent: int = 0
-    refused_inside: int = 0
-    asked_inside: int = 0
+    rejected_below_quota: int = 0
+    requests_below_quota: int = 0
     seconds: float = 0.0
     trace: str = ""
 
     def text(self) -> str:
-        met = ", ".join(f"{kind} {count}" for kind, count in sorted(self.met.items()))
+        events = ", ".join(f"{kind} {count}" for kind, count in sorted(self.events.items()))
         return (
             f"{self.scenarios} scenarios in {self.seconds:.0f} s, {len(self.broken)} broken, trace {self.trace}\n"
-            f"met: {met}\n{self.sent} requests passed; of tenants at half their quota {self.refused_inside} of "
-            f"{self.asked_inside} were refused"
+            f"met: {events}\n{self.sent} requests passed; of tenants at half their quota "
+            f"{self.rejected_below_quota} of {self.requests_below_quota} were refused"
         )
 
 
@@ -52,8 +52,8 @@
     return play(make_plan(seed), defect)
 
 
-def play_hard_day(name: str, defect: str = "") -> Outcome:
-    return play(HARD_DAYS[name], defect)
+def play_scripted(name: str, defect: str = "") -> Outcome:
+    return play(SCRIPTED_SCENARIOS[name], defect)
 
 
 def play_many(seeds: Iterable[int], jobs: int) -> Iterator[Outcome]:
@@ -65,29 +65,29 @@
 
 
 def count(outcomes: Iterable[Outcome]) -> Metrics:
-    metrics, sums, begun = Metrics(), blake2b(digest_size=12), time.monotonic()
+    metrics, trace_digest, begun = Metrics(), blake2b(digest_size=12), time.monotonic()
     for outcome in outcomes:
         metrics.scenarios += 1
-        metrics.met += outcome.met
+        metrics.events += outcome.events
         metrics.sent += outcome.sent
-        metrics.refused_inside += outcome.refused_inside
-        metrics.asked_inside += outcome.asked_inside
-        sums.update(f"{outcome.seed} {outcome.trace}\n".encode())
+        metrics.rejected_below_quota += outcome.rejected_below_quota
+        metrics.requests_below_quota += outcome.requests_below_quota
+        trace_digest.update(f"{outcome.seed} {outcome.trace}\n".encode())
         if outcome.broken:
             metrics.broken.append(outcome)
-    metrics.seconds, metrics.trace = time.monotonic() - begun, sums.hexdigest()
+    metrics.seconds, metrics.trace = time.monotonic() - begun, trace_digest.hexdigest()
     return metrics
 
 
-class KeptCase(NamedTuple):
+class StoredCaseResult(NamedTuple):
     """How a plan that is kept for a seeded defect fares: whether it breaks without that defect, and with it."""
 
     breaks_without: bool
     breaks_with: bool
 
 
-def kept_case(path: str) -> KeptCase:
+def play_stored_case(path: str) -> StoredCaseResult:
     """Plays a kept plan both ways; its file is named after the defect."""
     file = Path(path)
     plan = read_plan(file.read_text())
-    return KeptCase(bool(play(plan).broken), bool(play(plan, file.stem).broken))
+    return StoredCaseResult(bool(play(plan).broken), bool(play(plan, file.stem).broken))
--- a/stoneyoke/lab/simulation/scenario.py
+++ b/stoneyoke/lab/simulation/scenario.py
@@ -12,14 +12,14 @@
 from loguru import logger
 
 from stoneyoke.lab.simulation import backends
+from stoneyoke.lab.simulation.checker import InvariantChecker, Outcome
 from stoneyoke.lab.simulation.clock import SimulatedLoop
+from stoneyoke.lab.simulation.control_api_client import ControlApiClient
 from stoneyoke.lab.simulation.faults import Faults
 from stoneyoke.lab.simulation.invariants import Invariants
-from stoneyoke.lab.simulation.judge import Judge, Outcome
 from stoneyoke.lab.simulation.machines import ControllerMachine, GatewayMachine, simulated_loop
 from stoneyoke.lab.simulation.network import SimulatedNetwork
 from stoneyoke.lab.simulation.operators import Operators
-from stoneyoke.lab.simulation.outside import Outside
 from stoneyoke.lab.simulation.plans import (
     LEAD_S,
     REST_S,
@@ -31,7 +31,7 @@
 )
 from stoneyoke.lab.simulation.tenants import Tenants
 
-SEEDS = 3  # controllers that all are told of at their start
+MAX_SEEDS = 3  # controllers that all are told of at their start
 Due = TypeVar("Due", Fault, Order)
 
 
@@ -40,19 +40,19 @@
 
     def __init__(self, plan: Plan) -> None:
         self.plan, self.random_source = plan, random.Random(plan.seed * 7 + 1)
-        self.judge, self.network = Judge(plan.losses), SimulatedNetwork(self.random_source)
-        self.met: Counter[str] = Counter()
+        self.checker, self.network = InvariantChecker(plan.losses), SimulatedNetwork(self.random_source)
+        self.events: Counter[str] = Counter()
         self.disk_bytes = 0
-        self.outside, self.operators = Outside(self), Operators(self)
+        self.api_client, self.operators = ControlApiClient(self), Operators(self)
         self.tenants, self.invariants, self.faults = Tenants(self), Invariants(self), Faults(self)
-        self.first_seeds = tuple(controller_address(at) for at in range(min(SEEDS, plan.controllers)))
+        self.first_seeds = tuple(controller_address(at) for at in range(min(MAX_SEEDS, plan.controllers)))
         self.controllers: dict[str, ControllerMachine] = {}
         self.gateways: dict[str, GatewayMachine] = {}
 
     def seeds(self) -> tuple[str, ...]:
         """What a machine is told of at its start: the first machines, as far as the operators still list them."""
         listed = [name for name, machine in self.controllers.items() if machine.listed()]
-        return tuple(listed[:SEEDS]) or self.first_seeds
+        return tuple(listed[:MAX_SEEDS]) or self.first_seeds
 
     def now(self) -> float:
         return asyncio.get_running_loop().time()
@@ -63,9 +63,9 @@
     def busy(self, name: str) -> bool:
         """Whether this machine can't be expected to answer: frozen, held up, its disk or its answers in trouble."""
         disk = self.controllers[name].disk if name in self.controllers else None
-        trouble = disk is not None and (disk.hangs or disk.refuses)
+        set_fault = disk is not None and (disk.stalled or disk.refuses)
         return (
-            trouble
+            set_fault
             or self.frozen(name)
             or self.network.held[name] > 0
             or self.network.late > 0
@@ -86,19 +86,19 @@
         tenants = self.tenants
         return Outcome(
             self.plan.seed,
-            self.judge.broken,
-            self.judge.sums.hexdigest(),
-            self.met,
+            self.checker.broken,
+            self.checker.trace_digest.hexdigest(),
+            self.events,
             tenants.sent,
             tenants.refused,
-            tenants.refused_inside,
-            tenants.asked_inside,
+            tenants.rejected_below_quota,
+            tenants.requests_below_quota,
             self.disk_bytes,
         )
 
     def failed(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """A task of some machine ended by an exception that nobody awaited."""
-        self.judge.must(False, loop.time(), f"EXCEPTION: {context.get('exception') or context['message']!r}")
+        self.checker.check(False, loop.time(), f"EXCEPTION: {context.get('exception') or context['message']!r}")
 
     async def run(self) -> None:
         plan, begun = self.plan, self.now()
@@ -110,22 +110,22 @@
         for gateway in self.gateways.values():
             await gateway.start()
         begun = self.now()
-        self.judge.controllers_at = self.judge.calm_at = begun
+        self.checker.controllers_disturbed_until = self.checker.intolerable_until = begun
         work = [
             self.network.run_on("", one)
             for one in (
                 self.operators.put(1),
-                self.tenants.ask_often(),
+                self.tenants.send_requests(),
                 self.invariants.watch(),
-                *([self.operators.read_back_often()] if plan.reads else []),
-                *(backends.live_on(self, at) for at in range(plan.backends)),
-                *([backends.come_and_go(self, plan.instances)] if plan.instances else []),
-                *(self.due(begun, fault, self.faults.strike) for fault in plan.faults),
+                *([self.operators.read_back_repeatedly()] if plan.reads else []),
+                *(backends.run_backends_at(self, at) for at in range(plan.backends)),
+                *([backends.run_short_lived_instances(self, plan.instances)] if plan.instances else []),
+                *(self.due(begun, fault, self.faults.inject) for fault in plan.faults),
                 *(self.due(begun, order, self.operators.carry_out) for order in plan.orders),
             )
         ]
         ends = max([LEAD_S + plan.seconds, *(fault.at + fault.for_s for fault in plan.faults)])
-        self.faults.calm_from = begun + ends
+        self.faults.faults_end_at = begun + ends
         try:
             await asyncio.wait(work, timeout=begun + ends + REST_S - self.now(), return_when=asyncio.FIRST_EXCEPTION)
             for one in work:
--- a/tests/system/test_hard_days.py
+++ b/tests/system/test_hard_days.py
@@ -6,8 +6,8 @@
 
 from ward import each, test
 
-from stoneyoke.lab.simulation.hard_days import HARD_DAYS
-from stoneyoke.lab.simulation.runs import play_hard_day
+from stoneyoke.lab.simulation.hard_days import SCRIPTED_SCENARIOS
+from stoneyoke.lab.simulation.runs import play_scripted
 
 # What has to have come about, so that no day passes because its trouble never came.
 MEETS = {
@@ -93,20 +93,20 @@
 def played():
     """All of them, once, on all processors."""
     with ProcessPoolExecutor(PROCESSES) as pool:
-        return dict(zip(HARD_DAYS, pool.map(play_hard_day, HARD_DAYS), strict=True))
+        return dict(zip(SCRIPTED_SCENARIOS, pool.map(play_scripted, SCRIPTED_SCENARIOS), strict=True))
 
 
 @test("every hard day has what it is to meet")
 def _():
-    assert set(MEETS) == set(HARD_DAYS)
+    assert set(MEETS) == set(SCRIPTED_SCENARIOS)
 
 
 @test("hard day: {name}")
-def _(name=each(*HARD_DAYS)):  # noqa: B008
+def _(name=each(*SCRIPTED_SCENARIOS)):  # noqa: B008
     outcome = played()[name]
     assert not outcome.broken, str(outcome.broken[:3])
     for what, least in MEETS[name].items():
-        assert outcome.met[what] >= least, f"{what}: {outcome.met[what]}"
+        assert outcome.events[what] >= least, f"{what}: {outcome.events[what]}"
 
 
 @test("a disk holds no more after hundreds of changes than the state needs")
@@ -118,11 +118,11 @@
 @test("each seeded defect is found by its day")
 def _():
     with ProcessPoolExecutor(PROCESSES) as pool:
-        outcomes = pool.map(play_hard_day, FOUND_BY.values(), FOUND_BY)
+        outcomes = pool.map(play_scripted, FOUND_BY.values(), FOUND_BY)
         missed = [defect for defect, outcome in zip(FOUND_BY, outcomes, strict=True) if not outcome.broken]
     assert not missed, str(missed)
 
 
 @test("records that are never removed are told by what the disk holds")
 def _():
-    assert play_hard_day("eight_contents_at_once", "records_kept").disk_bytes > DISK_BYTES
+    assert play_scripted("eight_contents_at_once", "records_kept").disk_bytes > DISK_BYTES
--- a/tests/system/test_simulation.py
+++ b/tests/system/test_simulation.py
@@ -10,10 +10,10 @@
 from ward import test
 
 from stoneyoke.lab.simulation.clock import MACHINE, SimulatedLoop
-from stoneyoke.lab.simulation.hard_days import HARD_DAYS
-from stoneyoke.lab.simulation.plans import read_plan, shrunk
+from stoneyoke.lab.simulation.hard_days import SCRIPTED_SCENARIOS
+from stoneyoke.lab.simulation.plans import read_plan, smaller_plans
 from stoneyoke.lab.simulation.random_plans import make_plan
-from stoneyoke.lab.simulation.runs import count, kept_case, play, play_many, play_seed
+from stoneyoke.lab.simulation.runs import count, play_stored_case, play, play_many, play_seed
 from stoneyoke.lab.simulation.seeded_defects import SEEDED_DEFECTS
 
 KEPT = sorted((Path(__file__).parent / "regress").glob("*.json"))
@@ -32,9 +32,9 @@
     metrics = count(play_many(range(SEEDS), PROCESSES))
     assert not metrics.broken, str([(one.seed, one.broken[:2]) for one in metrics.broken])
     for kind in MEETS:
-        assert metrics.met[kind] > 0, kind
-    assert metrics.sent > 1000 * SEEDS // 4 and metrics.asked_inside > 1000
-    assert metrics.refused_inside < 0.01 * metrics.asked_inside
+        assert metrics.events[kind] > 0, kind
+    assert metrics.sent > 1000 * SEEDS // 4 and metrics.requests_below_quota > 1000
+    assert metrics.rejected_below_quota < 0.01 * metrics.requests_below_quota
 
 
 @test("the same seed gives the same trace, in another process and with other hashes of strings too")
@@ -56,7 +56,7 @@
 def _():
     assert len(KEPT) >= 7
     with ProcessPoolExecutor(PROCESSES) as pool:
-        for file, seen in zip(KEPT, pool.map(kept_case, map(str, KEPT)), strict=True):
+        for file, seen in zip(KEPT, pool.map(play_stored_case, map(str, KEPT)), strict=True):
             assert seen == (False, True), file.name
 
 
@@ -69,9 +69,9 @@
 
 @test("a plan survives its own text, and what shrinks it makes it smaller")
 def _():
-    for plan in (make_plan(39), *HARD_DAYS.values()):
+    for plan in (make_plan(39), *SCRIPTED_SCENARIOS.values()):
         assert read_plan(plan.text()) == plan
-    assert all(len(other.text()) <= len(plan.text()) for other in shrunk(make_plan(39)))
+    assert all(len(other.text()) <= len(plan.text()) for other in smaller_plans(make_plan(39)))
 
 
 @test("a frozen machine stands still at its await, and goes on from there; others and time do not wait")
