--- a/stoneyoke/controlplane/__init__.py
+++ b/stoneyoke/controlplane/__init__.py
@@ -1,3 +1,4 @@
-"""The control plane's own state: the operator's word, who votes, records of backends, duties. No I/O.
+"""The control plane: configuration, voters, instances, the quota lease, and the APIs through which they are used.
 
-Times are seconds of the steady clock; the time of day is never used (DEPLOY, Clocks)."""
+Times are seconds of a steady clock; the time of day is never used (DEPLOY, Clocks).
+"""
--- a/stoneyoke/controlplane/configuration_service.py
+++ b/stoneyoke/controlplane/configuration_service.py
@@ -1,9 +1,8 @@
-"""The operator's calls: a configuration is put in force by a decision of the voters, and read back from them."""
+"""The operators' calls: a configuration is put in force by a decision of the voters, and read back from them."""
 
 import asyncio
 import functools
 from collections import deque
-from collections.abc import Callable
 from dataclasses import dataclass, replace
 
 from loguru import logger
@@ -12,55 +11,68 @@
 from stoneyoke.api.configuration import Configuration
 from stoneyoke.consensus.register_value import Proposal, RegisterValue
 from stoneyoke.consensus.replication import TRANSFER_S_PER_BYTE, Replication
+from stoneyoke.controlplane.cluster_view import ClusterView
 
-ANSWER_TIMEOUT_S = 0.85  # a caller moves on after a second of silence (PROTOCOL, The operator)
-PROPOSAL_TIMEOUT_S = 3.0  # a round goes on after its operator was told that the answer is unclear
-CONFLICT_STATUS = 409  # ends the call of the operator at once
+ANSWER_TIMEOUT_S = 0.85  # a caller tries another controller after a second without an answer (PROTOCOL, The operator)
+PROPOSAL_TIMEOUT_S = 3.0  # a proposal goes on after its operator was told that the outcome is unknown
+NOT_FOUND_STATUS = 404
+CONFLICT_STATUS = 409  # the operator's call fails at once; it is not sent to another controller
+NO_QUORUM = Unavailable("cut off from most controllers: ask another one")
 
 
 @dataclass(slots=True)
 class PendingReplacement:
-    """One call of an operator. deadline: by the loop's time."""
+    """An operator's call that waits for its outcome. deadline: by the event loop's time."""
 
     configuration: Configuration
     answer: asyncio.Future[Answer]
     deadline: float
 
 
-def apply_replacements(pending: tuple[Configuration, ...], found: RegisterValue) -> RegisterValue:
-    """The register after these pending: the highest number wins, and one number means one content for ever."""
-    newer = [one for one in pending if one.version.number > found.version.number]
+def apply_replacements(configurations: tuple[Configuration, ...], found: RegisterValue) -> RegisterValue:
+    """The register's value after these replacements.
+
+    The highest number wins. A number keeps its first content for ever.
+    """
+    newer = [one for one in configurations if one.version.number > found.version.number]
     if not newer:
         return found
-    highest = max(one.version.number for one in newer)
-    first = next(one for one in newer if one.version.number == highest)
+    highest_number = max(one.version.number for one in newer)
+    first = next(one for one in newer if one.version.number == highest_number)
     return replace(found, version=first.version, body=first.body)
 
 
-def outcome_of(replacement: Configuration, chosen: RegisterValue) -> Answer | None:
-    """What its operator is told, by a value that is chosen; None: it is not decided yet."""
-    if chosen.version.number > replacement.version.number or chosen.version == replacement.version:
+def outcome_of(configuration: Configuration, chosen: RegisterValue) -> Answer | None:
+    """The answer to the operator of a replacement, given a chosen value; None if that does not decide it."""
+    if chosen.version.number > configuration.version.number or chosen.version == configuration.version:
         return Acknowledged()
-    if chosen.version.number == replacement.version.number:
-        return Rejected(CONFLICT_STATUS, "generation", f"another configuration is in force as {replacement.version}")
+    if chosen.version.number == configuration.version.number:
+        why = f"another configuration is in force as {configuration.version}"
+        return Rejected(CONFLICT_STATUS, "generation", why)
     return None
 
 
 class ConfigurationService:
-    """has_quorum: whether more than half of the voters are heard."""
+    """Replaces and reads the configuration; replacements that wait are decided together, in one proposal."""
+
+    def __init__(self, replication: Replication, cluster: ClusterView) -> None:
+        """Starts with nothing pending.
 
-    def __init__(self, replication: Replication, has_quorum: Callable[[], bool]) -> None:
-        self.replication, self.has_quorum = replication, has_quorum
+        Args:
+            replication: proposes and reads values of the register.
+            cluster: tells whether a majority of the voters is reachable.
+        """
+        self.replication, self.cluster = replication, cluster
         self.pending: deque[PendingReplacement] = deque()
         self.worker: asyncio.Task[None] | None = None
 
     async def replace(self, configuration: Configuration) -> Answer:
-        """Acknowledged once it, or what is above it, is chosen."""
-        if not self.has_quorum():
-            return Unavailable("cut off from most controllers: ask another one")
+        """Acknowledges a configuration once it, or one with a higher number, is chosen."""
+        if not self.cluster.has_quorum():
+            return NO_QUORUM
         loop = asyncio.get_running_loop()
-        limit = ANSWER_TIMEOUT_S + TRANSFER_S_PER_BYTE * len(configuration.body)
-        replacement = PendingReplacement(configuration, loop.create_future(), loop.time() + limit)
+        timeout_s = ANSWER_TIMEOUT_S + TRANSFER_S_PER_BYTE * len(configuration.body)
+        replacement = PendingReplacement(configuration, loop.create_future(), loop.time() + timeout_s)
         self.pending.append(replacement)
         if self.worker is None or self.worker.done():
             self.worker = self.replication.spawn(self.run_worker())
@@ -68,41 +80,49 @@
             async with asyncio.timeout_at(replacement.deadline):
                 return await asyncio.shield(replacement.answer)
         except TimeoutError:
-            logger.warning("{} has no majority yet", configuration.version)
+            logger.warning(
+                "configuration {} was not chosen in time: its operator is told to send it again", configuration.version
+            )
             return Unavailable("no majority holds it yet: ask again, unchanged")
 
     async def run_worker(self) -> None:
-        """Decides what is ordered, all that waits in one round."""
-        loop = asyncio.get_running_loop()
+        """Decides the pending replacements, all that wait in one proposal, until none is left."""
         while self.pending:
             batch = list(self.pending)
             configurations = tuple(replacement.configuration for replacement in batch)
-            chosen = await self.already_chosen(configurations)
-            if chosen is None:
-                change = functools.partial(apply_replacements, configurations)
-                limit = PROPOSAL_TIMEOUT_S + TRANSFER_S_PER_BYTE * max(len(one.body) for one in configurations)
-                chosen = await self.replication.propose(change, limit)
-            for replacement in batch:
-                answer = outcome_of(replacement.configuration, chosen.value) if chosen else None
-                if answer or loop.time() > replacement.deadline:
-                    self.pending.remove(replacement)
-                if answer and not replacement.answer.done():
-                    replacement.answer.set_result(answer)
+            chosen = await self.already_chosen(configurations) or await self.propose(configurations)
+            self.finish(batch, chosen)
+
+    async def propose(self, configurations: tuple[Configuration, ...]) -> Proposal | None:
+        """Proposes the replacements; None if no outcome is known in time."""
+        change = functools.partial(apply_replacements, configurations)
+        timeout_s = PROPOSAL_TIMEOUT_S + TRANSFER_S_PER_BYTE * max(len(one.body) for one in configurations)
+        return await self.replication.propose(change, timeout_s)
+
+    def finish(self, batch: list[PendingReplacement], chosen: Proposal | None) -> None:
+        """Answers the replacements that are decided, and drops those past their deadline."""
+        now = asyncio.get_running_loop().time()
+        for replacement in batch:
+            answer = outcome_of(replacement.configuration, chosen.value) if chosen else None
+            if answer or now > replacement.deadline:
+                self.pending.remove(replacement)
+            if answer and not replacement.answer.done():
+                replacement.answer.set_result(answer)
 
     async def already_chosen(self, configurations: tuple[Configuration, ...]) -> Proposal | None:
-        """The chosen value if it settles all these pending (sent again, or late): then nothing is written."""
-        known = self.replication.replica.version().number
-        if any(one.version.number > known for one in configurations):
+        """The chosen value, if it decides all these replacements (sent again, or late); nothing is written then."""
+        known_number = self.replication.replica.version().number
+        if any(one.version.number > known_number for one in configurations):
             return None
         return await self.replication.read(ANSWER_TIMEOUT_S)
 
     async def read(self) -> Answer:
-        """The newest configuration, no older than any that was acknowledged or read before."""
-        if not self.has_quorum():
-            return Unavailable("cut off from most controllers: ask another one")
+        """The newest configuration, no older than any that was acknowledged or read before this call."""
+        if not self.cluster.has_quorum():
+            return NO_QUORUM
         chosen = await self.replication.read(ANSWER_TIMEOUT_S)
         if chosen is None:
             return Unavailable("too few controllers answer: ask another one")
         if not chosen.value.body:
-            return Rejected(404, "generation", "no configuration has been put yet")
+            return Rejected(NOT_FOUND_STATUS, "generation", "no configuration has been put yet")
         return Document(chosen.value.body)
--- /dev/null
+++ b/stoneyoke/controlplane/gateway_tracker.py
@@ -0,0 +1,68 @@
+"""The gateways that this controller and its peers have seen."""
+
+import asyncio
+from dataclasses import dataclass
+
+from stoneyoke.api.configuration import Version
+from stoneyoke.controlplane.controller_context import ControllerContext
+from stoneyoke.controlplane.heartbeat_ring import HeartbeatWatch
+from stoneyoke.controlplane.peers import Peers
+from stoneyoke.limits.quota_allocator import FORGET_S
+from stoneyoke.transport.messages import PullRequest
+
+GATEWAY_TIMEOUT_S = 10.0  # a gateway without a heartbeat for this long is forgotten
+SWEEP_INTERVAL_S = 0.25
+
+
+@dataclass(frozen=True, slots=True)
+class GatewayPull:
+    """A gateway's last pull: the configuration in force there, when it pulled, whether it is ready."""
+
+    version: Version
+    at: float
+    ready: bool
+
+
+class GatewayTracker:
+    """Notes gateways' pulls and heartbeats.
+
+    A gateway sends its heartbeats to a few controllers (see heartbeat_ring) and pulls from all of them.
+    """
+
+    def __init__(self, peers: Peers, context: ControllerContext) -> None:
+        """Starts without gateways.
+
+        Args:
+            peers: the other controllers, which report the gateways whose heartbeats they receive.
+            context: shared parts of the controller.
+        """
+        self._peers, self._context = peers, context
+        self.last_pulls: dict[str, GatewayPull] = {}  # by gateway name
+        self.heartbeats = HeartbeatWatch(GATEWAY_TIMEOUT_S)
+        self.version = 0  # rises when a gateway's heartbeats begin or time out here
+
+    def record_pull(self, request: PullRequest) -> None:
+        """Notes a pull, and the heartbeat that it may carry."""
+        now = self._context.clock()
+        self.last_pulls[request.name] = GatewayPull(Version(*request.version), now, request.ready)
+        if request.heartbeat and self.heartbeats.record_heartbeat(request.name, now):
+            self._mark_changed()
+
+    def recent_names(self) -> list[str]:
+        """The gateways seen recently, here or by a peer: they may still hold shares of quotas."""
+        now = self._context.clock()
+        seen_here = {name for name, pull in self.last_pulls.items() if now - pull.at < FORGET_S}
+        recent_peers = (peer for peer in self._peers.values() if now - peer.last_heard_at < FORGET_S)
+        reported = {name for peer in recent_peers for name in peer.gateways}
+        return sorted(seen_here | reported)
+
+    async def run_sweeper(self) -> None:
+        """Forgets gateways whose heartbeats timed out, for as long as the process runs."""
+        while True:
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            if self.heartbeats.expire(self._context.clock()):
+                self._mark_changed()
+
+    def _mark_changed(self) -> None:
+        self.version += 1
+        self._context.changes.notify()
--- a/stoneyoke/controlplane/heartbeat_ring.py
+++ b/stoneyoke/controlplane/heartbeat_ring.py
@@ -1,37 +1,51 @@
-"""Who watches whom: places on a ring by name, and the few that come next."""
+"""Which controllers receive a gateway's heartbeats (consistent hashing), and which gateways are alive."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
 
-WATCHER_COUNT = 2
+WATCHER_COUNT = 2  # controllers that receive one gateway's heartbeats
+RING_SIZE = 1 << 64
 
 
 def ring_position(name: str) -> int:
+    """The position of a gateway or a controller on the hash ring, below RING_SIZE."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
 def watchers(name: str, controllers: Iterable[str], count: int = WATCHER_COUNT) -> list[str]:
-    """The controllers that follow a gateway's ring_position on the ring: each machine works it out for itself."""
-    own = ring_position(name)
-    ring = sorted(set(controllers), key=lambda controller: ((ring_position(controller) - own) % 2**64, controller))
-    return ring[:count]
+    """The controllers that follow a gateway on the ring.
+
+    Each machine computes the same result from the same names, so nothing needs to be agreed on.
+    """
+    own_position = ring_position(name)
+
+    def distance(controller: str) -> tuple[int, str]:
+        return (ring_position(controller) - own_position) % RING_SIZE, controller
+
+    return sorted(set(controllers), key=distance)[:count]
 
 
 class HeartbeatWatch:
-    """The gateways whose beats were heard, here or by other watchers. Forgotten after timeout_s of silence."""
+    """The gateways whose heartbeats arrive at this controller."""
 
     def __init__(self, timeout_s: float) -> None:
+        """Starts without gateways.
+
+        Args:
+            timeout_s: a gateway without a heartbeat for this long is forgotten.
+        """
         self.timeout_s = timeout_s
-        self.last_heard_at: dict[str, float] = {}
+        self.last_heard_at: dict[str, float] = {}  # by gateway name, in the order of their first heartbeats
 
     def record_heartbeat(self, name: str, now: float) -> bool:
-        new = name not in self.last_heard_at
+        """Notes a heartbeat; returns whether the gateway is new."""
+        is_new = name not in self.last_heard_at
         self.last_heard_at[name] = now
-        return new
+        return is_new
 
     def expire(self, now: float) -> bool:
-        """Whether any was forgotten."""
-        late = [name for name, at in self.last_heard_at.items() if now - at > self.timeout_s]
-        for name in late:
+        """Forgets gateways that timed out; returns whether there were any."""
+        expired = [name for name, heard_at in self.last_heard_at.items() if now - heard_at > self.timeout_s]
+        for name in expired:
             del self.last_heard_at[name]
-        return bool(late)
+        return bool(expired)
--- a/stoneyoke/controlplane/http_api.py
+++ b/stoneyoke/controlplane/http_api.py
@@ -1,4 +1,4 @@
-"""One generic handler for the calls of backends and operators over HTTP/1.1: reads, asks, answers."""
+"""The HTTP/1.1 server for the calls of instances and operators."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,60 +8,78 @@
 
 from stoneyoke.api.calls import Answer, Asked, Rejected, Unavailable, answer, ask
 from stoneyoke.net.errors import MalformedMessage
-from stoneyoke.net.message_reader import MessageReader
+from stoneyoke.net.message_reader import Message, MessageReader
 from stoneyoke.net.message_writer import status_line, write_message
 from stoneyoke.net.stream import StreamProtocol
 
-IDLE_S = 30.0
+IDLE_TIMEOUT_S = 30.0
+REJECT_LINGER_S = 0.2  # closing at once after a rejection would reset the connection before the answer is read
+ACCEPT_BACKLOG = 512
+BAD_REQUEST_STATUS = 400
 
 
 class HttpApi:
-    """`meet` carries out what was asked and says what came of it."""
+    """Reads calls, has them handled, writes the answers."""
 
-    def __init__(self, meet: Callable[[Asked], Awaitable[Answer]], body_top: int) -> None:
-        self.meet, self.body_top = meet, body_top
+    def __init__(self, handle: Callable[[Asked], Awaitable[Answer]], max_body_bytes: int) -> None:
+        """Does not listen yet.
+
+        Args:
+            handle: carries out a call and returns its answer.
+            max_body_bytes: a longer body is rejected.
+        """
+        self.handle, self.max_body_bytes = handle, max_body_bytes
 
     async def open(self, address: tuple[str, int]) -> None:
+        """Listens at an IP address and port.
+
+        Raises:
+            OSError: the address can't be used.
+        """
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: StreamProtocol(self.serve), *address, backlog=512)
+        self.server = await loop.create_server(lambda: StreamProtocol(self.serve), *address, backlog=ACCEPT_BACKLOG)
 
     def close(self) -> None:
+        """Takes no new connections; open ones go on."""
         self.server.close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        messages = MessageReader(reader, responses=False, body_max_bytes=self.body_top)
+        """Serves one connection until it is closed, idle for IDLE_TIMEOUT_S, or sends what is not HTTP."""
+        messages = MessageReader(reader, responses=False, body_max_bytes=self.max_body_bytes)
         try:
-            while True:
-                async with asyncio.timeout(IDLE_S):
-                    message = await messages.next()
-                if message is None:
-                    break
-                given: Answer | Rejected
-                try:
-                    asked = ask(message.method.decode("ascii"), message.target.decode("ascii"), message.body)
-                    given = asked if isinstance(asked, Rejected) else await self.meet(asked)
-                except UnicodeDecodeError:
-                    given = Rejected(400, "path", "characters that are not ASCII")
-                except Exception:  # a fault costs this one call
-                    logger.exception("a call at the desk failed")
-                    given = Unavailable("failed here")
-                self.say(writer, *answer(given), keeps=message.keep_alive)
-                if not message.keep_alive:
-                    break
-                await writer.drain()
-        except MalformedMessage as bad:
-            self.say(writer, *answer(Rejected(bad.status, "message", str(bad))), keeps=False)
+            await self._serve_calls(messages, writer)
+        except MalformedMessage as error:
+            self._write(writer, Rejected(error.status, "message", str(error)), keep_alive=False)
             cast(StreamProtocol, writer.transport.get_protocol()).discard_input()
-            await asyncio.sleep(0.2)  # closing at once would reset the answer away
-        except (OSError, asyncio.CancelledError):  # a TimeoutError is one
+            await asyncio.sleep(REJECT_LINGER_S)
+        except (OSError, asyncio.CancelledError):  # a TimeoutError is an OSError
             pass
         finally:
             writer.close()
 
-    def say(self, writer: asyncio.StreamWriter, status: int, body: bytes, *, keeps: bool) -> None:
-        more = b"" if keeps else b"Connection: close\r\n"
-        write_message(
-            writer,
-            [status_line(status), more, b"Content-Type: application/json\r\nContent-Length: %d\r\n" % len(body)],
-            body,
-        )
+    async def _serve_calls(self, messages: MessageReader, writer: asyncio.StreamWriter) -> None:
+        while True:
+            async with asyncio.timeout(IDLE_TIMEOUT_S):
+                message = await messages.next()
+            if message is None:
+                return
+            self._write(writer, await self._answer(message), keep_alive=message.keep_alive)
+            if not message.keep_alive:
+                return
+            await writer.drain()
+
+    async def _answer(self, message: Message) -> Answer:
+        try:
+            call = ask(message.method.decode("ascii"), message.target.decode("ascii"), message.body)
+            return call if isinstance(call, Rejected) else await self.handle(call)
+        except UnicodeDecodeError:
+            return Rejected(BAD_REQUEST_STATUS, "path", "characters that are not ASCII")
+        except Exception:  # outermost guard: a fault costs this one call, not the process
+            logger.exception("a call of an instance or operator failed; it is answered with 503")
+            return Unavailable("failed here")
+
+    def _write(self, writer: asyncio.StreamWriter, given: Answer, *, keep_alive: bool) -> None:
+        status, body = answer(given)
+        connection = b"" if keep_alive else b"Connection: close\r\n"
+        content = b"Content-Type: application/json\r\nContent-Length: %d\r\n" % len(body)
+        write_message(writer, [status_line(status), connection, content], body)
--- a/stoneyoke/controlplane/leases.py
+++ b/stoneyoke/controlplane/leases.py
@@ -1,7 +1,9 @@
-"""Duties that one machine does: a lease that a majority of the voters granted, stopped before its end.
+"""Leases for roles that one controller holds at a time, granted by a majority of the voters. No I/O.
 
-A voter's grant lives in memory. One that has just started may have granted before, so it grants nothing until a
-lease granted then has run out. Clocks need not agree: the holder counts from before it asked, a voter from after."""
+A voter keeps its grants in memory. A voter that has just started may have granted a lease in its previous process, so
+it grants nothing until such a lease has run out. Clocks need not agree: a holder counts from before it asked, a voter
+from after it was asked, and the holder stops at HOLDER_TTL_FRACTION of the lease.
+"""
 
 from dataclasses import dataclass, field
 
@@ -9,72 +11,118 @@
 from stoneyoke.consensus.register_value import ReplicaId
 
 LEASE_TTL_S = 1.0
-HOLDER_TTL_FRACTION = 0.85  # of the lease, after which its holder stops: clocks run apart by less
+HOLDER_TTL_FRACTION = 0.85  # of the lease, after which its holder stops: clocks drift apart by less
 RENEW_INTERVAL_S = 0.25
 
 
+@dataclass(frozen=True, slots=True, kw_only=True)
+class GrantRequest:
+    """A candidate asks one voter for a lease, or releases it with a time of 0.
+
+    Attributes:
+        lease_name: the role that the lease is for.
+        holder: the candidate's address.
+        incarnation: the candidate's process.
+        ttl_s: for how long, in seconds; at most LEASE_TTL_S is granted.
+        round_number: of the candidate's round of requests; rises with each round.
+    """
+
+    lease_name: str
+    holder: str
+    incarnation: str
+    ttl_s: float
+    round_number: int
+
+
+@dataclass(frozen=True, slots=True)
+class GrantDecision:
+    """A voter's answer: whether it grants, who holds its grant ("" if unknown), for how many seconds more."""
+
+    granted: bool
+    holder: str
+    remaining_s: float
+
+
 @dataclass(slots=True)
 class Grant:
+    """What a voter has granted. expires_at: by the voter's clock."""
+
     holder: str
     incarnation: str
     expires_at: float
-    round_number: int = 0  # of the holder's round of asking
+    round_number: int
 
 
 class LeaseGranter:
-    """A voter's part."""
+    """The voter's side: at most one unexpired grant for each lease."""
 
     def __init__(self, now: float, first_start: bool) -> None:
-        """first_start: the system's first start, so that nobody can hold anything."""
+        """Starts without grants.
+
+        Args:
+            now: the voter's clock.
+            first_start: the whole system starts for the first time, so that no earlier process granted anything.
+        """
         self.no_grants_before = now if first_start else now + LEASE_TTL_S
-        self.grants: dict[str, Grant] = {}
+        self.grants: dict[str, Grant] = {}  # by the lease's name
 
     def delay_grants(self, now: float) -> None:
-        """This member has just become a voter: the voters before may have granted a lease that still runs."""
+        """Waits before the next grant: the voters before this one may have granted a lease that still runs."""
         self.no_grants_before = max(self.no_grants_before, now + LEASE_TTL_S)
 
-    def request(
-        self, lease_name: str, holder: str, incarnation: str, ttl_s: float, now: float, round_number: int
-    ) -> tuple[bool, str, float]:
-        """Whether it is granted; who has it; for how many seconds more. A late request of an older round, a
-        release above all, changes nothing (trial 2018)."""
+    def request(self, request: GrantRequest, now: float) -> GrantDecision:
+        """Grants, renews or releases a lease, or refuses."""
         if now < self.no_grants_before:
-            return False, "", self.no_grants_before - now
-        grant = self.grants.get(lease_name)
-        if grant and now < grant.expires_at and (grant.holder, grant.incarnation) != (holder, incarnation):
-            return False, grant.holder, grant.expires_at - now
-        if grant and (grant.holder, grant.incarnation) == (holder, incarnation) and round_number < grant.round_number:
-            return False, grant.holder, max(0.0, grant.expires_at - now)
-        ttl_s = min(max(0.0, ttl_s), LEASE_TTL_S)
-        self.grants[lease_name] = Grant(holder, incarnation, now + ttl_s, round_number)
-        return True, holder, ttl_s
+            return GrantDecision(False, "", self.no_grants_before - now)
+        grant = self.grants.get(request.lease_name)
+        if grant is not None:
+            remaining_s = grant.expires_at - now
+            is_same_holder = (grant.holder, grant.incarnation) == (request.holder, request.incarnation)
+            if remaining_s > 0 and not is_same_holder:
+                return GrantDecision(False, grant.holder, remaining_s)
+            # Requests can overtake each other. A late release of an older round must not undo a newer grant.
+            if is_same_holder and request.round_number < grant.round_number:
+                return GrantDecision(False, grant.holder, max(0.0, remaining_s))
+        ttl_s = min(max(0.0, request.ttl_s), LEASE_TTL_S)
+        self.grants[request.lease_name] = Grant(request.holder, request.incarnation, now + ttl_s, request.round_number)
+        return GrantDecision(True, request.holder, ttl_s)
 
 
 @dataclass(slots=True)
 class LeaseHolder:
-    """A holder's part: rounds of asking, and until when the lease is its own."""
+    """The candidate's side: its current round of requests, and until when it holds the lease.
+
+    Attributes:
+        expires_at: when this holder stops, by its own clock.
+        round_started_at: before the requests of the current round were sent.
+        round_number: of the current round.
+        granted_by: the voters that granted in the current round.
+    """
 
     expires_at: float = 0.0
-    round_started_at: float = 0.0  # of the round that is out
-    round_number: int = 0  # of it; rises with each
+    round_started_at: float = 0.0
+    round_number: int = 0
     granted_by: set[ReplicaId] = field(default_factory=set)
-    held_since: float = 0.0  # of this tenure; a new one begins with nothing known
 
     def start_round(self, now: float) -> None:
+        """Begins a round; replies to earlier rounds no longer count."""
         self.round_started_at, self.granted_by = now, set()
         self.round_number += 1
 
-    def record_reply(
-        self, voter: ReplicaId, ok: bool, voters: tuple[ReplicaId, ...], round_started_at: float, now: float
-    ) -> None:
-        """round_started_at: of the round that the answer belongs to; an older one's counts for nothing."""
-        if not ok or round_started_at != self.round_started_at or voter not in voters:
+    def record_grant(self, voter: ReplicaId, voters: tuple[ReplicaId, ...], round_started_at: float) -> None:
+        """Counts a grant; with a majority of `voters` the lease is held, counted from the start of the round.
+
+        Args:
+            voter: the replica that granted.
+            voters: all voters of the round.
+            round_started_at: of the round that the grant answers.
+        """
+        if round_started_at != self.round_started_at or voter not in voters:
             return
         self.granted_by.add(voter)
         if len(self.granted_by) >= majority(len(voters)):
-            if not self.is_held(now):
-                self.held_since = now
             self.expires_at = max(self.expires_at, round_started_at + LEASE_TTL_S * HOLDER_TTL_FRACTION)
 
     def is_held(self, now: float) -> bool:
+        """Whether the lease is held at `now`."""
         return now < self.expires_at
--- /dev/null
+++ b/stoneyoke/controlplane/message_router.py
@@ -0,0 +1,63 @@
+"""Dispatches the messages of gateways and other controllers to the parts of a controller that answer them."""
+
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+from stoneyoke.consensus.replication import Replication
+from stoneyoke.controlplane.chosen_configuration import ChosenConfiguration
+from stoneyoke.controlplane.discovery_service import DiscoveryService
+from stoneyoke.controlplane.pull_service import PullService
+from stoneyoke.controlplane.quota_lease import QuotaLease
+from stoneyoke.transport.messages import (
+    AcceptRequest,
+    ChosenNotice,
+    FetchRequest,
+    InstanceRefresh,
+    InstanceUpdate,
+    LeaseRequest,
+    Message,
+    PrepareRequest,
+    PullRequest,
+    QueryRequest,
+    QuotaRequest,
+    ValueRequest,
+)
+
+
+class MessageRouter:
+    """A table of handlers by message type: those that answer at once, and those that wait for a disk or for news."""
+
+    def __init__(
+        self,
+        *,
+        pulls: PullService,
+        replication: Replication,
+        discovery: DiscoveryService,
+        lease: QuotaLease,
+        configuration: ChosenConfiguration,
+    ) -> None:
+        """Builds the table; each part answers the message types of its job."""
+        self._handlers: dict[type, Callable[[Any], Message]] = {
+            FetchRequest: lambda _: configuration.answer_fetch(replication.replica),
+            QueryRequest: lambda _: replication.handle_query(),
+            ValueRequest: replication.handle_value_request,
+            InstanceUpdate: discovery.handle_update,
+            InstanceRefresh: discovery.handle_refresh,
+            LeaseRequest: lease.answer_request,
+            QuotaRequest: lease.allocate,
+        }
+        self._waiting_handlers: dict[type, Callable[[Any], Awaitable[Message]]] = {
+            PullRequest: pulls.answer,
+            PrepareRequest: replication.handle_prepare,
+            AcceptRequest: replication.handle_accept,
+            ChosenNotice: replication.handle_chosen_notice,
+        }
+
+    async def answer(self, message: Message) -> Message | None:
+        """The answer to a message; None for a message that is no request."""
+        kind = type(message)
+        if handler := self._handlers.get(kind):
+            return handler(message)
+        if waiting_handler := self._waiting_handlers.get(kind):
+            return await waiting_handler(message)
+        return None
--- a/stoneyoke/controlplane/peers.py
+++ b/stoneyoke/controlplane/peers.py
@@ -1,4 +1,4 @@
-"""The other controllers, as this one hears them: who answers at an address, what it holds, since when it is steady."""
+"""The other controllers: the connection to each, what it last said of itself, since when it answers."""
 
 import asyncio
 from collections.abc import Callable, Iterator, Mapping
@@ -11,7 +11,7 @@
 from stoneyoke.consensus.register_value import Proposal, ReplicaId
 from stoneyoke.transport.messages import Message, PullResponse
 
-CONTACT_TIMEOUT_S = 1.2  # a peer that answered within this is in touch
+CONTACT_TIMEOUT_S = 1.2  # a peer that answered a pull within this time is reachable
 NEVER = -1e9
 
 
@@ -21,44 +21,63 @@
     address: tuple[str, int]
 
     async def call(self, message: Message, within_s: float) -> Message:
-        """The answer. Raises PeerUnreachable."""
+        """Sends a message and returns the answer.
+
+        Raises:
+            PeerUnreachable: there is no answer within `within_s` seconds.
+        """
 
 
 @dataclass(slots=True)
 class Peer:
-    """Another controller: its connection, what it said of itself, and how far its news was heard."""
+    """Another controller. All but `link` and `tasks` comes from its last answer to a pull.
+
+    Attributes:
+        link: the connection to it.
+        replica: its replica; None before its first answer.
+        view: the newest value of the register that it knows, chosen or not, without the configuration's text.
+        chosen_ballot: of the newest value that it knows to be chosen.
+        last_heard_at: when it last answered.
+        incarnation: its process.
+        seq: up to which change of its instance registry this controller has heard.
+        instances_synced: whether it knows each acknowledged drain (see startup_sync).
+        gateways: names of the gateways whose heartbeats it receives.
+        lease_holder: the address of the quota lease's holder, as far as it knows.
+        leaving: whether it is shutting down.
+        steady_since: since when it has answered without a break as the same process with the same disk.
+        tasks: that follow it.
+    """
 
     link: PeerLink
     replica: ReplicaId | None = None
-    view: Proposal | None = None  # without its text
+    view: Proposal | None = None
     chosen_ballot: Ballot = NO_BALLOT
     last_heard_at: float = NEVER
     incarnation: str = ""
     seq: int = 0
     instances_synced: bool = False
-    gateways: tuple[str, ...] = ()  # whose heartbeats it has heard
-    lease_holder: str = ""  # who has the lease of the quotas, by its word
+    gateways: tuple[str, ...] = ()
+    lease_holder: str = ""
     leaving: bool = False
-    steady_since: float = NEVER  # since when it has answered without a break
+    steady_since: float = NEVER
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
-    def record_response(self, news: PullResponse, now: float) -> None:
-        replica = ReplicaId(*news.replica)
-        if (
-            now - self.last_heard_at > CONTACT_TIMEOUT_S
-            or self.incarnation != news.incarnation
-            or self.replica != replica
-        ):
+    def record_response(self, response: PullResponse, now: float) -> None:
+        """Takes over what the peer says of itself."""
+        replica = ReplicaId(*response.replica)
+        was_silent = now - self.last_heard_at > CONTACT_TIMEOUT_S
+        if was_silent or self.incarnation != response.incarnation or self.replica != replica:
             self.steady_since = now
-        self.replica, self.last_heard_at, self.incarnation, self.seq = replica, now, news.incarnation, news.seq
-        self.view = Proposal(Ballot(*news.view_ballot), value_from_row(news.view))
-        self.chosen_ballot = Ballot(*news.chosen_ballot)
-        self.instances_synced, self.gateways = news.instances_synced, tuple(news.gateways)
-        self.lease_holder, self.leaving = news.lease_holder, news.leaving
+        self.replica, self.last_heard_at = replica, now
+        self.incarnation, self.seq = response.incarnation, response.seq
+        self.view = Proposal(Ballot(*response.view_ballot), value_from_row(response.view))
+        self.chosen_ballot = Ballot(*response.chosen_ballot)
+        self.instances_synced, self.gateways = response.instances_synced, tuple(response.gateways)
+        self.lease_holder, self.leaving = response.lease_holder, response.leaving
 
 
 class Peers(Mapping[str, Peer]):
-    """By address. on_new_peer: called with each peer that is new."""
+    """The known peers, by address. A peer is never removed."""
 
     def __init__(
         self,
@@ -68,26 +87,33 @@
         clock: Callable[[], float],
         on_new_peer: Callable[[str, Peer], None],
     ) -> None:
-        self.own_address, self.port, self.dial, self.clock, self.on_new_peer = (
-            own_address,
-            port,
-            dial,
-            clock,
-            on_new_peer,
-        )
+        """Starts without peers.
+
+        Args:
+            own_address: this controller's address, which is never added.
+            port: on which all controllers listen to each other.
+            dial: makes a connection to an address and port, without waiting.
+            clock: seconds of the controller's steady clock.
+            on_new_peer: called with each peer that is added.
+        """
+        self.own_address, self.port, self.dial, self.clock = own_address, port, dial, clock
+        self.on_new_peer = on_new_peer
         self.known: dict[str, Peer] = {}
 
     def __getitem__(self, address: str) -> Peer:
+        """The peer at an address."""
         return self.known[address]
 
     def __iter__(self) -> Iterator[str]:
+        """The addresses, in the order in which they became known."""
         return iter(self.known)
 
     def __len__(self) -> int:
+        """The number of known peers."""
         return len(self.known)
 
     def add_peers(self, *addresses: str) -> bool:
-        """Whether any of them is new."""
+        """Adds the peers that are not known yet; returns whether there were any."""
         new = [one for one in dict.fromkeys(addresses) if one and one != self.own_address and one not in self.known]
         for address in new:
             peer = self.known[address] = Peer(self.dial((address, self.port)))
@@ -95,19 +121,18 @@
         return bool(new)
 
     def links(self) -> dict[str, PeerLink]:
-        """The way to each."""
+        """The connection to each peer, by address."""
         return {address: peer.link for address, peer in self.known.items()}
 
-    def in_touch(self, address: str) -> bool:
-        peer = self.known.get(address)
-        return peer is not None and self.clock() - peer.last_heard_at < CONTACT_TIMEOUT_S
-
     def reachable(self) -> dict[str, Peer]:
-        """Those that are in touch."""
+        """The peers that answered a pull within CONTACT_TIMEOUT_S."""
         now = self.clock()
         return {address: peer for address, peer in self.known.items() if now - peer.last_heard_at < CONTACT_TIMEOUT_S}
 
     def majority_reachable(self, members: tuple[ReplicaId, ...], own: ReplicaId) -> bool:
-        """Whether more than half of these members, with their disks, are heard, this one included."""
-        near = {own, *(peer.replica for peer in self.reachable().values())}
-        return bool(members) and sum(member in near for member in members) >= majority(len(members))
+        """Whether a majority of these members is reachable; `own` is this controller's replica and always is.
+
+        A member is an address with a disk: a peer that answers at a member's address with another disk does not count.
+        """
+        reachable = {own, *(peer.replica for peer in self.reachable().values())}
+        return bool(members) and sum(member in reachable for member in members) >= majority(len(members))
--- /dev/null
+++ b/stoneyoke/controlplane/pull_service.py
@@ -0,0 +1,99 @@
+"""Answers the pulls of gateways and other controllers: what changed at this controller since their last pull."""
+
+import asyncio
+import contextlib
+from dataclasses import dataclass
+
+from stoneyoke.api.configuration import Version
+from stoneyoke.consensus.ballot import NO_BALLOT
+from stoneyoke.consensus.message_rows import EMPTY_VALUE, ballot_row, member_row, value_row, version_row
+from stoneyoke.consensus.replica import Replica
+from stoneyoke.controlplane.controller_context import ControllerContext
+from stoneyoke.controlplane.discovery_service import DiscoveryService
+from stoneyoke.controlplane.gateway_tracker import GatewayTracker
+from stoneyoke.controlplane.membership import Membership
+from stoneyoke.controlplane.peer_follower import PeerFollower
+from stoneyoke.controlplane.quota_lease import QuotaLease
+from stoneyoke.controlplane.settings import ControllerSettings
+from stoneyoke.transport.messages import PullRequest, PullResponse
+from stoneyoke.transport.messages.pull import CONTROLLER_KIND
+
+MAX_PULL_HOLD_S = 2.0  # a pull is answered after this time, with news or without
+
+
+@dataclass(eq=False, kw_only=True)
+class PullService:
+    """Holds a pull until there is news for it, for as long as the request allows.
+
+    Attributes:
+        settings: this controller's address and zone.
+        incarnation: this controller's process; change numbers of another process mean nothing here.
+        replica: the newest values of the register.
+        discovery: the instances.
+        lease: who holds the quota lease.
+        membership: whether this controller is shutting down.
+        gateways: notes the gateways that pull.
+        follower: learns the controllers that pull.
+        context: shared parts of the controller.
+    """
+
+    settings: ControllerSettings
+    incarnation: str
+    replica: Replica
+    discovery: DiscoveryService
+    lease: QuotaLease
+    membership: Membership
+    gateways: GatewayTracker
+    follower: PeerFollower
+    context: ControllerContext
+
+    async def answer(self, request: PullRequest) -> PullResponse:
+        """Answers at once if there is news, else when there is, or when the request's time is up."""
+        if request.kind == CONTROLLER_KIND:
+            self.follower.add_peers(request.ip)
+        else:
+            self.gateways.record_pull(request)
+        change = self.context.changes.next_change()
+        if request.wait_ms > 0 and self.is_up_to_date(request):
+            with contextlib.suppress(TimeoutError):
+                async with asyncio.timeout(min(request.wait_ms / 1000, MAX_PULL_HOLD_S)):
+                    await change.wait()
+        return self.response(request)
+
+    def membership_version(self) -> int:
+        """Rises with each change of the known controllers and gateways."""
+        return self.follower.version + self.gateways.version
+
+    def is_up_to_date(self, request: PullRequest) -> bool:
+        """Whether the requester knows everything that this controller knows."""
+        has_instances = request.incarnation == self.incarnation and request.seq >= self.discovery.registry.seq
+        has_lists = request.membership_version == self.membership_version() or request.kind == CONTROLLER_KIND
+        return has_instances and has_lists and self.replica.version() <= Version(*request.version)
+
+    def response(self, request: PullRequest) -> PullResponse:
+        """What changed since the request's change number, or everything if that is of another process."""
+        is_known = request.incarnation == self.incarnation
+        view, chosen = self.replica.view(), self.replica.chosen
+        controllers: list[str] = []
+        gateways: list[str] = []
+        if not is_known or request.membership_version != self.membership_version():
+            controllers = [self.settings.ip, *self.follower.peers]
+            gateways = list(self.gateways.heartbeats.last_heard_at)
+        return PullResponse(
+            incarnation=self.incarnation,
+            seq=self.discovery.registry.seq,
+            complete=not is_known,
+            instances=self.discovery.registry.changes_since(request.seq if is_known else 0, self.context.clock()),
+            replica=member_row(self.replica.identity),
+            view_ballot=ballot_row(view.ballot if view else NO_BALLOT),
+            view=value_row(view.value if view else EMPTY_VALUE, with_body=False),
+            chosen_ballot=ballot_row(chosen.ballot if chosen else NO_BALLOT),
+            version=version_row(self.replica.version()),
+            instances_synced=self.discovery.synced(),
+            lease_holder=self.lease.holder_known(),
+            leaving=self.membership.leaving,
+            zone=self.settings.zone,
+            membership_version=self.membership_version(),
+            controllers=controllers,
+            gateways=gateways,
+        )
--- a/stoneyoke/controlplane/quota_lease.py
+++ b/stoneyoke/controlplane/quota_lease.py
@@ -1,191 +1,220 @@
-"""The lease of the quotas: one controller holds the tenants' stores, and proposes changes of voters."""
+"""The quota lease: its holder allocates the tenants' quotas to gateways, and proposes changes of the voters."""
 
 import asyncio
-import random
-from collections.abc import Callable
+from dataclasses import dataclass
 
 from loguru import logger
 
 from stoneyoke.api.bounds import ServiceBounds
-from stoneyoke.consensus.message_rows import member_row
-from stoneyoke.consensus.register_value import ReplicaId
+from stoneyoke.consensus.register_value import ReplicaId, VoterSet
 from stoneyoke.consensus.replica import Replica
-from stoneyoke.consensus.replication import Spawn
-from stoneyoke.controlplane.leases import LEASE_TTL_S, RENEW_INTERVAL_S, LeaseGranter, LeaseHolder
+from stoneyoke.controlplane.chosen_configuration import ChosenConfiguration
+from stoneyoke.controlplane.controller_context import ControllerContext
+from stoneyoke.controlplane.gateway_tracker import GatewayTracker
+from stoneyoke.controlplane.lease_voter import LeaseVoter
+from stoneyoke.controlplane.leases import LEASE_TTL_S, RENEW_INTERVAL_S, GrantRequest, LeaseHolder
 from stoneyoke.controlplane.peers import Peer, Peers
 from stoneyoke.limits.quota_allocator import QuotaAllocator
 from stoneyoke.transport.errors import PeerUnreachable
-from stoneyoke.transport.messages import LeaseRequest, LeaseResponse
+from stoneyoke.transport.messages import LeaseRequest, LeaseResponse, QuotaRequest, QuotaResponse
 
-QUOTA_LEASE = "quotas"
+QUOTA_LEASE = "quotas"  # the lease's name in messages
 CALL_TIMEOUT_S = 0.7
-ROUND_TIMEOUT_S = 0.3  # a round of asking waits so long
+ROUND_TIMEOUT_S = 0.3  # a round waits this long for the voters' answers
 RETRY_INTERVAL_S = 0.2
+RANK_DELAY_S = 0.1  # a voter waits this long for each voter before it in the list
+JITTER_S = 0.05
+MIN_WAIT_S = 0.01
 
 
+@dataclass(frozen=True, slots=True)
+class LeaseRound:
+    """One round of requests: the voters that are asked, and when it started."""
+
+    voters: VoterSet
+    started_at: float
+
+
+@dataclass(eq=False, kw_only=True)
 class QuotaLease:
-    """gateways: names of those that were there of late. changed: called when the lease is taken or has ended."""
-
-    def __init__(
-        self,
-        replica: Replica,
-        peers: Peers,
-        incarnation: str,
-        *,
-        bounds: ServiceBounds,
-        first_start: bool,
-        gateways: Callable[[], list[str]],
-        changed: Callable[[], None],
-        clock: Callable[[], float],
-        spawn: Spawn,
-        random_source: random.Random,
-    ) -> None:
-        self.replica, self.peers, self.incarnation, self.bounds = replica, peers, incarnation, bounds
-        self.gateways, self.changed, self.clock, self.spawn, self.random_source = (
-            gateways,
-            changed,
-            clock,
-            spawn,
-            random_source,
-        )
-        self.granter, self.holder = LeaseGranter(clock(), first_start), LeaseHolder()
-        self.allocator: QuotaAllocator | None = None
-        self.was_voter = replica.is_voter()  # as this granter last saw it
+    """The candidate's and holder's side of the quota lease.
+
+    A controller without the lease requests it while it votes, reaches a majority, and knows of no other holder. With
+    grants of a majority it holds the lease and allocates quotas. It renews the lease until a round fails and the time
+    granted runs out; then its allocator is dropped.
+
+    Attributes:
+        replica: this controller's replica; only voters request the lease.
+        peers: the other controllers.
+        incarnation: this controller's process.
+        bounds: the operators' bounds, for the allocator.
+        voter: this controller's own vote.
+        gateways: the gateways that may still hold shares of quotas.
+        configuration: the tenants and their rates.
+        context: shared parts of the controller.
+    """
+
+    replica: Replica
+    peers: Peers
+    incarnation: str
+    bounds: ServiceBounds
+    voter: LeaseVoter
+    gateways: GatewayTracker
+    configuration: ChosenConfiguration
+    context: ControllerContext
+
+    def __post_init__(self) -> None:
+        """Starts without the lease."""
+        self.holder = LeaseHolder()
+        self.allocator: QuotaAllocator | None = None  # while the lease is held
 
     def is_held(self) -> bool:
-        return self.holder.is_held(self.clock())
+        """Whether this controller holds the lease now."""
+        return self.holder.is_held(self.context.clock())
 
     def holder_known(self) -> str:
-        """Address of who holds it, as far as known here, "" if nobody. A grant to itself counts only once a majority
-        has given theirs: gateways that believed a controller which was cut off left the true holder again and again
-        (a cut of 20 s cost 0.09 of a day's worth)."""
-        grant, now = self.granter.grants.get(QUOTA_LEASE), self.clock()
-        if grant is None or now >= grant.expires_at:
+        """The address of the lease holder as far as known here, "" if unknown.
+
+        A grant to this controller itself counts only once a majority has granted. Gateways that believed a
+        controller which was cut off left the true holder again and again (a cut of 20 s cost 0.09 of a day's worth).
+        """
+        grant = self.voter.current_grant(QUOTA_LEASE)
+        if grant is None:
             return ""
-        return grant.holder if grant.holder != self.peers.own_address or self.is_held() else ""
+        is_own = grant.holder == self.peers.own_address
+        return "" if is_own and not self.is_held() else grant.holder
+
+    def allocate(self, request: QuotaRequest) -> QuotaResponse:
+        """Answers a gateway's request for quota; `ok` is false without the lease."""
+        if self.allocator is None or not self.is_held():
+            return QuotaResponse(ok=False, grants=[])
+        self.allocator.plans(self.configuration.tenants())
+        grants = self.allocator.draw(
+            request.name,
+            request.incarnation,
+            request.since_answer_ms / 1000,
+            request.complete,
+            request.demands,
+            self.context.clock(),
+        )
+        return QuotaResponse(ok=True, grants=grants)
+
+    # ---- holding ----
 
     async def run(self) -> None:
-        """For as long as this process lives."""
+        """Requests and renews the lease for as long as the process runs."""
         while True:
-            now, held = self.clock(), self.is_held()
-            if now < self.granter.no_grants_before:  # nobody can have it before
-                await asyncio.sleep(max(0.01, self.granter.no_grants_before - now))
+            now, was_held = self.context.clock(), self.is_held()
+            if now < self.voter.no_grants_before:  # nobody can hold the lease before
+                await asyncio.sleep(max(MIN_WAIT_S, self.voter.no_grants_before - now))
                 continue
-            if self.may_request(held):
-                await self.request_in_turn(held)
-            self.renew_allocator()
-            await asyncio.sleep(RENEW_INTERVAL_S if held else RETRY_INTERVAL_S)
-
-    def may_request(self, held: bool) -> bool:
-        return (
-            self.replica.chosen is not None
-            and self.replica.is_voter()
-            and (held or self.peers.majority_reachable(self.replica.voters().members, self.replica.identity))
-            and (held or self.holder_known() in ("", self.peers.own_address))
-        )
-
-    async def request_in_turn(self, held: bool) -> None:
-        """Those with a lower place among the voters go first."""
+            if self.may_request(was_held):
+                await self.request_in_turn(was_held)
+            self.update_allocator()
+            await asyncio.sleep(RENEW_INTERVAL_S if was_held else RETRY_INTERVAL_S)
+
+    def may_request(self, is_held: bool) -> bool:
+        """Whether this controller renews the lease, or may try to get it."""
+        if self.replica.chosen is None or not self.replica.is_voter():
+            return False
+        if is_held:
+            return True
         members = self.replica.voters().members
-        if not held:
-            await asyncio.sleep(0.1 * members.index(self.replica.identity) + 0.05 * self.random_source.random())
+        has_quorum = self.peers.majority_reachable(members, self.replica.identity)
+        return has_quorum and self.holder_known() in ("", self.peers.own_address)
+
+    async def request_in_turn(self, is_held: bool) -> None:
+        """Runs a round. A candidate waits by its rank among the voters first, so that few compete."""
+        if not is_held:
+            rank = self.replica.voters().members.index(self.replica.identity)
+            await asyncio.sleep(RANK_DELAY_S * rank + JITTER_S * self.context.random_source.random())
         await self.request_from_voters()
 
     async def request_from_voters(self) -> None:
-        voters, began = self.replica.voters(), self.clock()
-        self.holder.start_round(began)
-        number = self.holder.round_number
-        ok = self.grant(QUOTA_LEASE, self.peers.own_address, self.incarnation, LEASE_TTL_S, number, voters.number)[0]
-        self.holder.record_reply(self.replica.identity, ok, voters.members, began, began)
-        request = self.lease_request(int(LEASE_TTL_S * 1000), voters.number)
-
-        async def one(peer: Peer) -> None:
-            try:
-                answer = await peer.link.call(request, CALL_TIMEOUT_S)
-            except PeerUnreachable:
-                return
-            if isinstance(answer, LeaseResponse) and answer.voter_set_number == voters.number:
-                self.holder.record_reply(ReplicaId(*answer.replica), answer.ok, voters.members, began, self.clock())
-
-        asked = [self.spawn(one(self.peers[name])) for name in voters.addresses() if name in self.peers]
-        if asked:
-            await asyncio.wait(asked, timeout=ROUND_TIMEOUT_S)
+        """One round: asks all voters, counts their grants, releases them if they are no majority."""
+        lease_round = LeaseRound(self.replica.voters(), self.context.clock())
+        self.holder.start_round(lease_round.started_at)
+        own = self.voter.grant(self._grant_request(LEASE_TTL_S), lease_round.voters.number)
+        if own and own.granted:
+            self.record_grant(self.replica.identity, lease_round)
+        message = self._lease_request(LEASE_TTL_S, lease_round.voters.number)
+        requests = [
+            self.context.tasks.spawn(self._request_from(peer, message, lease_round))
+            for peer in self._voting_peers(lease_round.voters)
+        ]
+        if requests:
+            await asyncio.wait(requests, timeout=ROUND_TIMEOUT_S)
         if not self.is_held():
-            self.renew_allocator()
+            self.update_allocator()
             await self.release()
 
-    def lease_request(self, ttl_ms: int, voter_set_number: int) -> LeaseRequest:
-        """A request of the holder's current round; a `ttl_ms` of 0 releases the lease."""
+    def record_grant(self, voter: ReplicaId, lease_round: LeaseRound) -> None:
+        """Counts one voter's grant in a round."""
+        self.holder.record_grant(voter, lease_round.voters.members, lease_round.started_at)
+
+    async def release(self) -> None:
+        """Gives the grants of a failed round back, then waits.
+
+        Two candidates can each hold grants from a minority of voters and renew them for ever. Release ours, then retry
+        after a random backoff.
+        """
+        voters = self.replica.voters()
+        self.holder.start_round(self.context.clock())
+        self.voter.grant(self._grant_request(0.0), voters.number)
+        message = self._lease_request(0.0, voters.number)
+        for peer in self._voting_peers(voters):
+            self.context.tasks.spawn(self._send(peer, message))
+        await asyncio.sleep(ROUND_TIMEOUT_S * self.context.random_source.random())
+
+    def update_allocator(self) -> None:
+        """Starts the allocator when the lease was acquired, drops it when the lease has ended."""
+        now = self.context.clock()
+        is_held = self.holder.is_held(now)
+        if is_held and self.allocator is None:
+            logger.info("quota lease acquired: this controller allocates quotas")
+            self.allocator = QuotaAllocator(self.bounds, now, self.gateways.recent_names())
+            self.context.changes.notify()
+        elif not is_held and self.allocator is not None:
+            logger.info("quota lease ended: this controller allocates no quotas")
+            self.allocator = None
+            self.context.changes.notify()
+
+    # ---- messages ----
+
+    def answer_request(self, request: LeaseRequest) -> LeaseResponse:
+        """Answers another candidate, as a voter."""
+        return self.voter.answer(request, self.holder_known)
+
+    def _voting_peers(self, voters: VoterSet) -> list[Peer]:
+        return [self.peers[address] for address in voters.addresses() if address in self.peers]
+
+    def _grant_request(self, ttl_s: float) -> GrantRequest:
+        return GrantRequest(
+            lease_name=QUOTA_LEASE,
+            holder=self.peers.own_address,
+            incarnation=self.incarnation,
+            ttl_s=ttl_s,
+            round_number=self.holder.round_number,
+        )
+
+    def _lease_request(self, ttl_s: float, voter_set_number: int) -> LeaseRequest:
         return LeaseRequest(
             lease_name=QUOTA_LEASE,
             holder=self.peers.own_address,
             incarnation=self.incarnation,
-            ttl_ms=ttl_ms,
+            ttl_ms=int(ttl_s * 1000),
             round_number=self.holder.round_number,
             voter_set_number=voter_set_number,
         )
 
-    async def release(self) -> None:
-        """Rivals that each hold a part of the voters would renew that for ever: given back, and by chance later."""
-        voters = self.replica.voters()
-        self.holder.start_round(self.clock())
-        self.grant(QUOTA_LEASE, self.peers.own_address, self.incarnation, 0.0, self.holder.round_number, voters.number)
-        request = self.lease_request(0, voters.number)
-        for name in voters.addresses():
-            if name in self.peers:
-                self.spawn(self.send(self.peers[name], request))
-        await asyncio.sleep(ROUND_TIMEOUT_S * self.random_source.random())
-
-    async def send(self, peer: Peer, request: LeaseRequest) -> None:
+    async def _request_from(self, peer: Peer, message: LeaseRequest, lease_round: LeaseRound) -> None:
+        answer = await self._send(peer, message)
+        if answer and answer.ok and answer.voter_set_number == lease_round.voters.number:
+            self.record_grant(ReplicaId(*answer.replica), lease_round)
+
+    async def _send(self, peer: Peer, message: LeaseRequest) -> LeaseResponse | None:
         try:
-            await peer.link.call(request, CALL_TIMEOUT_S)
+            answer = await peer.link.call(message, CALL_TIMEOUT_S)
         except PeerUnreachable:
-            return
-
-    # ---- the voter's part ----
-
-    def grant(
-        self, lease_name: str, holder: str, incarnation: str, ttl_s: float, number: int, voters_number: int
-    ) -> tuple[bool, str, float]:
-        """Whether it is granted; who has it; for how many seconds more. Only for the voters that are known here to be
-        chosen, and no more once newer ones may be: so grants of two sets never make up two majorities."""
-        now, votes = self.clock(), self.replica.is_voter()
-        if votes and not self.was_voter:
-            self.granter.delay_grants(now)
-        self.was_voter = votes
-        accepted, current = self.replica.acceptor.accepted, self.replica.chosen_voters_number()
-        superseded = accepted is not None and accepted.value.voters.number > voters_number
-        if not votes or voters_number != current or superseded:
-            return False, self.holder_known(), 0.0
-        return self.granter.request(lease_name, holder, incarnation, ttl_s, now, number)
-
-    def answer_request(self, request: LeaseRequest) -> LeaseResponse:
-        ok, has, left = self.grant(
-            request.lease_name,
-            request.holder,
-            request.incarnation,
-            request.ttl_ms / 1000,
-            request.round_number,
-            request.voter_set_number,
-        )
-        return LeaseResponse(
-            ok=ok,
-            holder=has,
-            remaining_ms=int(left * 1000),
-            voter_set_number=self.replica.chosen_voters_number(),
-            replica=member_row(self.replica.identity),
-        )
-
-    # ---- the holder's part ----
-
-    def renew_allocator(self) -> None:
-        now = self.clock()
-        if not self.holder.is_held(now):
-            if self.allocator:
-                logger.info("lease of the quotas: ended")
-                self.changed()
-            self.allocator = None
-        elif self.allocator is None:
-            logger.info("lease of the quotas: taken")
-            self.allocator = QuotaAllocator(self.bounds, now, self.gateways())
-            self.changed()
+            return None
+        return answer if isinstance(answer, LeaseResponse) else None
--- /dev/null
+++ b/stoneyoke/controlplane/settings.py
@@ -0,0 +1,65 @@
+"""What a controller is started with."""
+
+import asyncio
+import functools
+import random
+import time
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+from stoneyoke.api.bounds import ServiceBounds
+from stoneyoke.consensus.replica import RecordStorage
+from stoneyoke.controlplane.peers import PeerLink
+from stoneyoke.transport.peer_client import PeerClient
+
+
+async def run_in_thread(work: Callable[..., Any], *args: Any, **kwargs: Any) -> Any:
+    """Runs a function that may wait for the disk, without holding up the event loop."""
+    return await asyncio.get_running_loop().run_in_executor(None, functools.partial(work, *args, **kwargs))
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class ControllerSettings:
+    """One controller's settings.
+
+    Attributes:
+        name: of the machine.
+        ip: the address at which the other controllers and the gateways reach it.
+        port: of the protocol between controllers and gateways.
+        zone: the machine's zone.
+        seeds: addresses of controllers to contact first; at the system's first start these vote.
+        first_start: the whole system starts for the first time.
+        silence_timeout_s: an instance without a heartbeat for this long counts as silent.
+        bounds: the operators' bounds, by name.
+        losses: how many machines with a disk may be lost at once.
+    """
+
+    name: str
+    ip: str
+    port: int
+    zone: str
+    seeds: tuple[str, ...]
+    first_start: bool
+    silence_timeout_s: float
+    bounds: ServiceBounds
+    losses: int
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class ControllerEnvironment:
+    """What a controller uses of its process and machine; simulations and tests bring their own.
+
+    Attributes:
+        store: records on this machine's disk.
+        clock: seconds of a steady clock; only differences are used.
+        dial: makes a connection to an address and port, without waiting.
+        run_blocking: runs a function that may wait for the disk.
+        random_source: for identities and jitter.
+    """
+
+    store: RecordStorage
+    clock: Callable[[], float] = time.monotonic
+    dial: Callable[[tuple[str, int]], PeerLink] = PeerClient
+    run_blocking: Callable[..., Awaitable[Any]] = run_in_thread
+    random_source: random.Random = field(default_factory=random.SystemRandom)
--- a/stoneyoke/controlplane/startup_sync.py
+++ b/stoneyoke/controlplane/startup_sync.py
@@ -13,59 +13,85 @@
 
 When too many controllers restart at once, no synced voter is left to pull from. A controller then waits until each
 backend had time to send a heartbeat to any controller; a draining backend says so in each heartbeat. A controller that
-becomes a voter while it runs starts over, because it was not counted for drains acknowledged before."""
+becomes a voter while it runs starts over, because it was not counted for drains acknowledged before.
+"""
 
 from dataclasses import dataclass, field
 
 from stoneyoke.consensus.quorum import read_quorum
 
-ACK_WINDOW_S = 0.7  # answers to a telling are counted for so long, by the clock of whoever counts
-CLOCK_MARGIN_S = 0.1  # for clocks that do not run quite alike
+ACK_WINDOW_S = 0.7  # answers to an update are counted for this long, by the clock of the controller that counts
+CLOCK_MARGIN_S = 0.1  # clocks of two machines may drift apart by this much within the window
 
 
 @dataclass(slots=True)
 class StartupSync:
-    """started_at: of this process. heartbeat_round_s: in which each backend has sent a heartbeat that all in touch know
-    of."""
+    """Decides when a controller that started is synced: it knows each acknowledged drain.
+
+    Not synced leads to synced by enough pulls, by time, or by `mark_first_start`. Synced leads to not synced only when
+    the controller becomes a voter. Times are seconds of the controller's clock.
+
+    Attributes:
+        own_address: this controller's address.
+        started_at: when this process started, or became a voter.
+        heartbeat_round_s: within this time each backend has sent a heartbeat that all reachable controllers know of.
+        synced: the current decision.
+        is_voter: whether this controller votes; None while the voters are not known.
+        last_gap_at: when this controller was last seen without a quorum, or had been suspended.
+        synced_sources: the synced controllers that were pulled from since pulls count.
+    """
 
     own_address: str
     started_at: float
     heartbeat_round_s: float
     synced: bool = False
-    is_voter: bool | None = None  # None: who votes has not been known yet
-    last_gap_at: float = field(init=False)  # when it was last seen out of touch with a majority, or had stood still
-    synced_sources: set[str] = field(default_factory=set)  # from whom, synced, since it may count
+    is_voter: bool | None = None
+    last_gap_at: float = field(init=False)
+    synced_sources: set[str] = field(default_factory=set)
 
     def __post_init__(self) -> None:
+        """The time before the start counts as a gap."""
         self.last_gap_at = self.started_at
 
     def mark_first_start(self) -> None:
-        """Of the whole system, on empty disks: nothing was acknowledged before."""
+        """The whole system starts for the first time, on empty disks: no drain was acknowledged before."""
         self.synced = True
 
     def update_voters(self, voters: tuple[str, ...], now: float) -> None:
-        """Who votes, as often as it may have changed."""
+        """Takes the current voters' addresses; to be called whenever they may have changed."""
         if not voters:
             return
         is_voter = self.own_address in voters
-        if is_voter and self.is_voter is False:
+        became_voter = is_voter and self.is_voter is False
+        if became_voter:
             self.synced, self.started_at, self.last_gap_at = False, now, now
             self.synced_sources.clear()
         self.is_voter = is_voter
 
     def record_pull(self, address: str, synced: bool, begun_at: float) -> None:
-        """A pull that began then gave all that a controller knows, at once or in parts since this process's start."""
-        if begun_at >= self.started_at + ACK_WINDOW_S + CLOCK_MARGIN_S:
-            (self.synced_sources.add if synced else self.synced_sources.discard)(address)
+        """Notes a pull that brought everything a controller knows, at once or in parts since this process started.
+
+        Args:
+            address: the controller that was pulled from.
+            synced: whether that controller said that it is synced.
+            begun_at: when the request was sent.
+        """
+        if begun_at < self.started_at + ACK_WINDOW_S + CLOCK_MARGIN_S:
+            return
+        if synced:
+            self.synced_sources.add(address)
+        else:
+            self.synced_sources.discard(address)
 
     def note_gap(self, now: float) -> None:
-        """Heartbeats may have been missed up to now."""
+        """This controller may have missed heartbeats until now."""
         self.last_gap_at = now
 
     def evaluate(self, voters: tuple[str, ...], now: float) -> bool:
+        """Updates the decision and returns whether this controller is synced."""
         self.update_voters(voters, now)
         if not self.synced and voters:
-            others = self.synced_sources.intersection(voters) - {self.own_address}
-            beats_known = now - self.last_gap_at >= self.heartbeat_round_s
-            self.synced = len(others) >= read_quorum(len(voters)) or beats_known
+            sources = self.synced_sources.intersection(voters) - {self.own_address}
+            heard_every_backend = now - self.last_gap_at >= self.heartbeat_round_s
+            self.synced = len(sources) >= read_quorum(len(voters)) or heard_every_backend
         return self.synced
--- a/stoneyoke/controlplane/status.py
+++ b/stoneyoke/controlplane/status.py
@@ -1,54 +1,155 @@
-"""What a controller knows, for people and the command line. No I/O."""
+"""A controller's status report, as JSON for people and for stoneyokectl. No I/O."""
 
 import json
-from typing import TYPE_CHECKING
-
-from stoneyoke.controlplane.instance_registry import Phase
-
-if TYPE_CHECKING:
-    from stoneyoke.controlplane.controller import Controller
-
-
-def status_text(controller: "Controller") -> bytes:
-    """JSON. Lengths of time in seconds."""
-    now, replica = controller.clock(), controller.replica
-    voters, view = replica.voters(), replica.view()
-    status = {
-        "name": controller.name,
-        "address": controller.ip,
-        "disk": replica.identity.disk,
-        "version": str(replica.version()),
-        "votes": replica.is_voter(),
-        "ballot": {
-            "promised": replica.acceptor.promised.counter,
-            "accepted": view.ballot.counter if view else None,
-            "chosen": replica.chosen.ballot.counter if replica.chosen else None,
-        },
-        "voters": {"number": voters.number, "members": [f"{one.address}/{one.disk}" for one in voters.members]},
-        "in_touch": controller.has_quorum(),
-        "keeper": controller.lease.holder_known(),
-        "controllers": {
-            name: {
-                "disk": peer.replica.disk if peer.replica else None,
-                "version": str(peer.view.value.version) if peer.view else None,
-                "votes": peer.replica in voters.members,
-                "silent_s": round(now - peer.last_heard_at, 2),
-            }
-            for name, peer in controller.peers.items()
-        },
-        "gateways": {
-            name: {"version": str(seen.version), "silent_s": round(now - seen.at, 2), "ready": seen.ready}
-            for name, seen in controller.gateways_seen.items()
-        },
-        "backends": {
-            name: {
-                "service": record.row.service,
-                "address": record.row.address,
-                "phase": Phase(record.row.phase).name.lower(),
-                "zone": record.row.zone,
-                "silent_s": round(now - record.last_heard_at, 2),
-            }
-            for name, record in controller.discovery.registry.records.items()
+from dataclasses import asdict, dataclass
+
+from stoneyoke.consensus.register_value import VoterSet
+from stoneyoke.consensus.replica import Replica
+from stoneyoke.controlplane.cluster_view import ClusterView
+from stoneyoke.controlplane.gateway_tracker import GatewayTracker
+from stoneyoke.controlplane.instance_registry import InstanceRecord, InstanceRegistry, Phase
+from stoneyoke.controlplane.peers import Peer, Peers
+from stoneyoke.controlplane.quota_lease import QuotaLease
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class StatusSources:
+    """The parts of a controller that its status is read from."""
+
+    name: str
+    cluster: ClusterView
+    replica: Replica
+    peers: Peers
+    lease: QuotaLease
+    gateways: GatewayTracker
+    registry: InstanceRegistry
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class BallotStatus:
+    """Ballot counters of this controller's replica; None: there is no such value."""
+
+    promised: int
+    accepted: int | None
+    chosen: int | None
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class VotersStatus:
+    """The newest voter set known here; members as address/disk."""
+
+    number: int
+    members: list[str]
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class ControllerStatus:
+    """Another controller. silent_s: seconds since its last answer."""
+
+    disk: str | None
+    version: str | None
+    votes: bool
+    silent_s: float
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class GatewayStatus:
+    """A gateway. silent_s: seconds since its last pull here."""
+
+    version: str
+    silent_s: float
+    ready: bool
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class BackendStatus:
+    """An instance. silent_s: seconds since its last heartbeat that this controller knows of."""
+
+    service: str
+    address: str
+    phase: str
+    zone: str
+    silent_s: float
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Status:
+    """The whole report.
+
+    Attributes:
+        in_touch: the same as has_quorum; its name before, kept for one release.
+        keeper: the same as lease_holder; its name before, kept for one release.
+    """
+
+    name: str
+    address: str
+    disk: str
+    version: str
+    votes: bool
+    ballot: BallotStatus
+    voters: VotersStatus
+    in_touch: bool
+    has_quorum: bool
+    keeper: str
+    lease_holder: str
+    controllers: dict[str, ControllerStatus]
+    gateways: dict[str, GatewayStatus]
+    backends: dict[str, BackendStatus]
+
+
+def status_json(sources: StatusSources, now: float) -> bytes:
+    """The report as JSON; lengths of time in seconds."""
+    return json.dumps(asdict(read_status(sources, now)), indent=1).encode()
+
+
+def read_status(sources: StatusSources, now: float) -> Status:
+    """Reads the report from the controller's parts."""
+    replica, lease_holder, has_quorum = sources.replica, sources.lease.holder_known(), sources.cluster.has_quorum()
+    voters = replica.voters()
+    return Status(
+        name=sources.name,
+        address=sources.cluster.own_address,
+        disk=replica.identity.disk,
+        version=str(replica.version()),
+        votes=replica.is_voter(),
+        ballot=_ballot_status(replica),
+        voters=VotersStatus(number=voters.number, members=[f"{one.address}/{one.disk}" for one in voters.members]),
+        in_touch=has_quorum,
+        has_quorum=has_quorum,
+        keeper=lease_holder,
+        lease_holder=lease_holder,
+        controllers={name: _controller_status(peer, voters, now) for name, peer in sources.peers.items()},
+        gateways={
+            name: GatewayStatus(version=str(pull.version), silent_s=round(now - pull.at, 2), ready=pull.ready)
+            for name, pull in sources.gateways.last_pulls.items()
         },
-    }
-    return json.dumps(status, indent=1).encode()
+        backends={name: _backend_status(record, now) for name, record in sources.registry.records.items()},
+    )
+
+
+def _ballot_status(replica: Replica) -> BallotStatus:
+    view, chosen = replica.view(), replica.chosen
+    return BallotStatus(
+        promised=replica.acceptor.promised.counter,
+        accepted=view.ballot.counter if view else None,
+        chosen=chosen.ballot.counter if chosen else None,
+    )
+
+
+def _controller_status(peer: Peer, voters: VoterSet, now: float) -> ControllerStatus:
+    return ControllerStatus(
+        disk=peer.replica.disk if peer.replica else None,
+        version=str(peer.view.value.version) if peer.view else None,
+        votes=peer.replica in voters.members,
+        silent_s=round(now - peer.last_heard_at, 2),
+    )
+
+
+def _backend_status(record: InstanceRecord, now: float) -> BackendStatus:
+    return BackendStatus(
+        service=record.row.service,
+        address=record.row.address,
+        phase=Phase(record.row.phase).name.lower(),
+        zone=record.row.zone,
+        silent_s=round(now - record.last_heard_at, 2),
+    )
--- a/stoneyoke/lab/capacity/hollow_fleet.py
+++ b/stoneyoke/lab/capacity/hollow_fleet.py
@@ -19,6 +19,7 @@
 from stoneyoke.api.configuration import Configuration, Version
 from stoneyoke.controlplane.controller import Controller
 from stoneyoke.controlplane.instance_registry import Phase
+from stoneyoke.controlplane.settings import ControllerEnvironment, ControllerSettings
 from stoneyoke.gateway.control_client import ControlClient
 from stoneyoke.gateway.routes import Table, table_of
 from stoneyoke.lab.capacity.figures import Figure
@@ -128,22 +129,25 @@
 
     async def start_controller(self, name: str) -> None:
         disk = Disk(str(self.folder / name), self.random_source)
-        controller = Controller(
-            name,
-            name,
-            1,
-            "zone",
-            disk.mount(),
-            self.seeds,
+        settings = ControllerSettings(
+            name=name,
+            ip=name,
+            port=1,
+            zone="zone",
+            seeds=self.seeds,
             first_start=True,
-            silent_s=2.4 * BEAT_S + 0.5,
+            silence_timeout_s=2.4 * BEAT_S + 0.5,
             bounds=BOUNDS,
             losses=(self.shape.controllers - 1) // 2,
+        )
+        environment = ControllerEnvironment(
+            store=disk.mount(),
             clock=self.loop.time,
             dial=self.network.dialler(name),
+            run_blocking=disk.blocking,
             random_source=random.Random(name),
         )
-        controller.blocking = disk.blocking  # type: ignore[method-assign, assignment]
+        controller = Controller(settings, environment)
         await controller.start()
         self.controllers[name] = controller
         self.network.ports[name] = controller.handle_message
--- a/stoneyoke/lab/simulation/fleet_defects.py
+++ b/stoneyoke/lab/simulation/fleet_defects.py
@@ -1,12 +1,13 @@
 """Defects of leases, quotas, gateways and the instances that they know."""
 
 import zlib
+from dataclasses import replace
 from typing import Any
 
 from stoneyoke.api.calls import Acknowledged
 from stoneyoke.api.configuration import Version, read_configuration
 from stoneyoke.consensus.register_value import ReplicaId
-from stoneyoke.controlplane import discovery_service, instance_registry, leases
+from stoneyoke.controlplane import discovery_service, instance_registry, leases, quota_lease
 from stoneyoke.gateway import admission, config_sync, instance_directory
 from stoneyoke.lab.simulation.register_defects import Patch
 from stoneyoke.limits import quota_allocator
@@ -30,21 +31,15 @@
 
 def counts_from_answer() -> list[Patch]:
     """A holder counts its lease from when the grants came, not from before it asked."""
-    real = leases.LeaseHolder.record_reply
+    real = quota_lease.QuotaLease.record_grant
 
-    def record_reply(
-        self: leases.LeaseHolder,
-        voter: ReplicaId,
-        ok: bool,
-        voters: tuple[ReplicaId, ...],
-        began: float,
-        now: float,
-    ) -> None:
-        real(self, voter, ok, voters, began, now)
-        if self.expires_at > now:
-            self.expires_at = now + leases.LEASE_TTL_S
+    def record_grant(self: quota_lease.QuotaLease, voter: ReplicaId, lease_round: quota_lease.LeaseRound) -> None:
+        real(self, voter, lease_round)
+        now = self.context.clock()
+        if self.holder.is_held(now):
+            self.holder.expires_at = now + leases.LEASE_TTL_S
 
-    return [(leases.LeaseHolder, "record_reply", record_reply)]
+    return [(quota_lease.QuotaLease, "record_grant", record_grant)]
 
 
 def alone_not_told() -> list[Patch]:
@@ -157,7 +152,7 @@
                 and (other.row.phase < instance_registry.Phase.GONE)
             ):
                 other.row = other.row._replace(phase=int(instance_registry.Phase.SILENT))
-                self.changed(other)
+                self._mark_changed(other)
 
     return [(instance_registry.InstanceRegistry, "silence_previous_owner", silence_previous_owner)]
 
@@ -166,10 +161,8 @@
     """A round of asking for a duty has no number: a late one that gives back undoes a newer grant."""
     real = leases.LeaseGranter.request
 
-    def request(
-        self: leases.LeaseGranter, lease_name: str, holder: str, incarnation: str, ttl_s: float, now: float, number: int
-    ) -> Any:
-        return real(self, lease_name, holder, incarnation, ttl_s, now, 0)
+    def request(self: leases.LeaseGranter, request: leases.GrantRequest, now: float) -> leases.GrantDecision:
+        return real(self, replace(request, round_number=0), now)
 
     return [(leases.LeaseGranter, "request", request)]
 
--- a/stoneyoke/lab/simulation/machines.py
+++ b/stoneyoke/lab/simulation/machines.py
@@ -7,6 +7,7 @@
 
 from stoneyoke.api.configuration import Configuration, Version
 from stoneyoke.controlplane.controller import Controller
+from stoneyoke.controlplane.settings import ControllerEnvironment, ControllerSettings
 from stoneyoke.gateway.control_client import ControlClient
 from stoneyoke.gateway.routes import Table, table_of
 from stoneyoke.lab.simulation.bounds import BOUNDS, HEARTBEAT_S
@@ -59,22 +60,25 @@
     async def run(self, first: bool) -> None:
         scenario, loop = self.scenario, asyncio.get_running_loop()
         offset = scenario.random_source.uniform(-CLOCK_OFFSET_S, CLOCK_OFFSET_S)
-        controller = Controller(
-            self.name,
-            self.name,
-            PORT,
-            ZONE,
-            self.disk.mount(),
-            self.seeds,
+        settings = ControllerSettings(
+            name=self.name,
+            ip=self.name,
+            port=PORT,
+            zone=ZONE,
+            seeds=self.seeds,
             first_start=first,
-            silent_s=SILENT_S,
+            silence_timeout_s=SILENT_S,
             bounds=BOUNDS,
             losses=scenario.plan.losses,
+        )
+        environment = ControllerEnvironment(
+            store=self.disk.mount(),
             clock=lambda: loop.time() + offset,
             dial=scenario.network.dialler(self.name),
+            run_blocking=self.disk.blocking,
             random_source=random.Random(f"{scenario.plan.seed} {self.name} {self.incarnations}"),
         )
-        controller.blocking = self.disk.blocking  # type: ignore[method-assign, assignment]
+        controller = Controller(settings, environment)
         try:
             await controller.start()
         except Exception as bad:
--- a/stoneyoke/lab/simulation/register_defects.py
+++ b/stoneyoke/lab/simulation/register_defects.py
@@ -161,12 +161,12 @@
 
 def late_answer_counts() -> list[Patch]:
     """A grant counts for the round of asking that is out, whichever it was given for."""
-    real = leases.LeaseHolder.record_reply
+    real = leases.LeaseHolder.record_grant
 
-    def record_reply(self: leases.LeaseHolder, voter: Any, ok: bool, voters: Any, began: float, now: float) -> None:
-        real(self, voter, ok, voters, self.round_started_at, now)
+    def record_grant(self: leases.LeaseHolder, voter: Any, voters: Any, round_started_at: float) -> None:
+        real(self, voter, voters, self.round_started_at)
 
-    return [(leases.LeaseHolder, "record_reply", record_reply)]
+    return [(leases.LeaseHolder, "record_grant", record_grant)]
 
 
 def lost_voter_stays() -> list[Patch]:
--- a/stoneyoke/programs/controller.py
+++ b/stoneyoke/programs/controller.py
@@ -9,6 +9,7 @@
 
 from stoneyoke.controlplane.controller import Controller
 from stoneyoke.controlplane.http_api import HttpApi
+from stoneyoke.controlplane.settings import ControllerEnvironment, ControllerSettings
 from stoneyoke.programs.log_buffer import LogBuffer, set_up
 from stoneyoke.programs.settings import BadSettings, Settings, read_settings
 from stoneyoke.storage.record_store import RecordStore
@@ -27,18 +28,18 @@
     if not settings.data_dir:
         raise BadSettings("self.data_dir is missing: the configuration needs a disk")
     loop, ended = asyncio.get_running_loop(), asyncio.Event()
-    controller = Controller(
-        settings.name,
-        settings.ip,
-        settings.port,
-        settings.zone,
-        RecordStore(settings.data_dir),
-        settings.seeds,
+    controller_settings = ControllerSettings(
+        name=settings.name,
+        ip=settings.ip,
+        port=settings.port,
+        zone=settings.zone,
+        seeds=settings.seeds,
         first_start=settings.first_start,
-        silent_s=SILENT_BEATS * settings.beat_s + 0.5,
+        silence_timeout_s=SILENT_BEATS * settings.beat_s + 0.5,
         bounds=settings.bounds,
         losses=settings.losses,
     )
+    controller = Controller(controller_settings, ControllerEnvironment(store=RecordStore(settings.data_dir)))
     http_api = HttpApi(controller.handle_call, settings.memory // BODY_PART)
     peer_server = PeerServer(controller.handle_message)
 
--- a/tests/system/configurations.py
+++ b/tests/system/configurations.py
@@ -1,9 +1,11 @@
-"""An example configuration, and a wire of the system without sockets."""
+"""An example configuration as operators write it."""
 
 import copy
 import json
+from collections.abc import Callable
+from typing import Any
 
-EXAMPLE = {
+EXAMPLE: dict[str, Any] = {
     "generation": "r7",
     "service_list": [
         {"label": name, "health_path": "/health", "max_conns": 100, "protocol": "h1", "tls_mode": False}
@@ -62,14 +64,21 @@
 }
 
 
-def example(number=7, change=None):
-    """The example's text under another number, changed."""
-    given = copy.deepcopy(EXAMPLE)
-    given["generation"] = f"r{number}"
+def example(number: int = 7, change: Callable[[dict[str, Any]], object] | None = None) -> bytes:
+    """The example's text.
+
+    Args:
+        number: of its generation.
+        change: changes the configuration before it is written.
+    """
+    configuration = copy.deepcopy(EXAMPLE)
+    configuration["generation"] = f"r{number}"
     if change:
-        change(given)
-    return json.dumps(given).encode()
+        change(configuration)
+    return json.dumps(configuration).encode()
 
 
-def route(given, host=0, at=0):
-    return given["host_map"][host]["path_map"][at]
+def route(configuration: dict[str, Any], host: int = 0, at: int = 0) -> dict[str, Any]:
+    """One route of a configuration, by its places in the lists."""
+    found: dict[str, Any] = configuration["host_map"][host]["path_map"][at]
+    return found
--- a/tests/system/controller_cluster.py
+++ b/tests/system/controller_cluster.py
@@ -1,143 +1,182 @@
-"""Controllers without sockets: wires that call one another's, a disk in memory, a clock by hand."""
+"""A cluster of controllers without sockets: links that call each other's handlers, disks in memory, simulated time."""
 
 import asyncio
+from collections import Counter
+from collections.abc import Callable, Coroutine, Iterable
+from typing import Any
 
 from stoneyoke.api.bounds import ServiceBounds
+from stoneyoke.consensus.record_formats import Record
 from stoneyoke.controlplane.controller import Controller
+from stoneyoke.controlplane.settings import ControllerEnvironment, ControllerSettings
 from stoneyoke.storage.record_store import StorageError
-from stoneyoke.transport.messages import pack, unpack
+from stoneyoke.transport.messages import Message, pack, unpack
 from stoneyoke.transport.errors import PeerUnreachable
 
 BOUNDS = ServiceBounds(catch_up_s=4.0, quota_window_s=5.0, quota_excess_ratio=0.1, quota_slack_units=20.0)
+SILENCE_TIMEOUT_S = 5.0
+POLL_S = 0.005
+PATIENCE_S = 60.0  # simulated; a condition that does not hold by then fails its test
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """Time passes only when nothing is left to do, and then at once: no test waits."""
+    """An event loop whose time passes only when nothing is left to do, and then at once: no test waits."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         super().__init__()
         self.now = 1000.0
-        real = self._selector.select
+        selector: Any = self._selector  # type: ignore[attr-defined]  # asyncio's own, without a public name
+        real_select = selector.select
 
-        def jump(timeout):
-            events = real(0)
+        def select(timeout: float | None) -> Any:
+            events = real_select(0)
             if not events:
                 assert timeout is not None, "everything waits for something else"
                 self.now += timeout
             return events
 
-        self._selector.select = jump
+        selector.select = select
 
-    def time(self):
+    def time(self) -> float:
         return self.now
 
 
 class Disk:
-    """What a core keeps; refuses: writes fail."""
+    """A machine's records. refuses: each write fails."""
 
-    def __init__(self):
-        self.records, self.refuses, self.kept = {}, False, 0
+    def __init__(self) -> None:
+        self.records: dict[str, Record] = {}
+        self.refuses = False
+        self.kept = 0
 
-    def keep(self, family, record):
+    def keep(self, family: str, record: Record) -> None:
         if self.refuses:
             raise StorageError("refused")
         self.kept += 1
         self.records[family] = dict(record)
 
-    def load(self, family):
+    def load(self, family: str) -> tuple[Record | None, list[str]]:
         return self.records.get(family), []
 
 
 class Cluster:
-    """Cores by address. cuts: pairs that don't hear each other; down: those that are off."""
+    """Controllers by address.
 
-    def __init__(self, count=3, seeds=3, losses=1):
+    Attributes:
+        cuts: pairs of controllers that can't reach each other.
+        down: controllers that are off.
+        lost: by receiver, the names of message types that are lost.
+        carried: how often each message type was sent.
+        cutting: an address and a message type: this controller is cut off once it has sent such a message.
+    """
+
+    def __init__(self, count: int = 3, seeds: int = 3, losses: int = 1) -> None:
         self.names = [f"10.0.0.{at}" for at in range(1, count + 1)]
         self.seeds, self.losses = tuple(self.names[:seeds]), losses
         self.disks = {name: Disk() for name in self.names}
-        self.controllers, self.cuts, self.down = {}, set(), set()
-        self.lost = {}  # kinds of messages that are lost, by receiver
-        self.carried = {}  # messages, by kind
-        self.cutting = None  # (address, kind): cut off once it has sent such a message
-
-    def add(self, name):
+        self.controllers: dict[str, Controller] = {}
+        self.cuts: Iterable[set[str]] = ()
+        self.down: set[str] = set()
+        self.lost: dict[str, tuple[str, ...]] = {}
+        self.carried: Counter[str] = Counter()
+        self.cutting: tuple[str, str] | None = None
+
+    def add(self, name: str) -> None:
         """A machine that was not there before, with an empty disk."""
         self.names.append(name)
         self.disks[name] = Disk()
 
-    def cut_after(self, name, kind):
+    def cut_after(self, name: str, kind: str) -> None:
         self.cutting = (name, kind)
 
-    async def start(self, name, first=False):
+    async def start(self, name: str, first: bool = False) -> Controller:
         self.down.discard(name)
-        controller = Controller(
-            name,
-            name,
-            1,
-            "east",
-            self.disks[name],
-            self.seeds,
+        settings = ControllerSettings(
+            name=name,
+            ip=name,
+            port=1,
+            zone="east",
+            seeds=self.seeds,
             first_start=first,
-            silent_s=5.0,
+            silence_timeout_s=SILENCE_TIMEOUT_S,
             bounds=BOUNDS,
             losses=self.losses,
+        )
+        environment = ControllerEnvironment(
+            store=self.disks[name],
             clock=asyncio.get_running_loop().time,
-            dial=self.wire(name),
+            dial=lambda address: ClusterLink(self, name, address),
+            run_blocking=run_blocking,
         )
-        controller.blocking = self.blocking
+        controller = Controller(settings, environment)
         await controller.start()
         self.controllers[name] = controller
         return controller
 
-    async def blocking(self, work, *args):
-        await asyncio.sleep(0)
-        return work(*args)
-
-    def stop(self, name):
+    def stop(self, name: str) -> None:
         self.down.add(name)
         for task in list(self.controllers.pop(name).tasks):
             task.cancel()
 
-    def wire(self, own):
-        cluster = self
-
-        class PeerClient:
-            def __init__(self, address):
-                self.address = address
-
-            async def call(self, message, within_s):
-                other, kind = self.address[0], type(message).__name__
-                cluster.carried[kind] = cluster.carried.get(kind, 0) + 1
-                await asyncio.sleep(0)
-                if other in cluster.down or other not in cluster.controllers:
-                    raise PeerUnreachable(other)
-                if {own, other} in cluster.cuts or kind in cluster.lost.get(other, ()):
-                    await asyncio.sleep(within_s)  # a cut says nothing
-                    raise PeerUnreachable(other)
-                answer = await cluster.controllers[other].handle_message(unpack(pack(1, message)[4:])[1])
-                if cluster.cutting == (own, kind):
-                    cluster.cutting = None
-                    cluster.cut(own)
-                if {own, other} in cluster.cuts or own in cluster.down:
-                    raise PeerUnreachable(other)
-                return unpack(pack(1, answer)[4:])[1]
-
-        return PeerClient
-
-    async def until(self, holds, what=""):
-        async with asyncio.timeout(60):
-            while not holds():
-                await asyncio.sleep(0.005)
-
-    def cut(self, name):
+    async def until(self, holds: Callable[[], object]) -> None:
+        async with asyncio.timeout(PATIENCE_S):
+            while not holds():  # noqa: ASYNC110 -- in simulated time, and nothing tells of the condition
+                await asyncio.sleep(POLL_S)
+
+    def cut(self, name: str) -> None:
+        """Cuts this controller off from all others; ends other cuts."""
         self.cuts = [{name, other} for other in self.names if other != name]
 
+    def are_cut(self, one: str, other: str) -> bool:
+        return {one, other} in self.cuts
+
 
-def run(play, **kind):
-    """Plays a story with a cluster whose controllers all have started for the first time."""
-    cluster = Cluster(**kind)
+class ClusterLink:
+    """A controller's connection to another one. Messages are packed and unpacked, as between processes."""
 
-    async def story():
+    def __init__(self, cluster: Cluster, own: str, address: tuple[str, int]) -> None:
+        self.cluster, self.own, self.address = cluster, own, address
+
+    async def call(self, message: Message, within_s: float) -> Message:
+        cluster, own, other, kind = self.cluster, self.own, self.address[0], type(message).__name__
+        cluster.carried[kind] += 1
+        await asyncio.sleep(0)
+        if other in cluster.down or other not in cluster.controllers:
+            raise PeerUnreachable(other)
+        if cluster.are_cut(own, other) or kind in cluster.lost.get(other, ()):
+            await asyncio.sleep(within_s)  # a cut says nothing
+            raise PeerUnreachable(other)
+        answer = await cluster.controllers[other].handle_message(as_received(message))
+        if cluster.cutting == (own, kind):
+            cluster.cutting = None
+            cluster.cut(own)
+        if cluster.are_cut(own, other) or own in cluster.down:
+            raise PeerUnreachable(other)
+        assert answer is not None, f"{kind} has no answer"
+        return as_received(answer)
+
+
+def as_received(message: Message) -> Message:
+    """The message as its receiver unpacks it."""
+    return unpack(pack(1, message)[4:])[1]
+
+
+async def run_blocking(work: Callable[..., Any], *args: Any) -> Any:
+    """In place of a thread: the work is done at once, one turn of the loop later."""
+    await asyncio.sleep(0)
+    return work(*args)
+
+
+def run(play: Callable[[Cluster], Coroutine[Any, Any, None]], **shape: int) -> None:
+    """Plays a story with a cluster whose controllers have all started for the first time.
+
+    Args:
+        play: the story.
+        shape: Cluster's arguments.
+    """
+    cluster = Cluster(**shape)
+
+    async def story() -> None:
         try:
             for name in cluster.names:
                 await cluster.start(name, first=True)
--- a/tests/system/test_controlplane.py
+++ b/tests/system/test_controlplane.py
@@ -11,7 +11,7 @@
 from stoneyoke.controlplane.heartbeat_ring import watchers
 from stoneyoke.controlplane.instance_registry import InstanceRegistry, Phase
 from stoneyoke.transport.messages import InstanceRow
-from stoneyoke.controlplane.leases import HOLDER_TTL_FRACTION, LEASE_TTL_S, LeaseGranter, LeaseHolder
+from stoneyoke.controlplane.leases import HOLDER_TTL_FRACTION, LEASE_TTL_S, GrantRequest, LeaseGranter, LeaseHolder
 from stoneyoke.consensus.quorum import read_quorum, majority
 from stoneyoke.consensus.record_formats import (
     promise_record,
@@ -102,6 +102,12 @@
     assert legacy_register(old | {b"standing": b"0"}, None, Version()) is None
 
 
+def ask(lease_name, holder, incarnation, round_number, ttl_s=LEASE_TTL_S):
+    return GrantRequest(
+        lease_name=lease_name, holder=holder, incarnation=incarnation, ttl_s=ttl_s, round_number=round_number
+    )
+
+
 @test("a duty has one holder at most, whatever is lost, late, restarted or asked again")
 def _():
     for seed in range(300):
@@ -128,14 +134,16 @@
             for item in sorted(one for one in late if one[0] <= now):
                 late.remove(item)
                 _, asker, voter, began, incarnation, number = item
-                ok, _, _ = grantors[voter].request("duty", asker, f"{asker}-{incarnation}", LEASE_TTL_S, now, number)
+                ok = grantors[voter].request(ask("role", asker, f"{asker}-{incarnation}", number), now).granted
                 if random_source.random() < 0.8:
                     told.append(
                         (now + random_source.choice((0.0, 0.05, 1.5)) * random_source.random(), asker, voter, ok, began)
                     )
             for item in sorted(one for one in told if one[0] <= now):
                 told.remove(item)
-                tenures[item[1]].record_reply(item[2], item[3], names, item[4], now)
+                _, candidate, voter, granted, round_started_at = item
+                if granted:
+                    tenures[candidate].record_grant(voter, names, round_started_at)
             holders = [name for name in names if tenures[name].is_held(now)]
             assert len(holders) <= 1, f"{seed} {now} {holders}"
     assert HOLDER_TTL_FRACTION < 1
@@ -144,16 +152,17 @@
 def late_release_changes_nothing():
     """A release of an older round comes after a newer grant: the grant stands."""
     granter = LeaseGranter(0.0, True)
-    granter.request("quotas", "a", "life", LEASE_TTL_S, 1.0, 2)
-    granter.request("quotas", "a", "life", 0.0, 1.1, 1)
-    return not granter.request("quotas", "b", "other", LEASE_TTL_S, 1.2, 1)[0]
+    granter.request(ask("quotas", "a", "life", 2), 1.0)
+    granter.request(ask("quotas", "a", "life", 1, ttl_s=0.0), 1.1)
+    return not granter.request(ask("quotas", "b", "other", 1), 1.2).granted
 
 
 def restarted_voter_waits():
     """It may have granted in the life before: it grants nothing until that has run out."""
     granter = LeaseGranter(0.0, False)
-    early = granter.request("quotas", "b", "other", LEASE_TTL_S, 0.9 * LEASE_TTL_S, 1)[0]
-    return not early and granter.request("quotas", "b", "other", LEASE_TTL_S, LEASE_TTL_S, 1)[0]
+    request = ask("quotas", "b", "other", 1)
+    early = granter.request(request, 0.9 * LEASE_TTL_S)
+    return not early.granted and granter.request(request, LEASE_TTL_S).granted
 
 
 @test("a late release and a restart free no lease that still runs; each defect of these is seen")
--- a/tests/system/test_discovery_service.py
+++ b/tests/system/test_discovery_service.py
@@ -1,48 +1,77 @@
 """Discovery at a controller without its register: links that answer as told, a clock by hand, no waiting."""
 
 import asyncio
+import random
 
 from controller_cluster import SimulatedLoop
 from ward import test
 
 from stoneyoke.api.calls import Acknowledged, Heartbeat, Leave, Unavailable
+from stoneyoke.controlplane.controller_context import BackgroundTasks, ChangeNotifier, ControllerContext
 from stoneyoke.controlplane.discovery_service import (
     STALL_RECOVERY_S,
     STALL_THRESHOLD_S,
     SWEEP_INTERVAL_S,
     DiscoveryService,
-    Surroundings,
 )
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.controlplane.startup_sync import ACK_WINDOW_S, CLOCK_MARGIN_S, StartupSync
 from stoneyoke.transport.messages import HeartbeatRow, InstanceRefresh, InstanceUpdate, InstanceUpdateResponse
 from stoneyoke.transport.errors import PeerUnreachable
 
-EVERYONE_S = 4.0
+HEARTBEAT_ROUND_S = 4.0
 COUNTED_S = ACK_WINDOW_S + CLOCK_MARGIN_S
 
 
 class Link:
-    """A controller's way to another one: `meet` answers, after delay_s."""
+    """A controller's link to another one: `handle` answers, after delay_s."""
 
-    def __init__(self, meet):
-        self.meet, self.delay_s, self.lost, self.carried = meet, 0.0, (), []
+    def __init__(self, handle):
+        self.handle, self.delay_s, self.lost, self.carried = handle, 0.0, (), []
 
     async def call(self, message, within_s):
         self.carried.append(type(message))
         await asyncio.sleep(min(self.delay_s, within_s))
         if self.delay_s > within_s or type(message) in self.lost:
             raise PeerUnreachable("no answer")
-        return self.meet(message)
+        return self.handle(message)
 
 
-class Town:
+class OneView:
+    """One controller's view of the cluster."""
+
+    def __init__(self, cluster, own_address, links):
+        self.cluster, self.own_address, self.own_links = cluster, own_address, links
+
+    def voters(self):
+        return self.cluster.voters
+
+    def links(self):
+        return self.own_links
+
+    def has_quorum(self):
+        return self.cluster.quorum
+
+
+class RecordedChanges(ChangeNotifier):
+    """Notes who has notified of a change."""
+
+    def __init__(self, name, notified):
+        super().__init__()
+        self.name, self.notified = name, notified
+
+    def notify(self):
+        self.notified.append(self.name)
+        super().notify()
+
+
+class DiscoveryCluster:
     """Discovery at several controllers, each with links to all others. ahead_s: by how much a clock stood still."""
 
     def __init__(self, count, first_start=True):
         self.names = [f"10.0.0.{at}" for at in range(1, count + 1)]
-        self.voters, self.has_quorum, self.ahead_s = tuple(self.names), True, 0.0
-        self.tasks, self.services, self.links, self.woken = set(), {}, {}, []
+        self.voters, self.quorum, self.ahead_s = tuple(self.names), True, 0.0
+        self.tasks, self.services, self.links, self.notified = BackgroundTasks(), {}, {}, []
         for name in self.names:
             self.start(name, first_start)
 
@@ -50,33 +79,23 @@
         return asyncio.get_running_loop().time() + self.ahead_s
 
     def start(self, name, first_start=False):
-        links = {other: Link(lambda message, other=other: self.meet(other, message)) for other in self.names}
+        links = {other: Link(lambda message, other=other: self.handle(other, message)) for other in self.names}
         del links[name]
         self.links[name] = links
+        context = ControllerContext(
+            clock=self.clock,
+            random_source=random.Random(name),
+            tasks=self.tasks,
+            changes=RecordedChanges(name, self.notified),
+        )
         self.services[name] = DiscoveryService(
-            Surroundings(
-                name,
-                lambda: self.voters,
-                lambda: links,
-                lambda: self.has_quorum,
-                self.clock,
-                lambda: self.woken.append(name),
-                self.spawn,
-            ),
-            silent_s=5.0,
-            heartbeat_round_s=EVERYONE_S,
+            OneView(self, name, links), context, silence_timeout_s=5.0, heartbeat_round_s=HEARTBEAT_ROUND_S
         )
         if first_start:
             self.services[name].mark_first_start()
         return self.services[name]
 
-    def spawn(self, work):
-        task = asyncio.get_running_loop().create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-        return task
-
-    def meet(self, name, message):
+    def handle(self, name, message):
         service = self.services[name]
         return (
             service.handle_update(message) if isinstance(message, InstanceUpdate) else service.handle_refresh(message)
@@ -88,7 +107,7 @@
         self.services[name].merge_rows(source.registry.changes_since(0, self.clock()))
         self.services[name].record_pull(other, source.synced(), begun_at)
 
-    async def passes(self, for_s):
+    async def pass_time(self, for_s):
         """Time in which all sweep."""
         until = self.clock() + for_s
         while self.clock() < until:
@@ -99,10 +118,10 @@
 
 def play(story, count=3, first_start=True):
     async def whole():
-        town = Town(count, first_start)
-        await story(town)
-        if town.tasks:
-            await asyncio.wait(town.tasks)
+        cluster = DiscoveryCluster(count, first_start)
+        await story(cluster)
+        if running := list(cluster.tasks):
+            await asyncio.wait(running)
 
     loop = SimulatedLoop()
     try:
@@ -117,21 +136,21 @@
 
 @test("a drain is acknowledged once a majority of the voters has it, and only then")
 def _():
-    async def story(town):
-        one, links = town.services["10.0.0.1"], town.links["10.0.0.1"]
+    async def story(cluster):
+        one, links = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]
         assert await one.heartbeat(beat()) == Acknowledged()
         for other in ("10.0.0.2", "10.0.0.3"):
             links[other].lost = (InstanceUpdate,)
         assert isinstance(await one.heartbeat(beat(2, True)), Unavailable)
         links["10.0.0.3"].lost = ()
         assert await one.heartbeat(beat(3, True)) == Acknowledged()
-        assert town.services["10.0.0.3"].registry.records["i-1"].row.phase == Phase.DRAINING
-        town.voters = ("10.0.0.1", "10.0.0.2")  # the third has it, and does not vote
+        assert cluster.services["10.0.0.3"].registry.records["i-1"].row.phase == Phase.DRAINING
+        cluster.voters = ("10.0.0.1", "10.0.0.2")  # the third has it, and does not vote
         assert isinstance(await one.leave(Leave("i-1")), Unavailable)
-        town.has_quorum = False
+        cluster.quorum = False
         links["10.0.0.2"].lost = ()
         assert isinstance(await one.leave(Leave("i-1")), Unavailable)
-        town.has_quorum = True
+        cluster.quorum = True
         assert await one.leave(Leave("i-1")) == Acknowledged()
 
     play(story)
@@ -139,23 +158,23 @@
 
 @test("an answer that comes after the process stood still is not counted, nor one under other voters")
 def _():
-    async def story(town):
-        one, links = town.services["10.0.0.1"], town.links["10.0.0.1"]
+    async def story(cluster):
+        one, links = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]
 
         def stands_still(message):
-            town.ahead_s += ACK_WINDOW_S + 0.1
+            cluster.ahead_s += ACK_WINDOW_S + 0.1
             return InstanceUpdateResponse()
 
-        meet = links["10.0.0.2"].meet
+        handle = links["10.0.0.2"].handle
         links["10.0.0.3"].lost = (InstanceUpdate,)
-        links["10.0.0.2"].meet = stands_still
+        links["10.0.0.2"].handle = stands_still
         assert isinstance(await one.heartbeat(beat(2, True)), Unavailable)
 
         def voters_change(message):
-            town.voters = ("10.0.0.1", "10.0.0.2", "10.0.0.4")
-            return meet(message)
+            cluster.voters = ("10.0.0.1", "10.0.0.2", "10.0.0.4")
+            return handle(message)
 
-        links["10.0.0.2"].meet = voters_change
+        links["10.0.0.2"].handle = voters_change
         assert isinstance(await one.heartbeat(beat(3, True)), Unavailable)
         assert await one.heartbeat(beat(4, True)) == Acknowledged()
 
@@ -164,11 +183,11 @@
 
 @test("a process that stood still takes no telling and no heartbeat for a while: they may have waited for it")
 def _():
-    async def story(town):
-        one = town.services["10.0.0.1"]
-        await town.services["10.0.0.2"].heartbeat(beat())
-        row = town.services["10.0.0.2"].registry.records["i-1"].row
-        town.ahead_s += STALL_THRESHOLD_S + 0.1
+    async def story(cluster):
+        one = cluster.services["10.0.0.1"]
+        await cluster.services["10.0.0.2"].heartbeat(beat())
+        row = cluster.services["10.0.0.2"].registry.records["i-1"].row
+        cluster.ahead_s += STALL_THRESHOLD_S + 0.1
         for _ in range(2):  # before its first sweep and after it
             assert one.handle_update(InstanceUpdate(instances=[row])) == InstanceUpdateResponse(accepted=False)
             assert one.handle_refresh(InstanceRefresh(heartbeats=[HeartbeatRow("i-1", 9)])) == InstanceUpdateResponse(
@@ -177,8 +196,8 @@
             assert isinstance(await one.heartbeat(beat()), Unavailable)
             assert not one.registry.records
             one.sweep()
-        assert isinstance(await town.services["10.0.0.2"].heartbeat(beat(2, True)), Unavailable)
-        await town.passes(STALL_RECOVERY_S + 0.1)
+        assert isinstance(await cluster.services["10.0.0.2"].heartbeat(beat(2, True)), Unavailable)
+        await cluster.pass_time(STALL_RECOVERY_S + 0.1)
         assert one.handle_update(InstanceUpdate(instances=[row])) == InstanceUpdateResponse(accepted=True)
 
     play(story)
@@ -186,33 +205,33 @@
 
 @test("what was told whole is told again in short; what changed is told whole again")
 def _():
-    async def story(town):
-        one, link = town.services["10.0.0.1"], town.links["10.0.0.1"]["10.0.0.2"]
+    async def story(cluster):
+        one, link = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]["10.0.0.2"]
         for call_seq in (1, 2, 3):
             await one.heartbeat(beat(call_seq))
-            await one.forward_heartbeats(one.registry.rows_of(["i-1"], town.clock()))
+            await one.forward_heartbeats(one.registry.rows_of(["i-1"], cluster.clock()))
         await one.heartbeat(beat(4, True))
-        await one.forward_heartbeats(one.registry.rows_of(["i-1"], town.clock()))
+        await one.forward_heartbeats(one.registry.rows_of(["i-1"], cluster.clock()))
         await asyncio.sleep(0.1)
         assert link.carried == [InstanceUpdate, InstanceRefresh, InstanceRefresh, InstanceUpdate, InstanceUpdate]
-        assert town.services["10.0.0.2"].registry.records["i-1"].row.call_seq == 4
+        assert cluster.services["10.0.0.2"].registry.records["i-1"].row.call_seq == 4
 
     play(story)
 
 
 @test("a controller that started again is not synced by one synced peer: that one may lack a drain")
 def _():
-    async def story(town):
-        one, links = town.services["10.0.0.1"], town.links["10.0.0.1"]
+    async def story(cluster):
+        one, links = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]
         links["10.0.0.3"].lost = (InstanceUpdate,)
         assert await one.heartbeat(beat(2, True)) == Acknowledged()  # 1 and 2 have it, 3 does not
-        again = town.start("10.0.0.2")
-        await town.passes(COUNTED_S)
-        town.pull("10.0.0.2", "10.0.0.3")
+        again = cluster.start("10.0.0.2")
+        await cluster.pass_time(COUNTED_S)
+        cluster.pull("10.0.0.2", "10.0.0.3")
         assert not again.synced() and not again.registry.records
-        town.woken.clear()
-        town.pull("10.0.0.2", "10.0.0.1")
-        assert town.woken == ["10.0.0.2", "10.0.0.2"]  # by the row and as it is synced
+        cluster.notified.clear()
+        cluster.pull("10.0.0.2", "10.0.0.1")
+        assert cluster.notified == ["10.0.0.2", "10.0.0.2"]  # by the row and as it is synced
         assert again.synced() and again.registry.records["i-1"].row.phase == Phase.DRAINING
 
     play(story)
@@ -220,17 +239,17 @@
 
 @test("pulls count only from those that are synced and vote, and not while a telling to the last life may be counted")
 def _():
-    async def story(town):
-        again = town.start("10.0.0.1")
+    async def story(cluster):
+        again = cluster.start("10.0.0.1")
         for other in ("10.0.0.2", "10.0.0.3"):
-            town.pull("10.0.0.1", other)  # at once: too early
+            cluster.pull("10.0.0.1", other)  # at once: too early
         assert not again.synced()
-        await town.passes(COUNTED_S)
-        town.pull("10.0.0.1", "10.0.0.2")
-        again.record_pull("10.0.0.9", True, town.clock())
-        again.record_pull("10.0.0.3", False, town.clock())
+        await cluster.pass_time(COUNTED_S)
+        cluster.pull("10.0.0.1", "10.0.0.2")
+        again.record_pull("10.0.0.9", True, cluster.clock())
+        again.record_pull("10.0.0.3", False, cluster.clock())
         assert not again.synced()
-        again.record_pull("10.0.0.3", True, town.clock())
+        again.record_pull("10.0.0.3", True, cluster.clock())
         assert again.synced()
 
     play(story)
@@ -238,22 +257,22 @@
 
 @test("five voters: one that answered and started again before the count was done still learns of the drain")
 def _():
-    async def story(town):
-        one, links = town.services["10.0.0.1"], town.links["10.0.0.1"]
+    async def story(cluster):
+        one, links = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]
         for other in ("10.0.0.4", "10.0.0.5"):
             links[other].lost = (InstanceUpdate,)
         links["10.0.0.3"].delay_s = 0.5
-        counting = town.spawn(one.heartbeat(beat(2, True)))
+        counting = cluster.tasks.spawn(one.heartbeat(beat(2, True)))
         await asyncio.sleep(0.1)
-        assert town.services["10.0.0.2"].registry.records  # it has answered, and now it ends
-        again = town.start("10.0.0.2")
+        assert cluster.services["10.0.0.2"].registry.records  # it has answered, and now it ends
+        again = cluster.start("10.0.0.2")
         for other in ("10.0.0.3", "10.0.0.4", "10.0.0.5"):
-            town.pull("10.0.0.2", other)
+            cluster.pull("10.0.0.2", other)
         assert await counting == Acknowledged()
         assert not again.synced()
-        await town.passes(COUNTED_S)
+        await cluster.pass_time(COUNTED_S)
         for other in ("10.0.0.3", "10.0.0.4", "10.0.0.5"):
-            town.pull("10.0.0.2", other)
+            cluster.pull("10.0.0.2", other)
         assert again.synced() and again.registry.records["i-1"].row.phase == Phase.DRAINING
 
     play(story, count=5)
@@ -261,33 +280,33 @@
 
 @test("with nobody synced to pull from, it takes the time in which every backend beats, all of it in touch")
 def _():
-    async def story(town):
-        one = town.services["10.0.0.1"]
-        await town.passes(EVERYONE_S - 1.0)
-        town.pull("10.0.0.1", "10.0.0.2")
-        town.pull("10.0.0.1", "10.0.0.3")
+    async def story(cluster):
+        one = cluster.services["10.0.0.1"]
+        await cluster.pass_time(HEARTBEAT_ROUND_S - 1.0)
+        cluster.pull("10.0.0.1", "10.0.0.2")
+        cluster.pull("10.0.0.1", "10.0.0.3")
         assert not one.synced()
-        town.has_quorum = False
-        await town.passes(0.5)
-        town.has_quorum = True
-        await town.passes(EVERYONE_S - 0.5)
+        cluster.quorum = False
+        await cluster.pass_time(0.5)
+        cluster.quorum = True
+        await cluster.pass_time(HEARTBEAT_ROUND_S - 0.5)
         assert not one.synced()
-        town.ahead_s += EVERYONE_S  # it stood still: it heard nobody meanwhile
+        cluster.ahead_s += HEARTBEAT_ROUND_S  # it stood still: it heard nobody meanwhile
         assert not one.synced()
-        town.woken.clear()
-        await town.passes(EVERYONE_S + STALL_RECOVERY_S + 2 * SWEEP_INTERVAL_S)
-        assert one.synced() and "10.0.0.1" in town.woken
+        cluster.notified.clear()
+        await cluster.pass_time(HEARTBEAT_ROUND_S + STALL_RECOVERY_S + 2 * SWEEP_INTERVAL_S)
+        assert one.synced() and "10.0.0.1" in cluster.notified
 
     play(story, first_start=False)
 
 
 @test("the system's first start is synced at once; who becomes a voter while it runs starts over")
 def _():
-    startup_sync = StartupSync("d", 0.0, EVERYONE_S)
+    startup_sync = StartupSync("d", 0.0, HEARTBEAT_ROUND_S)
     startup_sync.mark_first_start()
     assert startup_sync.evaluate((), 0.0) and startup_sync.evaluate(("a", "b", "c"), 1.0)
     assert not startup_sync.evaluate(("a", "b", "d"), 9.0)
     for name in "ab":
         startup_sync.record_pull(name, True, 9.0 + COUNTED_S)
     assert startup_sync.evaluate(("a", "b", "d"), 10.0)
-    assert not StartupSync("a", 0.0, EVERYONE_S).evaluate((), 99.0)  # who votes is not known
+    assert not StartupSync("a", 0.0, HEARTBEAT_ROUND_S).evaluate((), 99.0)  # who votes is not known
