--- /dev/null
+++ b/stoneyoke/consensus/reader.py
@@ -0,0 +1,99 @@
+"""The reader's part: carries out linearizable reads over the network."""
+
+import asyncio
+
+from stoneyoke.consensus.learner import Learner
+from stoneyoke.consensus.majority_read import MajorityRead
+from stoneyoke.consensus.message_rows import proposal_from_rows
+from stoneyoke.consensus.peer_calls import CALL_TIMEOUT_S, ask
+from stoneyoke.consensus.proposer import Proposer
+from stoneyoke.consensus.register_value import Proposal, ReplicaId, unchanged
+from stoneyoke.transport.messages import QueryRequest, QueryResponse
+
+AGREEMENT_TIMEOUT_S = 0.25
+"""A read waits so long for replies that agree. Then it runs a round."""
+MIN_WAIT_S = 0.01
+
+
+class Reader:
+    """Reads the register."""
+
+    def __init__(self, learner: Learner, proposer: Proposer) -> None:
+        """Makes the reader of one process.
+
+        Args:
+            learner: Learns what is read. The reader uses its replica, peers and tasks.
+            proposer: Completes what another proposer left unfinished.
+        """
+        self.learner, self.proposer = learner, proposer
+        self.replica, self.peers, self.spawn = learner.replica, learner.peers, learner.spawn
+
+    async def read(self, within_s: float) -> Proposal | None:
+        """The newest chosen proposal, no older than any that was chosen before this call.
+
+        Nothing is written where a quorum agrees already. Otherwise a round completes what was left unfinished.
+
+        Returns:
+            None if too few voters answer in time.
+        """
+        try:
+            async with asyncio.timeout(within_s):
+                chosen = await self.query()
+                if chosen is None:
+                    return await self.proposer.propose(unchanged, within_s)
+                self.learner.learn(chosen)
+                return chosen
+        except TimeoutError:
+            return None
+
+    async def query(self) -> Proposal | None:
+        """The newest chosen proposal if a quorum agrees on it, else None."""
+        known = self.replica.view()
+        if known is None:
+            return None
+        current = MajorityRead(known, self.replica.chosen_voters_number())
+        chosen = await self.drive(current)
+        return await self.with_body(chosen, current) if chosen else None
+
+    async def drive(self, current: MajorityRead) -> Proposal | None:
+        """Asks whom the read needs until the replies agree, the time for it is over or no answer is outstanding.
+
+        The time only counts once a quorum has answered. Before that the read can't tell anything.
+        """
+        asked: set[str] = set()
+        pending: set[asyncio.Task[None]] = set()
+        loop = asyncio.get_running_loop()
+        deadline = loop.time() + AGREEMENT_TIMEOUT_S
+        while not (chosen := current.chosen_proposal()):
+            for address in sorted(current.addresses_to_ask() - asked):
+                asked.add(address)
+                pending.add(self.spawn(self.query_at(current, address)))
+            if not pending or loop.time() >= deadline and current.has_quorum():
+                return None
+            wait_s = max(MIN_WAIT_S, deadline - loop.time()) if current.has_quorum() else None
+            _, pending = await asyncio.wait(pending, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED)
+        return chosen
+
+    async def query_at(self, current: MajorityRead, address: str) -> None:
+        """Asks one voter what it has accepted, and reports the answer to the read."""
+        if address == self.peers.own_address:
+            current.on_reply(self.replica.identity, self.replica.acceptor.accepted)
+            return
+        answer = await ask(self.peers, address, QueryRequest(), CALL_TIMEOUT_S)
+        if isinstance(answer, QueryResponse):
+            accepted = proposal_from_rows(answer.has_accepted, answer.accepted_ballot, answer.accepted)
+            current.on_reply(ReplicaId(*answer.replica), accepted)
+
+    async def with_body(self, chosen: Proposal, current: MajorityRead) -> Proposal | None:
+        """The same proposal with its body, from this process or from a voter that holds it."""
+        for held in (self.replica.acceptor.accepted, self.replica.chosen):
+            if held and held.ballot == chosen.ballot:
+                return held
+        for voter, accepted in current.replies.items():
+            if not accepted or accepted.ballot != chosen.ballot:
+                continue
+            if voter == self.replica.identity:
+                return accepted  # accepted here when the read began; a newer one has taken its place since
+            if fetched := await self.learner.fetch(voter.address, chosen.ballot):
+                return fetched
+        return None
--- a/stoneyoke/consensus/record_formats.py
+++ b/stoneyoke/consensus/record_formats.py
@@ -1,86 +1,108 @@
-"""How the register lies on disk: records of byte fields, read strictly. No I/O.
+"""The register's records: values as byte fields, both ways, read strictly. No I/O.
 
-Families: "identity" (the disk's own name), "promise" (small, written in each round) and "register" (the accepted
-value with the configuration's text)."""
+The forms are fixed: a release reads what the one before wrote. `tests/system/compatibility` holds records of earlier
+releases.
+"""
 
 import json
-from typing import Any
 
 import msgpack
 
 from stoneyoke.api.configuration import Version
 from stoneyoke.consensus.ballot import Ballot
-from stoneyoke.consensus.register_value import FIRST_DISK, Proposal, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.errors import InvalidRecord
+from stoneyoke.consensus.register_value import FIRST_DISK, Proposal, RegisterValue, ReplicaId, VoterSet, replica_ids
 
 Record = dict[bytes, bytes]
-IDENTITY, PROMISE, REGISTER = "identity", "promise", "register"
-LEGACY_CONFIGURATION, LEGACY_VOTERS = "word", "crew"  # families of the release before
 
+IDENTITY = "identity"
+"""Family of the disk's own name, written once."""
+PROMISE = "promise"
+"""Family of the highest ballot promised. The record is small, since every round writes one."""
+REGISTER = "register"
+"""Family of the accepted proposal, with the text of its configuration."""
 
-class InvalidRecord(ValueError):
-    """A whole record that does not hold what it should."""
+LEGACY_CONFIGURATION = "word"
+"""Family of the configuration, in the release before the register."""
+LEGACY_VOTERS = "crew"
+"""Family of the voters, in the release before the register."""
+LEGACY_VOTING = b"1"
+"""Set in a legacy record of the voters whose member had a vote."""
 
 
 def identity_record(disk: str) -> Record:
+    """The record of a disk's name."""
     return {b"disk": disk.encode()}
 
 
 def read_identity(record: Record) -> str:
+    """The name of a disk. Raises InvalidRecord."""
     try:
         return record[b"disk"].decode()
-    except (KeyError, UnicodeDecodeError) as bad:
-        raise InvalidRecord(f"identity: {bad}") from bad
+    except (KeyError, UnicodeDecodeError) as error:
+        raise InvalidRecord(IDENTITY, error) from error
 
 
 def promise_record(ballot: Ballot) -> Record:
+    """The record of a promised ballot."""
     return {b"counter": b"%d" % ballot.counter, b"proposer": ballot.proposer.encode()}
 
 
 def read_promise(record: Record) -> Ballot:
+    """The promised ballot. Raises InvalidRecord."""
     try:
         return Ballot(int(record[b"counter"]), record[b"proposer"].decode())
-    except (KeyError, ValueError) as bad:
-        raise InvalidRecord(f"promise: {bad}") from bad
+    except (KeyError, ValueError) as error:
+        raise InvalidRecord(PROMISE, error) from error
 
 
-def register_record(accepted: Proposal) -> Record:
-    value = accepted.value
+def register_record(proposal: Proposal) -> Record:
+    """The record of an accepted proposal."""
+    value = proposal.value
     version = (value.version.number, value.version.digest)
-    header = (tuple(accepted.ballot), value.voters.number, value.voters.members, value.previous, version)
+    header = (tuple(proposal.ballot), value.voters.number, value.voters.members, value.previous, version)
     return {b"header": msgpack.packb(header), b"body": value.body}
 
 
 def read_register(record: Record) -> Proposal:
+    """The accepted proposal. Raises InvalidRecord."""
     try:
         ballot, number, members, previous, version = msgpack.unpackb(record[b"header"], use_list=False)
-        value = RegisterValue(
-            VoterSet(number, members_from_rows(members)),
-            members_from_rows(previous),
-            Version(*version),
-            record[b"body"],
-        )
+        voters = VoterSet(number, replica_ids(members))
+        value = RegisterValue(voters, replica_ids(previous), Version(*version), record[b"body"])
         return Proposal(Ballot(*ballot), value)
-    except (KeyError, ValueError, TypeError, msgpack.UnpackException) as bad:
-        raise InvalidRecord(f"register: {bad}") from bad
+    except (KeyError, ValueError, TypeError, msgpack.UnpackException) as error:
+        raise InvalidRecord(REGISTER, error) from error
 
 
-def members_from_rows(rows: Any) -> tuple[ReplicaId, ...]:
-    return tuple(ReplicaId(*row) for row in rows)
+def legacy_register(voters: Record | None, configuration: Record | None, version: Version) -> Proposal | None:
+    """The register as the release before it kept it, in two families.
 
+    A system that was stopped under that release and starts under this one goes on with it. The proposal with the
+    highest version goes first among the replicas, as it did in that release.
 
-def legacy_register(voters: Record | None, configuration: Record | None, version: Version) -> Proposal | None:
-    """The register as the release before kept it, for a system that was stopped and starts with this one. Of the
-    copies the one with the highest version goes first, as it did there. version: of the configuration's text."""
-    if not voters or voters.get(b"standing") != b"1":
+    Args:
+        voters: The record of the voters.
+        configuration: The record of the configuration.
+        version: Version of the configuration's text.
+
+    Returns:
+        None if this replica had no vote, or was amid a change of the voters.
+
+    Raises:
+        InvalidRecord: The record of the voters can't be read.
+    """
+    if not voters or voters.get(b"standing") != LEGACY_VOTING:
         return None
     try:
         addresses = [name for name in voters[b"names"].decode().split(",") if name]
         members = tuple(ReplicaId(address, FIRST_DISK) for address in sorted(addresses))
-        if json.loads(voters.get(b"pending", b"null")) is not None or not members:
+        is_changing = json.loads(voters.get(b"pending", b"null")) is not None
+        if is_changing or not members:
             return None
         number = int(voters[b"number"])
-    except (KeyError, ValueError) as bad:
-        raise InvalidRecord(f"voters: {bad}") from bad
+    except (KeyError, ValueError) as error:
+        raise InvalidRecord(LEGACY_VOTERS, error) from error
     body = configuration[b"body"] if configuration and version.number else b""
     ballot = Ballot(version.number, version.digest.hex())
     return Proposal(ballot, RegisterValue(VoterSet(number, members), (), version, body))
--- a/stoneyoke/consensus/recovery.py
+++ b/stoneyoke/consensus/recovery.py
@@ -1,22 +1,30 @@
-"""Begins again from one disk after a majority of the voters is gone for good. No I/O.
+"""Starts again from one disk after a majority of the voters is lost for good. No I/O.
 
-The members that are left cannot tell whether the others are lost or only cut off, so this is a person's decision. What
-was acknowledged and stood only on the lost disks is lost with them."""
+The replicas that are left can't tell whether the others are lost or only cut off, so a person decides this. What was
+acknowledged and stood only on the lost disks is lost.
+"""
 
 from dataclasses import replace
 
 from stoneyoke.consensus.ballot import Ballot
 from stoneyoke.consensus.register_value import Proposal, ReplicaId, VoterSet
 
-# Above any ballot and set that members which were not heard may hold.
+# The result has to be above any ballot and any voter set that a replica which wasn't asked may hold.
 BALLOTS_SKIPPED = 1_000_000
-SETS_SKIPPED = 1_000
+VOTER_SETS_SKIPPED = 1_000
 PROPOSER = "recovery"
 
 
 def recovered_register(held: Proposal, promised: Ballot, survivor: ReplicaId) -> Proposal:
-    """The register with this member as its only voter, and what it held. The others join as learners, with empty
-    disks, and are made voters two at a time."""
+    """The survivor's register, with the survivor as its only voter.
+
+    The other replicas join with empty disks as learners, and become voters two at a time.
+
+    Args:
+        held: What the survivor has accepted.
+        promised: The highest ballot that it has promised.
+        survivor: The replica that is left.
+    """
     counter = max(held.ballot, promised).counter + BALLOTS_SKIPPED
-    voters = VoterSet(held.value.voters.number + SETS_SKIPPED, (survivor,))
+    voters = VoterSet(held.value.voters.number + VOTER_SETS_SKIPPED, (survivor,))
     return Proposal(Ballot(counter, PROPOSER), replace(held.value, voters=voters, previous=()))
--- a/stoneyoke/consensus/register_value.py
+++ b/stoneyoke/consensus/register_value.py
@@ -25,6 +25,15 @@
     disk: str
 
 
+Group = tuple[ReplicaId, ...]
+"""Replicas of which a majority is needed."""
+
+
+def replica_ids(rows: Iterable[tuple[str, str]]) -> Group:
+    """The replicas of rows of address and disk, as messages and records hold them."""
+    return tuple(ReplicaId(*row) for row in rows)
+
+
 @dataclass(frozen=True, slots=True)
 class VoterSet:
     """The replicas that vote.
@@ -35,17 +44,13 @@
     """
 
     number: int = 0
-    members: tuple[ReplicaId, ...] = ()
+    members: Group = ()
 
     def addresses(self) -> tuple[str, ...]:
         """Addresses of the voters, in the order of the members."""
         return tuple(member.address for member in self.members)
 
 
-Group = tuple[ReplicaId, ...]
-"""Replicas of which a majority is needed."""
-
-
 @dataclass(frozen=True, slots=True)
 class RegisterValue:
     """One value of the register.
--- a/stoneyoke/consensus/replica.py
+++ b/stoneyoke/consensus/replica.py
@@ -1,179 +1,141 @@
-"""One member's copy of the register: what it has promised and accepted, on disk before anybody is told of it, and the
-newest value that it knows to be chosen."""
+"""One replica of the register: what it has promised and accepted, and the newest value that it knows to be chosen."""
 
-import asyncio
 import random
-from collections.abc import Awaitable, Callable
-from typing import Any, Protocol
+from collections.abc import Callable
 
 from loguru import logger
 
-from stoneyoke.api.configuration import Version, read_configuration
-from stoneyoke.api.schema import InvalidField
+from stoneyoke.api.configuration import Version
 from stoneyoke.consensus.acceptor import Acceptor
-from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
-from stoneyoke.consensus.record_formats import (
-    IDENTITY,
-    LEGACY_CONFIGURATION,
-    LEGACY_VOTERS,
-    PROMISE,
-    REGISTER,
-    InvalidRecord,
-    Record,
-    identity_record,
-    legacy_register,
-    promise_record,
-    read_identity,
-    read_promise,
-    read_register,
-    register_record,
-)
-from stoneyoke.consensus.register_value import FIRST_DISK, Proposal, ReplicaId, VoterSet, initial_value
+from stoneyoke.consensus.ballot import Ballot
+from stoneyoke.consensus.record_formats import PROMISE, REGISTER, promise_record, register_record
+from stoneyoke.consensus.register_value import Proposal, ReplicaId, VoterSet
+from stoneyoke.consensus.replica_disk import RecordStorage, ReplicaDisk, RunBlocking
+from stoneyoke.consensus.replica_start import load_state
 from stoneyoke.storage.record_store import StorageError
 
-START_RETRY_S = 0.5  # a disk that refuses at the start is tried again
-WAITING_MOST = 64  # writes that wait for a disk that hangs; more are refused at once
-
-Blocking = Callable[..., Awaitable[Any]]  # runs a function that may wait for the disk
-
-
-class RecordStorage(Protocol):
-    """Records on disk, in families: the newest whole one counts."""
-
-    def keep(self, family: str, record: Record) -> None:
-        """Raises StorageError."""
-
-    def load(self, family: str) -> tuple[Record | None, list[str]]:
-        """The newest whole record, and what was wrong with those after it."""
-
 
 class Replica:
-    """on_chosen: called whenever a newer value is known to be chosen."""
-
-    def __init__(self, address: str, store: RecordStorage, blocking: Blocking, on_chosen: Callable[[], None]) -> None:
-        self.address, self.store, self.blocking, self.on_chosen = address, store, blocking, on_chosen
+    """An acceptor and learner with its disk.
+
+    What it promises or accepts is on disk before any method returns it, and so before anybody is told of it.
+
+    Attributes:
+        identity: Address and disk; the disk isn't known before `load`.
+        acceptor: Promises and accepted proposal.
+        chosen: The newest proposal that is known to be chosen; None: none yet.
+    """
+
+    def __init__(
+        self, address: str, store: RecordStorage, run_blocking: RunBlocking, on_chosen: Callable[[], None]
+    ) -> None:
+        """Makes a replica that `load` has to fill.
+
+        Args:
+            address: IP address of this machine.
+            store: Records on its disk.
+            run_blocking: Runs the methods of the store.
+            on_chosen: Called whenever a newer proposal is known to be chosen.
+        """
+        self.address, self.on_chosen = address, on_chosen
+        self.disk = ReplicaDisk(store, run_blocking)
         self.identity = ReplicaId(address, "")
         self.acceptor = Acceptor()
         self.chosen: Proposal | None = None
-        self.writing = asyncio.Lock()  # one record is written at a time
-        self.waiting = 0  # for the disk
-
-    # ---- start ----
 
     async def load(self, seeds: tuple[str, ...], first_start: bool, random_source: random.Random) -> None:
-        """What the disk holds. A disk without an identity is new: at the first start of the whole system the seeds
-        vote with it, later it makes another member, which votes once the others have decided so."""
-        identity = await self.load_record(IDENTITY, read_identity)
-        accepted = await self.load_record(REGISTER, read_register)
-        promised = await self.load_record(PROMISE, read_promise)
-        if identity is None:
-            accepted, promised = await self.load_old(), None
-            fresh = first_start or accepted is not None
-            identity = FIRST_DISK if fresh else f"{random_source.getrandbits(64):016x}"
-            if first_start and accepted is None:
-                accepted = initial_value(seeds)
-            # The identity goes last: a start that ends before it is a start on an empty disk again.
-            if accepted:
-                await self.at_last(self.store.keep, REGISTER, register_record(accepted))
-            await self.at_last(self.store.keep, IDENTITY, identity_record(identity))
-        self.identity = ReplicaId(self.address, identity)
-        self.acceptor = Acceptor(promised or NO_BALLOT, accepted)
-
-    async def at_last(self, work: Callable[..., Any], *args: Any) -> Any:
-        """What the disk answers once it does: before that nothing may rest on it."""
-        while True:
-            try:
-                return await self.blocking(work, *args)
-            except StorageError as bad:
-                logger.error("disk: {}", bad)
-                await asyncio.sleep(START_RETRY_S)
-
-    async def load_record(self, family: str, read: Callable[[Record], Any]) -> Any:
-        """A family's newest record, tried until the disk can tell. Raises InvalidRecord."""
-        record, wrong = await self.at_last(self.store.load, family)
-        for what in wrong:
-            logger.warning("disk: {}", what)
-        return read(record) if record else None
-
-    async def load_old(self) -> Proposal | None:
-        """The records of the release before, if these are all that there is."""
-        voters, _ = await self.at_last(self.store.load, LEGACY_VOTERS)
-        configuration, _ = await self.at_last(self.store.load, LEGACY_CONFIGURATION)
-        try:
-            held = read_configuration(configuration[b"body"]).version if configuration else Version()
-            return legacy_register(voters, configuration, held)
-        except (InvalidRecord, InvalidField, KeyError) as bad:
-            logger.error("disk: the records of the release before can't be read: {}", bad)
-            return None
+        """Takes on what the disk holds. Arguments and errors are those of `load_state`."""
+        state = await load_state(self.disk, seeds, first_start, random_source)
+        self.identity = ReplicaId(self.address, state.disk)
+        self.acceptor = state.acceptor
 
     # ---- what it knows ----
 
     def view(self) -> Proposal | None:
-        """The newest value known here, chosen or not."""
-        known = [one for one in (self.acceptor.accepted, self.chosen) if one]
-        return max(known, key=lambda one: one.ballot, default=None)
+        """The newest proposal known here, chosen or not."""
+        known = [proposal for proposal in (self.acceptor.accepted, self.chosen) if proposal]
+        return max(known, key=lambda proposal: proposal.ballot, default=None)
 
     def voters(self) -> VoterSet:
-        """Who votes, as far as known here: decided if anything is known to be."""
+        """Who votes: as chosen, if anything is known to be, else as accepted here."""
         newest = self.chosen or self.acceptor.accepted
         return newest.value.voters if newest else VoterSet()
 
     def is_voter(self) -> bool:
+        """Whether this replica is one of the voters known here."""
         return self.identity in self.voters().members
 
     def chosen_voters_number(self) -> int:
-        """The highest number of a voter set that is known to be chosen."""
+        """The highest number of a voter set that is known to be chosen; 0: none."""
         return self.chosen.value.voters.number if self.chosen else 0
 
     def version(self) -> Version:
-        """Of the newest chosen configuration known here."""
+        """Version of the newest chosen configuration known here."""
         return self.chosen.value.version if self.chosen else Version()
 
-    # ---- what it is asked ----
+    # ---- acceptor ----
 
     async def prepare(self, ballot: Ballot) -> bool:
-        """Whether it has promised this ballot, on disk."""
-        async with Waiting(self):
+        """Promises a ballot. Returns whether the promise is on disk. Raises StorageError."""
+        async with self.disk.write_turn():
             if not self.acceptor.may_promise(ballot):
                 return False
             if ballot > self.acceptor.promised:
-                await self.blocking(self.store.keep, PROMISE, promise_record(ballot))
+                await self.disk.write(PROMISE, promise_record(ballot))
                 self.acceptor.promise(ballot)
             return True
 
     async def accept(self, proposal: Proposal) -> bool:
-        """Whether it holds this proposal on disk."""
-        async with Waiting(self):
+        """Accepts a proposal. Returns whether it is on disk. Raises StorageError."""
+        async with self.disk.write_turn():
             if not self.acceptor.may_accept(proposal.ballot):
                 return False
             if self.acceptor.accepted is None or self.acceptor.accepted.ballot != proposal.ballot:
-                await self.blocking(self.store.keep, REGISTER, register_record(proposal))
+                await self.disk.write(REGISTER, register_record(proposal))
                 self.acceptor.accept(proposal)
             return True
 
+    async def prepare_or_refuse(self, ballot: Ballot) -> bool:
+        """As `prepare`, but refuses where the disk fails."""
+        try:
+            return await self.prepare(ballot)
+        except StorageError as error:
+            logger.error("disk: {}. A ballot is refused; this replica counts for nothing new", error)
+            return False
+
+    async def accept_or_refuse(self, proposal: Proposal) -> bool:
+        """As `accept`, but refuses where the disk fails."""
+        try:
+            return await self.accept(proposal)
+        except StorageError as error:
+            logger.error("disk: {}. A proposal is refused; this replica counts for nothing new", error)
+            return False
+
+    # ---- learner ----
+
     async def learn(self, chosen: Proposal) -> None:
-        """A value is chosen: known here from now on, and kept on disk if that can be had."""
+        """Takes a proposal for chosen, and writes it to disk if the disk allows."""
         self.record_chosen(chosen)
         await self.store_chosen(chosen)
 
     def record_chosen(self, chosen: Proposal) -> None:
-        """A value is chosen: known here from now on."""
+        """Takes a proposal for chosen, in memory."""
         if self.chosen is None or chosen.ballot > self.chosen.ballot:
             self.chosen = chosen
             self.on_chosen()
 
     async def store_chosen(self, chosen: Proposal) -> None:
-        """On this disk too, if that can be had. Nobody has to wait for it: a majority holds it already."""
+        """Writes a chosen proposal to disk. A failure is only logged: a majority has it on disk already."""
         try:
-            async with Waiting(self):
+            async with self.disk.write_turn():
                 if self.acceptor.is_behind(chosen):
-                    await self.blocking(self.store.keep, REGISTER, register_record(chosen))
+                    await self.disk.write(REGISTER, register_record(chosen))
                     self.acceptor.accept(chosen)
-        except StorageError as bad:
-            logger.error("disk: {}", bad)
+        except StorageError as error:
+            logger.error("disk: {}. A chosen value is not kept here; the other replicas have it", error)
 
     def learn_chosen_ballot(self, ballot: Ballot) -> bool:
-        """The value under this ballot is chosen. Whether that value is known here."""
+        """Takes the proposal under this ballot for chosen. Returns whether it, or a newer one, is known here."""
         if self.chosen and self.chosen.ballot >= ballot:
             return True
         accepted = self.acceptor.accepted
@@ -182,24 +144,3 @@
         self.chosen = accepted
         self.on_chosen()
         return True
-
-
-class Waiting:
-    """The right to write a record. Raises StorageError if too many wait for the disk already."""
-
-    def __init__(self, replica: Replica) -> None:
-        self.replica = replica
-
-    async def __aenter__(self) -> None:
-        if self.replica.waiting >= WAITING_MOST:
-            raise StorageError("the disk does not answer, and too many wait for it")
-        self.replica.waiting += 1
-        try:
-            await self.replica.writing.acquire()
-        except BaseException:
-            self.replica.waiting -= 1
-            raise
-
-    async def __aexit__(self, *_: object) -> None:
-        self.replica.waiting -= 1
-        self.replica.writing.release()
--- a/stoneyoke/consensus/voter_set.py
+++ b/stoneyoke/consensus/voter_set.py
@@ -1,71 +1,110 @@
-"""Which change of voters to propose. No I/O: the change itself is decided in the register (consensus)."""
+"""Decides which voters to propose. No I/O: the voters themselves decide the change, in the register."""
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, replace
 
-from stoneyoke.consensus.register_value import Change, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.register_value import Change, Group, RegisterValue, ReplicaId, VoterSet
 
-# A voter that is silent for this part of catch_up_s is replaced if a learner stands ready. A lost machine counts as
-# lost until catch_up_s after its successor's start: the other half is left for the successor's start and the rounds.
 LOST_FRACTION = 0.5
-STEADY_S = 0.5  # a learner in touch for so long, with all that is chosen, may vote
+"""A voter silent for this fraction of the operators' catch_up_s is replaced if a learner is ready.
+
+A lost machine counts as lost until catch_up_s after its successor's start. The other half of that time is left for the
+successor's start and for the rounds.
+"""
+STEADY_S = 0.5
+"""A learner that was in touch for so long, and has all that is chosen, may vote."""
+MIN_VOTERS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class MemberReport:
-    """What the proposer of a change knows of the others.
+    """What the proposer of a change knows of the other replicas.
 
-    silent_s: for how long each voter was not heard, 0 for the proposer itself. leaving: members that were told to end.
-    learners: members without a vote that hold the newest chosen value, the one steady for longest first."""
+    Attributes:
+        silent_s: Seconds since each voter was last heard; 0 for the proposer itself.
+        leaving: Replicas that were told to shut down.
+        learners: Replicas without a vote that have the newest chosen value, the one steady for longest first.
+    """
 
     silent_s: Mapping[ReplicaId, float]
     leaving: Collection[ReplicaId]
-    learners: tuple[ReplicaId, ...]
+    learners: Group
 
 
 def voter_count(losses: int) -> int:
-    """So many voters that a majority outlives as many losses."""
-    return max(3, 2 * losses + 1)
+    """How many voters there should be, so that a majority outlives this many lost machines."""
+    return max(MIN_VOTERS, 2 * losses + 1)
+
+
+def next_voters(members: Group, report: MemberReport, size: int, lost_s: float) -> Group:
+    """Chooses the voters to propose.
 
+    A learner replaces a voter that is leaving, that was silent for too long, or whose address now belongs to another
+    disk. Without a learner the voter stays: it may only be cut off, and come back.
 
-def next_voters(
-    members: tuple[ReplicaId, ...], report: MemberReport, size: int, lost_s: float
-) -> tuple[ReplicaId, ...]:
-    """The voters to propose; the same ones if nothing is to change.
+    Args:
+        members: The voters now.
+        report: What is known of the replicas.
+        size: How many voters there should be.
+        lost_s: Seconds of silence after which a voter counts as lost.
 
-    A voter gives its place to a learner if it leaves, was silent for lost_s, or lost its disk: then its address
-    belongs to another member. Without a learner it keeps its place: it may be back, cut off as it is. Voters are added
-    only up to an odd number, since an even one bears no more losses than the odd one below it."""
+    Returns:
+        The voters, sorted; the same ones if nothing is to change.
+    """
     ready = [learner for learner in report.learners if learner not in members and learner not in report.leaving]
-    gone = [member for member in members if is_gone(member, report, ready, lost_s)]
-    result = list(members)
-    for member in gone:
-        successor = next((one for one in ready if one.address == member.address), ready[0] if ready else None)
-        if successor is None:
+    voters = replace_lost(members, report, ready, lost_s)
+    return tuple(sorted((*voters, *additions(len(voters), ready, size))))
+
+
+def replace_lost(members: Group, report: MemberReport, ready: list[ReplicaId], lost_s: float) -> list[ReplicaId]:
+    """The voters with lost ones replaced. Takes the successors out of `ready`."""
+    lost = [member for member in members if is_lost(member, report, ready, lost_s)]
+    voters = list(members)
+    for member in lost:
+        if not ready:
             break
+        same_address = (learner for learner in ready if learner.address == member.address)
+        successor = next(same_address, ready[0])
         ready.remove(successor)
-        result[result.index(member)] = successor
-    added = ready[: max(0, size - len(result))]
-    if (len(result) + len(added)) % 2 == 0 and added:
+        voters[voters.index(member)] = successor
+    return voters
+
+
+def additions(count: int, ready: list[ReplicaId], size: int) -> list[ReplicaId]:
+    """Learners to add to so many voters, up to an odd number.
+
+    An even number of voters outlives no more losses than the odd one below it.
+    """
+    added = ready[: max(0, size - count)]
+    if added and (count + len(added)) % 2 == 0:
         added.pop()
-    return tuple(sorted((*result, *added)))
+    return added
+
+
+def is_lost(member: ReplicaId, report: MemberReport, ready: list[ReplicaId], lost_s: float) -> bool:
+    """Whether a voter should be replaced: its disk is lost, it is leaving, or it was silent for too long."""
+    has_other_disk = any(learner.address == member.address for learner in ready)
+    return has_other_disk or member in report.leaving or report.silent_s.get(member, 0.0) > lost_s
 
 
-def is_gone(member: ReplicaId, report: MemberReport, ready: list[ReplicaId], lost_s: float) -> bool:
-    superseded = any(learner.address == member.address for learner in ready)
-    return superseded or member in report.leaving or report.silent_s.get(member, 0.0) > lost_s
+def voter_change(chosen: RegisterValue, wanted: Group) -> Change | None:
+    """The change that makes these the voters.
 
+    A change of the voters that isn't known to be chosen is completed first.
 
-def voter_change(chosen: RegisterValue, wanted: tuple[ReplicaId, ...]) -> Change | None:
-    """What a round makes of the value found so that these vote; None: there is nothing to do.
+    Args:
+        chosen: The chosen value for which `wanted` was decided.
+        wanted: The voters to propose.
 
-    chosen: the value that the wish was made for. A change that is not known to be chosen goes first."""
+    Returns:
+        The change for a round, None if there is nothing to do.
+    """
     if wanted == chosen.voters.members and not chosen.previous:
         return None
     members = chosen.voters.members if chosen.previous else wanted
 
     def with_members(found: RegisterValue) -> RegisterValue:
-        """Only on top of the voters that the wish was made for."""
+        """Changes the voters, unless another change was chosen meanwhile: the decision was made for these voters."""
         if found.voters != chosen.voters or members == found.voters.members:
             return found
         return replace(found, voters=VoterSet(found.voters.number + 1, members))
--- a/stoneyoke/controlplane/configuration_service.py
+++ b/stoneyoke/controlplane/configuration_service.py
@@ -9,8 +9,9 @@
 
 from stoneyoke.api.calls import Acknowledged, Answer, Document, Rejected, Unavailable
 from stoneyoke.api.configuration import Configuration
+from stoneyoke.consensus.peer_calls import TRANSFER_S_PER_BYTE
 from stoneyoke.consensus.register_value import Proposal, RegisterValue
-from stoneyoke.consensus.replication import TRANSFER_S_PER_BYTE, Replication
+from stoneyoke.consensus.replication import Replication
 from stoneyoke.controlplane.cluster_view import ClusterView
 
 ANSWER_TIMEOUT_S = 0.85  # a caller tries another controller after a second without an answer (PROTOCOL, The operator)
--- a/stoneyoke/controlplane/message_router.py
+++ b/stoneyoke/controlplane/message_router.py
@@ -39,8 +39,6 @@
         """Builds the table; each part answers the message types of its job."""
         self._handlers: dict[type, Callable[[Any], Message]] = {
             FetchRequest: lambda _: configuration.answer_fetch(replication.replica),
-            QueryRequest: lambda _: replication.handle_query(),
-            ValueRequest: replication.handle_value_request,
             InstanceUpdate: discovery.handle_update,
             InstanceRefresh: discovery.handle_refresh,
             LeaseRequest: lease.answer_request,
@@ -48,9 +46,11 @@
         }
         self._waiting_handlers: dict[type, Callable[[Any], Awaitable[Message]]] = {
             PullRequest: pulls.answer,
-            PrepareRequest: replication.handle_prepare,
-            AcceptRequest: replication.handle_accept,
-            ChosenNotice: replication.handle_chosen_notice,
+            PrepareRequest: replication.handle,
+            AcceptRequest: replication.handle,
+            QueryRequest: replication.handle,
+            ValueRequest: replication.handle,
+            ChosenNotice: replication.handle,
         }
 
     async def answer(self, message: Message) -> Message | None:
--- a/stoneyoke/controlplane/settings.py
+++ b/stoneyoke/controlplane/settings.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from stoneyoke.api.bounds import ServiceBounds
-from stoneyoke.consensus.replica import RecordStorage
+from stoneyoke.consensus.replica_disk import RecordStorage
 from stoneyoke.controlplane.peers import PeerLink
 from stoneyoke.transport.peer_client import PeerClient
 
--- a/stoneyoke/lab/simulation/exhaustive/reads.py
+++ b/stoneyoke/lab/simulation/exhaustive/reads.py
@@ -20,7 +20,7 @@
 
 
 def begin_query(model: Model, state: State, ongoing: OngoingOperation) -> State:
-    """Starts the query of an operation, as Replication.query does."""
+    """Starts the query of an operation, as Reader.query does."""
     address = model.operations[ongoing.operation].address
     replica = restore_replica(process_at(state, address))
     known = replica.view()
--- a/stoneyoke/lab/simulation/exhaustive/rounds.py
+++ b/stoneyoke/lab/simulation/exhaustive/rounds.py
@@ -1,4 +1,4 @@
-"""Round transitions: what Replication does around Replica and ProposalRound, without sockets and timers."""
+"""Round transitions: what Proposer does around Replica and ProposalRound, without sockets and timers."""
 
 from collections.abc import Iterator
 
@@ -35,7 +35,7 @@
 
 
 def begin_round(model: Model, state: State, before: OngoingOperation | None, ongoing: OngoingOperation) -> State:
-    """Starts a round with a ballot above all that its process knows, as Replication.run_round does.
+    """Starts a round with a ballot above all that its process knows, as Proposer.run_round does.
 
     Args:
         model: The model.
@@ -66,7 +66,7 @@
 def send_requests(
     model: Model, state: State, before: OngoingOperation | None, ongoing: OngoingOperation, current: ProposalRound
 ) -> State:
-    """Sends the request of this phase to each target that does not have it yet, as Replication.drive does."""
+    """Sends the request of this phase to each target that does not have it yet, as Proposer.drive does."""
     process = process_at(state, model.operations[ongoing.operation].address)
     targets = current.addresses_to_ask() - ongoing.contacted
     proposal = current.proposed_value if current.phase is Phase.ACCEPT else None
@@ -95,7 +95,7 @@
 
 
 def process_request(state: State, request: Request) -> tuple[State, Reply]:
-    """Lets the acceptor handle a request, as Replication.prepared and accepted do."""
+    """Lets the acceptor handle a request, as RequestHandler.prepare and accept do."""
     process = process_at(state, request.to)
     replica = restore_replica(process)
     accepted = None
@@ -112,7 +112,7 @@
 
 
 def apply_reply(model: Model, state: State, reply: Reply) -> State:
-    """Gives a reply to its round, as Replication.prepare_at and accept_at do; late replies change nothing."""
+    """Gives a reply to its round, as Proposer.prepare_at and accept_at do; late replies change nothing."""
     request = reply.request
     if reply in state.replies:
         state = state._replace(replies=state.replies - {reply})
@@ -167,7 +167,7 @@
 
 
 def value_deliveries(model: Model, state: State) -> Iterator[Transition]:
-    """Yields each chosen value that a process may learn from another one, as Replication.catch_up does."""
+    """Yields each chosen value that a process may learn from another one, as Learner.catch_up does."""
     for process in state.processes:
         address = process.replica.address
         if model.may_learn is not None and address not in model.may_learn:
--- a/stoneyoke/lab/simulation/exhaustive/transitions.py
+++ b/stoneyoke/lab/simulation/exhaustive/transitions.py
@@ -1,9 +1,9 @@
 """The successors of a state.
 
 Each transition runs the real code: Replica, Acceptor, ProposalRound, MajorityRead, apply_replacements, outcome_of
-and next_voters. Only what Replication does around them with sockets and timers is written here: who is asked, and who
-receives an answer. A lost message is one that no transition delivers. A request that a process sends to itself ends
-with the process.
+and next_voters. Only what Proposer and Reader do around them with sockets and timers is written here: who is asked,
+and who receives an answer. A lost message is one that no transition delivers. A request that a process sends to itself
+ends with the process.
 """
 
 from collections.abc import Iterator
--- a/stoneyoke/lab/simulation/register_defects.py
+++ b/stoneyoke/lab/simulation/register_defects.py
@@ -4,9 +4,12 @@
 from typing import Any
 
 from stoneyoke.api.calls import Acknowledged, Rejected
-from stoneyoke.consensus import quorum, replica, replication
+from stoneyoke.consensus import quorum, replica
 from stoneyoke.consensus.acceptor import Acceptor
+from stoneyoke.consensus.learner import Learner
 from stoneyoke.consensus.proposal_round import Phase, ProposalRound
+from stoneyoke.consensus.proposer import Proposer
+from stoneyoke.consensus.reader import Reader
 from stoneyoke.consensus.record_formats import PROMISE
 from stoneyoke.consensus.register_value import FIRST_DISK, RegisterValue
 from stoneyoke.controlplane import configuration_service, leases, membership, peers
@@ -89,7 +92,7 @@
     async def read(self: Any, within_s: float) -> Any:
         return self.replica.chosen
 
-    return [(replication.Replication, "read", read)]
+    return [(Reader, "read", read)]
 
 
 def unchosen_in_force() -> list[Patch]:
@@ -125,14 +128,14 @@
 
 def confirmed_once_accepted() -> list[Patch]:
     """An order is confirmed once its own controller has accepted it."""
-    real = replication.Replication.accept_at
+    real = Proposer.accept_at
 
-    async def accept_at(self: replication.Replication, current: Any, address: str) -> None:
+    async def accept_at(self: Proposer, current: Any, address: str) -> None:
         await real(self, current, address)
         if address == self.peers.own_address and current.phase is Phase.ACCEPT:
             current.phase = Phase.CHOSEN
 
-    return [(replication.Replication, "accept_at", accept_at)]
+    return [(Proposer, "accept_at", accept_at)]
 
 
 def replaced_singly() -> list[Patch]:
@@ -151,7 +154,7 @@
     async def catch_up(self: Any, address: str, chosen: Any) -> None:
         self.replica.learn_chosen_ballot(chosen)
 
-    return [(replication.Replication, "catch_up", catch_up)]
+    return [(Learner, "catch_up", catch_up)]
 
 
 def records_kept() -> list[Patch]:
--- a/stoneyoke/programs/stoneyokectl.py
+++ b/stoneyoke/programs/stoneyokectl.py
@@ -24,13 +24,13 @@
 from stoneyoke.api.configuration import NUMBER, Configuration, read_configuration
 from stoneyoke.api.schema import InvalidField
 from stoneyoke.consensus.ballot import NO_BALLOT
+from stoneyoke.consensus.errors import InvalidRecord
 from stoneyoke.consensus.record_formats import (
     IDENTITY,
     LEGACY_CONFIGURATION,
     LEGACY_VOTERS,
     PROMISE,
     REGISTER,
-    InvalidRecord,
     read_identity,
     read_promise,
     read_register,
--- a/tests/system/test_controller.py
+++ b/tests/system/test_controller.py
@@ -447,13 +447,13 @@
             await stalled.wait()
             return work(*args)
 
-        usual, one.replica.blocking = one.replica.blocking, stands_still
+        usual, one.replica.disk.run_blocking = one.replica.disk.run_blocking, stands_still
         for number in (6, 7, 8):
             assert await one.handle_call(put(number)) == Acknowledged()
         assert await one.handle_call(ReadConfiguration()) == Document(example(8))
         await asyncio.sleep(5)
         assert one.has_quorum() and cluster.disks["10.0.0.1"].records["register"][b"body"] == example(5)
-        one.replica.blocking = usual
+        one.replica.disk.run_blocking = usual
         stalled.set()
         await cluster.until(lambda: cluster.disks["10.0.0.1"].records["register"][b"body"] == example(8))
 
