--- a/stoneyoke/controlplane/gateway_tracker.py
+++ b/stoneyoke/controlplane/gateway_tracker.py
@@ -7,7 +7,7 @@
 from stoneyoke.controlplane.controller_context import ControllerContext
 from stoneyoke.controlplane.heartbeat_ring import HeartbeatWatch
 from stoneyoke.controlplane.peers import Peers
-from stoneyoke.limits.quota_allocator import FORGET_S
+from stoneyoke.limits.quota_allocator import GATEWAY_TTL_S
 from stoneyoke.transport.messages import PullRequest
 
 GATEWAY_TIMEOUT_S = 10.0  # a gateway without a heartbeat for this long is forgotten
@@ -51,8 +51,8 @@
     def recent_names(self) -> list[str]:
         """The gateways seen recently, here or by a peer: they may still hold shares of quotas."""
         now = self._context.clock()
-        seen_here = {name for name, pull in self.last_pulls.items() if now - pull.at < FORGET_S}
-        recent_peers = (peer for peer in self._peers.values() if now - peer.last_heard_at < FORGET_S)
+        seen_here = {name for name, pull in self.last_pulls.items() if now - pull.at < GATEWAY_TTL_S}
+        recent_peers = (peer for peer in self._peers.values() if now - peer.last_heard_at < GATEWAY_TTL_S)
         reported = {name for peer in recent_peers for name in peer.gateways}
         return sorted(seen_here | reported)
 
--- a/stoneyoke/controlplane/quota_lease.py
+++ b/stoneyoke/controlplane/quota_lease.py
@@ -88,15 +88,8 @@
         """Answers a gateway's request for quota; `ok` is false without the lease."""
         if self.allocator is None or not self.is_held():
             return QuotaResponse(ok=False, grants=[])
-        self.allocator.plans(self.configuration.tenants())
-        grants = self.allocator.draw(
-            request.name,
-            request.incarnation,
-            request.since_answer_ms / 1000,
-            request.complete,
-            request.demands,
-            self.context.clock(),
-        )
+        self.allocator.set_tenants(self.configuration.tenants())
+        grants = self.allocator.allocate(request, self.context.clock())
         return QuotaResponse(ok=True, grants=grants)
 
     # ---- holding ----
--- a/stoneyoke/gateway/admission.py
+++ b/stoneyoke/gateway/admission.py
@@ -1,6 +1,6 @@
 """The system's admission stage (SYSTEM, The design in the system): before routing, a tenant's request passes or is
-refused at once. Units come from the one store that a keeper holds (limits/shares.py); while that is silent, from
-the slice of it that counted demand told last, the even one for a tenant not told of."""
+refused at once. Units come from the one store that a keeper holds (limits/quota_allocator.py); while that is silent,
+from the slice of it that counted demand told last, the even one for a tenant not told of."""
 
 from dataclasses import replace
 
@@ -8,7 +8,14 @@
 from stoneyoke.control.quotas import Customer, Quotas
 from stoneyoke.control.events import Arrival
 from stoneyoke.control.parameters import Idempotency, DeduplicationScope, Method, Plan, GatewayParameters
-from stoneyoke.limits.quota_allocator import FEWEST, FIRST, UNTOLD, UNTOLD_S, LocalQuota, spare
+from stoneyoke.limits.local_quota import (
+    ASSUMED_GATEWAYS,
+    ISOLATED_START_RATIO,
+    UNGRANTED_RATIO,
+    UNGRANTED_S,
+    LocalQuota,
+)
+from stoneyoke.limits.quota_terms import excess_units
 from stoneyoke.limits.token_bucket import SECOND
 from stoneyoke.gateway.routes import Tenant
 
@@ -51,7 +58,7 @@
     def __init__(self, seed: int, now: int, bounds: ServiceBounds) -> None:
         super().__init__(parameters(seed), now)
         self.bounds, self.heard_at = bounds, now - LONG_AGO
-        self.among(FEWEST)
+        self.among(ASSUMED_GATEWAYS)
         self.indices: dict[str, int] = {}  # tenants that have come; no more than the operator names
         self.local_quotas: dict[str, LocalQuota] = {}
         self.alone_at: dict[int, int] = {}  # since when a tenant is served from its slice
@@ -99,42 +106,42 @@
         self.now = now
         customer = self.customer(call)
         customer.tries += 1
-        local_quota.count(call.units, now / SECOND)
-        if local_quota.take(call.units):
+        local_quota.record_demand(call.units, now / SECOND)
+        if local_quota.try_take(call.units):
             return 0
-        shut = int(local_quota.shut_until * SECOND) - now
+        shut = int(local_quota.closed_until * SECOND) - now
         return self.advised(customer, shut) if shut > 0 else None
 
     def answered(self, call: Arrival, local_quota: LocalQuota, now: int) -> int:
         """After the keeper has answered, or has not in time."""
         self.now = now
         customer = self.customer(call)
-        if local_quota.take(call.units):
+        if local_quota.try_take(call.units):
             return 0
-        shut = int(local_quota.shut_until * SECOND) - now
+        shut = int(local_quota.closed_until * SECOND) - now
         return self.advised(customer, shut) if shut > 0 else self.alone(customer, call, local_quota)
 
     def alone(self, customer: Customer, call: Arrival, local_quota: LocalQuota) -> int:
         """No keeper was heard: from the part of the store that is this gateway's own."""
         now, heard_at = self.now / SECOND, self.heard_at / SECOND
-        part, reserve = local_quota.left(heard_at, now)
+        share, reserve_units = local_quota.isolated_allowance(heard_at, now)
         plan, gateways = customer.plan, self.parameters.gateways
-        beyond = spare(plan.rate, plan.burst, self.bounds)
+        beyond = excess_units(plan.rate, plan.burst, self.bounds)
         if self.alone_at.get(call.customer, -LONG_AGO) < self.heard_at:
             self.alone_at[call.customer] = self.now
             # Document units, by chance: a part of one lets nothing through, and the parts sum to the same.
-            first = min(2.0, float(int(FIRST * beyond / gateways + self.random_source.draw())))
-            customer.store.level, customer.store.at = max(reserve, first), self.now
+            first = min(2.0, float(int(ISOLATED_START_RATIO * beyond / gateways + self.random_source.draw())))
+            customer.store.level, customer.store.at = max(reserve_units, first), self.now
         # A new life that has heard nobody: all may have started just now. Those that were told of hardly any part
         # share what the rule allows beyond the store: even slices for small tenants, little of a large one.
         untold = 0.25 * beyond / (plan.rate * self.bounds.quota_window_s)
-        if now - max(heard_at, self.born / SECOND) < UNTOLD_S:
-            untold = UNTOLD * beyond / (plan.rate * UNTOLD_S) if heard_at > self.born / SECOND else 1.0
-        customer.slice = max(part, min(1.0, untold) / gateways)
-        customer.store.reshape(plan.rate * customer.slice, max(customer.depth(), reserve), self.now)
+        if now - max(heard_at, self.born / SECOND) < UNGRANTED_S:
+            untold = UNGRANTED_RATIO * beyond / (plan.rate * UNGRANTED_S) if heard_at > self.born / SECOND else 1.0
+        customer.slice = max(share, min(1.0, untold) / gateways)
+        customer.store.reshape(plan.rate * customer.slice, max(customer.depth(), reserve_units), self.now)
         wait = self.slice_wait(customer, call)
         if wait > 0:
             return self.advised(customer, wait)
         customer.store.level -= call.units
-        local_quota.used += call.units
+        local_quota.isolated_units += call.units
         return 0
--- a/stoneyoke/gateway/control_client.py
+++ b/stoneyoke/gateway/control_client.py
@@ -9,7 +9,7 @@
 
 from stoneyoke.api.bounds import ServiceBounds
 from stoneyoke.api.configuration import Configuration
-from stoneyoke.limits.quota_allocator import FEWEST
+from stoneyoke.limits.local_quota import ASSUMED_GATEWAYS
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.config_sync import ConfigSync
 from stoneyoke.gateway.instance_directory import InstanceDirectory
@@ -24,7 +24,7 @@
 class Fleet:
     """What a gateway knows of its own kind: how many they are, and its own place among them."""
 
-    gateways: int = FEWEST
+    gateways: int = ASSUMED_GATEWAYS
     own: int = 0
 
 
@@ -91,7 +91,7 @@
             # A new life, or a new life of cores, may not tell of all yet: parts of what all share would be too large.
             if len(gateways) >= self.most or now - self.most_at > FORGET_S:
                 self.most, self.most_at = len(gateways), now
-            fewest = max(self.most, FEWEST if now - self.born < YOUNG_S else 1)
+            fewest = max(self.most, ASSUMED_GATEWAYS if now - self.born < YOUNG_S else 1)
             self.fleet = Fleet(fewest, gateways.index(self.name))
             self.admission.among(fewest)
         if not self.config_sync.ready:
--- a/stoneyoke/gateway/quota_client.py
+++ b/stoneyoke/gateway/quota_client.py
@@ -3,13 +3,14 @@
 import asyncio
 from collections.abc import Callable
 
-from stoneyoke.limits.quota_allocator import SILENT_S, LocalQuota, wants_of
+from stoneyoke.limits.local_quota import LocalQuota, take_demands
+from stoneyoke.limits.quota_terms import SILENCE_TIMEOUT_S
 from stoneyoke.transport.messages import QuotaDemand, QuotaRequest, QuotaResponse
 from stoneyoke.transport.errors import PeerUnreachable
 from stoneyoke.transport.peer_client import PeerClient
 
 WAIT_S = 0.1  # a request waits for the keeper no longer
-ANSWER_S = SILENT_S / 2  # a later answer is none
+ANSWER_S = SILENCE_TIMEOUT_S / 2  # a later answer is none
 ROUND_S = 0.25  # a message at least so often: it tells demand, and that this gateway is there
 
 
@@ -61,7 +62,7 @@
                     if (
                         self.down
                         or self.local_quotas[tenant].level >= 1
-                        or self.local_quotas[tenant].shut_until > self.clock()
+                        or self.local_quotas[tenant].closed_until > self.clock()
                     ):
                         break
         except TimeoutError:
@@ -101,7 +102,11 @@
         now = self.clock()
         deaf_s, full = min(60.0, now - self.heard_at), self.full
         # One that may not know that this gateway hears it gives nothing and takes nothing for told.
-        demands = wants_of(self.local_quotas, self.waiting, self.heard_at, full, now) if deaf_s <= SILENT_S else []
+        demands = (
+            take_demands(self.local_quotas, self.waiting, self.heard_at, full, now)
+            if deaf_s <= SILENCE_TIMEOUT_S
+            else []
+        )
         drawn = await wire.call(
             QuotaRequest(
                 name=self.name,
@@ -120,14 +125,14 @@
         # No later than an answer is taken: this process may have stood still between that and this line.
         self.heard_at = min(self.clock(), now + ANSWER_S)
         self.heard()
-        if deaf_s > SILENT_S:  # now it will
+        if deaf_s > SILENCE_TIMEOUT_S:  # now it will
             self.wanted.set()
         else:
             self.full = False
             for demand in demands:
-                self.local_quotas[demand.tenant].used_told = demand.isolated_units
+                self.local_quotas[demand.tenant].reported_isolated_units = demand.isolated_units
         for grant in drawn.grants:
             if local_quota := self.local_quotas.get(grant.tenant):
-                local_quota.hear(grant, self.heard_at)
+                local_quota.apply_grant(grant, self.heard_at)
         answered, self.answered = self.answered, asyncio.Event()
         answered.set()
--- a/stoneyoke/lab/capacity/hot_paths.py
+++ b/stoneyoke/lab/capacity/hot_paths.py
@@ -19,7 +19,8 @@
 from stoneyoke.lab.capacity.figures import Figure
 from stoneyoke.lab.capacity.meters import heap, processor_once_s, processor_s
 from stoneyoke.lab.capacity.workloads import BOUNDS, configuration, heartbeat, instance_name, row
-from stoneyoke.limits.quota_allocator import LocalQuota, QuotaAllocator, wants_of
+from stoneyoke.limits.local_quota import LocalQuota, take_demands
+from stoneyoke.limits.quota_allocator import QuotaAllocator
 from stoneyoke.limits.token_bucket import SECOND
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
@@ -321,30 +322,30 @@
 
     def make() -> QuotaAllocator:
         made = QuotaAllocator(BOUNDS, 0.0)
-        made.plans(plans)
+        made.set_tenants(plans)
         return made
 
+    request = QuotaRequest(
+        name="gateway-0001", incarnation="0123456789ab", since_answer_ms=250, complete=False, demands=wants
+    )
     quotas, of_quotas = heap(make)
     now = 0.0
 
     def draw() -> None:
         nonlocal now
         now += 0.25
-        quotas.draw("gateway-1", "life", 0.0, False, wants, now)
+        quotas.allocate(request, now)
 
     def quick_draw() -> None:
         nonlocal now
         now += 0.00001
-        quotas.draw("gateway-1", "life", 0.0, False, wants, now)
+        quotas.allocate(request, now)
 
-    drawn = quotas.draw("gateway-1", "life", 0.0, False, wants, now)
-    asked = QuotaRequest(
-        name="gateway-0001", incarnation="0123456789ab", since_answer_ms=250, complete=False, demands=wants
-    )
+    drawn = quotas.allocate(request, now)
     answered = QuotaResponse(ok=True, grants=drawn)
     return [
         Figure("stores held", "MB", megabytes(of_quotas.held)),
-        Figure("one draw of 100 tenants, both ways", "B", len(pack(1, asked) + pack(1, answered))),
+        Figure("one draw of 100 tenants, both ways", "B", len(pack(1, request) + pack(1, answered))),
         Figure("one draw of 100 tenants, 0.25 s after the last", "s", processor_s(draw)),
         Figure("one draw of 100 tenants, right after another", "s", processor_s(quick_draw)),
     ]
@@ -370,7 +371,7 @@
     return [
         Figure("first request of each tenant", "s", first_s),
         Figure("one decision", "s", processor_s(decide) / len(later)),
-        Figure("wants of a quiet round", "s", processor_s(lambda: wants_of(quotas, {}, 0.0, False, 1.0))),
+        Figure("wants of a quiet round", "s", processor_s(lambda: take_demands(quotas, {}, 0.0, False, 1.0))),
         Figure("local quotas held", "MB", megabytes(of_quotas.held)),
     ]
 
--- a/stoneyoke/lab/simulation/fleet_defects.py
+++ b/stoneyoke/lab/simulation/fleet_defects.py
@@ -10,7 +10,7 @@
 from stoneyoke.controlplane import discovery_service, instance_registry, leases, quota_lease
 from stoneyoke.gateway import admission, config_sync, instance_directory
 from stoneyoke.lab.simulation.register_defects import Patch
-from stoneyoke.limits import quota_allocator
+from stoneyoke.limits import local_quota, quota_allocator, tenant_bucket
 from stoneyoke.transport.messages import FetchRequest, FetchResponse, QuotaDemand, QuotaGrant
 
 
@@ -44,56 +44,57 @@
 
 def alone_not_told() -> list[Patch]:
     """What gateways use alone is never counted."""
-    real = quota_allocator.QuotaAllocator.give
+    real = quota_allocator.QuotaAllocator.grant
 
-    def give(
-        self: quota_allocator.QuotaAllocator, name: str, asked: QuotaDemand, silent: Any, now: float
+    def grant(
+        self: quota_allocator.QuotaAllocator, name: str, demand: QuotaDemand, silent: Any, now: float
     ) -> QuotaGrant:
-        return real(self, name, asked._replace(isolated_units=0.0), silent, now)
+        return real(self, name, demand._replace(isolated_units=0.0), silent, now)
 
-    return [(quota_allocator.QuotaAllocator, "give", give)]
+    return [(quota_allocator.QuotaAllocator, "grant", grant)]
 
 
 def silent_not_lent() -> list[Patch]:
     """What silent gateways may be using is not taken off the store."""
-    real = quota_allocator.Pool.fill
+    real = tenant_bucket.TenantBucket.refill
 
-    def fill(self: quota_allocator.Pool, withheld: float, silent: Any, now: float) -> None:
-        real(self, withheld, {}, now)
+    def refill(self: tenant_bucket.TenantBucket, withheld_share: float, silent: Any, now: float) -> None:
+        real(self, withheld_share, {}, now)
 
-    return [(quota_allocator.Pool, "fill", fill)]
+    return [(tenant_bucket.TenantBucket, "refill", refill)]
 
 
 def new_keeper_trusts() -> list[Patch]:
     """A new keeper holds nothing back for gateways that it has not heard."""
-    return [(quota_allocator.QuotaAllocator, "withheld", lambda self, pool: 0.0)]
+    return [(quota_allocator.QuotaAllocator, "withheld_share", lambda self, bucket: 0.0)]
 
 
 def new_keeper_full() -> list[Patch]:
     """A new keeper's stores begin full."""
-    return [(quota_allocator, "START", 20.0)]
+    return [(quota_allocator, "INITIAL_LEVEL_RATIO", 20.0)]
 
 
 def parts_over_one() -> list[Patch]:
     """Parts are told by demand alone, whatever others hold; each is floored at half of the even one."""
-    real = quota_allocator.QuotaAllocator.give
+    real = quota_allocator.QuotaAllocator.grant
 
-    def give(
-        self: quota_allocator.QuotaAllocator, name: str, asked: QuotaDemand, silent: Any, now: float
+    def grant(
+        self: quota_allocator.QuotaAllocator, name: str, demand: QuotaDemand, silent: Any, now: float
     ) -> QuotaGrant:
-        grant = real(self, name, asked, silent, now)
-        return grant._replace(share=max(grant.share, 0.9), reserve_units=max(grant.reserve_units, 10.0))
+        granted = real(self, name, demand, silent, now)
+        return granted._replace(share=max(granted.share, 0.9), reserve_units=max(granted.reserve_units, 10.0))
 
-    return [(quota_allocator.QuotaAllocator, "give", give)]
+    return [(quota_allocator.QuotaAllocator, "grant", grant)]
 
 
 def part_for_ever() -> list[Patch]:
     """A gateway's part has no end, though its keeper counts on one."""
 
-    def left(self: quota_allocator.LocalQuota, heard_at: float, now: float) -> tuple[float, float]:
-        return (self.part, self.reserve) if self.part else (0.5, 0.0)
+    def isolated_allowance(self: local_quota.LocalQuota, heard_at: float, now: float) -> local_quota.IsolatedAllowance:
+        share, reserve_units = (self.share, self.reserve_units) if self.share else (0.5, 0.0)
+        return local_quota.IsolatedAllowance(share, reserve_units)
 
-    return [(quota_allocator.LocalQuota, "left", left)]
+    return [(local_quota.LocalQuota, "isolated_allowance", isolated_allowance)]
 
 
 def pull_from_one() -> list[Patch]:
@@ -169,4 +170,4 @@
 
 def first_whole() -> list[Patch]:
     """Each gateway that falls silent begins with what all together may."""
-    return [(admission, "FIRST", 6.0), (quota_allocator, "FIRST", 6.0)]
+    return [(admission, "ISOLATED_START_RATIO", 6.0), (local_quota, "ISOLATED_START_RATIO", 6.0)]
--- a/tests/system/gateway_fixture.py
+++ b/tests/system/gateway_fixture.py
@@ -74,7 +74,7 @@
 
     async def ask(self, tenant):
         self.asked += 1
-        self.local_quotas[tenant].hear(QuotaGrant(tenant, *self.gives), time.time())
+        self.local_quotas[tenant].apply_grant(QuotaGrant(tenant, *self.gives), time.time())
 
 
 class Gateway:
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -223,7 +223,7 @@
         gateway.quota_client.gives = (0.0, 0.5, 0.5, 0.0)
         status, headers, _ = await gateway.ask()
         assert status == 429 and 0.4 < float(headers["retry-after"]) < 2 and not backend.got
-        gateway.admission.local_quotas["anna"].shut_until = 0.0
+        gateway.admission.local_quotas["anna"].closed_until = 0.0
         gateway.quota_client.gives = (2.0, 0.0, 0.5, 0.0)
         assert [(await gateway.ask())[0] for _ in range(2)] == [200, 200]
         assert (await gateway.ask(key=b"key-c"))[0] == 200  # bert has no limit
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -2,7 +2,7 @@
 
 from ward import test
 
-from stoneyoke.limits.quota_allocator import LocalQuota
+from stoneyoke.limits.local_quota import LocalQuota
 from stoneyoke.gateway.quota_client import ANSWER_S, QuotaClient
 from stoneyoke.transport.messages import QuotaGrant, QuotaResponse
 from stoneyoke.transport.errors import PeerUnreachable
@@ -74,7 +74,7 @@
             if not quota_client.down:
                 break
             quota_client.wanted.set()
-            quota_client.local_quotas["anna"].demand = 1.0
+            quota_client.local_quotas["anna"].demand_units = 1.0
             await asyncio.wait_for(quota_client.answered.wait(), 2)
         assert not quota_client.down and heard and len(wire.asked) >= 3
 
@@ -87,8 +87,8 @@
 
     async def story(quota_client, heard):
         await quota_client.ask("anna")
-        assert quota_client.local_quotas["anna"].shut_until > asyncio.get_running_loop().time() + 4
-        quota_client.local_quotas["anna"].demand = 2.0
+        assert quota_client.local_quotas["anna"].closed_until > asyncio.get_running_loop().time() + 4
+        quota_client.local_quotas["anna"].demand_units = 2.0
         await quota_client.draw(wire)
         assert wire.asked[2].demands[0][:3] == ("anna", 0.0, 2.0)
 
@@ -124,8 +124,10 @@
         asked_at, now = loop.time(), loop.time
         quota_client.clock = lambda: now() + (100.0 if len(wire.asked) > 2 else 0.0)  # from the third one's asking on
         wire.answers.append(given(1.0))
-        quota_client.local_quotas["anna"].demand = 1.0
+        quota_client.local_quotas["anna"].demand_units = 1.0
         await quota_client.draw(wire)
-        assert asked_at < quota_client.heard_at == quota_client.local_quotas["anna"].told_at < asked_at + 1 + ANSWER_S
+        assert (
+            asked_at < quota_client.heard_at == quota_client.local_quotas["anna"].granted_at < asked_at + 1 + ANSWER_S
+        )
 
     play(wire, story)
