--- a/stoneyoke/consensus/replica_disk.py
+++ b/stoneyoke/consensus/replica_disk.py
@@ -21,7 +21,7 @@
 class RecordStorage(Protocol):
     """Records on disk, in families. Of each family the newest whole record counts."""
 
-    def keep(self, family: str, record: Record) -> None:
+    def save(self, family: str, record: Record) -> None:
         """Returns once the record is on disk. Raises StorageError."""
 
     def load(self, family: str) -> tuple[Record | None, list[str]]:
@@ -51,11 +51,11 @@
 
     async def write(self, family: str, record: Record) -> None:
         """Returns once the record is on disk. Raises StorageError."""
-        await self.run_blocking(self.store.keep, family, record)
+        await self.run_blocking(self.store.save, family, record)
 
     async def write_until_done(self, family: str, record: Record) -> None:
         """Writes a record, however often the disk refuses."""
-        await self.retry(self.store.keep, family, record)
+        await self.retry(self.store.save, family, record)
 
     async def load(self, family: str) -> Record | None:
         """The newest whole record of a family, however often the disk refuses.
--- a/stoneyoke/lab/simulation/disks.py
+++ b/stoneyoke/lab/simulation/disks.py
@@ -70,7 +70,7 @@
             os.truncate(os.path.join(self.folder, data), max(0, sizes[data] - over))
             raise OSError(errno.ENOSPC, "the disk is full")
 
-    def sync(self, path: str) -> None:
+    def sync_path(self, path: str) -> None:
         if self.refuses:
             raise OSError(errno.EIO, "refused")
         self.step()
@@ -82,13 +82,13 @@
         elif (content := self.content(name)) is not None:
             self.state.contents[name] = content
 
-    def remove(self, path: str) -> None:
+    def remove_file(self, path: str) -> None:
         name = os.path.basename(path)
         if (content := self.content(name)) is None:
             return
         self.step()
         self.state.removed.setdefault(name, []).append(FileState(content, self.state.contents.pop(name, None)))
-        super().remove(path)
+        super().remove_file(path)
 
     def lose_power(self, random_source: random.Random) -> None:
         """Writes after a file's last sync are there, missing or torn; each name made or removed since the folder's
--- a/stoneyoke/lab/simulation/exhaustive/snapshots.py
+++ b/stoneyoke/lab/simulation/exhaustive/snapshots.py
@@ -15,7 +15,7 @@
 class NullRecordStore:
     """A record store that keeps nothing: what is on disk is part of the state."""
 
-    def keep(self, family: str, record: Any) -> None:
+    def save(self, family: str, record: Any) -> None:
         """Ignores the record."""
 
     def load(self, family: str) -> tuple[None, list[str]]:
--- a/stoneyoke/lab/simulation/register_defects.py
+++ b/stoneyoke/lab/simulation/register_defects.py
@@ -51,13 +51,13 @@
     """Promises are not written."""
     from stoneyoke.lab.simulation.disks import SimulatedRecordStore
 
-    real = SimulatedRecordStore.keep
+    real = SimulatedRecordStore.save
 
-    def keep(self: SimulatedRecordStore, family: str, record: dict[bytes, bytes]) -> None:
+    def save(self: SimulatedRecordStore, family: str, record: dict[bytes, bytes]) -> None:
         if family != PROMISE:
             real(self, family, record)
 
-    return [(SimulatedRecordStore, "keep", keep)]
+    return [(SimulatedRecordStore, "save", save)]
 
 
 def accepts_any() -> list[Patch]:
@@ -159,7 +159,7 @@
 
 def records_kept() -> list[Patch]:
     """No record is ever removed."""
-    return [(record_store.RecordStore, "tidy", lambda self, *_: None)]
+    return [(record_store.RecordStore, "remove_old_records", lambda self, *_: None)]
 
 
 def late_answer_counts() -> list[Patch]:
@@ -186,4 +186,4 @@
     """A record counts before it is synced."""
     from stoneyoke.lab.simulation.disks import SimulatedRecordStore
 
-    return [(SimulatedRecordStore, "sync", lambda self, path: None)]
+    return [(SimulatedRecordStore, "sync_path", lambda self, path: None)]
--- a/stoneyoke/programs/stoneyokectl.py
+++ b/stoneyoke/programs/stoneyokectl.py
@@ -234,11 +234,11 @@
     """Prints what a controller's data folder holds."""
     store = opened(folder)
     lines, found = [], []
-    for family, number, name in sorted(store.files()):
+    for family, number, name in sorted(store.record_files()):
         if not name.endswith(".dir"):
             continue
         try:
-            told = told_of(family, store.read(family, number))
+            told = told_of(family, store.read_record(family, number))
         except (StorageError, InvalidRecord, InvalidField, KeyError) as bad:
             lines.append(f"{family}-{number}: {bad}")
             found.append({"family": family, "number": number, "torn": True})
@@ -260,7 +260,7 @@
         promised = read_promise(promise) if promise else NO_BALLOT
         survivor = ReplicaId(address, read_identity(identity))
         register = recovered_register(read_register(held), promised, survivor)
-        store.keep(REGISTER, register_record(register))
+        store.save(REGISTER, register_record(register))
     except (StorageError, InvalidRecord) as bad:
         raise CommandError(f"{folder}: {bad}") from bad
     voters = register.value.voters
--- a/tests/system/controller_cluster.py
+++ b/tests/system/controller_cluster.py
@@ -49,7 +49,7 @@
         self.refuses = False
         self.kept = 0
 
-    def keep(self, family: str, record: Record) -> None:
+    def save(self, family: str, record: Record) -> None:
         if self.refuses:
             raise StorageError("refused")
         self.kept += 1
--- a/tests/system/test_programs.py
+++ b/tests/system/test_programs.py
@@ -103,8 +103,8 @@
 @test("stoneyokectl reads a data folder: what it holds, and what is torn")
 def _(folder=folder):
     hold = RecordStore(folder)
-    hold.keep("word", {b"body": example(7)})
-    hold.keep("word", {b"body": example(8)})
+    hold.save("word", {b"body": example(7)})
+    hold.save("word", {b"body": example(8)})
     open(os.path.join(folder, "word-2.dat"), "r+b").write(b"\x00\x00")
     done = subprocess.run(
         [sys.executable, "-m", "stoneyoke.programs.stoneyokectl", "hold", folder],
--- a/tests/system/test_record_store.py
+++ b/tests/system/test_record_store.py
@@ -23,11 +23,13 @@
 def _(folder=folder):
     hold = RecordStore(folder)
     for at in range(6):
-        hold.keep("word", {b"body": b"%d" % at})
-    hold.keep("crew", {b"names": b"x"})
+        hold.save("word", {b"body": b"%d" % at})
+    hold.save("crew", {b"names": b"x"})
     assert RecordStore(folder).load("word") == ({b"body": b"5"}, [])
     assert RecordStore(folder).load("crew") == ({b"names": b"x"}, [])
-    assert len({name.split(".")[0] for name in os.listdir(folder) if name.startswith("word")}) == record_store.KEPT
+    assert (
+        len({name.split(".")[0] for name in os.listdir(folder) if name.startswith("word")}) == record_store.RECORDS_KEPT
+    )
 
 
 @dataclass
@@ -52,12 +54,12 @@
         self.histories = {"promise": History(), "register": History(), "identity": History()}
         self.store = SimulatedRecordStore(folder)
 
-    def keep(self, family):
+    def save(self, family):
         history = self.histories[family]
         size = self.random_source.choice((0, 30, 600, 3000)) if family == "register" else 8
         history.begun.append({b"body": b"%s %d " % (family.encode(), len(history.begun)) + b"x" * size, b"more": b"y"})
         try:
-            self.store.keep(family, history.begun[-1])
+            self.store.save(family, history.begun[-1])
         except StorageError:
             return False
         history.sure = len(history.begun) - 1
@@ -88,20 +90,20 @@
         family = self.random_source.choice(list(self.histories))
         match self.random_source.choice(("keep", "keep", "keep", "refused", "full", "ends", "ends", "restart", "load")):
             case "keep":
-                self.keep(family)
+                self.save(family)
             case "refused":
                 self.store.refuses = True
-                assert not self.keep(family)
+                assert not self.save(family)
                 self.store.refuses = False
             case "full":
                 self.store.room = self.random_source.randrange(12000)
-                self.keep(family)
+                self.save(family)
                 self.store.room = None
             case "ends":
                 self.store.steps_left = self.random_source.randrange(12)
                 try:
                     for _ in range(2):
-                        self.keep(family)
+                        self.save(family)
                 except PowerLost:
                     pass
                 self.start(self.random_source.random() < 0.7)
@@ -113,11 +115,11 @@
     def recover(self):
         """The disk is well again: each family takes what it is given, and no more than its share is left."""
         for family in self.histories:
-            for _ in range(record_store.KEPT):
-                assert self.keep(family)
+            for _ in range(record_store.RECORDS_KEPT):
+                assert self.save(family)
         self.start(power=False)
-        held = [(family, number) for family, number, _ in self.store.files()]
-        assert len(held) == len(self.histories) * record_store.KEPT * 2, sorted(os.listdir(self.folder))
+        held = [(family, number) for family, number, _ in self.store.record_files()]
+        assert len(held) == len(self.histories) * record_store.RECORDS_KEPT * 2, sorted(os.listdir(self.folder))
 
 
 @test("through failures, kills and losses of power no load gives less than was kept, or loaded, before")
@@ -136,10 +138,10 @@
 @test("what a killed process wrote and did not sync is synced before it is loaded, or not loaded")
 def _(folder=folder):
     store = SimulatedRecordStore(folder)
-    store.keep("register", {b"body": b"1"})
+    store.save("register", {b"body": b"1"})
     store.steps_left = 2  # both files are whole, the first is synced
     with raises(PowerLost):
-        store.keep("register", {b"body": b"2"})
+        store.save("register", {b"body": b"2"})
     store = SimulatedRecordStore(folder, store.state)
     store.refuses = True
     with raises(StorageError):
@@ -155,7 +157,7 @@
 def _(folder=folder):
     store, real = RecordStore(folder), builtins.open
     for body in (b"1", b"2"):
-        store.keep("register", {b"body": body})
+        store.save("register", {b"body": body})
 
     def refuse(path, *args, **kwargs):
         if os.fsdecode(path).endswith("register-2.dat"):
@@ -179,56 +181,58 @@
     os.mkdir(os.path.join(folder, "register-12.dat"))
     store = RecordStore(folder)
     assert store.load("register")[0] is None
-    store.keep("register", {b"body": b"1"})
+    store.save("register", {b"body": b"1"})
     with open(os.path.join(folder, "register-20.dir"), "wb") as file:
         file.write(b"'body', (0, 1)\n")
     again = RecordStore(folder)
-    assert again.load("register")[0] == {b"body": b"1"} and again.next == 21
+    assert again.load("register")[0] == {b"body": b"1"} and again.next_number == 21
 
 
 @test("500 records leave the last few, in a few times the bytes of one")
 def _(folder=folder):
     store, body = SimulatedRecordStore(folder), b"x" * 5000
     for at in range(500):
-        store.keep("register", {b"body": body + b"%d" % at})
-        store.keep("promise", {b"ballot": b"%d" % at})
+        store.save("register", {b"body": body + b"%d" % at})
+        store.save("promise", {b"ballot": b"%d" % at})
     names = os.listdir(folder)
-    assert len(names) == 2 * 2 * record_store.KEPT  # two families, two files each
-    assert sum(os.path.getsize(os.path.join(folder, name)) for name in names) < record_store.KEPT * (5000 + 6 * 1024)
+    assert len(names) == 2 * 2 * record_store.RECORDS_KEPT  # two families, two files each
+    assert sum(os.path.getsize(os.path.join(folder, name)) for name in names) < record_store.RECORDS_KEPT * (
+        5000 + 6 * 1024
+    )
 
 
 @test("a full disk keeps the newest alone, refuses what does not fit, and takes the next as soon as there is room")
 def _(folder=folder):
     store = SimulatedRecordStore(folder)
     for at in range(5):
-        store.keep("register", {b"body": b"%d" % at * 4000})
-        store.keep("promise", {b"ballot": b"%d" % at})
+        store.save("register", {b"body": b"%d" % at * 4000})
+        store.save("promise", {b"ballot": b"%d" % at})
     store.room = 14000  # two of the register and one promise
     for at in range(5, 20):
-        store.keep("register", {b"body": b"%d" % (at % 10) * 4000})
+        store.save("register", {b"body": b"%d" % (at % 10) * 4000})
     with raises(StorageError):
-        store.keep("register", {b"body": b"z" * 16000})
+        store.save("register", {b"body": b"z" * 16000})
     for _ in range(30):  # many failures leave nothing either
         with raises(StorageError):
-            store.keep("promise", {b"ballot": b"z" * 16000})
+            store.save("promise", {b"ballot": b"z" * 16000})
     again = SimulatedRecordStore(folder, store.state)
     assert again.load("register")[0] == {b"body": b"9" * 4000} and again.load("promise")[0] == {b"ballot": b"4"}
     assert len(os.listdir(folder)) <= 6
     again.room = 40000
-    again.keep("register", {b"body": b"z" * 16000})
+    again.save("register", {b"body": b"z" * 16000})
 
 
 @test("a keep that was given up on while the disk stood still does not outlive the one after it")
 def _(folder=folder):
     class StalledStore(SimulatedRecordStore):
-        def sync(self, path):
+        def sync_path(self, path):
             reached.set()
             assert goes_on.wait(10)
-            super().sync(path)
+            super().sync_path(path)
 
     reached, goes_on = threading.Event(), threading.Event()
     store = StalledStore(folder)
-    threads = [threading.Thread(target=store.keep, args=("register", {b"body": body})) for body in (b"1", b"2")]
+    threads = [threading.Thread(target=store.save, args=("register", {b"body": body})) for body in (b"1", b"2")]
     threads[0].start()
     assert reached.wait(10)
     threads[1].start()
@@ -243,9 +247,9 @@
     random_source = random.Random(5)
     for at in range(60):
         hold = RecordStore(folder)
-        hold.keep("word", {b"body": b"sure %d" % at * 50})
-        hold.keep("word", {b"body": b"torn %d" % at * 50})
-        newest = f"word-{hold.next - 1}"
+        hold.save("word", {b"body": b"sure %d" % at * 50})
+        hold.save("word", {b"body": b"torn %d" % at * 50})
+        newest = f"word-{hold.next_number - 1}"
         path = os.path.join(folder, newest + random_source.choice((".dat", ".dir")))
         data = open(path, "rb").read()
         how = at % 4
@@ -267,8 +271,8 @@
 @test("a name is never used again, though its record was dropped")
 def _(folder=folder):
     hold = RecordStore(folder)
-    hold.keep("word", {b"body": b"1"})
-    assert RecordStore(folder).next == 2
+    hold.save("word", {b"body": b"1"})
+    assert RecordStore(folder).next_number == 2
 
 
 @test("files and folder are synced before keep returns, and a disk that refuses raises StorageError")
@@ -277,7 +281,7 @@
     hold = RecordStore(folder)
     try:
         os.fsync = lambda number: synced.append(os.readlink(f"/proc/self/fd/{number}"))
-        hold.keep("word", {b"body": b"1"})
+        hold.save("word", {b"body": b"1"})
         assert [os.path.basename(name) for name in synced[:2]] == ["word-1.dat", "word-1.dir"]
         assert synced[-1] == os.path.realpath(folder)
 
@@ -286,7 +290,7 @@
 
         os.fsync = refuse
         with raises(StorageError):
-            hold.keep("word", {b"body": b"2"})
+            hold.save("word", {b"body": b"2"})
     finally:
         os.fsync = real
     assert RecordStore(folder).load("word")[0] == {b"body": b"1"}
--- a/tests/system/test_recovery.py
+++ b/tests/system/test_recovery.py
@@ -64,9 +64,9 @@
     held = Proposal(Ballot(7, "10.0.0.2/ab"), RegisterValue(VoterSet(4, (A, B, C)), (), version, example(5)))
     with tempfile.TemporaryDirectory() as folder:
         store = RecordStore(folder)
-        store.keep(IDENTITY, identity_record(FIRST_DISK))
-        store.keep(PROMISE, promise_record(Ballot(9, "10.0.0.3/cd")))
-        store.keep(REGISTER, register_record(held))
+        store.save(IDENTITY, identity_record(FIRST_DISK))
+        store.save(PROMISE, promise_record(Ballot(9, "10.0.0.3/cd")))
+        store.save(REGISTER, register_record(held))
         flags.FLAGS(["stoneyokectl", "--noconfirm"])
         with raises(stoneyokectl.CommandError):
             stoneyokectl.recover(folder, A.address)
--- a/tests/system/test_stored_data.py
+++ b/tests/system/test_stored_data.py
@@ -108,11 +108,11 @@
 @test("each whole record of an earlier release reads as the value that it was written for")
 def _(stored=stored):
     store, values = RecordStore(stored.folder), stored.values
-    assert read_identity(store.read(IDENTITY, 2)) == values["identity"]
-    assert [read_promise(store.read(PROMISE, number)) for number in (3, 5)] == [
+    assert read_identity(store.read_record(IDENTITY, 2)) == values["identity"]
+    assert [read_promise(store.read_record(PROMISE, number)) for number in (3, 5)] == [
         Ballot(*ballot) for ballot in values["promises"]
     ]
-    assert [read_register(store.read(REGISTER, number)) for number in (1, 4, 6)] == [
+    assert [read_register(store.read_record(REGISTER, number)) for number in (1, 4, 6)] == [
         register_value(value) for value in values["registers"]
     ]
 
@@ -122,11 +122,11 @@
     folder = Path(parent) / "written"
     store, values = RecordStore(str(folder)), stored.values
     registers = [register_record(register_value(value)) for value in values["registers"]]
-    store.keep(REGISTER, registers[0])
-    store.keep(IDENTITY, identity_record(values["identity"]))
+    store.save(REGISTER, registers[0])
+    store.save(IDENTITY, identity_record(values["identity"]))
     for ballot, record in zip(values["promises"], registers[1:], strict=True):
-        store.keep(PROMISE, promise_record(Ballot(*ballot)))
-        store.keep(REGISTER, record)
+        store.save(PROMISE, promise_record(Ballot(*ballot)))
+        store.save(REGISTER, record)
     whole = {path.name for path in Path(stored.folder).iterdir() if not path.name.startswith(values["torn"])}
     assert {path.name for path in folder.iterdir()} == whole
     assert len(whole) == 12
