--- a/stoneyoke/gateway/request_handler.py
+++ b/stoneyoke/gateway/request_handler.py
@@ -7,8 +7,10 @@
 
 from stoneyoke.control.actions import Abandon, StartAttempt, Reject
 from stoneyoke.control.parameters import AttemptOutcome
+from stoneyoke.net.attempt import OutgoingRequest
 from stoneyoke.net.backends import Backends
-from stoneyoke.net.clients import IN_TRANSIT_S, ClientConnection, ClientConnections
+from stoneyoke.net.client_connection import ClientConnection
+from stoneyoke.net.http_server import IN_TRANSIT_S, HttpServer
 from stoneyoke.net.message_reader import Message
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.net.reply import CLIENT_GONE, Reply
@@ -34,20 +36,7 @@
     return answer.headers.get(b"attempt-id") == request.id and b"attempt-id" not in answer.repeated
 
 
-class Steady:
-    """What the connections of clients need of a runtime, where each service has one of its own."""
-
-    def __init__(self, clock: Clock) -> None:
-        self.clock = clock
-
-    def arrival_time(self) -> int:
-        return self.clock.now()
-
-    async def catch_up(self) -> None:
-        pass
-
-
-class RequestHandler(ClientConnections):
+class RequestHandler(HttpServer):
     """table: the configuration in force, swapped whole; None before the first."""
 
     admission: Admission
@@ -62,15 +51,15 @@
     def __init__(
         self, clock: Clock, metrics: Metrics, descriptor_budget: DescriptorBudget, descriptors: int, backends: Backends
     ) -> None:
-        super().__init__(clock, metrics, Steady(clock), backends, None, SLACK_US, descriptor_budget, descriptors)
-        self.endpoints_known.set()
+        super().__init__(clock, metrics, clock.now, descriptor_budget, descriptors)
+        self.backends = backends
 
     def take(self, table: Table) -> None:
         """From here on this version decides: never an older one in this life."""
         if self.table is None or table.version > self.table.version:
             self.table = table
-            self.head_max_bytes, self.idle_timeout_us = table.head_top, table.idle_us
-            self.message_timeout_us = table.head_us
+            self.head_max_bytes, self.connections.idle_timeout_us = table.head_top, table.idle_us
+            self.connections.message_timeout_us = table.head_us
             self.body_max_bytes = min(table.body_top, self.body_most)
 
     async def leave(self, grace_s: float, shut: Callable[[], None]) -> None:
@@ -83,14 +72,9 @@
         stay_s = min(STAY_S, 0.5 * grace_s)
         self.respond_by_us = self.clock.now() + int((grace_s - END_S) * 1_000_000)
         await asyncio.sleep(stay_s)
-        self.ending = True
-        for client in list(self.connections.values()):
-            if client.idle and client.can_close_safely():
-                client.writer.close()
-        await asyncio.sleep(IN_TRANSIT_S)
+        await self.close_idle_connections()
         shut()
-        self.longest_deadline_s = max(0.1, grace_s - stay_s - IN_TRANSIT_S - END_S)
-        await self.finish_pending()
+        await self.finish_pending(max(0.1, grace_s - stay_s - IN_TRANSIT_S - END_S))
 
     async def respond(self, client: ClientConnection, message: Message) -> None:
         if self.leaving and not client.has_unanswered_input():  # what has been read of the next request is answered too
@@ -202,15 +186,13 @@
         if instance_known is None:
             return AttemptOutcome.NOT_SENT, None
         instance = instance_known.row.instance
-        outcome, answer = await self.backends.send_attempt(
-            held,
-            n,
-            backend,
-            head_on(message, instance, tenant.label, until - now),
-            message.body,
-            until,
-            lambda answer: answers(answer, request),
+        outgoing = OutgoingRequest(
+            head=head_on(message, instance, tenant.label, until - now),
+            body=message.body,
+            deadline_us=until,
+            is_answered_by=lambda answer: answers(answer, request),
         )
+        outcome, answer = await self.backends.send_attempt(held, n, backend, outgoing)
         self.metrics.add(f"call-outs: {outcome.value}")
         if outcome is AttemptOutcome.REJECTED and answer and answer.status == 421:
             other = answer.headers.get(b"instance-id", b"").decode("latin-1")
--- a/stoneyoke/lab/capacity/hot_paths.py
+++ b/stoneyoke/lab/capacity/hot_paths.py
@@ -22,7 +22,7 @@
 from stoneyoke.limits.local_quota import LocalQuota, take_demands
 from stoneyoke.limits.quota_allocator import QuotaAllocator
 from stoneyoke.limits.token_bucket import SECOND
-from stoneyoke.net.backends import Backends
+from stoneyoke.net.backends import BackendLimits, Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
@@ -290,7 +290,8 @@
         known, clock, metrics = directory_with([row(at) for at in range(size)]), Clock(), Metrics()
 
         def make() -> Upstreams:
-            backends = Backends(clock, metrics, 300_000, 4_000_000, DescriptorBudget(1000, 100))
+            limits = BackendLimits(connect_timeout_us=300_000, idle_timeout_us=4_000_000)
+            backends = Backends(clock, metrics, DescriptorBudget(1000, 100), limits)
             return Upstreams(clock, metrics, backends, known, (), "zone-00", 5, BOUNDS)
 
         def renewed_elsewhere() -> Upstreams:
--- /dev/null
+++ b/stoneyoke/net/attempt.py
@@ -0,0 +1,120 @@
+"""One attempt to have a backend answer a request, and what its end tells of whether the backend may have run it."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from stoneyoke.control.parameters import AttemptOutcome
+from stoneyoke.net.backend_connection import BackendConnection, BackendPool
+from stoneyoke.net.message_reader import Message
+from stoneyoke.net.message_writer import RequestWrite
+from stoneyoke.runtime.metrics import Metrics
+
+
+@dataclass(slots=True, kw_only=True)
+class OutgoingRequest:
+    """A request as one attempt sends it.
+
+    Attributes:
+        head: The request line and the headers, in pieces, each line with its end.
+        body: The whole body.
+        deadline_us: Until when to wait for the response.
+        is_answered_by: Whether a response belongs to this request. One that does not came late or was sent twice, and
+            the next one on the connection may belong. None: every response does.
+    """
+
+    head: list[bytes]
+    body: bytes
+    deadline_us: int
+    is_answered_by: Callable[[Message], bool] | None = None
+
+
+class AttemptResult(NamedTuple):
+    """How an attempt ended, and the response if one came."""
+
+    outcome: AttemptOutcome
+    response: Message | None
+
+
+class Attempt:
+    """One request on its way to a backend: its connection, and what may have left of it.
+
+    The request is written once, never again. An attempt ends with a response, with an error on its connection, at its
+    deadline, or by the decision logic's cancellation. Whether another attempt is safe for a request that must not run
+    twice rests on may_have_run().
+
+    Attributes:
+        connection: The connection, once there is one.
+        request: What has been written, once the write has begun.
+        cancelled: The decision logic has cancelled the attempt.
+    """
+
+    def __init__(self, pool: BackendPool) -> None:
+        """Starts without a connection."""
+        self.pool = pool
+        self.connection: BackendConnection | None = None
+        self.request: RequestWrite | None = None
+        self.cancelled = False
+
+    async def send(self, request: OutgoingRequest) -> None:
+        """Writes the request; returns once the kernel has taken its last byte.
+
+        Raises:
+            OSError: The connection can't be used, or breaks meanwhile.
+        """
+        # A backend that has sent something before it was asked has not answered anything.
+        if self.connection is None or not self.connection.is_reusable():
+            raise ConnectionResetError("a connection that can't be used")
+        self.request = RequestWrite(self.connection.writer)
+        self.request.start(request.head, request.body)
+        await self.request.finish()
+
+    async def receive(self, request: OutgoingRequest, metrics: Metrics) -> Message | None:
+        """The response to the request, or None where the stream ends in its place.
+
+        Raises:
+            MalformedMessage: The response can't be used.
+            OSError: The connection breaks.
+        """
+        if self.connection is None:
+            return None
+        belongs = request.is_answered_by
+        while (response := await self.connection.responses.next()) and belongs and not belongs(response):
+            self.connection.out_of_step = True
+            metrics.add("backend responses: to another request")
+        return response
+
+    def may_have_run(self) -> bool:
+        """Whether the backend may run the request. False is a proof that it does not: no byte has left.
+
+        The proof holds if the connection is aborted before the event loop turns again (see RequestWrite).
+        """
+        return self.request is not None and self.request.may_have_left()
+
+    def failure_outcome(self, error: OSError, *, deadline_passed: bool) -> AttemptOutcome:
+        """What an error tells of the attempt.
+
+        Args:
+            error: What ended the attempt.
+            deadline_passed: The attempt's own time limit has ended it, at its deadline or by a cancellation.
+        """
+        ended_here = deadline_passed and isinstance(error, TimeoutError)
+        if self.may_have_run():
+            return self.doubtful_outcome(ended_here=ended_here)
+        return self.safe_to_retry_outcome(error, ended_here=ended_here)
+
+    def doubtful_outcome(self, *, ended_here: bool) -> AttemptOutcome:
+        """The outcome of a failed attempt after which the backend may have run the request."""
+        if not ended_here:
+            return AttemptOutcome.BROKEN
+        return AttemptOutcome.CANCELLED if self.cancelled else AttemptOutcome.TIMED_OUT
+
+    def safe_to_retry_outcome(self, error: OSError, *, ended_here: bool) -> AttemptOutcome:
+        """The outcome of a failed attempt of which no byte has left: another attempt can't make it run twice."""
+        if ended_here:
+            return AttemptOutcome.NOT_SENT
+        if self.connection is None and isinstance(error, TimeoutError):
+            return AttemptOutcome.NO_CONNECTION
+        # A process that ends takes all its connections along. While one is up, only this one was refused or cut.
+        process_is_up = self.connection is not None or self.pool.any_open()
+        return AttemptOutcome.CUT if process_is_up else AttemptOutcome.NO_CONNECTION
--- a/stoneyoke/programs/gateway.py
+++ b/stoneyoke/programs/gateway.py
@@ -16,7 +16,7 @@
 from stoneyoke.gateway.request_handler import RequestHandler
 from stoneyoke.gateway.routes import table_of
 from stoneyoke.gateway.upstreams import Upstreams, judge
-from stoneyoke.net.backends import Backends
+from stoneyoke.net.backends import BackendLimits, Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.net.message_reader import MessageReader
 from stoneyoke.net.message_writer import status_line, write_message
@@ -46,7 +46,8 @@
         part = max(1, free // 8)
         descriptor_budget = DescriptorBudget(free - 2 * part, part)
         body_most = settings.memory // ANSWER_PART
-        self.backends = Backends(self.clock, self.metrics, DIAL_US, IDLE_US, descriptor_budget, body_most)
+        limits = BackendLimits(connect_timeout_us=DIAL_US, idle_timeout_us=IDLE_US, response_max_bytes=body_most)
+        self.backends = Backends(self.clock, self.metrics, descriptor_budget, limits)
         self.backends.classify = judge
         self.control_client = ControlClient(
             settings.name,
@@ -133,7 +134,7 @@
             await asyncio.sleep(SWEEP_S)
             looks += 1
             self.backends.close_expired()
-            self.front.close_expired()
+            self.front.connections.close_expired()
             self.instance_directory.sweep(self.control_client.clock())
             self.upstreams.renew()
             if looks % 4 == 0 and self.stamp() != self.seen:
@@ -147,7 +148,7 @@
         loop.add_signal_handler(signal.SIGUSR1, lambda: self.report(ring))
         ready = await loop.create_server(lambda: StreamProtocol(self.answer_ready), *self.ready_at, backlog=64)
         listener = socket.create_server(self.front_at)
-        front = await loop.create_server(self.front.line, sock=listener, backlog=256)
+        front = await loop.create_server(self.front.make_protocol, sock=listener, backlog=256)
         tasks = [loop.create_task(self.sweep()), *self.control_client.start()]
         gc.collect()
         gc.freeze()
--- a/stoneyoke/simhost/host.py
+++ b/stoneyoke/simhost/host.py
@@ -29,7 +29,8 @@
 from stoneyoke.control.parameters import AttemptOutcome, BackendState, GatewayParameters
 from stoneyoke.runtime.id_index import IdIndex
 from stoneyoke.simhost import wire
-from stoneyoke.single_gateway.parameters import InvalidConfiguration, read_parameters
+from stoneyoke.single_gateway.errors import InvalidConfiguration
+from stoneyoke.single_gateway.parameters import read_parameters
 
 OUTCOMES = {
     200: AttemptOutcome.OK,
--- a/stoneyoke/single_gateway/cli.py
+++ b/stoneyoke/single_gateway/cli.py
@@ -1,28 +1,31 @@
-"""The command line. Each command imports what it needs: serving imports neither click nor lab."""
+"""The command line. Each command imports what it needs: serving imports neither click nor the lab."""
 
 import os
 import sys
 from importlib.metadata import PackageNotFoundError, version
 from pathlib import Path
-from typing import Any
 
 import click
 
+USAGE_ERROR = 2
+
 
 class Commands(click.Group):
-    """The lab is looked up only when it is asked for: its libraries are an extra."""
+    """The commands, with the lab looked up only when it is asked for: its libraries are an extra."""
 
     def list_commands(self, context: click.Context) -> list[str]:
+        """All commands, the lab among them."""
         return sorted([*super().list_commands(context), "lab"])
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
+        """A command by its name. Without the lab's libraries, asking for the lab ends the process."""
         if name != "lab":
             return super().get_command(context, name)
         try:
             from stoneyoke.lab.cli import lab
-        except ImportError as bad:
-            click.echo(f"stoneyoke: the lab needs its libraries: pip install .[lab] ({bad})", err=True)
-            sys.exit(2)
+        except ImportError as error:
+            click.echo(f"stoneyoke: the lab needs its libraries: pip install .[lab] ({error})", err=True)
+            sys.exit(USAGE_ERROR)
         return lab
 
 
@@ -44,10 +47,11 @@
 @click.argument("file", required=False, type=click.Path(path_type=Path))
 def serve(file: Path | None) -> None:
     """One gateway, as FILE or the file that NODE_CONFIG names describes it, until SIGTERM."""
+    from stoneyoke.single_gateway.configuration import CONFIGURATION_VARIABLE
     from stoneyoke.single_gateway.program import main as run
 
     if file:
-        os.environ["NODE_CONFIG"] = str(file)
+        os.environ[CONFIGURATION_VARIABLE] = str(file)
     sys.exit(run())
 
 
@@ -55,17 +59,17 @@
 @click.argument("file", type=click.Path(path_type=Path))
 def check(file: Path) -> None:
     """Whether a gateway could start with the configuration FILE."""
-    from stoneyoke.single_gateway.parameters import InvalidConfiguration
-    from stoneyoke.single_gateway.program import GatewaySettings, fleet_parameters_of, read_configuration, read_options
+    from stoneyoke.single_gateway import configuration
+    from stoneyoke.single_gateway.errors import InvalidConfiguration
 
-    os.environ["NODE_CONFIG"] = str(file)
+    os.environ[configuration.CONFIGURATION_VARIABLE] = str(file)
     try:
-        given: dict[str, Any] = read_configuration()
-        GatewaySettings(given)
-        fleet_parameters_of(read_options(given), given)
-    except InvalidConfiguration as bad:
-        click.echo(f"stoneyoke: {bad}", err=True)
-        sys.exit(2)
+        content = configuration.read_configuration()
+        configuration.read_settings(content)
+        configuration.fleet_parameters_of(configuration.read_options(content), content)
+    except InvalidConfiguration as error:
+        click.echo(f"stoneyoke: {error}", err=True)
+        sys.exit(USAGE_ERROR)
     click.echo(f"{file}: can be used")
 
 
--- a/stoneyoke/single_gateway/counter.py
+++ b/stoneyoke/single_gateway/counter.py
@@ -1,156 +1,234 @@
-"""Calls to the counter: pipelined, answered in order, given up after the settings' limit."""
+"""Queries to the counter service: pipelined, answered in order, given up after the settings' time-out."""
 
 import asyncio
 import math
 import re
 from collections import deque
+from typing import Protocol
 
 from stoneyoke.control.actions import AddToCounter
 from stoneyoke.net.errors import MalformedMessage
-from stoneyoke.net.message_reader import MessageReader
+from stoneyoke.net.message_reader import Message, MessageReader
 from stoneyoke.net.stream import connect
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.runtime import Runtime
 
-# Of the 32 that the protocol page has the counter hold. A call goes where none is out, if it can: whatever
-# ends a connection takes all calls on it along. Those gone silent are replaced.
-MOST_LINKS = 6
-IDLE_US = 5_000_000  # the protocol page: closed after 10 s or less; none is written to beyond this
-NUMBER = re.compile(rb"-?[0-9]{1,20}(\.[0-9]{1,20})?([eE][+-]?[0-9]{1,2})?").fullmatch
-SILENT_US = 1_000_000  # a connection whose oldest call has waited for this long is closed
+# Of the 32 that the protocol page has the counter service hold. A query goes where none is under way, if it can:
+# whatever ends a connection takes all queries on it along.
+CONNECTIONS_MAX = 6
+IDLE_MAX_US = 5_000_000  # the protocol page: closed after 10 s or less, so none is written to beyond this
+SILENCE_US = 1_000_000  # a connection whose oldest query has waited for this long is closed
+HTTP_OK = 200
+QUOTED_BYTES = 40  # of a total that can't be read, in an error message
 
+is_number = re.compile(rb"-?[0-9]{1,20}(\.[0-9]{1,20})?([eE][+-]?[0-9]{1,2})?").fullmatch
 
-class Call:
-    """A call not yet answered, or given up on and still to be answered in its turn."""
 
-    __slots__ = ("at", "done", "name")
+class CounterListener(Protocol):
+    """Who is told of the counter service's replies."""
 
-    def __init__(self, name: int, at: int) -> None:
-        self.name, self.at, self.done = name, at, False
+    def counter_replied(self, name: int, added: bool, total: float) -> None:
+        """A query has ended (see CounterReply)."""
 
 
-class Link:
-    """A connection to the counter with its calls in order; the task that reads it ends with it."""
+class CounterQuery:
+    """A query that is not answered yet, or that is given up on and still to be answered in its turn."""
+
+    __slots__ = ("done", "name", "sent_at")
+
+    def __init__(self, name: int, sent_at: int) -> None:
+        """Takes the counter's name and the time in microseconds."""
+        self.name, self.sent_at, self.done = name, sent_at, False
+
+
+class CounterConnection:
+    """A connection to the counter service with its queries in order. The task that reads it ends with it.
+
+    Attributes:
+        queries: Those that are not answered, the oldest first.
+        writer: None while it connects.
+        unsent: What is to be written once it is up; as many queries as their time-out lets come.
+        used_at: When the last query was sent.
+        closed: Nothing is sent over it any more.
+    """
 
     def __init__(self, address: tuple[str, int]) -> None:
+        """Takes the address to connect to."""
         self.address = address
-        self.calls: deque[Call] = deque()
+        self.queries: deque[CounterQuery] = deque()
         self.writer: asyncio.StreamWriter | None = None
-        self.unsent: list[bytes] = []  # while it connects; as many calls as its limit lets come
+        self.unsent: list[bytes] = []
         self.used_at = 0
         self.closed = False
 
+    def is_spent(self, now: int) -> bool:
+        """Whether it is near the service's idle time-out, or its oldest query tells that it has fallen silent."""
+        if self.queries:
+            return now - self.queries[0].sent_at > SILENCE_US
+        return now - self.used_at > IDLE_MAX_US
+
+    def write(self, *parts: bytes) -> None:
+        """Writes a query, now or once the connection is up."""
+        if self.writer:
+            self.writer.writelines(parts)
+        else:
+            self.unsent += parts
+
 
-class Counter:
-    """The calls to the counter, over one connection that is made anew when it falls silent."""
+class CounterClient:
+    """Adds to counters over a few connections, and tells of the totals.
+
+    Attributes:
+        connections: Those to where the service is now.
+        tasks: One reader for each connection, also for those that only finish after a move.
+    """
 
     def __init__(
-        self, clock: Clock, metrics: Metrics, runtime: Runtime, address: tuple[str, int], limit_us: int
+        self, clock: Clock, metrics: Metrics, listener: CounterListener, address: tuple[str, int], timeout_us: int
     ) -> None:
-        self.clock, self.metrics, self.runtime = clock, metrics, runtime
-        self.limit_us = limit_us
-        self.links: list[Link] = []  # to where the counter is; a link leaves as it ends, all with a move
-        self.tasks: set[asyncio.Task[None]] = set()  # one a connection
-
+        """Connects with the first query.
+
+        Args:
+            clock: The process's clock.
+            metrics: Counts the queries by their end.
+            listener: Is told of each reply, once.
+            address: Where the service is.
+            timeout_us: How long to wait for a reply.
+        """
+        self.clock, self.metrics, self.listener, self.timeout_us = clock, metrics, listener, timeout_us
+        self.connections: list[CounterConnection] = []
+        self.tasks: set[asyncio.Task[None]] = set()
         self.move(address)
 
     def move(self, address: tuple[str, int]) -> None:
-        """Calls go there from now on; those that are out elsewhere are answered there while that lasts."""
+        """Sends queries to another address from now on. Those under way elsewhere may still be answered there."""
         self.address, self.host = address, b"Host: %s:%d\r\n\r\n" % (address[0].encode(), address[1])
-        for link in [link for link in self.links if link.address != address]:
-            self.links.remove(link)
-            if link.calls:
-                asyncio.get_running_loop().call_later(SILENT_US / 1_000_000, self.end, link)
+        for connection in [one for one in self.connections if one.address != address]:
+            self.connections.remove(connection)
+            if connection.queries:
+                asyncio.get_running_loop().call_later(SILENCE_US / 1_000_000, self.close, connection)
             else:
-                self.end(link)
+                self.close(connection)
 
     def add(self, action: AddToCounter) -> None:
+        """Sends a query that adds an amount to a counter."""
         now = self.clock.now()
-        call = Call(action.name, now)
-        link = self.pick(now)
+        query = CounterQuery(action.name, now)
+        connection = self.pick_connection(now)
         head = b"POST /counters/%016x?by=%s&expire_ms=%d HTTP/1.1\r\n" % (
             action.name,
             b"%.6f" % action.amount,
             max(1, action.ttl_us // 1000),
         )
-        link.calls.append(call)
-        link.used_at = now
-        if link.writer:
-            link.writer.writelines((head, b"Content-Length: 0\r\n", self.host))
-        else:
-            link.unsent += (head, b"Content-Length: 0\r\n", self.host)
+        connection.queries.append(query)
+        connection.used_at = now
+        connection.write(head, b"Content-Length: 0\r\n", self.host)
         self.metrics.add("counter calls")
-        asyncio.get_running_loop().call_later(self.limit_us / 1_000_000, self.give_up, call)
-
-    def pick(self, now: int) -> Link:
-        """A connection without calls; else a new one; at the limit one whose calls are not overdue, or a new
-        one in place of the one silent longest."""
-        for link in list(self.links):
-            if not link.calls and now - link.used_at > IDLE_US or (link.calls and now - link.calls[0].at > SILENT_US):
-                self.end(link)
-        free = min(self.links, key=lambda one: len(one.calls), default=None)
-        if free and not free.calls:
-            return free
-        if len(self.links) >= MOST_LINKS:
-            prompt = [one for one in self.links if now - one.calls[0].at <= self.limit_us]
+        asyncio.get_running_loop().call_later(self.timeout_us / 1_000_000, self.give_up, query)
+
+    # ---- connections ----
+
+    def pick_connection(self, now: int) -> CounterConnection:
+        """A connection without queries, else a new one. At the limit, one whose queries are not overdue, or else a new
+        one in place of the one that has been silent longest.
+        """
+        for connection in list(self.connections):
+            if connection.is_spent(now):
+                self.close(connection)
+        least_used = min(self.connections, key=lambda one: len(one.queries), default=None)
+        if least_used and not least_used.queries:
+            return least_used
+        if len(self.connections) >= CONNECTIONS_MAX:
+            prompt = [one for one in self.connections if now - one.queries[0].sent_at <= self.timeout_us]
             if prompt:
-                return min(prompt, key=lambda one: len(one.calls))
-            self.end(min(self.links, key=lambda one: one.calls[0].at))
-        link = Link(self.address)
-        self.links.append(link)
-        task = asyncio.get_running_loop().create_task(self.serve(link))
+                return min(prompt, key=lambda one: len(one.queries))
+            self.close(min(self.connections, key=lambda one: one.queries[0].sent_at))
+        return self.open_connection()
+
+    def open_connection(self) -> CounterConnection:
+        """A connection that is being made; queries are kept until it is up."""
+        connection = CounterConnection(self.address)
+        self.connections.append(connection)
+        task = asyncio.get_running_loop().create_task(self.serve(connection))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        return link
-
-    def give_up(self, call: Call) -> None:
-        self.answer(call, "no answer in time", False)
-
-    def answer(self, call: Call, ending: str, added: bool, total: float = 0.0) -> None:
-        """Tells of a call's end, once. A total of nan, added: to what is not known; not added: its connection
-        broke, which says nothing of the counter."""
-        if not call.done:
-            call.done = True
-            self.metrics.add(f"counter calls: {ending}")
-            self.runtime.counter_replied(call.name, added, total)
-
-    def end(self, link: Link) -> None:
-        """Calls still out on it are given up on as their own time comes."""
-        if not link.closed:
-            link.closed = True
-            if link in self.links:
-                self.links.remove(link)
-            if link.writer:
-                link.writer.transport.abort()
-
-    async def serve(self, link: Link) -> None:
+        return connection
+
+    def close(self, connection: CounterConnection) -> None:
+        """Closes a connection. Its queries end as its reader does."""
+        if not connection.closed:
+            connection.closed = True
+            if connection in self.connections:
+                self.connections.remove(connection)
+            if connection.writer:
+                connection.writer.transport.abort()
+
+    async def serve(self, connection: CounterConnection) -> None:
+        """Connects, and reads replies until the connection ends; then its last queries are lost."""
         try:
-            line, writer = await connect(link.address, self.limit_us / 1_000_000)
-            if link.closed:
-                return writer.transport.abort()
-            link.writer = writer
-            writer.writelines(link.unsent)
-            link.unsent = []
-            answers = MessageReader(line.reader, responses=True)
-            while answer := await answers.next():
-                if not link.calls:
-                    raise MalformedMessage("an answer to no call")
-                if answer.status == 200 and not NUMBER(answer.body):
-                    raise MalformedMessage(f"a total that is no number: {answer.body[:40]!r}")
-                if answer.status == 200:
-                    self.answer(link.calls.popleft(), "answered", True, float(answer.body))
-                else:
-                    self.answer(link.calls.popleft(), "turned away", False)
-                if not answer.keep_alive or not link.calls and link not in self.links:
-                    break
+            responses = await self.connect(connection)
+            if responses is not None:
+                await self.read_replies(connection, responses)
         except OSError:
             self.metrics.add("counter: connections lost")
-        except MalformedMessage as bad:
-            self.metrics.report("counter: malformed answers", str(bad))
-            if link.calls:  # it was carried out, and its total can't be read
-                self.answer(link.calls.popleft(), "answered unreadably", True, math.nan)
+        except MalformedMessage as error:
+            self.metrics.report("counter: malformed responses", str(error))
+            if connection.queries:  # the amount was added, and the total can't be read
+                self.finish(connection.queries.popleft(), "total unreadable", added=True, total=math.nan)
         finally:
-            self.end(link)
-            for call in link.calls:
-                self.answer(call, "connection lost", False, math.nan if link.writer else 0.0)
+            self.close(connection)
+            # If it never came up, the service got nothing; else what it has added is not known.
+            lost_total = math.nan if connection.writer else 0.0
+            for query in connection.queries:
+                self.finish(query, "connection lost", added=False, total=lost_total)
+
+    async def connect(self, connection: CounterConnection) -> MessageReader | None:
+        """Opens a connection and writes the queries that wait for it; None if it was closed meanwhile."""
+        protocol, writer = await connect(connection.address, self.timeout_us / 1_000_000)
+        if connection.closed:
+            writer.transport.abort()
+            return None
+        connection.writer = writer
+        writer.writelines(connection.unsent)
+        connection.unsent = []
+        return MessageReader(protocol.reader, responses=True)
+
+    # ---- replies ----
+
+    async def read_replies(self, connection: CounterConnection, responses: MessageReader) -> None:
+        """Matches replies to queries, in order, until the connection ends or has nothing left to do."""
+        while response := await responses.next():
+            if not connection.queries:
+                raise MalformedMessage("an answer to no call")
+            self.take_reply(connection.queries, response)
+            moved = connection not in self.connections
+            if not response.keep_alive or (moved and not connection.queries):
+                return
+
+    def take_reply(self, queries: deque[CounterQuery], response: Message) -> None:
+        """Ends the oldest query with its reply."""
+        if response.status != HTTP_OK:
+            self.finish(queries.popleft(), "rejected", added=False)
+            return
+        if not is_number(response.body):
+            raise MalformedMessage(f"a total that is no number: {response.body[:QUOTED_BYTES]!r}")
+        self.finish(queries.popleft(), "answered", added=True, total=float(response.body))
+
+    def give_up(self, query: CounterQuery) -> None:
+        """Ends a query at its time-out; its reply may still come and then finds nobody."""
+        self.finish(query, "no answer in time", added=False)
+
+    def finish(self, query: CounterQuery, ending: str, *, added: bool, total: float = 0.0) -> None:
+        """Tells of a query's end, once.
+
+        Args:
+            query: The query.
+            ending: How it ended, for its counter.
+            added: The service has added the amount.
+            total: The counter's total after the addition. NaN: with `added`, the total is not known; without, the
+                query was lost with its connection, which says nothing of the service.
+        """
+        if not query.done:
+            query.done = True
+            self.metrics.add(f"counter calls: {ending}")
+            self.listener.counter_replied(query.name, added, total)
--- /dev/null
+++ b/stoneyoke/single_gateway/endpoint_table.py
@@ -0,0 +1,124 @@
+"""The backends that discovery lists, with the decision logic's indices and their addresses."""
+
+from collections.abc import Callable
+from typing import Protocol
+
+from stoneyoke.control.events import Endpoint, EndpointsChanged, KnownBackend
+from stoneyoke.control.parameters import BackendState
+from stoneyoke.runtime.id_index import IdIndex
+from stoneyoke.single_gateway.endpoints import EndpointUpdate, ListedEndpoint
+
+Address = tuple[str, int]
+
+
+class AddressBook(Protocol):
+    """Who connects to backends, and so has to know where they are."""
+
+    def set_address(self, backend: int, address: Address) -> None:
+        """Sets where a backend is reached."""
+
+    def remove(self, backend: int) -> None:
+        """Forgets a backend."""
+
+
+class EndpointTable:
+    """Turns discovery's updates into the decision logic's events, and keeps the addresses in step.
+
+    Attributes:
+        indices: The index of each backend that is listed, or that the decision logic still has a row for.
+        address_by_name: The address of each backend that is not gone.
+        endpoint_by_address: Who is reached at each of these addresses.
+    """
+
+    def __init__(self, zones: list[str], addresses: AddressBook, is_in_use: Callable[[int], bool]) -> None:
+        """Starts empty.
+
+        Args:
+            zones: The zones' names, in the order of the settings.
+            addresses: Is told each backend's address.
+            is_in_use: Whether the decision logic still has a row for a backend.
+        """
+        self.zones, self.addresses, self.is_in_use = zones, addresses, is_in_use
+        self.indices = IdIndex[str]()  # released by release_unused()
+        self.address_by_name: dict[str, Address] = {}
+        self.endpoint_by_address: dict[Address, ListedEndpoint] = {}
+
+    def apply(self, update: EndpointUpdate) -> EndpointsChanged:
+        """Applies an update; returns what the decision logic is told of it."""
+        if update.complete:
+            for name in self.address_by_name.keys() - {endpoint.name for endpoint in update.endpoints}:
+                self.remove_address(name)
+        changed: dict[str, Endpoint] = {}
+        for endpoint in update.endpoints:
+            self.settle_address(endpoint, changed)
+            if endpoint.state is not BackendState.GONE:
+                self.set_address(endpoint)
+            elif endpoint.name not in self.indices.index_by_id:
+                continue
+            changed[endpoint.name] = self.event_of(endpoint)
+        return EndpointsChanged(update.complete, False, list(changed.values()))
+
+    def settle_address(self, endpoint: ListedEndpoint, changed: dict[str, Endpoint]) -> None:
+        """One address is one backend: of two that are listed for it, the one with precedence stays.
+
+        A backend that starts anew under another name is listed while its former self still is.
+        """
+        holder = self.endpoint_by_address.get(endpoint.address)
+        if endpoint.state is BackendState.GONE or holder is None or holder.name == endpoint.name:
+            return
+        if precedence(endpoint) > precedence(holder):
+            endpoint.state = BackendState.GONE
+        else:
+            holder.state = BackendState.GONE
+            changed[holder.name] = self.event_of(holder)
+
+    def set_address(self, endpoint: ListedEndpoint) -> None:
+        """A backend is reached at its endpoint's address from now on."""
+        if self.address_by_name.get(endpoint.name) != endpoint.address:
+            self.remove_address(endpoint.name)
+        self.address_by_name[endpoint.name] = endpoint.address
+        self.endpoint_by_address[endpoint.address] = endpoint
+        self.addresses.set_address(self.indices.acquire(endpoint.name), endpoint.address)
+
+    def remove_address(self, name: str) -> None:
+        """A backend is not reached any more."""
+        if address := self.address_by_name.pop(name, None):
+            del self.endpoint_by_address[address]
+            self.addresses.remove(self.indices.index_by_id[name])
+
+    def event_of(self, endpoint: ListedEndpoint) -> Endpoint:
+        """What the decision logic is told of an endpoint. One that is gone loses its address."""
+        if endpoint.state is BackendState.GONE:
+            self.remove_address(endpoint.name)
+        known_zone = endpoint.zone in self.zones
+        return Endpoint(
+            backend=self.indices.index_by_id[endpoint.name],
+            zone=self.zones.index(endpoint.zone) if known_zone else len(self.zones),
+            cell=endpoint.cell,
+            started_us=endpoint.started_us,
+            state=endpoint.state,
+        )
+
+    def accepts_new_work(self, backend: int) -> bool:
+        """Whether a backend takes new requests, by the latest update."""
+        address = self.address_by_name.get(self.indices.id_by_index[backend])
+        return address is not None and self.endpoint_by_address[address].state is BackendState.READY
+
+    def ready(self) -> list[KnownBackend]:
+        """All backends that take new requests, by the latest update."""
+        return [
+            KnownBackend(self.indices.index_by_id[endpoint.name], endpoint.name, endpoint.zone, endpoint.started_us)
+            for endpoint in self.endpoint_by_address.values()
+            if endpoint.state is BackendState.READY
+        ]
+
+    def release_unused(self) -> None:
+        """Releases the indices of backends that are gone and have no row left. Called several times a second."""
+        for name, backend in list(self.indices.index_by_id.items()):
+            if name not in self.address_by_name and not self.is_in_use(backend):
+                self.indices.release(backend)
+
+
+def precedence(endpoint: ListedEndpoint) -> tuple[bool, int]:
+    """The order of endpoints that share an address, the one to keep first: ready before draining, then the youngest."""
+    return endpoint.state is not BackendState.READY, -endpoint.started_us
--- a/stoneyoke/single_gateway/parameters.py
+++ b/stoneyoke/single_gateway/parameters.py
@@ -1,82 +1,103 @@
-"""From the settings, as the operators' object names them, to the Terms of one gateway. Decides nothing."""
+"""Makes the decision logic's parameters of the settings, as the operators' object names them."""
 
 import math
 from typing import Any
 
 from stoneyoke.control.parameters import DeduplicationScope, GatewayParameters, Idempotency, Method, Plan
+from stoneyoke.single_gateway.errors import InvalidConfiguration
 
-EFFECTS = {
+IDEMPOTENCY_BY_EFFECT = {
     "idempotent": Idempotency.IDEMPOTENT,
     "deduplicated": Idempotency.DEDUPLICATED,
     "at_most_once": Idempotency.NON_IDEMPOTENT,
 }
+SCOPES = frozenset(scope.value for scope in DeduplicationScope)
 
 
-class InvalidConfiguration(Exception):
-    """What is given at start lacks something needed; the text names it."""
+def required(table: Any, key: str, kind: type, minimum: float = 0.0) -> Any:
+    """A value that a table has to hold.
 
+    Args:
+        table: What was read; anything but an object lacks every key.
+        key: The value's key.
+        kind: The value's type; for int and float, any finite number from the minimum on.
+        minimum: The smallest number that can be used.
 
-def field(table: Any, key: str, kind: type, low: float = 0.0) -> Any:
-    """A needed value, or BadStart naming it."""
+    Raises:
+        InvalidConfiguration: The value is missing, or of another type, or too small.
+    """
     value = table.get(key) if isinstance(table, dict) else None
     if kind in (int, float):
         if isinstance(value, int | float) and not isinstance(value, bool):
-            if math.isfinite(value) and value >= low:
+            if math.isfinite(value) and value >= minimum:
                 return kind(value)
     elif isinstance(value, kind):
         return value
     raise InvalidConfiguration(f"{key!r} is missing or unusable: {value!r}")
 
 
-def read_parameters(seed: int, top: Any) -> GatewayParameters:
-    """Terms out of the settings. Raises BadStart, which names the key."""
-    caps, rules, extra = (field(top, key, dict) for key in ("caps", "rules", "extra"))
-    methods = []
-    for row in field(top, "classes", list):
-        effect = field(row, "effect", str)
-        if effect not in EFFECTS:
-            raise InvalidConfiguration(f"'effect' is unusable: {effect!r}")
-        group = row.get("group", "cell")
-        if effect == "deduplicated" and group not in {g.value for g in DeduplicationScope}:
-            raise InvalidConfiguration(f"'group' is unusable: {group!r}")
-        methods.append(
-            Method(
-                idempotency=EFFECTS[effect],
-                deduplication_scope=DeduplicationScope(group) if effect == "deduplicated" else DeduplicationScope.CELL,
-                soft_deadline_us=field(row, "aim-us", int, 1),
-                deadline_us=field(row, "deadline-us", int, 1),
-                deduplication_window_us=field(row, "memory-span-us", int) if effect == "deduplicated" else 0,
-                utility=field(row, "gain", float),
-            )
-        )
-    plans = [
-        Plan(
-            rate=field(row, "units-per-s", float),
-            burst=field(row, "depth", float),
-            price=field(row, "worth-factor", float),
-            concurrency_max=field(row, "parallel", int),
-            ceiling_rate=field(row, "cap-rate", float),
-            ceiling_burst=field(row, "cap-depth", float),
-        )
-        for row in field(top, "tariffs", list)
-    ]
+def read_method(row: Any) -> Method:
+    """One row of "classes"."""
+    effect = required(row, "effect", str)
+    if effect not in IDEMPOTENCY_BY_EFFECT:
+        raise InvalidConfiguration(f"'effect' is unusable: {effect!r}")
+    scope = row.get("group", "cell")
+    idempotency = IDEMPOTENCY_BY_EFFECT[effect]
+    deduplicated = idempotency is Idempotency.DEDUPLICATED
+    if deduplicated and scope not in SCOPES:
+        raise InvalidConfiguration(f"'group' is unusable: {scope!r}")
+    return Method(
+        idempotency=idempotency,
+        deduplication_scope=DeduplicationScope(scope) if deduplicated else DeduplicationScope.CELL,
+        soft_deadline_us=required(row, "aim-us", int, 1),
+        deadline_us=required(row, "deadline-us", int, 1),
+        deduplication_window_us=required(row, "memory-span-us", int) if deduplicated else 0,
+        utility=required(row, "gain", float),
+    )
+
+
+def read_plan(row: Any) -> Plan:
+    """One row of "tariffs"."""
+    return Plan(
+        rate=required(row, "units-per-s", float),
+        burst=required(row, "depth", float),
+        price=required(row, "worth-factor", float),
+        concurrency_max=required(row, "parallel", int),
+        ceiling_rate=required(row, "cap-rate", float),
+        ceiling_burst=required(row, "cap-depth", float),
+    )
+
+
+def read_parameters(seed: int, settings: Any) -> GatewayParameters:
+    """The parameters that the settings give.
+
+    Args:
+        seed: Of the decision logic's random draws.
+        settings: The operators' object.
+
+    Raises:
+        InvalidConfiguration: The text names the key.
+    """
+    capabilities, rules, extra = (required(settings, key, dict) for key in ("caps", "rules", "extra"))
+    methods = tuple(read_method(row) for row in required(settings, "classes", list))
+    plans = tuple(read_plan(row) for row in required(settings, "tariffs", list))
     return GatewayParameters(
         seed=seed,
-        gateways=field(top, "balancers", int, 1),
-        own_index=field(top, "self-index", int),
-        zone=field(top, "zone", int),
-        methods=tuple(methods),
-        plans=tuple(plans),
-        attempts_max=field(caps, "try-limit", int, 1),
-        can_cancel_attempts=bool(caps.get("cancel", False)),
+        gateways=required(settings, "balancers", int, 1),
+        own_index=required(settings, "self-index", int),
+        zone=required(settings, "zone", int),
+        methods=methods,
+        plans=plans,
+        attempts_max=required(capabilities, "try-limit", int, 1),
+        can_cancel_attempts=bool(capabilities.get("cancel", False)),
         has_counter=bool(extra.get("has-counter", False)),
-        clients_mark_retries=field({"clients": {}} | top, "clients", dict).get("marks-retry") is True,
-        advises_wait=caps.get("retry-after") is not False,
+        clients_mark_retries=required({"clients": {}} | settings, "clients", dict).get("marks-retry") is True,
+        advises_wait=capabilities.get("retry-after") is not False,
         settles_units=bool(extra.get("settles", False)),
-        must_subscribe=top.get("discovery") == "subscribe",
-        units_max=field(extra, "units-top", float),
-        cold_share=field(rules, "cold-from", float),
-        warm_up_us=field(rules, "ramp-time-us", int),
-        overload_factor=field(rules, "overload-factor", float),
-        overload_window_us=field(rules, "overload-for-us", int),
+        must_subscribe=settings.get("discovery") == "subscribe",
+        units_max=required(extra, "units-top", float),
+        cold_share=required(rules, "cold-from", float),
+        warm_up_us=required(rules, "ramp-time-us", int),
+        overload_factor=required(rules, "overload-factor", float),
+        overload_window_us=required(rules, "overload-for-us", int),
     )
--- a/stoneyoke/single_gateway/program.py
+++ b/stoneyoke/single_gateway/program.py
@@ -1,267 +1,218 @@
-"""`python -m stoneyoke`: one gateway on sockets, as NODE_CONFIG describes it, until SIGTERM."""
+"""The single gateway as a process: its parts, its signals, its reload and its end."""
 
 import asyncio
 import gc
-import json
-import os
 import signal
 import socket
 import sys
-from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
 from loguru import logger
 
-from stoneyoke.net.backends import Backends
-from stoneyoke.net.clients import ClientConnections
+from stoneyoke.net.backends import BackendLimits, Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
-from stoneyoke.net.errors import MalformedMessage
 from stoneyoke.net.message_reader import BODY_MAX_BYTES
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.runtime import Runtime
-from stoneyoke.single_gateway.counter import Counter
-from stoneyoke.single_gateway.discovery import Discovery, EndpointTable, EndpointUpdate
-from stoneyoke.single_gateway.parameters import InvalidConfiguration, field, read_parameters
-from stoneyoke.single_gateway.request_head import RpcVocabulary
+from stoneyoke.single_gateway.configuration import (
+    GatewaySettings,
+    fleet_parameters_of,
+    read_configuration,
+    read_options,
+    read_settings,
+)
+from stoneyoke.single_gateway.counter import CounterClient
+from stoneyoke.single_gateway.discovery import Discovery
+from stoneyoke.single_gateway.endpoint_table import EndpointTable
+from stoneyoke.single_gateway.endpoints import EndpointUpdate
+from stoneyoke.single_gateway.errors import InvalidConfiguration
+from stoneyoke.single_gateway.rpc_handler import RpcHandler
 
 if TYPE_CHECKING:
     from stoneyoke.fleet.transport import FleetTransport
-    from stoneyoke.single_gateway.options import FleetParameters, Options
+    from stoneyoke.single_gateway.options import FleetParameters
 
-SWEEP_S = 0.25  # the shortest time-out that it ends, 2 s, has to be kept within 3
-WAITING = 1024  # connections that may wait to be accepted; the system cuts it down to what it allows
-OWN_DESCRIPTORS = 24  # standard streams, the loop's own, the listener, the counter's and discovery's
-LEAST_DESCRIPTORS = 80  # with fewer there is no use in starting
-LEAST_MB = 32  # the operators' page: no machine has less
-ANSWER_PART = 32  # of the memory, for one answer's body: backends send more than the protocol page's 64 KiB
+MAINTENANCE_S = 0.25  # the shortest time-out that it ends, 2 s, has to be kept within 3
+ACCEPT_QUEUE = 1024  # connections that may wait to be accepted; the system cuts it down to what it allows
+OWN_DESCRIPTORS = 24  # standard streams, the event loop's, the listener, the counter's and discovery's
+RESERVED_PART = 8  # one descriptor of so many is kept in reserve, and another one for what is being accepted
+TURNS_UNTIL_CLOSED = 5  # of the event loop, until a connection that is closed for another one is gone
+RESPONSE_MEMORY_PART = 32  # of the memory, for one response's body: backends send more than the protocol page's 64 KiB
+LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
+EXIT_OK, EXIT_FAILURE, EXIT_INVALID_CONFIGURATION = 0, 1, 2
 
 
-def address(table: Any, key: str) -> tuple[str, int]:
-    """A table's HOST:PORT, as a pair. Raises BadStart where it is none."""
-    text = field(table, key, str)
-    host, _, port = text.rpartition(":")
-    if not host or not port.isdecimal() or int(port) > 65535:
-        raise InvalidConfiguration(f"{key!r} is no address: {text!r}")
-    return host, int(port)
-
-
-def read_configuration() -> dict[str, Any]:
-    """The configuration file that NODE_CONFIG names. Raises BadStart where it can't be read."""
-    path = os.environ.get("NODE_CONFIG")
-    if not path:
-        raise InvalidConfiguration("NODE_CONFIG names no file")
-    try:
-        with open(path, "rb") as file:
-            given = json.load(file)
-    except (OSError, ValueError, RecursionError) as bad:
-        raise InvalidConfiguration(f"NODE_CONFIG: {path!r} can't be read: {bad}") from bad
-    if not isinstance(given, dict):
-        raise InvalidConfiguration("NODE_CONFIG: not an object")
-    return given
-
-
-class GatewaySettings:
-    """What the configuration says, read and checked as a whole. BadStart names what can't be used."""
+class SingleGatewayProgram:
+    """The parts of a gateway, put together from its settings.
 
-    def __init__(self, given: dict[str, Any]) -> None:
-        settings = field(given, "settings", dict)
-        try:
-            seed = int(field(given, "seed", str), 16)
-        except ValueError as bad:
-            raise InvalidConfiguration(f"'seed' is no hex number: {given['seed']!r}") from bad
-        self.parameters = read_parameters(seed, settings)
-        self.names = RpcVocabulary(
-            [field(row, "name", str) for row in settings["classes"]],
-            [field(row, "name", str) for row in settings["tariffs"]],
-            self.parameters,
-        )
-        caps = settings["caps"]
-        self.dial_us, self.idle_us = (field(caps, key, int, 1) for key in ("dial-timeout-us", "conn-idle-us"))
-        self.slack_us = field(settings["rules"], "answer-slack-us", int)
-        self.zones = field(settings, "zones", list)
-        limits = field(given, "limits", dict)
-        self.descriptors = field(limits, "sockets", int, LEAST_DESCRIPTORS)
-        self.memory = field({"memory_mb": LEAST_MB} | limits, "memory_mb", int, 1) << 20
-        self.listen, self.discovery = address(given, "listen"), address(given, "discovery")
-        self.counter: tuple[str, int] | None = None
-        self.count_limit_us = 0
-        if self.parameters.has_counter:
-            self.counter = address(given, "counter")
-            self.count_limit_us = field(settings["extra"], "count-limit-us", int, 1)
-        try:
-            self.known = EndpointUpdate(field(given, "known", dict))
-        except MalformedMessage as bad:
-            raise InvalidConfiguration(f"'known': {bad}") from bad
+    Attributes:
+        settings: What the process was started with, with the addresses of the last reload.
+        peers: The fleet part, if there is one.
+        server: The listener; set by start().
+        maintenance: The periodic task; set by start().
+    """
 
-
-class SingleGatewayProgram:
-    """The parts of a gateway, put together from its configuration."""
+    server: asyncio.Server
+    maintenance: asyncio.Task[None]
 
     def __init__(self, settings: GatewaySettings, fleet_parameters: "FleetParameters | None" = None) -> None:
+        """Puts the parts together; nothing is opened yet."""
         self.settings = settings
-        # An eighth is kept spare, and an eighth is for connections accepted and not yet looked at: five turns
-        # of the loop pass until one closed for room is gone, and each turn accepts as many as it is let.
-        part = settings.descriptors // 8
-        self.accepts = max(1, part // 5)
-        descriptor_budget = DescriptorBudget(settings.descriptors - OWN_DESCRIPTORS - 2 * part, part)
         self.clock, self.metrics = Clock(), Metrics()
         self.runtime = Runtime(settings.parameters, self.clock, self.metrics)
-        self.backends = Backends(
-            self.clock,
-            self.metrics,
-            settings.dial_us,
-            settings.idle_us,
-            descriptor_budget,
-            max(BODY_MAX_BYTES, settings.memory // ANSWER_PART),
-        )
-        self.clients = ClientConnections(
-            self.clock,
-            self.metrics,
-            self.runtime,
-            self.backends,
-            settings.names,
-            settings.slack_us,
-            descriptor_budget,
-            settings.descriptors,
-        )
-        self.counter: Counter | None = None
-        if settings.counter:
-            self.counter = Counter(self.clock, self.metrics, self.runtime, settings.counter, settings.count_limit_us)
-            self.runtime.send_to_counter = self.counter.add
-        self.fleet = EndpointTable(
-            settings.zones, self.backends.set_address, self.backends.remove, self.runtime.knows_backend
+        # Until a connection that is closed for another one is gone, some turns of the event loop pass, and each turn
+        # accepts as many connections as it is let.
+        reserve = settings.descriptors // RESERVED_PART
+        self.accepts_per_turn = max(1, reserve // TURNS_UNTIL_CLOSED)
+        descriptor_budget = DescriptorBudget(settings.descriptors - OWN_DESCRIPTORS - 2 * reserve, reserve)
+        limits = BackendLimits(
+            connect_timeout_us=settings.connect_timeout_us,
+            idle_timeout_us=settings.idle_timeout_us,
+            response_max_bytes=max(BODY_MAX_BYTES, settings.memory_bytes // RESPONSE_MEMORY_PART),
         )
-        self.backends.accepts_new_work = self.fleet.takes
+        self.backends = Backends(self.clock, self.metrics, descriptor_budget, limits)
+        self.clients = RpcHandler(self.runtime, self.backends, settings, descriptor_budget)
+        self.counter = self.make_counter()
+        self.endpoints = EndpointTable(settings.zones, self.backends, self.runtime.knows_backend)
+        self.backends.accepts_new_work = self.endpoints.accepts_new_work
         self.discovery = Discovery(self.metrics, self.update_endpoints)
-        self.peers: FleetTransport | None = None
-        if fleet_parameters:
-            from stoneyoke.fleet import transport
+        self.clients.endpoints_known = self.discovery.first_response
+        self.peers = self.make_peers(fleet_parameters) if fleet_parameters else None
+
+    def make_counter(self) -> CounterClient | None:
+        """The counter service's client, if the settings have such a service."""
+        settings = self.settings
+        if settings.counter is None:
+            return None
+        counter = CounterClient(self.clock, self.metrics, self.runtime, settings.counter, settings.counter_timeout_us)
+        self.runtime.send_to_counter = counter.add
+        return counter
+
+    def make_peers(self, fleet_parameters: "FleetParameters") -> "FleetTransport":
+        """The fleet part. Its package is imported only where there is one."""
+        from stoneyoke.fleet import transport
+
+        zone = self.settings.own_zone()
+        return transport.FleetTransport(fleet_parameters, zone, self.runtime, self.clock, self.metrics)
+
+    def update_endpoints(self, update: EndpointUpdate) -> None:
+        """Applies an update of the endpoint list."""
+        self.runtime.endpoints_changed(self.endpoints.apply(update))
+        if self.peers:
+            self.peers.set_backends(self.endpoints.ready())
 
-            zone = settings.zones[settings.parameters.zone] if settings.parameters.zone < len(settings.zones) else ""
-            self.peers = transport.FleetTransport(fleet_parameters, str(zone), self.runtime, self.clock, self.metrics)
-        self.clients.endpoints_known = self.discovery.spoke
+    # ---- start, reload and end ----
 
-    def update_endpoints(self, news: EndpointUpdate) -> None:
-        self.runtime.endpoints_changed(self.fleet.news(news))
-        if self.peers:
-            self.peers.set_backends(self.fleet.ready())
+    async def run(self) -> None:
+        """Serves until SIGTERM or SIGINT."""
+        loop, end_requested = asyncio.get_running_loop(), asyncio.Event()
+        loop.add_signal_handler(signal.SIGTERM, end_requested.set)
+        loop.add_signal_handler(signal.SIGINT, end_requested.set)
+        loop.add_signal_handler(signal.SIGHUP, self.reload)
+        loop.add_signal_handler(signal.SIGUSR1, self.log_counts)
+        await self.start()
+        gc.collect()
+        gc.freeze()  # what is there now stays: later collections need not look at it
+        await end_requested.wait()
+        await self.finish()
 
     async def start(self) -> None:
+        """Opens the listener and starts the watches.
+
+        Raises:
+            OSError: An address can't be had.
+        """
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(self.loop_failed)
-        self.update_endpoints(self.settings.known)
-        self.discovery.follow(self.settings.discovery)
-        self.maintenance = loop.create_task(self.sweep())
+        loop.set_exception_handler(self.handle_loop_exception)
+        self.update_endpoints(self.settings.known_endpoints)
+        self.discovery.watch_address(self.settings.discovery)
+        self.maintenance = loop.create_task(self.maintain())
         if self.peers:
             await self.peers.start()
         listener = socket.create_server(self.settings.listen)
-        self.server = await loop.create_server(self.clients.line, sock=listener, backlog=self.accepts)
-        listener.listen(WAITING)  # the loop has set it to what it accepts in a turn; more may wait
+        self.server = await loop.create_server(self.clients.make_protocol, sock=listener, backlog=self.accepts_per_turn)
+        # create_server() has set the system's queue to what a turn of the event loop accepts; more may wait.
+        listener.listen(ACCEPT_QUEUE)
+        parameters = self.runtime.parameters
         logger.info(
-            "gateway {} of {} listens on {}:{}",
-            self.runtime.parameters.own_index,
-            self.runtime.parameters.gateways,
-            *self.settings.listen,
+            "gateway {} of {} listens on {}:{}", parameters.own_index, parameters.gateways, *self.settings.listen
         )
 
     def reload(self) -> None:
-        """SIGHUP: discovery and counter are where the file says now; all that is known stays. Whatever else
-        it says counts from the next start on."""
+        """After SIGHUP: follows discovery and counter to where the file says now, and keeps all that is known.
+
+        Whatever else the file says counts from the next start on. A file that can't be used changes nothing.
+        """
         try:
-            given = read_configuration()
-            new, options = GatewaySettings(given), read_options(given)
-            fleet_parameters = fleet_parameters_of(options, given)
-        except Exception as bad:  # whatever is wrong with a file must not reach what runs
+            configuration = read_configuration()
+            settings, options = read_settings(configuration), read_options(configuration)
+            fleet_parameters = fleet_parameters_of(options, configuration)
+        except Exception as error:  # outermost guard: whatever is wrong with a file must not reach what runs
             self.metrics.add("reloads: unusable")
-            logger.error("reload: the old configuration stays: {}", bad)
+            logger.error("reload: the new configuration can't be used, the old configuration stays: {}", error)
             return
         self.metrics.add("reloads")
-        if new.discovery != self.settings.discovery:
-            self.discovery.follow(new.discovery)
-        if self.counter and new.counter:
-            self.counter.move(new.counter)
+        if settings.discovery != self.settings.discovery:
+            self.discovery.watch_address(settings.discovery)
+        if self.counter and settings.counter:
+            self.counter.move(settings.counter)
         if self.peers and fleet_parameters:
             self.peers.reload(fleet_parameters.seeds, fleet_parameters.keys)
-        self.settings = new
-        logger.info("reload: discovery at {}, counter at {}", new.discovery, new.counter)
+        self.settings = settings
+        logger.info("reload: discovery at {}, counter at {}", settings.discovery, settings.counter)
 
     async def finish(self) -> None:
-        logger.info("ending: answers what is held")
+        """After SIGTERM: lets clients go elsewhere, answers what is open, and ends."""
+        logger.info("SIGTERM: serves on for a moment while clients turn to other gateways, then answers open requests")
         if self.peers:
             self.peers.leave()
         await self.clients.drain()
         self.server.close()
-        await self.clients.finish_pending()
+        await self.clients.finish_pending(self.clients.longest_deadline_s)
         self.discovery.stop()
         self.maintenance.cancel()
-        logger.info("counts: {}", self.metrics.summary())
+        self.log_counts()
 
-    async def run(self) -> None:
-        loop, ended = asyncio.get_running_loop(), asyncio.Event()
-        loop.add_signal_handler(signal.SIGTERM, ended.set)
-        loop.add_signal_handler(signal.SIGINT, ended.set)
-        loop.add_signal_handler(signal.SIGHUP, self.reload)
-        loop.add_signal_handler(signal.SIGUSR1, lambda: logger.info("counts: {}", self.metrics.summary()))
-        await self.start()
-        gc.collect()
-        gc.freeze()  # what is there now stays: later collections needn't look at it
-        await ended.wait()
-        await self.finish()
-
-    def loop_failed(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """What nothing else caught: logged and counted, and the gateway goes on."""
-        logger.opt(exception=context.get("exception")).error("event loop: {}", context.get("message"))
-        self.metrics.check_invariant(False, "event loop")
-
-    async def sweep(self) -> None:
+    async def maintain(self) -> None:
+        """Ends what is overdue, several times a second."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(MAINTENANCE_S)
             self.backends.close_expired()
-            self.clients.close_expired()
-            self.fleet.sweep()
+            self.clients.connections.close_expired()
+            self.endpoints.release_unused()
 
+    # ---- log ----
 
-def read_options(given: dict[str, Any]) -> "Options | None":
-    """The gateway's own options. No file, no library loaded for it."""
-    named = os.environ.get("STONEYOKE_OPTIONS") or given.get("options")
-    if not named:
-        return None
-    if not isinstance(named, str):
-        raise InvalidConfiguration(f"'options' names no file: {named!r}")
-    try:
-        from stoneyoke.single_gateway.options import read
-    except ImportError as bad:
-        raise InvalidConfiguration(f"options: their library is missing, pip install .[options] ({bad})") from bad
-    return read(Path(named))
-
-
-def fleet_parameters_of(options: "Options | None", given: dict[str, Any]) -> "FleetParameters | None":
-    """None where no fleet part is asked for."""
-    if options is None:
-        return None
-    from stoneyoke.single_gateway.options import fleet_parameters
+    def log_counts(self) -> None:
+        """Logs all counters, on one line."""
+        logger.info("counts: {}", self.metrics.summary())
 
-    return fleet_parameters(options.fleet, str(given.get("name", "")))
+    def handle_loop_exception(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Logs and counts what nothing else has caught; the gateway serves on."""
+        logger.opt(exception=context.get("exception")).error(
+            "The event loop reports an error that nothing caught; the gateway serves on: {}", context.get("message")
+        )
+        self.metrics.check_invariant(False, "event loop")
 
 
 def main() -> int:
-    """Serves until SIGTERM; the exit code."""
+    """Serves until SIGTERM; returns the exit code."""
     logger.remove()
-    logger.add(sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", backtrace=False, diagnose=False)
+    logger.add(sys.stderr, format=LOG_FORMAT, backtrace=False, diagnose=False)
     try:
-        given = read_configuration()
-        options = read_options(given)
+        configuration = read_configuration()
+        options = read_options(configuration)
         if options and options.log.form == "json":
             logger.remove()
             logger.add(sys.stderr, serialize=True, backtrace=False, diagnose=False)
-        program = SingleGatewayProgram(GatewaySettings(given), fleet_parameters_of(options, given))
-    except InvalidConfiguration as bad:
-        print(f"stoneyoke: {bad}", file=sys.stderr)
-        return 2
+        program = SingleGatewayProgram(read_settings(configuration), fleet_parameters_of(options, configuration))
+    except InvalidConfiguration as error:
+        print(f"stoneyoke: {error}", file=sys.stderr)
+        return EXIT_INVALID_CONFIGURATION
     try:
         asyncio.run(program.run())
-    except OSError as bad:
-        print(f"stoneyoke: {bad}", file=sys.stderr)
-        return 1
-    return 0
+    except OSError as error:
+        print(f"stoneyoke: {error}", file=sys.stderr)
+        return EXIT_FAILURE
+    return EXIT_OK
--- /dev/null
+++ b/stoneyoke/single_gateway/rpc_handler.py
@@ -0,0 +1,165 @@
+"""Answers the RPCs of clients: reads the head, asks the decision logic, and forwards to backends as it decides."""
+
+import asyncio
+
+from stoneyoke.control.actions import Abandon, Reject, StartAttempt
+from stoneyoke.control.parameters import AttemptOutcome
+from stoneyoke.net.attempt import OutgoingRequest
+from stoneyoke.net.backends import Backends
+from stoneyoke.net.client_connection import ClientConnection
+from stoneyoke.net.descriptor_budget import DescriptorBudget
+from stoneyoke.net.errors import MalformedMessage
+from stoneyoke.net.http_server import IN_TRANSIT_S, HttpServer
+from stoneyoke.net.message_reader import Message
+from stoneyoke.net.reply import CLIENT_GONE, Reply
+from stoneyoke.runtime.pending_request import PendingRequest
+from stoneyoke.runtime.runtime import Runtime
+from stoneyoke.single_gateway.configuration import GatewaySettings
+from stoneyoke.single_gateway.request_head import QUOTED_BYTES, is_text, read_rpc_head
+
+# The protocol page: after SIGTERM clients use the connections that they have for as long as these stay open, and
+# SIGKILL comes no earlier than KILL_MARGIN_S plus the longest deadline, which counts as DEADLINE_MIN_S if it is
+# shorter. Four tenths of that are spent on serving as before, since the gateways beside this one may be ending too;
+# requests that come last still have the rest.
+KILL_MARGIN_S = 0.7
+DEADLINE_MIN_S = 3.0
+DRAIN_S = 1.5
+WAIT_MIN_S = 0.001  # a backend is told no shorter time than this
+
+
+class RpcHandler(HttpServer):
+    """Serves the clients of the single gateway.
+
+    Attributes:
+        open_ids: The identifiers of the RPCs that are open. A second RPC with one of them is refused.
+        endpoints_known: Set once discovery has given its first list. No RPC is forwarded before.
+        longest_deadline_s: The longest deadline of any method.
+    """
+
+    def __init__(
+        self, runtime: Runtime, backends: Backends, settings: GatewaySettings, descriptor_budget: DescriptorBudget
+    ) -> None:
+        """Starts without clients."""
+        super().__init__(runtime.clock, runtime.metrics, runtime.arrival_time, descriptor_budget, settings.descriptors)
+        self.runtime, self.backends = runtime, backends
+        self.vocabulary, self.response_margin_us = settings.vocabulary, settings.response_margin_us
+        self.open_ids: set[bytes] = set()
+        self.endpoints_known = asyncio.Event()
+        self.longest_deadline_s = max(method.deadline_us for method in runtime.parameters.methods) / 1_000_000
+
+    async def handle(self, client: ClientConnection, message: Message) -> Reply:
+        """Answers one RPC.
+
+        Raises:
+            MalformedMessage: The head can't be used, or the RPC's identifier belongs to one that is open (409).
+        """
+        head = read_rpc_head(message, self.vocabulary)
+        if not self.endpoints_known.is_set():
+            self.metrics.add("RPCs: waited for the first endpoint list")
+            await self.endpoints_known.wait()
+        await self.runtime.catch_up()
+        if client.disconnected:
+            return CLIENT_GONE
+        if head.id in self.open_ids:
+            raise MalformedMessage(f"{head.id[:QUOTED_BYTES]!r} is open already", 409)
+        self.open_ids.add(head.id)
+        deadline_us = min(client.since_us + head.wait_us, self.respond_by_us)
+        self.metrics.add("RPCs")
+        pending = client.pending = self.runtime.open_request(head, deadline_us)
+        try:
+            return await self.forward(pending, message, deadline_us - self.response_margin_us)
+        finally:
+            client.pending = None
+            self.open_ids.discard(head.id)
+            self.runtime.close_request(pending)
+
+    async def forward(self, pending: PendingRequest, message: Message, deadline_us: int) -> Reply:
+        """Carries out the decisions on one RPC until one of them ends it.
+
+        Whether a further attempt is safe is decided by the decision logic, from the outcome that each attempt reports
+        (see Attempt.may_have_run()). Nothing is sent here that it has not asked for.
+
+        Args:
+            pending: The RPC.
+            message: The client's request.
+            deadline_us: By when the reply has to be ready, so that it reaches the client before its time is up.
+        """
+        while True:
+            decision = await pending.next_decision(deadline_us)
+            if isinstance(decision, StartAttempt):
+                reply = await self.attempt(pending, message, decision, deadline_us)
+                if reply is not None:
+                    return reply
+            elif isinstance(decision, Reject):
+                return self.rejection(decision)
+            elif pending.client_gone:
+                return CLIENT_GONE
+            else:
+                # The decision logic decides in time; None tells that it has not.
+                self.metrics.check_invariant(isinstance(decision, Abandon), "unexpected decision")
+                self.metrics.add("RPCs: abandoned")
+                return Reply(502)
+
+    async def attempt(
+        self, pending: PendingRequest, message: Message, start: StartAttempt, deadline_us: int
+    ) -> Reply | None:
+        """Makes one attempt and reports its outcome; returns the reply if the attempt has brought one."""
+        number, now = pending.attempts_started, self.clock.now()
+        pending.attempts_started += 1
+        if start.time_limit_us:
+            deadline_us = min(deadline_us, now + start.time_limit_us)
+        request = OutgoingRequest(
+            head=forwarded_head(message, deadline_us - now), body=message.body, deadline_us=deadline_us
+        )
+        outcome, response = await self.backends.send_attempt(pending, number, start.backend, request)
+        self.metrics.add(f"attempts: {outcome.value}")
+        await self.runtime.catch_up()
+        self.runtime.attempt_ended(pending, number, start.backend, outcome)
+        if outcome is AttemptOutcome.OK and response and not pending.client_gone:
+            self.metrics.add("RPCs: ok")
+            return Reply(200, response.body, content_type_line(response))
+        return None
+
+    def rejection(self, decision: Reject) -> Reply:
+        """The reply to an RPC over quota or over capacity; it advises when to retry if the settings say so."""
+        self.metrics.add("RPCs: rejected")
+        retry_after = b"Retry-After: %.3f\r\n" % (decision.retry_after_us / 1_000_000)
+        return Reply(429, headers=retry_after if self.runtime.parameters.advises_wait else b"")
+
+    async def drain(self) -> None:
+        """After SIGTERM: serves as before while clients still come, then closes what is idle."""
+        time_to_kill_s = max(self.longest_deadline_s, DEADLINE_MIN_S) + KILL_MARGIN_S
+        self.respond_by_us = self.clock.now() + int((time_to_kill_s - IN_TRANSIT_S) * 1_000_000)
+        await asyncio.sleep(DRAIN_S)
+        await self.close_idle_connections()
+
+
+def content_type_line(response: Message) -> bytes:
+    """The header line that passes a backend's content type on; empty where there is none, or none that is plain."""
+    content_type = response.headers.get(b"content-type", b"")
+    return b"Content-Type: %s\r\n" % content_type if content_type and is_text(content_type) else b""
+
+
+def forwarded_head(message: Message, wait_us: int) -> list[bytes]:
+    """The head of an attempt: what must pass on unchanged, and how long this gateway waits.
+
+    Args:
+        message: The client's request.
+        wait_us: How long the attempt may take.
+    """
+    headers = message.headers
+    lines = [
+        message.method,
+        b" ",
+        message.target,
+        b" HTTP/1.1\r\nHost: ",
+        headers.get(b"host", b"-"),
+        b"\r\nReq-Id: ",
+        headers[b"req-id"],
+        b"\r\nReq-Deadline: %.3f\r\n" % max(WAIT_MIN_S, wait_us / 1_000_000),
+    ]
+    if key := headers.get(b"idempotency-key"):
+        lines += (b"Idempotency-Key: ", key, b"\r\n")
+    if message.body or message.method != b"GET":
+        lines.append(b"Content-Length: %d\r\n" % len(message.body))
+    return lines
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -13,9 +13,10 @@
 
 from stoneyoke.control.events import PeerEvidence
 from stoneyoke.fleet.messages import MemberState
+from stoneyoke.single_gateway.configuration import read_settings
+from stoneyoke.single_gateway.errors import InvalidConfiguration
 from stoneyoke.single_gateway.options import FleetOptions, FleetParameters, fleet_parameters
-from stoneyoke.single_gateway.parameters import InvalidConfiguration
-from stoneyoke.single_gateway.program import GatewaySettings, SingleGatewayProgram
+from stoneyoke.single_gateway.program import SingleGatewayProgram
 
 ENV = os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)}
 
@@ -77,8 +78,8 @@
         given["settings"] = SETTINGS | {"self-index": 2}
         one, two = (("127.0.0.1", free_port("127.0.0.1", socket.SOCK_DGRAM)) for _ in range(2))
         self.programs = [
-            SingleGatewayProgram(GatewaySettings(given), parameters("g1", one, [two])),
-            SingleGatewayProgram(GatewaySettings(given), parameters("g2", two, [one])),
+            SingleGatewayProgram(read_settings(given), parameters("g1", one, [two])),
+            SingleGatewayProgram(read_settings(given), parameters("g2", two, [one])),
         ]
         for program in self.programs:
             await program.start()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -20,7 +20,8 @@
     Method,
     Plan,
 )
-from stoneyoke.single_gateway.program import GatewaySettings, SingleGatewayProgram
+from stoneyoke.single_gateway.configuration import read_settings
+from stoneyoke.single_gateway.program import SingleGatewayProgram
 
 Heard = tuple[list[bytes], bytes]  # a message: its head's lines and its body
 Answer = tuple[int, dict[bytes, bytes], bytes]  # status, headers, body
@@ -405,7 +406,7 @@
             "known": self.list,
             "settings": SETTINGS | {"caps": self.caps},
         }
-        self.program = SingleGatewayProgram(GatewaySettings(self.given))
+        self.program = SingleGatewayProgram(read_settings(self.given))
         await self.program.start()
         self.address = self.program.server.sockets[0].getsockname()
         return self
--- a/tests/net/test_counter_calls.py
+++ b/tests/net/test_counter_calls.py
@@ -9,7 +9,7 @@
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.single_gateway import counter
-from stoneyoke.single_gateway.counter import Counter
+from stoneyoke.single_gateway.counter import CounterClient
 
 
 class Counted:
@@ -17,7 +17,7 @@
 
     def __init__(self, address, limit_us=80_000):
         self.told, self.metrics = [], Metrics()
-        self.counter = Counter(Clock(), self.metrics, self, address, limit_us)
+        self.counter = CounterClient(Clock(), self.metrics, self, address, limit_us)
 
     def counter_replied(self, name, added, total):
         self.told.append((name, total if added or total else None))
@@ -33,8 +33,8 @@
         calls = Counted(stand_in.address)
         calls.add(*range(9))
         await until(lambda: len(calls.told) == 9)
-        assert stand_in.connections == counter.MOST_LINKS
-    monkeypatch.setattr(counter, "MOST_LINKS", 1)
+        assert stand_in.connections == counter.CONNECTIONS_MAX
+    monkeypatch.setattr(counter, "CONNECTIONS_MAX", 1)
 
     async def answer(request, writer):
         if len(stand_in.got) < 3:
@@ -64,7 +64,7 @@
         calls.add(2)
         await until(lambda: len(calls.told) == 2)
         assert calls.told == [(1, None), (2, 2.0)] and stand_in.connections == 2
-        await until(lambda: not any(link.calls for link in calls.counter.links))
+        await until(lambda: not any(connection.queries for connection in calls.counter.connections))
         calls.add(3)
         await until(lambda: len(calls.told) == 3)
         assert calls.told[2] == (3, 2.0) and stand_in.connections == 2
@@ -77,12 +77,12 @@
         for name in range(12):
             calls.add(name)
             await until(lambda name=name: len(calls.told) > name)
-            assert len(calls.counter.links) <= counter.MOST_LINKS
+            assert len(calls.counter.connections) <= counter.CONNECTIONS_MAX
     assert calls.told == [(name, None) for name in range(12)]
     calls = Counted(stand_in.address)
     calls.add(1, 2)
     await until(lambda: len(calls.told) == 2)
-    await until(lambda: not calls.counter.links and not calls.counter.tasks)
+    await until(lambda: not calls.counter.connections and not calls.counter.tasks)
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,7 @@
         calls.add(1, 2)
         await until(lambda: len(calls.told) == 2)
         assert sorted((name, str(total)) for name, total in calls.told) == [(1, told), (2, told)]
-        await until(lambda: not calls.counter.links)
+        await until(lambda: not calls.counter.connections)
         stand_in.answer = total(b"-2.5e1")
         calls.add(3)
         await until(lambda: len(calls.told) == 3)
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -6,11 +6,26 @@
 import pytest
 from helpers import GatewayUnderTest, StandIn, entry, json_answer, on_loop, rpc, total, until
 
-from stoneyoke.net.backends import Backends
+from stoneyoke.net.backends import BackendLimits, Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.single_gateway.discovery import Discovery, EndpointTable, EndpointUpdate
+from stoneyoke.single_gateway.discovery import Discovery
+from stoneyoke.single_gateway.endpoint_table import EndpointTable
+from stoneyoke.single_gateway.endpoints import read_endpoint_update
+
+
+class Addresses:
+    """An address book in a dict."""
+
+    def __init__(self, placed):
+        self.placed = placed
+
+    def set_address(self, backend, address):
+        self.placed[backend] = address
+
+    def remove(self, backend):
+        self.placed.pop(backend, None)
 
 
 def told_list(*entries, index=1, whole=True):
@@ -32,12 +47,7 @@
 @on_loop
 async def test_the_watch_goes_on_at_once_and_the_news_reaches_the_module_s_words():
     placed, news = {}, []
-    fleet = EndpointTable(
-        ["hall-a", "hall-b"],
-        placed.__setitem__,
-        lambda backend: placed.pop(backend, None),
-        lambda backend: backend == 0,
-    )
+    fleet = EndpointTable(["hall-a", "hall-b"], Addresses(placed), lambda backend: backend == 0)
     at = []
 
     async def answer(request, writer):
@@ -52,8 +62,8 @@
         ][len(at) - 1]
 
     async with StandIn(answer) as stand_in:
-        discovery = Discovery(Metrics(), lambda one: news.append(fleet.news(one)))
-        discovery.follow(stand_in.address)
+        discovery = Discovery(Metrics(), lambda one: news.append(fleet.apply(one)))
+        discovery.watch_address(stand_in.address)
         await until(lambda: len(at) == 4)
         discovery.stop()
     assert [x[0][0].split()[1] for x in stand_in.got] == [
@@ -70,9 +80,9 @@
         (True, [(2, 2, 0, "READY")]),
     ]
     assert placed == {2: ("10.1.0.1", 7070)}
-    assert fleet.door.index_by_id == {"s-1": 0, "s-2": 1, "s-3": 2}
-    fleet.sweep()  # the module has dropped s-2, not s-1
-    assert fleet.door.index_by_id == {"s-1": 0, "s-3": 2} and list(fleet.where) == ["s-3"]
+    assert fleet.indices.index_by_id == {"s-1": 0, "s-2": 1, "s-3": 2}
+    fleet.release_unused()  # the module has dropped s-2, not s-1
+    assert fleet.indices.index_by_id == {"s-1": 0, "s-3": 2} and list(fleet.address_by_name) == ["s-3"]
 
 
 @on_loop
@@ -82,7 +92,7 @@
 
     async with StandIn(answer) as stand_in:
         discovery, start = Discovery(Metrics(), lambda news: None), time.monotonic()
-        discovery.follow(stand_in.address)
+        discovery.watch_address(stand_in.address)
         await until(lambda: stand_in.connections == 2 and len(stand_in.got) == 4)
         assert time.monotonic() - start < 3.0
         discovery.stop()
@@ -90,24 +100,27 @@
 
 @pytest.mark.parametrize("order", [1, -1])
 def test_an_address_under_a_new_id_takes_the_old_backend_away_whatever_comes_first(order):
-    pools = Backends(Clock(), Metrics(), 1, 1, DescriptorBudget(9, 0))
-    fleet = EndpointTable(["hall-b"], pools.set_address, pools.remove, lambda backend: False)
+    limits = BackendLimits(connect_timeout_us=1, idle_timeout_us=1)
+    pools = Backends(Clock(), Metrics(), DescriptorBudget(9, 0), limits)
+    fleet = EndpointTable(["hall-b"], pools, lambda backend: False)
 
     def news(*rows):
         return {
             e.backend: e.state.name
-            for e in fleet.news(EndpointUpdate({"index": 1, "snapshot": False, "endpoints": rows[::order]})).endpoints
+            for e in fleet.apply(
+                read_endpoint_update({"index": 1, "snapshot": False, "endpoints": rows[::order]})
+            ).endpoints
         }
 
     assert set(news(line_of("s-1"), line_of("s-2", "10.1.0.2:80")).values()) == {"READY"}
-    old, before = fleet.door.index_by_id["s-1"], pools.pools[fleet.door.index_by_id["s-1"]]
+    old, before = fleet.indices.index_by_id["s-1"], pools.pools[fleet.indices.index_by_id["s-1"]]
     told = news(line_of("s-3", since_ms=5), line_of("s-1", status="leaving"))
-    assert told == {old: "GONE", fleet.door.index_by_id["s-3"]: "READY"}
+    assert told == {old: "GONE", fleet.indices.index_by_id["s-3"]: "READY"}
     assert news(line_of("s-1", status="leaving"), line_of("s-4", status="left")) == {old: "GONE"}
     assert sorted(site.address for site in pools.pools.values()) == [("10.1.0.1", 7070), ("10.1.0.2", 80)]
     assert before not in pools.pools.values()
-    fleet.sweep()
-    assert set(fleet.door.index_by_id) == {"s-2", "s-3"} and old in fleet.door.free_indices
+    fleet.release_unused()
+    assert set(fleet.indices.index_by_id) == {"s-2", "s-3"} and old in fleet.indices.free_indices
 
 
 @pytest.mark.parametrize(
@@ -131,10 +144,10 @@
 
     async with StandIn(answer) as stand_in:
         discovery = Discovery(Metrics(), news.append)
-        discovery.follow(stand_in.address)
+        discovery.watch_address(stand_in.address)
         await until(lambda: len(stand_in.got) == 3)
         discovery.stop()
-    assert [len(one.entries) for one in news] == [1]
+    assert [len(one.endpoints) for one in news] == [1]
 
 
 @pytest.mark.parametrize(
@@ -152,9 +165,9 @@
     ],
 )
 def test_an_entry_that_cannot_be_used_is_left_out_and_takes_no_other_backend_away(bad):
-    news = EndpointUpdate({"index": 4, "snapshot": True, "endpoints": [line_of("s-1", "[::1]:80"), bad]})
-    assert [(entry.name, entry.address) for entry in news.entries] == [("s-1", ("::1", 80))]
-    assert not news.whole and news.left_out
+    news = read_endpoint_update({"index": 4, "snapshot": True, "endpoints": [line_of("s-1", "[::1]:80"), bad]})
+    assert [(entry.name, entry.address) for entry in news.endpoints] == [("s-1", ("::1", 80))]
+    assert not news.complete and news.omitted
 
 
 @on_loop
@@ -172,7 +185,7 @@
     town.discovery.answer = tell
     async with town, town.caller() as caller:
         await watch.wait()
-        await until(lambda: len(town.program.clients.connections) == 1)
+        await until(lambda: len(town.program.clients.connections.open) == 1)
         caller.writer.write(rpc())
         news = {"index": 5, "snapshot": False, "endpoints": [entry("s-1", town.backend.text, "leaving")]}
         town.watcher.write(json_answer(news))
@@ -196,7 +209,7 @@
     async with town, town.caller() as caller:
         town.list = {"index": 5, "snapshot": True, "endpoints": [entry("s-1", town.backend.text, "leaving")]}
         asking = asyncio.create_task(caller.ask(rpc()))
-        await until(lambda: town.count("RPCs: waited for the first list") == 1)
+        await until(lambda: town.count("RPCs: waited for the first endpoint list") == 1)
         hold.set()
         status, _, _ = await asking
         assert status == 429 and town.backend.got == []
@@ -223,14 +236,16 @@
         return await connect(self, site)
 
     async with GatewayUnderTest() as town, town.caller() as caller:
-        await until(town.program.discovery.spoke.is_set)
+        await until(town.program.discovery.first_response.is_set)
         monkeypatch.setattr(Backends, "connect", slowly)
         asking = asyncio.create_task(caller.ask(rpc()))
         await dialled.wait()
         town.program.update_endpoints(
-            EndpointUpdate({"index": 6, "snapshot": False, "endpoints": [entry("s-1", town.backend.text, "leaving")]})
+            read_endpoint_update(
+                {"index": 6, "snapshot": False, "endpoints": [entry("s-1", town.backend.text, "leaving")]}
+            )
         )
         up.set()
         status, _, _ = await asking
         assert status == 429 and town.backend.got == []
-        assert town.count("call-outs: backend left meanwhile") == 1
+        assert town.count("attempts: backend left meanwhile") == 1
--- a/tests/net/test_program.py
+++ b/tests/net/test_program.py
@@ -10,8 +10,8 @@
 import pytest
 from helpers import SETTINGS, rpc
 
-from stoneyoke.single_gateway import program
-from stoneyoke.single_gateway.parameters import InvalidConfiguration
+from stoneyoke.single_gateway import configuration, program
+from stoneyoke.single_gateway.errors import InvalidConfiguration
 
 CONFIG = {
     "listen": "127.0.0.1:0",
@@ -101,16 +101,16 @@
 
 def test_own_options_are_typed_and_absent_by_default(tmp_path, monkeypatch):
     monkeypatch.delenv("STONEYOKE_OPTIONS", raising=False)
-    assert program.read_options({}) is None
+    assert configuration.read_options({}) is None
     file = tmp_path / "options.toml"
     file.write_text('[log]\nform = "json"\n')
-    assert program.read_options({"options": str(file)}).log.form == "json"
+    assert configuration.read_options({"options": str(file)}).log.form == "json"
     monkeypatch.setenv("STONEYOKE_OPTIONS", str(file))
-    assert program.read_options({}).log.form == "json"
+    assert configuration.read_options({}).log.form == "json"
     for text, says in (('[log]\nform = "xml"\n', "log.form"), ("[logs]\n", "logs"), ("[log", "no TOML")):
         file.write_text(text)
         with pytest.raises(InvalidConfiguration, match=says):
-            program.read_options({})
+            configuration.read_options({})
     monkeypatch.setenv("STONEYOKE_OPTIONS", str(tmp_path / "none.toml"))
     with pytest.raises(InvalidConfiguration, match="can't be read"):
-        program.read_options({})
+        configuration.read_options({})
--- a/tests/net/test_reload_and_end.py
+++ b/tests/net/test_reload_and_end.py
@@ -9,12 +9,12 @@
 from loguru import logger
 
 from stoneyoke.control.actions import AddToCounter
-from stoneyoke.net import clients
+from stoneyoke.single_gateway import rpc_handler
 
 
 @on_loop
 async def test_sigterm_s_finish_takes_in_what_still_comes_and_answers_what_is_held(monkeypatch):
-    monkeypatch.setattr(clients, "STAY_S", 0.5)
+    monkeypatch.setattr(rpc_handler, "DRAIN_S", 0.5)
     release = asyncio.Event()
 
     async def late(_, writer):
@@ -46,8 +46,8 @@
 
 @on_loop
 async def test_after_sigterm_a_long_deadline_ends_before_the_process_can_be_killed(monkeypatch):
-    monkeypatch.setattr(clients, "SHORTEST_S", 0.0)
-    monkeypatch.setattr(clients, "KILL_S", -1.3)  # the longest deadline of these settings is 2 s
+    monkeypatch.setattr(rpc_handler, "DEADLINE_MIN_S", 0.0)
+    monkeypatch.setattr(rpc_handler, "KILL_MARGIN_S", -1.3)  # the longest deadline of these settings is 2 s
     async with GatewayUnderTest(None) as town, town.caller() as caller:
         finishing = asyncio.create_task(town.program.finish())
         await asyncio.sleep(0)
@@ -103,7 +103,7 @@
         town.program.reload()
         logger.remove(sink)
         assert len(lines) == 1 and "old configuration stays" in lines[0]
-        assert len(town.program.discovery.watches) == 1 and len(town.program.counter.links) == 1
+        assert len(town.program.discovery.watches) == 1 and len(town.program.counter.connections) == 1
         reload(discovery="127.0.0.1:1")  # nobody listens there: the old one is watched on
         reload(discovery=list_2.text, counter=count_2.text)
         await until(lambda: len(list_2.got) == 2 and town.discovery.closed == 1)
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from stoneyoke.control.events import ClientGone
-from stoneyoke.net import clients
+from stoneyoke.net import http_server
 from stoneyoke.net.message_reader import BODY_MAX_BYTES
 
 
@@ -37,7 +37,7 @@
             status, headers, body = await caller.ask(rpc(X_Quota="units=4,spread=3,first=1"))
         assert status == 429 and float(headers[b"Retry-After"]) > 0 and not town.backend.got
         status, headers, body = await caller.ask(rpc(X_Customer="0" * 16))
-        assert status == 429 and body == b"" and town.count("call-outs: error") >= 1
+        assert status == 429 and body == b"" and town.count("attempts: error") >= 1
 
 
 @on_loop
@@ -54,7 +54,7 @@
         status, _, _ = await caller.ask(rpc(b"order", Req_Deadline="0.200"))
         assert status == 429 and 0.15 < time.monotonic() - start < 1.0
         await until(lambda: town.backend.closed == 1)
-        assert len(town.backend.got) == 1 and town.count("call-outs: timed out") == 1
+        assert len(town.backend.got) == 1 and town.count("attempts: timed out") == 1
 
 
 @on_loop
@@ -75,7 +75,7 @@
         await until(lambda: any(isinstance(e, ClientGone) for e in told))
         release.set()
         await until(lambda: not town.program.runtime.pending)
-        assert town.count("call-outs: ok") == 1 and town.count("RPCs: client gone") == 1
+        assert town.count("attempts: ok") == 1 and town.count("RPCs: client gone") == 1
         async with town.caller() as caller:
             assert (await caller.ask(rpc()))[2] == b"yes" and town.backend.connections == 1
 
@@ -161,12 +161,12 @@
         assert (await two.ask(rpc(Req_Id="twice")))[0] == 409
         assert (await one.hear())[0] == 429 and len(town.backend.got) == 1
         assert (await one.ask(rpc(Req_Id="twice", Req_Deadline="0.300")))[0] == 429
-        assert len(town.backend.got) == 2 and not town.program.clients.ids
+        assert len(town.backend.got) == 2 and not town.program.clients.open_ids
 
 
 @on_loop
 async def test_a_4xx_arrives_while_a_body_pours_in_and_the_pouring_has_an_end(monkeypatch):
-    monkeypatch.setattr(clients, "LINGER_S", 0.3)
+    monkeypatch.setattr(http_server, "LINGER_S", 0.3)
     async with GatewayUnderTest() as town, town.caller() as caller:
         caller.writer.write(rpc(b"order", Content_Length="60000000"))
 
@@ -179,10 +179,10 @@
         pouring = asyncio.create_task(pour())
         start = time.monotonic()
         assert (await caller.hear())[0] == 413 and time.monotonic() - start < 0.3
-        (client,) = town.program.clients.connections.values()
-        assert not client.line.reader._buffer
+        (client,) = town.program.clients.connections.open.values()
+        assert not client.protocol.reader._buffer
         await pouring
-        await until(lambda: not town.program.clients.connections)
+        await until(lambda: not town.program.clients.connections.open)
 
 
 @settings(max_examples=30, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -10,7 +10,8 @@
 from hypothesis import strategies as st
 
 from stoneyoke.control.parameters import AttemptOutcome
-from stoneyoke.net.backends import Backends
+from stoneyoke.net.attempt import OutgoingRequest
+from stoneyoke.net.backends import BackendLimits, Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
@@ -105,12 +106,14 @@
 
     def __init__(self, address, idle_us=30_000_000, most=9):
         self.clock, self.held = Clock(), PendingRequest(1, Clock(), None)
-        self.backends = Backends(self.clock, Metrics(), 250_000, idle_us, DescriptorBudget(most, 0))
+        limits = BackendLimits(connect_timeout_us=250_000, idle_timeout_us=idle_us)
+        self.backends = Backends(self.clock, Metrics(), DescriptorBudget(most, 0), limits)
         self.backends.set_address(0, address)
 
     async def send_attempt(self, n=0, backend=0, within=200_000, body=b""):
         line = [b"POST /x HTTP/1.1\r\nContent-Length: %d\r\n" % len(body)]
-        return await self.backends.send_attempt(self.held, n, backend, line, body, self.clock.now() + within)
+        request = OutgoingRequest(head=line, body=body, deadline_us=self.clock.now() + within)
+        return await self.backends.send_attempt(self.held, n, backend, request)
 
 
 @on_loop
@@ -218,9 +221,9 @@
             assert stand_in.connections == made
             await until(lambda made=made: stand_in.closed >= min(made, 2))
             await until(lambda: not site.idle or len(stand_in.got) > 2)
-        site.idle[0].used_at -= sender.backends.idle_us
+        site.idle[0].idle_since -= sender.backends.idle_max_us
         assert (await sender.send_attempt())[0] is AttemptOutcome.OK and stand_in.connections == 4
-        site.idle[0].used_at -= sender.backends.idle_us
+        site.idle[0].idle_since -= sender.backends.idle_max_us
         sender.backends.close_expired()
         assert not site.idle and sender.backends.descriptor_budget.used == 0
         assert len(stand_in.got) == 5, "each call-out was written once"
--- a/tests/system/gateway_fixture.py
+++ b/tests/system/gateway_fixture.py
@@ -9,7 +9,7 @@
 from stoneyoke.transport.messages import InstanceRow, QuotaGrant
 from stoneyoke.api.configuration import read_configuration
 
-from stoneyoke.net.backends import Backends
+from stoneyoke.net.backends import BackendLimits, Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.control_client import Fleet
@@ -84,7 +84,8 @@
     async def __aenter__(self):
         self.clock, self.metrics = Clock(), Metrics()
         descriptor_budget = DescriptorBudget(200, 20)
-        self.backends = Backends(self.clock, self.metrics, 300_000, 4_000_000, descriptor_budget, 1 << 20)
+        limits = BackendLimits(connect_timeout_us=300_000, idle_timeout_us=4_000_000, response_max_bytes=1 << 20)
+        self.backends = Backends(self.clock, self.metrics, descriptor_budget, limits)
         self.backends.classify = judge
         self.instance_directory = InstanceDirectory(("10.0.0.1",))
         self.upstreams = Upstreams(
@@ -107,7 +108,7 @@
             self.add(f"i-{at}", backend.port)
         self.upstreams.renew()
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(self.front.line, "127.0.0.1", 0)
+        self.server = await loop.create_server(self.front.make_protocol, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         self.sent = 0
         return self
--- a/tests/system/raw_backend.py
+++ b/tests/system/raw_backend.py
@@ -5,7 +5,8 @@
 import socket
 import struct
 
-from stoneyoke.net.backends import Backends
+from stoneyoke.net.attempt import OutgoingRequest
+from stoneyoke.net.backends import BackendLimits, Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.pending_request import PendingRequest
@@ -92,7 +93,8 @@
     def __init__(self, address, dial_us=LONG_US, most=9):
         self.clock, self.metrics, self.links = Clock(), Metrics(), []
         self.held = PendingRequest(1, self.clock, None)
-        self.backends = Backends(self.clock, self.metrics, dial_us, 30_000_000, DescriptorBudget(most, 0))
+        limits = BackendLimits(connect_timeout_us=dial_us, idle_timeout_us=30_000_000)
+        self.backends = Backends(self.clock, self.metrics, DescriptorBudget(most, 0), limits)
         self.backends.set_address(0, address)
         connect = self.backends.connect
 
@@ -108,7 +110,9 @@
     async def send(self, body=b"order", within=LONG_US, ours=None):
         """The outcome and the answer."""
         head = [b"POST /x HTTP/1.1\r\nContent-Length: %d\r\n" % len(body)]
-        return await self.backends.send_attempt(self.held, 0, 0, head, body, self.clock.now() + within, ours)
+        deadline_us = self.clock.now() + within
+        request = OutgoingRequest(head=head, body=body, deadline_us=deadline_us, is_answered_by=ours)
+        return await self.backends.send_attempt(self.held, 0, 0, request)
 
     def all_closed(self):
         site = self.backends.pools[0]
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -293,7 +293,7 @@
         ended = []
         gateway.front.IN_TRANSIT_S = 0
         await gateway.front.leave(0.6, lambda: ended.append(1))
-        assert ended and not gateway.front.connections
+        assert ended and not gateway.front.connections.open
 
 
 @test("what each answer of a backend tells")
--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -12,7 +12,8 @@
 
 from stoneyoke.control.parameters import PROVEN_NOT_RUN
 from stoneyoke.control.parameters import AttemptOutcome
-from stoneyoke.net.backends import Attempt, BackendPool
+from stoneyoke.net.attempt import Attempt
+from stoneyoke.net.backend_connection import BackendPool
 from stoneyoke.net.message_writer import RequestWrite
 
 OK = b"HTTP/1.1 200 OK\r\nAttempt-Id: a-1\r\nContent-Length: 3\r\n\r\nyes"
@@ -131,7 +132,7 @@
         sender = Sender(peer.address)
 
         def takes(_):
-            sender.links[0].line.data_received(OK)
+            sender.links[0].protocol.data_received(OK)
             return True
 
         sender.backends.accepts_new_work = takes
@@ -184,15 +185,15 @@
     request.start([b"POST / HTTP/1.1\r\n"], b"order")
     attempt = Attempt(BackendPool(("127.0.0.1", 1)))
     attempt.request = request
-    assert (
-        attempt.failure_outcome(TimeoutError(), True, True) is AttemptOutcome.NOT_SENT
-    )  # called off with every byte still here
+    attempt.cancelled = True  # with every byte still here
+    assert attempt.failure_outcome(TimeoutError(), deadline_passed=True) is AttemptOutcome.NOT_SENT
+    attempt.cancelled = False
     try:
         await request.finish()  # it ends without an error, as a transport does that was closed from this side
         raise AssertionError("a request that was not written whole passes for one that was")
     except ConnectionResetError as bad:
         assert request.may_have_left(), "a transport that has closed meanwhile proves nothing"
-        assert attempt.failure_outcome(bad, False, False) is AttemptOutcome.BROKEN
+        assert attempt.failure_outcome(bad, deadline_passed=False) is AttemptOutcome.BROKEN
 
 
 # ---- once a byte can have left ----
@@ -238,7 +239,7 @@
             sender.held.cancel_attempt(0)
 
         def kernel_gives_up(sender, _):  # ETIMEDOUT is a TimeoutError, as the dial's is
-            sender.links[0].line.connection_lost(TimeoutError(errno.ETIMEDOUT, "timed out"))
+            sender.links[0].protocol.connection_lost(TimeoutError(errno.ETIMEDOUT, "timed out"))
 
         for ends, outcome in (
             (lambda _, connection: reset(connection), AttemptOutcome.BROKEN),
@@ -325,7 +326,7 @@
         sender = Sender(peer.address)
 
         def spoken_on(answer):
-            sender.links[0].line.data_received(OK)  # behind the answer that is being looked at
+            sender.links[0].protocol.data_received(OK)  # behind the answer that is being looked at
             return ours(answer)
 
         out, connection = await whole_request(peer, sender, ours=spoken_on)
@@ -341,7 +342,7 @@
             sender = Sender(peer.address)
             out, connection = await whole_request(peer, sender, ours=ours)
             connection.sendall(OTHER)
-            await until(lambda sender=sender: sender.links[0].doubted)
+            await until(lambda sender=sender: sender.links[0].out_of_step)
             if outcome is AttemptOutcome.CANCELLED:
                 sender.held.cancel_attempt(0)
             else:
