--- a/stoneyoke/control/choice.py
+++ b/stoneyoke/control/choice.py
@@ -94,7 +94,7 @@
                 # 0.02 to 0.1). Two a window from all gateways at least: a fleet all cold must get going.
                 rate = min(1.0, 0.5 * self.parameters.overload_factor) * warmth * share
                 rate = max(rate, 2 / self.parameters.gateways / window)
-                backend.cold.reshape(rate, max(1.0, 0.5 * rate * window), self.now)
+                backend.cold.resize(rate, max(1.0, 0.5 * rate * window), self.now)
 
     def presume_started(self, backend: Backend, at: int) -> None:
         # A phase of its own: the gateways don't all grant at once.
--- a/stoneyoke/control/gateway.py
+++ b/stoneyoke/control/gateway.py
@@ -200,7 +200,7 @@
         """Other gateways, or other methods: what was measured stays."""
         self.parameters = parameters = news.parameters
         self.methods += [MethodRow(method.soft_deadline_us) for method in parameters.methods[len(self.methods) :]]
-        self.retry_budget.reshape(parameters.retry_budget_per_s, parameters.retry_budget_depth, self.now)
+        self.retry_budget.resize(parameters.retry_budget_per_s, parameters.retry_budget_depth, self.now)
 
     def arrive(self, call: Arrival) -> None:
         rpc = OpenRpc(call, self.now)
--- a/stoneyoke/control/ground.py
+++ b/stoneyoke/control/ground.py
@@ -3,7 +3,7 @@
 from stoneyoke.control.actions import Action
 from stoneyoke.control.open_rpc import MethodRow
 from stoneyoke.control.parameters import GatewayParameters
-from stoneyoke.limits.token_bucket import RandomSource
+from stoneyoke.limits.random_source import RandomSource
 
 BEAT = 50_000  # the one timer: 20 a second is fine enough for every look below and costs little
 
--- a/stoneyoke/control/quotas.py
+++ b/stoneyoke/control/quotas.py
@@ -11,8 +11,8 @@
 from stoneyoke.control.ground import BEAT, Ground
 from stoneyoke.control.open_rpc import Call, OpenRpc
 from stoneyoke.control.parameters import GatewayParameters, Plan
-from stoneyoke.limits.common_store import LIFE, SharedBucket, Talk, guarded_share
-from stoneyoke.limits.token_bucket import LONGEST_WAIT, SECOND, TokenBucket
+from stoneyoke.limits.shared_bucket import KEY_TTL_US, CounterDialogue, SharedBucket, ceiling_share
+from stoneyoke.limits.token_bucket import MAX_WAIT_US, SECOND, TokenBucket
 
 Hear = Callable[[CounterReply], None]
 Held = tuple[int, float] | None  # a name of the counter and the amount that stands in it for an RPC
@@ -40,7 +40,7 @@
         self.demand = 0.0  # this second's, in units
         # Decayed sums over seconds, and their lengths: own demand, and what the others were counted with.
         self.own = self.own_time = self.others = self.others_time = 0.0
-        self.heard = -LONGEST_WAIT
+        self.heard = -MAX_WAIT_US
         # An even slice that refills by less than two of the largest RPCs in a second tells little of the
         # whole: then the store is the common one, and the slice decides where that is not heard. Read off
         # what is told, so that all gateways agree.
@@ -48,7 +48,7 @@
         if parameters.has_counter and self.even < 1 and 0 < plan.rate * self.even < 2 * parameters.units_max:
             self.period = 2  # where it is not asked for: thin demand shows late
             self.common = SharedBucket(plan, call.customer_id, self.even, lump)
-            rate, depth = guarded_share(plan, self.even, parameters.units_max, parameters.own_index)
+            rate, depth = ceiling_share(plan, self.even, parameters.units_max, parameters.own_index)
             self.ceiling = TokenBucket(rate, depth, min(depth, rate * (now - born) / SECOND), now)
         self.counting_until = self.advised_until = self.blocked_until = 0
         self.tries = self.early = self.step = 0
@@ -60,7 +60,7 @@
 
     def take_slice(self, part: float, now: int) -> None:
         self.slice = max(part, self.even / 10)
-        self.store.reshape(self.plan.rate * self.slice, self.depth(), now)
+        self.store.resize(self.plan.rate * self.slice, self.depth(), now)
 
     def parallel_full(self, taken: float) -> bool:
         """What the others have out: their rate times the time that an RPC takes. A part rounded to whole
@@ -105,45 +105,45 @@
         if customer.parallel_full(self.methods[call.method].mean / SECOND):
             return int(self.methods[call.method].mean), None
         if call.units > customer.plan.burst and customer.plan.rate > 0:
-            return LONGEST_WAIT, None
+            return MAX_WAIT_US, None
         if common is None or not self.asks(common):
             return self.slice_wait(customer, call), None
         # Not asked about: what is surely empty, an RPC whose time may pass meanwhile, what a crowded counter
         # can't bear; a silent one is asked once a second.
-        if common.most(self.now) < call.units or self.now < common.shut_until:
+        if common.max_level(self.now) < call.units or self.now < common.closed_until:
             return self.common_wait(common, call), None
         silent = self.misses >= 3 and self.now - self.counter_asked < SECOND
-        part = min(1.0, self.reading * (3 if common.guards else 1)) if self.guards else 1.0
+        part = min(1.0, self.reading * (3 if common.has_ceiling else 1)) if self.guards else 1.0
         if silent or call.wait_us < 4 * BEAT or self.random_source.draw() >= part:
             return self.slice_wait(customer, call), None
         # What goes unasked meanwhile is made up for by the weight of what is asked.
-        name, asked_at = common.name(self.now), self.now
+        name, asked_at = common.counter_key(self.now), self.now
         amount = max(call.units, min(call.units / part, 0.5 * common.burst))
-        answer: CounterReply | None = yield AddToCounter(name, LIFE, amount)
+        answer: CounterReply | None = yield AddToCounter(name, KEY_TTL_US, amount)
         if answer is None or not answer.added or not math.isfinite(answer.total) or asked_at < self.woke:
             return self.slice_wait(customer, call), None
-        level = common.read(answer.total, self.now)
-        if level is None or common.name(self.now) != name:
+        level = common.level_from(answer.total, self.now)
+        if level is None or common.counter_key(self.now) != name:
             # One just born saves the look back: all are, when there is much to open.
-            self.converse(common.open(self.now, self.now - self.born > 3 * SECOND))
+            self.converse(common.open_epoch(self.now, self.now - self.born > 3 * SECOND))
             return self.slice_wait(customer, call), None
         level += amount
-        if spilt := common.spilt(level):
+        if spilt := common.overflow(level):
             self.call_counter(name, spilt)
-        common.hear(level, call.units, self.now)
+        common.record_level(level, call.units, self.now)
         if level >= call.units:
             return 0, (name, amount)
         self.call_counter(name, -amount)
         return self.common_wait(common, call), None
 
     def asks(self, common: SharedBucket) -> bool:
-        return common.guards or self.now >= self.counts_until
+        return common.has_ceiling or self.now >= self.counts_until
 
     def common_wait(self, common: SharedBucket, call: Arrival) -> int:
-        lack = call.units - common.most(self.now)
-        return max(1, common.shut_until - self.now, math.ceil(lack / common.rate * SECOND))
+        lack = call.units - common.max_level(self.now)
+        return max(1, common.closed_until - self.now, math.ceil(lack / common.rate * SECOND))
 
-    def converse(self, talk: Talk, answer: CounterReply | None = None) -> None:
+    def converse(self, talk: CounterDialogue, answer: CounterReply | None = None) -> None:
         """Calls the counter as the talk wants, which is told each answer's total (nan: none) and the time."""
         total = answer.total if answer and answer.added else math.nan
         try:
@@ -159,9 +159,9 @@
             if customer.store.fill(self.now) - call.units < 0.5 * customer.store.depth:
                 customer.counting_until = self.now + (2 + customer.period) * SECOND
             # A full store takes an RPC dearer than it holds, and owes the rest: else that is shut out.
-            wait = customer.store.wait_for(min(call.units, customer.store.depth), self.now)
+            wait = customer.store.wait_us(min(call.units, customer.store.depth), self.now)
         if plan.ceiling_rate > 0:
-            wait = max(wait, customer.ceiling.wait_for(call.units, self.now))
+            wait = max(wait, customer.ceiling.wait_us(call.units, self.now))
         return wait
 
     def advised(self, customer: Customer, wait: int) -> int:
@@ -173,13 +173,13 @@
             if customer.step == 2:
                 customer.blocked_until = self.now + 5 * SECOND
             customer.tries = customer.early = 0
-        wait = min(LONGEST_WAIT, wait * (2 if customer.step else 1))
+        wait = min(MAX_WAIT_US, wait * (2 if customer.step else 1))
         wait = self.jittered(max(wait, customer.blocked_until - self.now))
         customer.advised_until = self.now + wait
         return wait
 
     def jittered(self, wait: int) -> int:
-        return wait + int(self.random_source.draw() * (min(LONGEST_WAIT, max(SECOND, wait)) + 1))
+        return wait + int(self.random_source.draw() * (min(MAX_WAIT_US, max(SECOND, wait)) + 1))
 
     # ---- slices from counted demand ----
 
@@ -236,7 +236,7 @@
     def call_counter(self, name: int, amount: float, hear: Hear | None = None) -> None:
         self.counter_asked = self.now
         self.awaiting.setdefault(name, deque()).append((self.now, hear))
-        self.actions.append(AddToCounter(name, LIFE, amount))
+        self.actions.append(AddToCounter(name, KEY_TTL_US, amount))
 
     def counted(self, answer: CounterReply) -> None:
         if not (line := self.awaiting.get(answer.name)):
--- a/stoneyoke/gateway/admission.py
+++ b/stoneyoke/gateway/admission.py
@@ -131,14 +131,14 @@
             self.alone_at[call.customer] = self.now
             # Document units, by chance: a part of one lets nothing through, and the parts sum to the same.
             first = min(2.0, float(int(ISOLATED_START_RATIO * beyond / gateways + self.random_source.draw())))
-            customer.store.level, customer.store.at = max(reserve_units, first), self.now
+            customer.store.level, customer.store.filled_at = max(reserve_units, first), self.now
         # A new life that has heard nobody: all may have started just now. Those that were told of hardly any part
         # share what the rule allows beyond the store: even slices for small tenants, little of a large one.
         untold = 0.25 * beyond / (plan.rate * self.bounds.quota_window_s)
         if now - max(heard_at, self.born / SECOND) < UNGRANTED_S:
             untold = UNGRANTED_RATIO * beyond / (plan.rate * UNGRANTED_S) if heard_at > self.born / SECOND else 1.0
         customer.slice = max(share, min(1.0, untold) / gateways)
-        customer.store.reshape(plan.rate * customer.slice, max(customer.depth(), reserve_units), self.now)
+        customer.store.resize(plan.rate * customer.slice, max(customer.depth(), reserve_units), self.now)
         wait = self.slice_wait(customer, call)
         if wait > 0:
             return self.advised(customer, wait)
