--- a/stoneyoke/lab/cli.py
+++ b/stoneyoke/lab/cli.py
@@ -6,7 +6,9 @@
 import click
 import msgspec
 
-from stoneyoke.lab.scenario import BadScenario, Scenario, read
+from stoneyoke.lab.errors import InvalidScenario
+from stoneyoke.lab.scenario import Scenario
+from stoneyoke.lab.scenario_file import read_scenario
 
 SHIPPED = Path(__file__).parent / "scenarios"
 
@@ -22,8 +24,8 @@
     path = Path(name)
     shipped = SHIPPED / f"{name}.toml"
     try:
-        return read(shipped if not path.exists() and shipped.exists() else path)
-    except BadScenario as bad:
+        return read_scenario(shipped if not path.exists() and shipped.exists() else path)
+    except InvalidScenario as bad:
         fail(str(bad))
         raise AssertionError from bad
 
@@ -37,7 +39,7 @@
 def list_() -> None:
     """The scenarios that come with the lab."""
     for path in sorted(SHIPPED.glob("*.toml")):
-        scenario = read(path)
+        scenario = read_scenario(path)
         size = f"{scenario.gateways.count} x {scenario.backends.count}"
         click.echo(f"{scenario.name:24} {size:>9}  {scenario.seconds:g} s  {scenario.about}")
 
@@ -61,7 +63,7 @@
 ) -> None:
     """Runs a scenario: FILE, or the name of one that comes with the lab."""
     from stoneyoke.lab import plan, report
-    from stoneyoke.lab.machine_limits import CantRun
+    from stoneyoke.lab.errors import CannotRun, NotReady
     from stoneyoke.lab.run import carry_out
 
     scenario = find(file)
@@ -81,9 +83,9 @@
 
         try:
             result = carry_out(scenario, seed, out, port, progress)
-        except CantRun as bad:
+        except CannotRun as bad:
             click.echo(f"stoneyoke: {bad}", err=True)
-            sys.exit(1 if str(bad).startswith("not ready") else 2)
+            sys.exit(1 if isinstance(bad, NotReady) else 2)
     if json_:
         json_.write_bytes(msgspec.json.format(msgspec.json.encode(result)))
     page = report.write(out)
--- /dev/null
+++ b/stoneyoke/lab/fault_kinds.py
@@ -0,0 +1,49 @@
+"""The kinds of faults and what each of them strikes."""
+
+from enum import StrEnum
+
+from stoneyoke.lab.errors import UnknownFaultKind
+
+
+class FaultTarget(StrEnum):
+    """What a fault strikes. Of processes, the value starts their names within a zone."""
+
+    LINK = "link"
+    GATEWAY = "g"
+    BACKEND = "b"
+    COUNTER = "counter"
+    DISCOVERY = "discovery"
+    CLIENTS = "clients"
+
+
+KINDS_BY_TARGET = {
+    FaultTarget.LINK: ("cut", "cut_there", "cut_back", "reset", "refuse", "delay", "throttle", "lose"),
+    FaultTarget.GATEWAY: ("kill", "term", "stop", "reload"),
+    FaultTarget.BACKEND: ("slow", "hang", "black_hole", "lose_answers", "age", "crash", "drain", "replace"),
+    FaultTarget.COUNTER: ("silent", "crawl", "wipe", "empty", "split"),
+    FaultTarget.DISCOVERY: ("down", "stale", "reorder"),
+    FaultTarget.CLIENTS: ("burst", "shift", "return_at_once"),
+}
+TARGET_BY_KIND = {kind: target for target, kinds in KINDS_BY_TARGET.items() for kind in kinds}
+
+# The key that each of these kinds is of no use without, and the value by which the key counts as not given.
+REQUIRED_KEYS = {
+    "delay": ("ms", 0.0),
+    "throttle": ("bytes_s", 0.0),
+    "slow": ("factor", 1.0),
+    "age": ("factor", 1.0),
+    "crawl": ("factor", 1.0),
+    "burst": ("factor", 1.0),
+}
+
+
+def target_of(kind: str) -> FaultTarget:
+    """What faults of a kind strike.
+
+    Raises:
+        UnknownFaultKind: There is no such kind.
+    """
+    try:
+        return TARGET_BY_KIND[kind]
+    except KeyError:
+        raise UnknownFaultKind(f"there is no {kind!r}") from None
--- a/stoneyoke/lab/fault_orders.py
+++ b/stoneyoke/lab/fault_orders.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from stoneyoke.lab.places import Places
+from stoneyoke.lab.addresses import Addresses
+from stoneyoke.lab.fault_kinds import FaultTarget, target_of
 from stoneyoke.lab.plan import Strike
-from stoneyoke.lab.scenario import targets
 from stoneyoke.lab.worker_process import WorkerProcess
 
 
@@ -24,32 +24,32 @@
 class FaultOrders:
     """Tells each process what a strike of the plan means for it."""
 
-    def __init__(self, places: Places, workers: dict[str, WorkerProcess], gateways: Gateways) -> None:
-        self.places, self.workers, self.gateways = places, workers, gateways
+    def __init__(self, addresses: Addresses, workers: dict[str, WorkerProcess], gateways: Gateways) -> None:
+        self.addresses, self.workers, self.gateways = addresses, workers, gateways
         self.lives: dict[str, int] = {}  # of gateways that were started again
 
     def strike(self, strike: Strike) -> None:
         """Carries out one strike, or mends it."""
         fault = msgspec.to_builtins(strike.fault)
         order = {"number": strike.number, "fault": fault, "begins": strike.begins}
-        what = targets(strike.kind)
-        if what == "link":
+        what = target_of(strike.kind)
+        if what == FaultTarget.LINK:
             for name, worker in self.workers.items():
                 if name.startswith("links"):
                     worker.say(order | {"do": "link", "from": strike.from_, "to": strike.to})
-        elif what == "g":
+        elif what == FaultTarget.GATEWAY:
             for name in strike.on:
                 self.strike_gateway(strike, name)
-        elif what == "b":
+        elif what == FaultTarget.BACKEND:
             for name in strike.on:
                 self.strike_backend(strike, name, order)
         else:
-            self.workers["front" if what == "clients" else what].say(
-                order | {"do": "front" if what == "clients" else what}
+            self.workers["front" if what == FaultTarget.CLIENTS else what].say(
+                order | {"do": "front" if what == FaultTarget.CLIENTS else what}
             )
 
     def strike_gateway(self, strike: Strike, name: str) -> None:
-        g, supervisor = self.places.gateway_names.index(name), self.workers["keeper"]
+        g, supervisor = self.addresses.gateway_names.index(name), self.workers["keeper"]
         match strike.kind, strike.begins:
             case ("kill", True):
                 supervisor.say({"do": "signal", "name": name, "signal": "SIGKILL", "ends": True})
@@ -66,7 +66,7 @@
 
     def strike_backend(self, strike: Strike, name: str, order: dict[str, Any]) -> None:
         backends, discovery = self.workers["backends"], self.workers["discovery"]
-        now_ms, b = int(time.time() * 1000), self.places.backend_names.index(name)
+        now_ms, b = int(time.time() * 1000), self.addresses.backend_names.index(name)
         backends.say(order | {"do": "backend", "name": name, "new": name + "-new"})
         match strike.kind, strike.begins:
             case ("crash", True):
--- a/stoneyoke/lab/gateway_files.py
+++ b/stoneyoke/lab/gateway_files.py
@@ -4,17 +4,17 @@
 from pathlib import Path
 from typing import Any
 
-from stoneyoke.lab.places import Places, text
+from stoneyoke.lab.addresses import Addresses, address_text
 from stoneyoke.lab.scenario import Scenario
 
 
-def gateway_settings(scenario: Scenario, places: Places, g: int) -> dict[str, Any]:
+def gateway_settings(scenario: Scenario, addresses: Addresses, g: int) -> dict[str, Any]:
     """The settings of gateway g, named as the simulator's first message names them."""
     return {
         "balancers": scenario.gateways.count,
         "self-index": g,
         "zones": scenario.zones(),
-        "zone": scenario.zones().index(places.gateway_names[g].split("/")[0]),
+        "zone": scenario.zones().index(addresses.gateway_names[g].split("/")[0]),
         "discovery": "automatic",
         "caps": {
             "cancel": True,
@@ -30,10 +30,10 @@
         },
         "rules": {
             "cold-from": scenario.backends.cold_share,
-            "overload-factor": scenario.backends.push_over,
+            "overload-factor": scenario.backends.overload_factor,
             "ramp-time-us": int(scenario.backends.warm_up_s * 1e6),
             "answer-slack-us": 5000,
-            "overload-for-us": int(scenario.backends.push_over_s * 1e6),
+            "overload-for-us": int(scenario.backends.overload_window_s * 1e6),
         },
         "clients": {"marks-retry": scenario.clients.marks},
         "classes": [
@@ -63,11 +63,11 @@
     }
 
 
-def backend_entry(places: Places, b: int, name: str = "", since_ms: int = 0) -> dict[str, Any]:
+def backend_entry(addresses: Addresses, b: int, name: str = "", since_ms: int = 0) -> dict[str, Any]:
     """Backend b, as discovery lists it."""
-    zone = places.backend_names[b].split("/")[0]
+    zone = addresses.backend_names[b].split("/")[0]
     return {
-        "name": name or places.backend_names[b],
+        "name": name or addresses.backend_names[b],
         "zone": zone,
         "type": "lab",
         "group": b % 7,
@@ -80,8 +80,8 @@
 class GatewayFiles:
     """Writes the files of a run's gateways into its folder."""
 
-    def __init__(self, scenario: Scenario, places: Places, seed: int, out: Path) -> None:
-        self.scenario, self.places, self.seed, self.out = scenario, places, seed, out
+    def __init__(self, scenario: Scenario, addresses: Addresses, seed: int, out: Path) -> None:
+        self.scenario, self.addresses, self.seed, self.out = scenario, addresses, seed, out
         self.keys = out.resolve() / "configs" / "keys"
 
     def write_keys(self) -> None:
@@ -91,19 +91,19 @@
 
     def write(self, g: int, life: int, settings: dict[str, Any]) -> Path:
         """The configuration of a gateway's life, with its options beside it."""
-        places = self.places
+        addresses = self.addresses
         path = self.out / "configs" / f"g{g:03d}.json"
         known = [
-            backend_entry(places, b) | {"address": text(places.to_backend(g, b))}
+            backend_entry(addresses, b) | {"address": address_text(addresses.link_to_backend(g, b))}
             for b in range(self.scenario.backends.count)
         ]
         path.write_text(
             json.dumps(
                 {
-                    "name": places.gateway_names[g],
-                    "listen": text(places.gateway(g)),
-                    "discovery": text(places.to_discovery(g)),
-                    "counter": text(places.to_counter(g)),
+                    "name": addresses.gateway_names[g],
+                    "listen": address_text(addresses.gateway(g)),
+                    "discovery": address_text(addresses.link_to_discovery(g)),
+                    "counter": address_text(addresses.link_to_counter(g)),
                     "seed": f"{(self.seed * 1_000_003 + g * 101 + life) % 2**63:016x}",
                     "limits": {
                         "cores": 1.0,
@@ -122,9 +122,8 @@
     def options(self, g: int) -> str:
         """The gateway's own options: where its datagrams come to, and over which links the others reach
         it."""
-        places, few = self.places, min(self.scenario.fleet.seeds, self.scenario.gateways.count)
-        seeds = ", ".join(f'"{text(places.to_peer(seed))}"' for seed in range(few))
-        return (
-            f'[fleet]\nlisten = "{text(places.peer(g))}"\nadvertise = "{text(places.to_peer(g))}"\n'
-            f'seeds = [{seeds}]\nkeys = "{self.keys}"\n'
-        )
+        addresses = self.addresses
+        seed_count = min(self.scenario.fleet.seeds, self.scenario.gateways.count)
+        seeds = ", ".join(f'"{address_text(addresses.link_to_peer(seed))}"' for seed in range(seed_count))
+        listen, advertise = address_text(addresses.peer(g)), address_text(addresses.link_to_peer(g))
+        return f'[fleet]\nlisten = "{listen}"\nadvertise = "{advertise}"\nseeds = [{seeds}]\nkeys = "{self.keys}"\n'
--- a/stoneyoke/lab/plan.py
+++ b/stoneyoke/lab/plan.py
@@ -6,7 +6,8 @@
 import numpy as np
 from msgspec import Struct
 
-from stoneyoke.lab.scenario import Fault, Scenario, matching, targets
+from stoneyoke.lab.fault_kinds import FaultTarget, target_of
+from stoneyoke.lab.scenario import Fault, Scenario, matching_processes
 
 
 class Customer(Struct, frozen=True):
@@ -124,7 +125,7 @@
             at = round(float(random_source.uniform(0.1, 0.7)) * scenario.seconds, 2)
             long = round(float(random_source.uniform(0.2, 1.0)) * scenario.random.longest_s, 2)
             zone = scenario.zones()[int(random_source.integers(len(scenario.zones())))]
-            start = f"{zone}/*" if targets(kind) == "link" else ""
+            start = f"{zone}/*" if target_of(kind) == FaultTarget.LINK else ""
             faults.append(
                 Fault(
                     at_s=at,
@@ -141,7 +142,7 @@
     strikes = []
     for number, fault in enumerate(faults):
         begin = int(fault.at_s * 1e6)
-        if targets(fault.kind) == "link":
+        if target_of(fault.kind) == FaultTarget.LINK:
             strikes.append(Strike(begin, fault.kind, True, [], fault.from_ or "*", fault.to or "*", fault, number))
             if fault.for_s:
                 strikes.append(
@@ -157,7 +158,7 @@
                     )
                 )
             continue
-        pool = matching(scenario, fault)
+        pool = matching_processes(scenario, fault)
         few = max(1, round(len(pool) * fault.part)) if pool else 0
         struck = sorted(random_source.choice(pool, size=few, replace=False).tolist()) if few < len(pool) else pool
         for name in struck:
--- a/stoneyoke/lab/result.py
+++ b/stoneyoke/lab/result.py
@@ -7,11 +7,12 @@
 import numpy as np
 from msgspec import Struct
 
+from stoneyoke.lab.fault_kinds import FaultTarget, target_of
 from stoneyoke.lab.ledger import Ledger
 from stoneyoke.lab.ledger_index import read_rows
 from stoneyoke.lab.plan import Drawn
 from stoneyoke.lab.rules import Violation
-from stoneyoke.lab.scenario import Scenario, targets
+from stoneyoke.lab.scenario import Scenario
 from stoneyoke.lab.spread import Spread, Use, central, spread
 
 
@@ -97,7 +98,7 @@
     up = np.ones((end_us // step + 1, len(speeds)), dtype=bool)
     sick: dict[tuple[int, str], int] = {}
     for row in ledger.faults:
-        if targets(row[3]) != "b":
+        if target_of(row[3]) != FaultTarget.BACKEND:
             continue
         for name in row[5]:
             if row[4]:
--- a/stoneyoke/lab/rules.py
+++ b/stoneyoke/lab/rules.py
@@ -39,7 +39,7 @@
 
 def lost_answers(index: LedgerIndex) -> list[Violation]:
     """Each try that was taken gets one final answer by its deadline, made for it."""
-    front, found = index.scenario.processes()[-3], []
+    front, found = index.scenario.clients_name(), []
     for rpc in index.rpcs.values():
         late = rpc.answered > rpc.until + SLACK_US
         if rpc.status == -1 and rpc.words == "gave up":
@@ -73,7 +73,7 @@
 
 def sends_to_draining(index: LedgerIndex) -> list[Violation]:
     """Nothing new to a backend later than the grace after its gateway was told that it leaves."""
-    discovery, found = index.scenario.processes()[-1], []
+    discovery, found = index.scenario.discovery_name(), []
     grace = index.scenario.backends.grace_ms * 1000
     # Gateway -> backend -> what it was told, when
     since: dict[str, dict[str, list[tuple[int, str]]]] = {}
@@ -119,7 +119,7 @@
 def overloaded_cold_backends(index: LedgerIndex) -> list[Violation]:
     """Work sent to a cold backend within the window, against what it could do then."""
     given, found = index.scenario.backends, []
-    window, warm_up = given.push_over_s * 1e6, given.warm_up_s * 1e6
+    window, warm_up = given.overload_window_s * 1e6, given.warm_up_s * 1e6
     calls: dict[str, list[tuple[int, float, str]]] = defaultdict(list)
     for rpc in index.rpcs.values():
         for at, backend in rpc.calls:
@@ -135,13 +135,13 @@
                 work = sum(one[1] for one in sent[first:last])
                 middle = min(1.0, (at + window / 2 - start) / warm_up)
                 warmth = given.cold_share + (1 - given.cold_share) * middle
-                can = given.slots * warmth * given.push_over_s
-                if work > given.push_over * can + slack:
+                can = given.slots * warmth * given.overload_window_s
+                if work > given.overload_factor * can + slack:
                     found.append(
                         Violation(
                             "cold",
                             at,
-                            f"{backend} was sent {work:.2f} s of work in {given.push_over_s} s, "
+                            f"{backend} was sent {work:.2f} s of work in {given.overload_window_s} s, "
                             f"{(at - start) / 1e6:.2f} s after its start; it can do {can:.2f}",
                             [one[2] for one in sent[first:last]][:20],
                         )
--- a/stoneyoke/lab/run.py
+++ b/stoneyoke/lab/run.py
@@ -15,11 +15,12 @@
 
 import msgspec
 
+from stoneyoke.lab.addresses import Addresses
+from stoneyoke.lab.errors import CannotRun, NotReady
 from stoneyoke.lab.fault_orders import FaultOrders
 from stoneyoke.lab.gateway_files import GatewayFiles, gateway_settings
 from stoneyoke.lab.http import open_to
-from stoneyoke.lab.machine_limits import CantRun, check_capacity
-from stoneyoke.lab.places import Places
+from stoneyoke.lab.machine_limits import check_capacity
 from stoneyoke.lab.plan import Drawn, Strike, draw
 from stoneyoke.lab.result import Result, judge, speeds_of
 from stoneyoke.lab.scenario import Scenario
@@ -41,27 +42,27 @@
         progress: Callable[[float], None] = lambda _: None,
     ) -> None:
         self.scenario, self.seed, self.out, self.progress = scenario, seed, out, progress
-        self.places = Places(scenario, port)
+        self.addresses = Addresses(scenario, port)
         self.drawn: Drawn = draw(scenario, seed)
         self.workers: dict[str, WorkerProcess] = {}
         self.crashes: list[str] = []
         self.reasons: list[str] = []
-        self.faults = FaultOrders(self.places, self.workers, self)
-        self.files = GatewayFiles(scenario, self.places, seed, out)
+        self.faults = FaultOrders(self.addresses, self.workers, self)
+        self.files = GatewayFiles(scenario, self.addresses, seed, out)
         self.speeds = speeds_of(scenario)
 
     # ---- gateways ----
 
     def settings(self, g: int) -> dict[str, Any]:
         """What gateway g is told of the protocol."""
-        return gateway_settings(self.scenario, self.places, g)
+        return gateway_settings(self.scenario, self.addresses, g)
 
     def configure(self, g: int, life: int = 0) -> Path:
         """Writes the files of a gateway's life; the path of its configuration."""
         return self.files.write(g, life, self.settings(g))
 
     def start_gateway(self, g: int, life: int = 0) -> None:
-        name, path = self.places.gateway_names[g], self.configure(g, life)
+        name, path = self.addresses.gateway_names[g], self.configure(g, life)
         self.workers["keeper"].say(
             {
                 "do": "start",
@@ -73,23 +74,23 @@
         )
 
     async def gateways_ready(self, which: range) -> None:
-        """Raises CantRun naming the first that never becomes ready, with its last line."""
+        """Raises CannotRun naming the first that never becomes ready, with its last line."""
         ask = b"GET /healthz HTTP/1.1\r\nHost: lab\r\n\r\n"
         until = time.monotonic() + READY_S
         for g in which:
             while True:
                 try:
-                    link = await open_to(self.places.gateway(g), 1.0)
+                    link = await open_to(self.addresses.gateway(g), 1.0)
                     status, _, _ = await link.ask(ask, 1.0)
                     link.close()
                     if status == 200:
                         break
                 except OSError:
                     pass
-                name = self.places.gateway_names[g]
+                name = self.addresses.gateway_names[g]
                 dead = next((crash for crash in self.crashes if crash.startswith(name + " ")), "")
                 if dead or time.monotonic() > until:
-                    raise CantRun(f"not ready: {dead or name}")
+                    raise NotReady(f"not ready: {dead or name}")
                 await asyncio.sleep(0.05)
 
     # ---- workers ----
@@ -116,7 +117,7 @@
             for worker in self.workers.values():
                 await worker.ready.wait()
                 if worker.ended.is_set():
-                    raise CantRun(f"{worker.name} did not start: see {self.out / 'logs' / worker.name}.log")
+                    raise CannotRun(f"{worker.name} did not start: see {self.out / 'logs' / worker.name}.log")
 
     def told(self, _: str, what: dict[str, Any]) -> None:
         if "died" in what and not what["expected"]:
@@ -124,13 +125,13 @@
             self.crashes.append(f"{what['died']} ended with {what['code']}: {last}")
 
     async def start(self) -> None:
-        """Workers first, then the gateways in waves. Raises CantRun."""
+        """Workers first, then the gateways in waves. Raises CannotRun."""
         for folder in ("ledger", "logs", "configs"):
             (self.out / folder).mkdir(parents=True, exist_ok=True)
         self.files.write_keys()
         (self.out / "scenario.json").write_bytes(msgspec.json.encode(self.scenario))
         (self.out / "plan.json").write_bytes(msgspec.json.encode(self.drawn))
-        for terms in worker_terms(self.scenario, self.places, self.drawn, self.seed, self.out):
+        for terms in worker_terms(self.scenario, self.addresses, self.drawn, self.seed, self.out):
             await self.start_worker(terms)
         await self.workers_ready()
         for first in range(0, self.scenario.gateways.count, self.scenario.gateways.wave):
@@ -163,7 +164,7 @@
                     self.strike(strikes.pop(0))
                 self.progress(max(0.0, now))
                 if dead := [name for name, worker in self.workers.items() if worker.ended.is_set()]:
-                    raise CantRun(f"{dead[0]} ended during the run: see {self.out / 'logs' / dead[0]}.log")
+                    raise CannotRun(f"{dead[0]} ended during the run: see {self.out / 'logs' / dead[0]}.log")
                 following = strikes[0].at_us / 1e6 if strikes else end
                 await asyncio.sleep(max(0.001, min(0.1, following - now, end - now)))
             for strike in [s for s in strikes if not s.begins]:
@@ -186,7 +187,7 @@
 
     async def whole(self) -> Result:
         began, partial = time.monotonic(), ""
-        check_capacity(self.scenario, self.places)
+        check_capacity(self.scenario, self.addresses)
         try:
             await self.start()
             await self.go()
@@ -201,7 +202,7 @@
 
 
 def carry_out(scenario: Scenario, seed: int, out: Path, port: int, progress: Callable[[float], None]) -> Result:
-    """Runs to its end, or to Ctrl-C or SIGTERM: then what there is is judged as partial. Raises CantRun."""
+    """Runs to its end, or to Ctrl-C or SIGTERM: then what there is is judged as partial. Raises CannotRun."""
     if out.exists():
         shutil.rmtree(out)
     run = Run(scenario, seed, out, port, progress)
--- a/stoneyoke/lab/worker_terms.py
+++ b/stoneyoke/lab/worker_terms.py
@@ -6,9 +6,9 @@
 import msgspec
 import numpy as np
 
+from stoneyoke.lab.addresses import Addresses, address_text
 from stoneyoke.lab.gateway_files import backend_entry
 from stoneyoke.lab.machine_limits import link_processes
-from stoneyoke.lab.places import Places, text
 from stoneyoke.lab.plan import Drawn
 from stoneyoke.lab.result import speeds_of
 from stoneyoke.lab.scenario import Scenario
@@ -22,29 +22,29 @@
     given: dict[str, Any]
 
 
-def worker_terms(scenario: Scenario, places: Places, drawn: Drawn, seed: int, out: Path) -> list[WorkerTerms]:
+def worker_terms(scenario: Scenario, addresses: Addresses, drawn: Drawn, seed: int, out: Path) -> list[WorkerTerms]:
     """All workers of a run, in the order in which they start."""
     return [
-        *link_terms(places),
-        backends_terms(scenario, places, seed),
-        counter_terms(scenario, places),
-        discovery_terms(scenario, places, seed),
-        clients_terms(scenario, places, drawn, seed),
+        *link_terms(addresses),
+        backends_terms(scenario, addresses, seed),
+        counter_terms(scenario, addresses),
+        discovery_terms(scenario, addresses, seed),
+        clients_terms(scenario, addresses, drawn, seed),
         supervisor_terms(scenario, out),
     ]
 
 
-def link_terms(places: Places) -> list[WorkerTerms]:
+def link_terms(addresses: Addresses) -> list[WorkerTerms]:
     """The processes that carry the links, each with its part of them."""
-    links, carriers = places.links(), link_processes(places)
-    peers = [(name, places.peer(g), places.to_peer(g)) for g, name in enumerate(places.gateway_names)]
+    links, carriers = addresses.links(), link_processes(addresses)
+    peers = [(name, addresses.peer(g), addresses.link_to_peer(g)) for g, name in enumerate(addresses.gateway_names)]
     return [
         WorkerTerms(f"links{at}", "links", {"links": links[at::carriers], "peers": peers, "at": at, "of": carriers})
         for at in range(carriers)
     ]
 
 
-def backends_terms(scenario: Scenario, places: Places, seed: int) -> WorkerTerms:
+def backends_terms(scenario: Scenario, addresses: Addresses, seed: int) -> WorkerTerms:
     """What the stand-ins of all backends are told."""
     given, speeds = scenario.backends, speeds_of(scenario)
     methods = [msgspec.to_builtins(m) for m in scenario.method]
@@ -62,23 +62,23 @@
             "backends": [
                 (
                     name,
-                    places.backend(b),
+                    addresses.backend(b),
                     speeds[b],
                     {"all": "all", "zone": name.split("/")[0], "cell": f"{name.split('/')[0]}-{b % 7}"},
                 )
-                for b, name in enumerate(places.backend_names)
+                for b, name in enumerate(addresses.backend_names)
             ],
         },
     )
 
 
-def counter_terms(scenario: Scenario, places: Places) -> WorkerTerms:
+def counter_terms(scenario: Scenario, addresses: Addresses) -> WorkerTerms:
     """What the counter's stand-in is told."""
     return WorkerTerms(
         "counter",
         "counter",
         {
-            "addresses": [places.counter_half(0), places.counter_half(1)],
+            "addresses": [addresses.counter_half(0), addresses.counter_half(1)],
             "per_s": scenario.counter.per_s,
             "parts": scenario.counter.parts,
             "line_ms": scenario.counter.line_ms,
@@ -86,7 +86,7 @@
     )
 
 
-def discovery_terms(scenario: Scenario, places: Places, seed: int) -> WorkerTerms:
+def discovery_terms(scenario: Scenario, addresses: Addresses, seed: int) -> WorkerTerms:
     """What discovery's stand-in is told: the list, and how late each gateway's agent is."""
     given = scenario.backends
     random_source = np.random.Generator(np.random.PCG64(seed + 1))
@@ -97,16 +97,19 @@
         "discovery",
         "discovery",
         {
-            "list": [backend_entry(places, b) for b in range(given.count)],
-            "agents": [(name, places.agent(g), float(late[g])) for g, name in enumerate(places.gateway_names)],
+            "list": [backend_entry(addresses, b) for b in range(given.count)],
+            "agents": [
+                (name, addresses.discovery_agent(g), float(late[g])) for g, name in enumerate(addresses.gateway_names)
+            ],
             "addresses": [
-                [text(places.to_backend(g, b)) for b in range(given.count)] for g in range(scenario.gateways.count)
+                [address_text(addresses.link_to_backend(g, b)) for b in range(given.count)]
+                for g in range(scenario.gateways.count)
             ],
         },
     )
 
 
-def clients_terms(scenario: Scenario, places: Places, drawn: Drawn, seed: int) -> WorkerTerms:
+def clients_terms(scenario: Scenario, addresses: Addresses, drawn: Drawn, seed: int) -> WorkerTerms:
     """What the clients are told: who asks for what, when and where."""
     methods = [msgspec.to_builtins(m) for m in scenario.method]
     return WorkerTerms(
@@ -114,13 +117,13 @@
         "front",
         {
             "seed": seed,
-            "gateways": places.gateway_names,
+            "gateways": addresses.gateway_names,
             "clients": msgspec.to_builtins(scenario.clients),
             "methods": methods,
             "plans": [p.name for p in scenario.plan],
             "customers": [(c.account, c.plan, c.first, c.width) for c in drawn.customers],
             "arrivals": msgspec.to_builtins(drawn.arrivals),
-            "entries": [places.to_gateway(g) for g in range(scenario.gateways.count)],
+            "entries": [addresses.link_to_gateway(g) for g in range(scenario.gateways.count)],
         },
     )
 
--- a/tests/lab/test_ledger.py
+++ b/tests/lab/test_ledger.py
@@ -5,9 +5,9 @@
 from stoneyoke.lab.cli import SHIPPED
 from stoneyoke.lab.ledger import Ledger
 from stoneyoke.lab.plan import draw
-from stoneyoke.lab.scenario import read
+from stoneyoke.lab.scenario_file import read_scenario
 
-SCENARIO = read(SHIPPED / "small.toml")
+SCENARIO = read_scenario(SHIPPED / "small.toml")
 DRAWN = draw(SCENARIO, 1)
 READ, ORDER, SWITCH = 0, 1, 2
 GATEWAY, BACKEND, OTHER = "a/g000", "a/b000", "b/b001"
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -14,8 +14,9 @@
 from helpers import free_port
 
 from stoneyoke.lab.cli import SHIPPED
-from stoneyoke.lab.run import CantRun, Run
-from stoneyoke.lab.scenario import read
+from stoneyoke.lab.errors import NotReady
+from stoneyoke.lab.run import Run
+from stoneyoke.lab.scenario_file import read_scenario
 
 ENV = os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)}
 LAB = [sys.executable, "-m", "stoneyoke.single_gateway.cli", "lab"]
@@ -100,17 +101,17 @@
 
 def test_a_gateway_that_never_becomes_ready_is_told_with_its_last_line(tmp_path, monkeypatch):
     monkeypatch.setenv("PYTHONPATH", ENV["PYTHONPATH"])
-    run = Run(read(short(tmp_path)), 1, tmp_path / "run", free_port())
+    run = Run(read_scenario(short(tmp_path)), 1, tmp_path / "run", free_port())
     settings = run.settings
     run.settings = lambda g: settings(g) | ({"classes": "none"} if g == 4 else {})
     says = "not ready: b/g004 ended with 2: stoneyoke: 'classes' is missing"
-    with pytest.raises(CantRun, match=says):
+    with pytest.raises(NotReady, match=says):
         asyncio.run(run.whole())
     assert not children_of(tmp_path / "run")
 
 
 def test_the_gateways_key_is_whole_while_the_next_one_is_configured(tmp_path):
-    run = Run(read(SHIPPED / "fleet.toml"), 7, tmp_path)
+    run = Run(read_scenario(SHIPPED / "fleet.toml"), 7, tmp_path)
     (tmp_path / "configs").mkdir()
     run.files.write_keys()
     written = run.files.keys.stat()
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -9,8 +9,9 @@
 from hypothesis import strategies as st
 
 from stoneyoke.lab.cli import SHIPPED
+from stoneyoke.lab.errors import InvalidScenario
 from stoneyoke.lab.plan import draw
-from stoneyoke.lab.scenario import BadScenario, read
+from stoneyoke.lab.scenario_file import read_scenario
 
 SMALL = (SHIPPED / "small.toml").read_text()
 
@@ -44,18 +45,18 @@
 def test_what_is_wrong_is_one_line_with_file_and_key(tmp_path, was, now, key):
     assert was in SMALL
     path = write(tmp_path, SMALL.replace(was, now, 1))
-    with pytest.raises(BadScenario) as bad:
-        read(path)
+    with pytest.raises(InvalidScenario) as bad:
+        read_scenario(path)
     text = str(bad.value)
     assert text.startswith(f"{path}: ") and key in text and "\n" not in text
 
 
 def test_all_that_is_shipped_can_be_read():
-    assert len([read(path) for path in SHIPPED.glob("*.toml")]) >= 11
+    assert len([read_scenario(path) for path in SHIPPED.glob("*.toml")]) >= 11
 
 
 def test_one_seed_asks_for_the_same_bytes_also_elsewhere():
-    scenario = read(SHIPPED / "small.toml")
+    scenario = read_scenario(SHIPPED / "small.toml")
     here = draw(scenario, 5).digest()
     assert here == draw(scenario, 5).digest() != draw(scenario, 6).digest()
     there = subprocess.run(
@@ -76,10 +77,10 @@
     from pathlib import Path
 
     with tempfile.TemporaryDirectory() as folder:
-        scenario = read(write(Path(folder), text))
+        scenario = read_scenario(write(Path(folder), text))
     drawn = draw(scenario, seed)
     assert drawn.digest() == draw(scenario, seed).digest()
-    names = set(scenario.processes())
+    names = set(scenario.process_names())
     assert all(set(s.on) <= names and s.at_us >= 0 for s in drawn.strikes)
     assert all(s.at_us < scenario.seconds * 1e6 for s in drawn.strikes if s.begins)
     assert len({s.number for s in drawn.strikes}) == len(scenario.fault) + faults
