--- a/stoneyoke/net/__init__.py
+++ b/stoneyoke/net/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway on sockets: HTTP/1.1 to clients, backends, the counter and discovery. Decides nothing."""
+"""HTTP/1.1 over sockets, to clients and backends: connections, messages and attempts. Decides nothing."""
--- a/stoneyoke/net/attempt.py
+++ b/stoneyoke/net/attempt.py
@@ -11,7 +11,7 @@
 from stoneyoke.runtime.metrics import Metrics
 
 
-@dataclass(slots=True, kw_only=True)
+@dataclass(slots=True, kw_only=True, eq=False)
 class OutgoingRequest:
     """A request as one attempt sends it.
 
--- a/stoneyoke/net/backends.py
+++ b/stoneyoke/net/backends.py
@@ -2,7 +2,7 @@
 
 import asyncio
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.attempt import Attempt, AttemptResult, OutgoingRequest
@@ -22,8 +22,7 @@
 REJECTION_STATUSES = (503, 504)
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class BackendLimits:
+class BackendLimits(NamedTuple):
     """Bounds of connections to backends.
 
     Attributes:
@@ -193,8 +192,9 @@
         return None
 
     def keep_idle(self, pool: BackendPool, connection: BackendConnection) -> None:
-        """Keeps a connection for the next attempt. Any byte that comes meanwhile ends it: a late response must not be
-        taken for the next request's.
+        """Keeps a connection for the next attempt.
+
+        Any byte that comes meanwhile ends it: a late response must not be taken for the next request's.
         """
 
         def end() -> None:
--- a/stoneyoke/net/http_server.py
+++ b/stoneyoke/net/http_server.py
@@ -200,8 +200,9 @@
     # ---- the end of the process ----
 
     async def close_idle_connections(self) -> None:
-        """Closes what is idle and, from now on, each connection after its response. Returns once requests that
-        crossed with that have come on new connections.
+        """Closes what is idle and, from now on, each connection after its response.
+
+        Returns once requests that crossed with that have come on new connections.
         """
         self.ending = True
         self.connections.close_idle()
--- a/stoneyoke/net/stream.py
+++ b/stoneyoke/net/stream.py
@@ -41,8 +41,9 @@
         self.transport.resume_reading()
 
     def connection_made(self, transport: Any) -> None:
-        """Sets the buffers: asyncio would set aside 256 KiB for each read, and drain() has to wait for the last byte
-        to leave.
+        """Sets the buffers.
+
+        By itself asyncio would set aside 256 KiB for each read, and drain() would not wait for the last byte to leave.
         """
         self.transport = transport
         transport.max_size = READ_BYTES
--- a/stoneyoke/runtime/__init__.py
+++ b/stoneyoke/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the decisions in real time: events in, actions out, timers, the clock, counters."""
+"""Runs the decision logic in real time: events in, actions out, timers, the clock, counters."""
--- a/stoneyoke/runtime/pending_request.py
+++ b/stoneyoke/runtime/pending_request.py
@@ -12,7 +12,7 @@
 Decision = StartAttempt | Reject | Abandon
 
 
-@dataclass(slots=True, kw_only=True)
+@dataclass(slots=True, kw_only=True, eq=False)
 class RequestDescription:
     """What the decision logic is told of a request on its arrival.
 
--- a/stoneyoke/simhost/__init__.py
+++ b/stoneyoke/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's side door: its wire, spoken for many gateway instances."""
+"""The adapter for the operators' simulator: its wire, spoken for many gateway instances."""
--- a/stoneyoke/simhost/__main__.py
+++ b/stoneyoke/simhost/__main__.py
@@ -2,11 +2,13 @@
 
 import sys
 
+from stoneyoke.simhost.errors import MalformedFrame
 from stoneyoke.simhost.host import serve
-from stoneyoke.simhost.wire import Malformed
+
+EXIT_MALFORMED = 2
 
 try:
     serve(sys.stdin.buffer, sys.stdout.buffer)
-except Malformed as bad:
-    print(f"stoneyoke: {bad}", file=sys.stderr)
-    sys.exit(2)
+except MalformedFrame as error:
+    print(f"stoneyoke: {error}", file=sys.stderr)
+    sys.exit(EXIT_MALFORMED)
--- /dev/null
+++ b/stoneyoke/simhost/instance.py
@@ -0,0 +1,200 @@
+"""One simulated gateway: its decision logic, and the wire's numbers in place of its indices."""
+
+from collections.abc import Callable
+
+from stoneyoke.control import Gateway
+from stoneyoke.control.actions import (
+    Abandon,
+    Action,
+    AddToCounter,
+    CancelAttempt,
+    ForgetCustomer,
+    Reject,
+    SetTimer,
+    StartAttempt,
+    Subscribe,
+)
+from stoneyoke.control.events import (
+    AnswerStarted,
+    Arrival,
+    AttemptEnded,
+    ClientGone,
+    CounterReply,
+    Endpoint,
+    EndpointsChanged,
+    Event,
+    TimerFired,
+)
+from stoneyoke.control.parameters import AttemptOutcome, BackendState, GatewayParameters
+from stoneyoke.runtime.id_index import IdIndex
+from stoneyoke.simhost.errors import MalformedFrame
+from stoneyoke.simhost.wire import (
+    CLIENT_RETRY_BIT,
+    LIST_UPDATE,
+    TIME_MAX_US,
+    ActionCode,
+    Batch,
+    EventCode,
+    Fields,
+    Reply,
+)
+
+OUTCOMES = {
+    200: AttemptOutcome.OK,
+    500: AttemptOutcome.ERROR,
+    503: AttemptOutcome.REJECTED,
+    504: AttemptOutcome.TIMED_OUT,
+    502: AttemptOutcome.NO_CONNECTION,
+    598: AttemptOutcome.BROKEN,
+    499: AttemptOutcome.CANCELLED,
+    410: AttemptOutcome.NOT_SENT,
+}
+
+
+class Instance:
+    """One simulated gateway. It turns the wire's events into the decision logic's, and the actions back.
+
+    Indices of requests and customers are released once the decision logic holds nothing of them any more; those of
+    backends are kept, since discovery never says that the simulator has finished with one.
+    """
+
+    def __init__(self, number: int, parameters: GatewayParameters, now: int) -> None:
+        """Starts the decision logic.
+
+        Args:
+            number: The instance's number on the wire.
+            parameters: The decision logic's.
+            now: The simulated time in microseconds.
+        """
+        self.number = number
+        self.requests, self.backends, self.customers = IdIndex[int](), IdIndex[int](), IdIndex[int]()
+        self.gateway = Gateway(parameters, now)
+
+    # ---- events ----
+
+    def handle(self, code: int, fields: Fields, batch: Batch, reply: Reply) -> None:
+        """Handles one event. Events that the decision logic has no use for are ignored.
+
+        Raises:
+            MalformedFrame: A field holds a value that the wire's page does not give.
+        """
+        handler = HANDLERS.get(code)
+        if handler:
+            handler(self, fields, batch, reply)
+
+    def accept(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+        """A client's request has come."""
+        _, request, method, plan, customer, wait_us, units, width, _, bits = fields
+        marks_retries = self.gateway.parameters.clients_mark_retries
+        arrival = Arrival(
+            rpc=self.requests.acquire(request),
+            method=method,
+            plan=plan,
+            customer=self.customers.acquire(customer),
+            customer_id=customer,
+            wait_us=wait_us,
+            units=units,
+            customer_gateways=width,
+            is_retry=bool(bits & CLIENT_RETRY_BIT) if marks_retries else None,
+        )
+        self.dispatch_for_request(request, arrival, batch, reply)
+
+    def verdict(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+        """An attempt has ended. Its request may be one that has been ended before."""
+        _, request, _, _, attempt, backend, cost, outcome, closed, *_ = fields
+        if outcome not in OUTCOMES:
+            raise MalformedFrame(f"frame {batch.number}: unknown outcome {outcome}")
+        rpc = self.requests.index_by_id.get(request)
+        if rpc is None:
+            return
+        ended = AttemptEnded(
+            rpc=rpc,
+            attempt=attempt,
+            backend=self.backends.acquire(backend),
+            outcome=OUTCOMES[outcome],
+            is_final=bool(closed),
+            settled_units=float(cost),
+        )
+        self.dispatch_for_request(request, ended, batch, reply)
+
+    def gone(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+        """A client has gone."""
+        rpc = self.requests.index_by_id.get(fields[1])
+        if rpc is not None:
+            self.dispatch_for_request(fields[1], ClientGone(rpc), batch, reply)
+
+    def first(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+        """A streamed response has begun."""
+        rpc = self.requests.index_by_id.get(fields[1])
+        if rpc is not None:
+            self.dispatch_for_request(fields[1], AnswerStarted(rpc), batch, reply)
+
+    def wakeup(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+        """A timer has come due."""
+        self.dispatch(TimerFired(fields[1]), batch, reply)
+
+    def count_result(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+        """The counter service has replied."""
+        _, name, _, outcome, total = fields
+        added = OUTCOMES.get(outcome) is AttemptOutcome.OK
+        self.dispatch(CounterReply(name, added, total), batch, reply)
+
+    def query_failed(self, batch: Batch, reply: Reply) -> None:
+        """Discovery has not answered; the list stays."""
+        self.dispatch(EndpointsChanged(False, True), batch, reply)
+
+    def endpoints_changed(self, mode: int, rows: list[Fields], batch: Batch, reply: Reply) -> None:
+        """Discovery has sent a whole list or changes to it."""
+        endpoints = [
+            Endpoint(self.backends.acquire(backend), zone, cell, started_us, BackendState(state))
+            for cell, zone, _, _, backend, started_us, state in rows
+        ]
+        self.dispatch(EndpointsChanged(mode != LIST_UPDATE, False, endpoints), batch, reply)
+
+    # ---- the decision logic ----
+
+    def dispatch(self, event: Event, batch: Batch, reply: Reply) -> None:
+        """Delivers an event and adds the actions that follow from it to the reply."""
+        for action in self.gateway.handle(event, batch.clock_us):
+            self.add_action(action, reply)
+            if isinstance(action, Reject | Abandon) and not self.gateway.holds(action.rpc):
+                self.requests.release(action.rpc)
+
+    def dispatch_for_request(self, request: int, event: Event, batch: Batch, reply: Reply) -> None:
+        """Delivers a request's event; releases the request's index if nothing is held of it any more."""
+        self.dispatch(event, batch, reply)
+        rpc = self.requests.index_by_id.get(request)
+        if rpc is not None and not self.gateway.holds(rpc):
+            self.requests.release(rpc)
+
+    def add_action(self, action: Action, reply: Reply) -> None:
+        """Adds an action to the reply, in the wire's numbers."""
+        requests = self.requests.id_by_index
+        match action:
+            case StartAttempt(rpc, backend, limit_us):
+                to = self.backends.id_by_index[backend]
+                reply.add(ActionCode.SEND, self.number, requests[rpc], to, min(limit_us, TIME_MAX_US))
+            case Reject(rpc, retry_after_us):
+                reply.add(ActionCode.DECLINE, self.number, requests[rpc], min(retry_after_us, TIME_MAX_US))
+            case Abandon(rpc):
+                reply.add(ActionCode.REPORT_FAILURE, self.number, requests[rpc])
+            case CancelAttempt(rpc, attempt):
+                reply.add(ActionCode.CALL_OFF, self.number, requests[rpc], attempt)
+            case SetTimer(delay_us, token):
+                reply.add(ActionCode.TIMER, self.number, delay_us, token)
+            case AddToCounter(name, ttl_us, amount):
+                reply.add(ActionCode.BUMP, self.number, name, ttl_us, amount)
+            case Subscribe():
+                reply.add(ActionCode.OBSERVE, self.number, 1)
+            case ForgetCustomer(customer):
+                self.customers.release(customer)
+
+
+HANDLERS: dict[int, Callable[[Instance, Fields, Batch, Reply], None]] = {
+    EventCode.ACCEPT: Instance.accept,
+    EventCode.VERDICT: Instance.verdict,
+    EventCode.GONE: Instance.gone,
+    EventCode.FIRST: Instance.first,
+    EventCode.WAKEUP: Instance.wakeup,
+    EventCode.COUNT_RESULT: Instance.count_result,
+}
--- a/stoneyoke/simhost/wire.py
+++ b/stoneyoke/simhost/wire.py
@@ -1,113 +1,180 @@
-"""Frames of the simulator's wire. All its words and codes stay in this package."""
+"""Frames of the simulator's wire: codes, layouts, reading and writing. Names are those of the wire's page.
+
+A frame is a header, then records of a fixed size, then a tail that holds whatever has no fixed size.
+"""
 
 import struct
 from collections.abc import Iterator
+from enum import IntEnum
 from typing import Any, BinaryIO
 
+from stoneyoke.simhost.errors import MalformedFrame
 
-class Malformed(Exception):
-    """A frame that can't be read; the text says what and where."""
-
-
-HEADER = struct.Struct("<IIQI")
-REPLY = struct.Struct("<III")
+BATCH_HEADER = struct.Struct("<IIQI")  # number, length, clock, records
+REPLY_HEADER = struct.Struct("<III")  # number of the batch, length, records
 EVENT_SIZE, ACTION_SIZE = 40, 24
-ENTRY = struct.Struct("<HHHfIQB")
-
-REPEAT = 2  # of an RPC's bits: a client's later try
-SPAWN, LIST_NEWS, ACCEPT, FIRST, VERDICT, GONE = range(1, 7)
-WAKEUP, ECHO, WHISPER, KILLED, COUNTED, MANIFEST = range(7, 13)
-EVENTS = {
-    SPAWN: struct.Struct("<xHQII"),
-    LIST_NEWS: struct.Struct("<xHBQI"),
-    ACCEPT: struct.Struct("<xHIHIQIfffB"),
-    FIRST: struct.Struct("<xHIBII"),
-    VERDICT: struct.Struct("<xHIIHBIHHBB4f"),
-    GONE: struct.Struct("<xHI"),
-    WAKEUP: struct.Struct("<xHI"),
-    ECHO: struct.Struct("<xHIHIB4f"),
-    WHISPER: struct.Struct("<xHIII"),
-    KILLED: struct.Struct("<xH"),
-    COUNTED: struct.Struct("<xHQIHf"),
-    MANIFEST: struct.Struct("<xIII"),
+ENDPOINT = struct.Struct("<HHHfIQB")  # cell, zone, machine type, scale, backend, started, state
+
+CLIENT_RETRY_BIT = 2  # of an Accept's bitmap
+LIST_UPDATE, LIST_FAILED = 0, 3  # modes of BackendsChanged; the others bring a whole list
+TIME_MAX_US = 2**32 - 1  # the longest time that an action can hold
+
+
+class EventCode(IntEnum):
+    """What the simulator tells of."""
+
+    SPAWN = 1
+    BACKENDS_CHANGED = 2
+    ACCEPT = 3
+    FIRST = 4
+    VERDICT = 5
+    GONE = 6
+    WAKEUP = 7
+    ECHO = 8
+    WHISPER = 9
+    KILLED = 10
+    COUNT_RESULT = 11
+    MANIFEST = 12
+
+
+class ActionCode(IntEnum):
+    """What an instance asks the simulator to do."""
+
+    SEND = 1
+    DECLINE = 2
+    REPORT_FAILURE = 3
+    CALL_OFF = 4
+    TIMER = 5
+    BROKEN = 10
+    OBSERVE = 11
+    BUMP = 13
+
+
+EVENT_LAYOUTS: dict[int, struct.Struct] = {
+    EventCode.SPAWN: struct.Struct("<xHQII"),
+    EventCode.BACKENDS_CHANGED: struct.Struct("<xHBQI"),
+    EventCode.ACCEPT: struct.Struct("<xHIHIQIfffB"),
+    EventCode.FIRST: struct.Struct("<xHIBII"),
+    EventCode.VERDICT: struct.Struct("<xHIIHBIHHBB4f"),
+    EventCode.GONE: struct.Struct("<xHI"),
+    EventCode.WAKEUP: struct.Struct("<xHI"),
+    EventCode.ECHO: struct.Struct("<xHIHIB4f"),
+    EventCode.WHISPER: struct.Struct("<xHIII"),
+    EventCode.KILLED: struct.Struct("<xH"),
+    EventCode.COUNT_RESULT: struct.Struct("<xHQIHf"),
+    EventCode.MANIFEST: struct.Struct("<xIII"),
 }
-
-SEND, DECLINE, REPORT_FAILURE, CALL_OFF, TIMER = range(1, 6)
-BROKEN, OBSERVE, BUMP = 10, 11, 13
-ACTIONS = {
-    SEND: struct.Struct("<BHIII"),
-    DECLINE: struct.Struct("<BHII"),
-    REPORT_FAILURE: struct.Struct("<BHI"),
-    CALL_OFF: struct.Struct("<BHIB"),
-    TIMER: struct.Struct("<BHII"),
-    BROKEN: struct.Struct("<BHII"),
-    OBSERVE: struct.Struct("<BHB"),
-    BUMP: struct.Struct("<BHQIf"),
+"""The fields of each event. The record's code is skipped; the instance's number comes first but in MANIFEST."""
+
+ACTION_LAYOUTS: dict[int, struct.Struct] = {
+    ActionCode.SEND: struct.Struct("<BHIII"),
+    ActionCode.DECLINE: struct.Struct("<BHII"),
+    ActionCode.REPORT_FAILURE: struct.Struct("<BHI"),
+    ActionCode.CALL_OFF: struct.Struct("<BHIB"),
+    ActionCode.TIMER: struct.Struct("<BHII"),
+    ActionCode.BROKEN: struct.Struct("<BHII"),
+    ActionCode.OBSERVE: struct.Struct("<BHB"),
+    ActionCode.BUMP: struct.Struct("<BHQIf"),
 }
+"""The code and the fields of each action; the instance's number comes first."""
+
+Fields = tuple[Any, ...]
 
 
 def read_exactly(source: BinaryIO, size: int, what: str) -> bytes:
-    """So many bytes. Raises Malformed, which says what was cut short."""
+    """Reads so many bytes.
+
+    Raises:
+        MalformedFrame: The input ends before; the text says what was cut short.
+    """
     data = source.read(size)
     if data is None or len(data) < size:
-        raise Malformed(f"truncated {what}: {len(data or b'')} of {size} bytes")
+        raise MalformedFrame(f"truncated {what}: {len(data or b'')} of {size} bytes")
     return data
 
 
 class Batch:
-    """One frame from the simulator: its number, its clock and its events."""
+    """One frame of the simulator.
+
+    Attributes:
+        number: The frame's number, which the reply repeats.
+        clock_us: The simulated time. It stands still until the reply.
+    """
+
+    def __init__(self, source: BinaryIO, header: bytes) -> None:
+        """Reads the frame that a header begins.
 
-    def __init__(self, source: BinaryIO, head: bytes) -> None:
-        self.number, length, self.clock, count = HEADER.unpack(head)
-        body = read_exactly(source, length, f"frame {self.number}")
+        Raises:
+            MalformedFrame: The frame is cut short, or shorter than its records.
+        """
+        self.number, length, self.clock_us, count = BATCH_HEADER.unpack(header)
+        body = memoryview(read_exactly(source, length, f"frame {self.number}"))
         if count * EVENT_SIZE > length:
-            raise Malformed(f"frame {self.number}: {count} records don't fit in {length} bytes")
-        self.records = memoryview(body)[: count * EVENT_SIZE]
-        self.tail = memoryview(body)[count * EVENT_SIZE :]
-
-    def events(self) -> Iterator[tuple[int, tuple[Any, ...]]]:
-        for at in range(0, len(self.records), EVENT_SIZE):
-            code = self.records[at]
-            layout = EVENTS.get(code)
+            raise MalformedFrame(f"frame {self.number}: {count} records don't fit in {length} bytes")
+        self.records = body[: count * EVENT_SIZE]
+        self.tail = body[count * EVENT_SIZE :]
+
+    def events(self) -> Iterator[tuple[int, Fields]]:
+        """The code and the fields of each event, in order.
+
+        Raises:
+            MalformedFrame: A code is unknown.
+        """
+        for start in range(0, len(self.records), EVENT_SIZE):
+            code = self.records[start]
+            layout = EVENT_LAYOUTS.get(code)
             if layout is None:
-                raise Malformed(f"frame {self.number}, record {at // EVENT_SIZE}: unknown event code {code}")
-            yield code, layout.unpack_from(self.records, at)
+                raise MalformedFrame(f"frame {self.number}, record {start // EVENT_SIZE}: unknown event code {code}")
+            yield code, layout.unpack_from(self.records, start)
 
-    def piece(self, offset: int, size: int) -> bytes:
+    def tail_part(self, offset: int, size: int) -> bytes:
+        """A part of the tail.
+
+        Raises:
+            MalformedFrame: It reaches beyond the tail.
+        """
         if offset + size > len(self.tail):
-            raise Malformed(
-                f"frame {self.number}: offset {offset}, length {size} reach beyond a tail of {len(self.tail)}"
-            )
+            reach = f"offset {offset}, length {size} reach beyond a tail of {len(self.tail)}"
+            raise MalformedFrame(f"frame {self.number}: {reach}")
         return bytes(self.tail[offset : offset + size])
 
-    def entries(self, offset: int, count: int) -> list[tuple[Any, ...]]:
-        return list(ENTRY.iter_unpack(self.piece(offset, count * ENTRY.size)))
+    def endpoint_rows(self, offset: int, count: int) -> list[Fields]:
+        """The rows of a list of backends in the tail."""
+        return list(ENDPOINT.iter_unpack(self.tail_part(offset, count * ENDPOINT.size)))
 
 
 def batches(source: BinaryIO) -> Iterator[Batch]:
-    """The simulator's messages, frame by frame, until the input ends."""
-    while head := source.read(HEADER.size):
-        if len(head) < HEADER.size:
-            raise Malformed(f"truncated header: {len(head)} of {HEADER.size} bytes")
-        yield Batch(source, head)
+    """The simulator's frames, until the input ends.
+
+    Raises:
+        MalformedFrame: A frame can't be read.
+    """
+    while header := source.read(BATCH_HEADER.size):
+        if len(header) < BATCH_HEADER.size:
+            raise MalformedFrame(f"truncated header: {len(header)} of {BATCH_HEADER.size} bytes")
+        yield Batch(source, header)
 
 
 class Reply:
     """The actions that answer one batch."""
 
     def __init__(self, number: int) -> None:
+        """Takes the batch's number."""
         self.number = number
         self.records: list[bytes] = []
         self.tail = bytearray()
 
-    def add(self, code: int, *fields: float) -> None:
-        self.records.append(ACTIONS[code].pack(code, *fields).ljust(ACTION_SIZE, b"\0"))
+    def add(self, code: ActionCode, *fields: float) -> None:
+        """Adds an action, the instance's number first."""
+        self.records.append(ACTION_LAYOUTS[code].pack(code, *fields).ljust(ACTION_SIZE, b"\0"))
 
-    def add_text(self, code: int, who: int, text: str) -> None:
+    def add_text(self, code: ActionCode, instance: int, text: str) -> None:
+        """Adds an action whose only field is a text."""
         data = text.encode()
-        self.add(code, who, len(self.tail), len(data))
+        self.add(code, instance, len(self.tail), len(data))
         self.tail += data
 
     def frame(self) -> bytes:
+        """The whole frame."""
         body = b"".join(self.records) + self.tail
-        return REPLY.pack(self.number, len(body), len(self.records)) + body
+        return REPLY_HEADER.pack(self.number, len(body), len(self.records)) + body
--- a/stoneyoke/single_gateway/configuration.py
+++ b/stoneyoke/single_gateway/configuration.py
@@ -2,9 +2,8 @@
 
 import json
 import os
-from dataclasses import dataclass
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from stoneyoke.control.parameters import GatewayParameters
 from stoneyoke.net.errors import MalformedMessage
@@ -25,8 +24,7 @@
 Address = tuple[str, int]
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class GatewaySettings:
+class GatewaySettings(NamedTuple):
     """What the configuration says, read and checked as a whole.
 
     Attributes:
--- a/stoneyoke/single_gateway/counter.py
+++ b/stoneyoke/single_gateway/counter.py
@@ -129,8 +129,10 @@
     # ---- connections ----
 
     def pick_connection(self, now: int) -> CounterConnection:
-        """A connection without queries, else a new one. At the limit, one whose queries are not overdue, or else a new
-        one in place of the one that has been silent longest.
+        """A connection without queries, else a new one.
+
+        At the limit, one whose queries are not overdue, or else a new one in place of the one that has been silent
+        longest.
         """
         for connection in list(self.connections):
             if connection.is_spent(now):
--- a/stoneyoke/single_gateway/discovery.py
+++ b/stoneyoke/single_gateway/discovery.py
@@ -105,7 +105,7 @@
                 self.deliver(update)
                 if not response.keep_alive:
                     return
-                target = b"%s?from=%d&hold_ms=%d" % (SNAPSHOT_TARGET, update.index, LONG_POLL_MS)
+                target = b"%s?from=%d&hold_ms=%d" % (SNAPSHOT_TARGET, update.position, LONG_POLL_MS)
                 time_limit_s = LONG_POLL_MS / 1000 + RESPONSE_TIMEOUT_S
         finally:
             writer.transport.abort()
--- a/stoneyoke/single_gateway/endpoints.py
+++ b/stoneyoke/single_gateway/endpoints.py
@@ -2,7 +2,7 @@
 
 import re
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from stoneyoke.control.parameters import BackendState
 from stoneyoke.net.errors import MalformedMessage
@@ -14,7 +14,7 @@
 is_host = re.compile(r"[0-9A-Za-z._:-]{1,253}").fullmatch  # what a name or a numeric address can be made of
 
 
-@dataclass(slots=True, kw_only=True)
+@dataclass(slots=True, kw_only=True, eq=False)
 class ListedEndpoint:
     """One backend, as discovery lists it.
 
@@ -35,18 +35,17 @@
     started_us: int
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class EndpointUpdate:
+class EndpointUpdate(NamedTuple):
     """What one response of discovery says.
 
     Attributes:
-        index: The list's position, from which the next query goes on.
+        position: The list's version, from which the next query goes on.
         complete: Backends that are not listed are gone. Else these are only the ones that changed.
         endpoints: What can be used of the list.
         omitted: Why the last endpoint that was left out can't be used; empty if all can.
     """
 
-    index: int
+    position: int
     complete: bool
     endpoints: list[ListedEndpoint]
     omitted: str = ""
@@ -91,7 +90,7 @@
         MalformedMessage: The value is no list of endpoints.
     """
     try:
-        index, complete = int(value["index"]), bool(value["snapshot"])
+        position, complete = int(value["index"]), bool(value["snapshot"])
         rows = list(value["endpoints"])
     except (KeyError, TypeError, ValueError, OverflowError) as error:
         raise MalformedMessage(f"not a list of backends: {str(value)[:QUOTED_CHARACTERS]}") from error
@@ -101,4 +100,4 @@
             endpoints.append(read_endpoint(row))
         except MalformedMessage as error:
             omitted = str(error)
-    return EndpointUpdate(index=index, complete=complete and not omitted, endpoints=endpoints, omitted=omitted)
+    return EndpointUpdate(position=position, complete=complete and not omitted, endpoints=endpoints, omitted=omitted)
--- a/stoneyoke/single_gateway/request_head.py
+++ b/stoneyoke/single_gateway/request_head.py
@@ -61,7 +61,7 @@
         self.units_max = parameters.units_max or math.inf
 
 
-@dataclass(slots=True, kw_only=True)
+@dataclass(slots=True, kw_only=True, eq=False)
 class RpcHead(RequestDescription):
     """What a request's head says, checked.
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from stoneyoke.simhost.errors import MalformedFrame
 from stoneyoke.simhost.host import serve
-from stoneyoke.simhost.wire import Malformed
 
 START = {
     "balancers": 1,
@@ -90,7 +90,7 @@
     ],
 )
 def test_malformed_frames_end_it_with_a_plain_line(data, says):
-    with pytest.raises(Malformed, match=says):
+    with pytest.raises(MalformedFrame, match=says):
         replies(data)
 
 
