--- a/stoneyoke/lab/capacity/metered_network.py
+++ b/stoneyoke/lab/capacity/metered_network.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from stoneyoke.lab.simulation.clock import MACHINE, SimulatedLoop
-from stoneyoke.lab.simulation.network import SimulatedNetwork
+from stoneyoke.lab.simulation.network import PeerCall, SimulatedNetwork
 
 
 class MeteredLoop(SimulatedLoop):
@@ -77,10 +77,12 @@
             await asyncio.sleep(self.far_s)
         return arrives
 
-    async def deliver(self, own: str, other: str, kind: str, data: bytes, answer: asyncio.Future[bytes]) -> None:
-        self.traffic.carried(own, other, len(data), self.far(own, other))
-        await super().deliver(own, other, kind, data, answer)
+    async def deliver(self, call: PeerCall) -> None:
+        """Counts a call's bytes and carries it."""
+        self.traffic.carried(call.sender, call.receiver, len(call.frame), self.far(call.sender, call.receiver))
+        await super().deliver(call)
 
-    async def return_answer(self, own: str, other: str, data: bytes, answer: asyncio.Future[bytes]) -> None:
-        self.traffic.carried(other, own, len(data), self.far(own, other))
-        await super().return_answer(own, other, data, answer)
+    async def return_answer(self, call: PeerCall, frame: bytes) -> None:
+        """Counts an answer's bytes and carries it."""
+        self.traffic.carried(call.receiver, call.sender, len(frame), self.far(call.sender, call.receiver))
+        await super().return_answer(call, frame)
--- a/stoneyoke/lab/simulation/__main__.py
+++ b/stoneyoke/lab/simulation/__main__.py
@@ -19,7 +19,7 @@
 
 from absl import app, flags
 
-from stoneyoke.lab.simulation.bounds import START_S
+from stoneyoke.lab.simulation.clock import START_S
 from stoneyoke.lab.simulation.consensus_defects import MODEL_THAT_FINDS, found
 from stoneyoke.lab.simulation.exhaustive import search
 from stoneyoke.lab.simulation.plans import read_plan, reduce
--- a/stoneyoke/lab/simulation/bounds.py
+++ b/stoneyoke/lab/simulation/bounds.py
@@ -11,5 +11,3 @@
 CHECK_INTERVAL_S = 0.02  # between two checks of the invariants
 HEARTBEAT_S = 1.5  # between two heartbeats of a backend
 CALL_TIMEOUT_S = 1.0  # after which an operator or a backend gives up a call
-
-START_S = 1000.0  # the loop's time at which a scenario starts
--- a/stoneyoke/lab/simulation/checker.py
+++ b/stoneyoke/lab/simulation/checker.py
@@ -6,7 +6,8 @@
 from typing import NamedTuple
 
 from stoneyoke.api.configuration import Version
-from stoneyoke.lab.simulation.bounds import ACKNOWLEDGE_S, BOUNDS, START_S
+from stoneyoke.lab.simulation.bounds import ACKNOWLEDGE_S, BOUNDS
+from stoneyoke.lab.simulation.clock import START_S
 from stoneyoke.lab.simulation.disturbances import Disturbances
 from stoneyoke.lab.simulation.register_history import RegisterHistory
 
--- a/stoneyoke/lab/simulation/clock.py
+++ b/stoneyoke/lab/simulation/clock.py
@@ -6,12 +6,14 @@
 from collections import deque
 from typing import Any
 
-MAX_TURNS_WITHOUT_PROGRESS = 200_000  # without time passing: somebody waits for nothing, again and again
-MACHINE: contextvars.ContextVar[str] = contextvars.ContextVar("machine", default="")  # where a task or timer runs
+START_S = 1000.0  # the time at which a loop starts
+MAX_TURNS_WITHOUT_PROGRESS = 200_000  # turns without time passing, after which a task must be spinning
+# The machine to which a task or a timer belongs; empty for the network and the callers outside.
+MACHINE: contextvars.ContextVar[str] = contextvars.ContextVar("machine", default="")
 
 
 class FreezableHandle(asyncio.Handle):
-    """One step. It waits while the machine that it belongs to is frozen."""
+    """One step of a task. It waits while its machine is frozen."""
 
     __slots__ = ()
 
@@ -21,7 +23,7 @@
 
 
 class FreezableTimerHandle(asyncio.TimerHandle):
-    """The same for a timer: time passes for a frozen machine, and it learns so once it is thawed."""
+    """A timer. Time passes for a frozen machine, which learns so once it is thawed."""
 
     __slots__ = ()
 
@@ -31,14 +33,21 @@
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """Time passes only when nothing is left to do, and then at once: nothing waits.
+    """An event loop that jumps to the next timer when no step is left to run.
 
-    frozen: the steps that wait, by machine. A frozen machine stands still at whatever await it had reached, between a
-    check and what rests on it too: its timers, messages and writes are delivered after the thaw, in their order."""
+    A frozen machine stops at the await that it has reached, which may lie between a check and what rests on it. Its
+    timers, messages and writes are delivered after the thaw, in their order.
+
+    Attributes:
+        now: The simulated time in seconds.
+        turns: Turns of the loop since time passed last.
+        frozen: The steps that wait, by machine.
+    """
 
     def __init__(self) -> None:
+        """Starts at START_S; replaces the selector's wait by a jump in time."""
         super().__init__()
-        self.now, self.turns = 1000.0, 0
+        self.now, self.turns = START_S, 0
         self.frozen: dict[str, deque[asyncio.Handle]] = {}
         real = self._selector.select  # type: ignore[attr-defined]
 
@@ -57,16 +66,19 @@
         self._selector.select = jump  # type: ignore[attr-defined]
 
     def time(self) -> float:
+        """Returns the simulated time in seconds."""
         return self.now
 
     def freeze(self, machine: str) -> None:
+        """Stops a machine; nothing changes if it is frozen."""
         self.frozen.setdefault(machine, deque())
 
     def thaw(self, machine: str) -> None:
+        """Lets a machine continue; nothing changes if it is not frozen."""
         self._ready.extend(self.frozen.pop(machine, ()))  # type: ignore[attr-defined]
 
     def hold_if_frozen(self, handle: asyncio.Handle) -> bool:
-        """Whether this step has to wait for a thaw."""
+        """Keeps a step of a frozen machine; returns whether it has to wait."""
         if not self.frozen:
             return False
         waiting = self.frozen.get(handle._context.get(MACHINE, ""))  # type: ignore[attr-defined]
@@ -80,7 +92,10 @@
         self._ready.append(handle)  # type: ignore[attr-defined]
         return handle
 
-    def call_at(self, when: float, callback: Any, *args: Any, context: Any = None) -> asyncio.TimerHandle:  # type: ignore[override]
+    def call_at(  # type: ignore[override]
+        self, when: float, callback: Any, *args: Any, context: Any = None
+    ) -> asyncio.TimerHandle:
+        """Starts a timer that a freeze of its machine holds back."""
         timer = FreezableTimerHandle(when, callback, args, self, context)
         heapq.heappush(self._scheduled, timer)  # type: ignore[attr-defined]
         timer._scheduled = True  # type: ignore[attr-defined]
--- a/stoneyoke/lab/simulation/disks.py
+++ b/stoneyoke/lab/simulation/disks.py
@@ -1,7 +1,8 @@
-"""Disks that forget: the real records in a real folder, and what a loss of power makes of them.
+"""Simulated disks: the real record store in a real folder, and what a loss of power leaves of it.
 
-A loss of power keeps what was synced, each later write whole, torn or not at all, and each name made or removed or
-not, by lot (DEPLOY, Disk)."""
+A loss of power keeps what was synced. Each later write is kept whole, torn or not at all, and each name that was made
+or removed since is kept or not, at random (DEPLOY, Disk).
+"""
 
 import asyncio
 import errno
@@ -14,17 +15,29 @@
 
 from stoneyoke.storage.record_store import RecordStore, StorageError
 
-WRITE_S = 0.004  # of a disk that is well
-SLOW_WRITE_S = 0.15
-STALL_STEP_S = 0.05
+WRITE_S = 0.004  # of a healthy disk
+SLOW_WRITE_S = 0.15  # of a slow disk
+STALL_POLL_S = 0.05  # between two looks whether a disk still stalls
+RECORD_STEPS = 8  # syncs and removals of one record, at most
+ALL_UNSYNCED_LOST = 0.25  # probability that a loss of power takes all that is not synced
+NEW_NAME_LOST = 0.5  # probability that a name made since the folder's last sync is lost
+UNSYNCED_LOST = 0.4  # probability that the writes after a file's last sync are lost
+UNSYNCED_KEPT = 0.5  # probability, else, that they are kept whole
+TORN_WITH_ZEROS = 0.5  # probability that a torn file is filled up with zeros
+END_DURING_WRITE = 0.6  # probability that a process which writes ends within the write
 
 
 class PowerLost(BaseException):
-    """In the middle of a write."""
+    """The process ends in the middle of a write."""
 
 
 class FileState(NamedTuple):
-    """A file's bytes as a process reads them, and those that its last sync covered; None: it had no sync."""
+    """A file's bytes.
+
+    Attributes:
+        content: As a process reads them.
+        synced: As the file's last sync found them; None if it had none.
+    """
 
     content: bytes
     synced: bytes | None
@@ -32,30 +45,49 @@
 
 @dataclass(slots=True)
 class SyncedState:
-    """What a loss of power has to start from: files by name, as of the last syncs."""
+    """What a loss of power starts from.
+
+    Attributes:
+        contents: The content of each file that has a name now, as its own last sync found it.
+        names: The names that the folder's last sync found.
+        removed: The files of each name that were removed since that sync, in their order.
+    """
 
-    contents: dict[str, bytes] = field(default_factory=dict)  # of the file that has the name now, by its own last sync
-    names: set[str] = field(default_factory=set)  # as the folder's last sync found them
-    removed: dict[str, list[FileState]] = field(default_factory=dict)  # since that sync, in their order
+    contents: dict[str, bytes] = field(default_factory=dict)
+    names: set[str] = field(default_factory=set)
+    removed: dict[str, list[FileState]] = field(default_factory=dict)
 
 
 class SimulatedRecordStore(RecordStore):
-    """The real records in a real folder, whose syncs and removals are noted. refuses: no sync ends well.
-    room: so many bytes fit. steps_left: then the process ends; -1: it does not."""
+    """The real record store in a real folder, with its syncs and removals recorded.
+
+    Attributes:
+        state: What a loss of power starts from.
+        refuses: Whether every sync fails.
+        capacity_bytes: Bytes that the folder may hold; None for no bound.
+        steps_left: Syncs and removals until the process ends; -1 if it does not.
+    """
 
     def __init__(self, folder: str, state: SyncedState | None = None) -> None:
+        """Opens the store of a folder; `state` is that of the process before."""
         self.state = state or SyncedState()
         self.refuses = False
-        self.room: int | None = None
+        self.capacity_bytes: int | None = None
         self.steps_left = -1
         super().__init__(folder)
 
     def step(self) -> None:
+        """Counts a sync or a removal.
+
+        Raises:
+            PowerLost: If the process ends here.
+        """
         if self.steps_left == 0:
             raise PowerLost
         self.steps_left -= self.steps_left > 0
 
     def content(self, name: str) -> bytes | None:
+        """Returns the bytes of a file; None if there is none of this name."""
         try:
             with open(os.path.join(self.folder, name), "rb") as file:
                 return file.read()
@@ -63,14 +95,16 @@
             return None
 
     def write_files(self, family: str, number: int, record: dict[bytes, bytes]) -> None:
+        """Writes the files of a record; the last one is cut off where the folder is full."""
         super().write_files(family, number, record)
         sizes = {name: os.path.getsize(os.path.join(self.folder, name)) for name in os.listdir(self.folder)}
-        if self.room is not None and (over := sum(sizes.values()) - self.room) > 0:
+        if self.capacity_bytes is not None and (over := sum(sizes.values()) - self.capacity_bytes) > 0:
             data = f"{family}-{number}.dat"
             os.truncate(os.path.join(self.folder, data), max(0, sizes[data] - over))
             raise OSError(errno.ENOSPC, "the disk is full")
 
     def sync_path(self, path: str) -> None:
+        """Records what a sync of the folder or of a file covers."""
         if self.refuses:
             raise OSError(errno.EIO, "refused")
         self.step()
@@ -83,6 +117,7 @@
             self.state.contents[name] = content
 
     def remove_file(self, path: str) -> None:
+        """Removes a file, which a loss of power may bring back."""
         name = os.path.basename(path)
         if (content := self.content(name)) is None:
             return
@@ -91,16 +126,19 @@
         super().remove_file(path)
 
     def lose_power(self, random_source: random.Random) -> None:
-        """Writes after a file's last sync are there, missing or torn; each name made or removed since the folder's
-        last sync is kept or lost by itself. At some losses all that was not synced is gone."""
-        all_gone = random_source.random() < 0.25
+        """Rewrites the folder as a loss of power leaves it.
+
+        Writes after a file's last sync are kept, lost or torn. Each name made or removed since the folder's last sync
+        is kept or lost by itself. At some losses all that was not synced is gone.
+        """
+        all_gone = random_source.random() < ALL_UNSYNCED_LOST
         state, after = self.state, dict[str, bytes]()
         for name in sorted({*os.listdir(self.folder), *state.names, *state.removed}):
             content, removed = self.content(name), state.removed.get(name, [])
             files = [*removed, *([FileState(content, state.contents.get(name))] if content is not None else [])]
             if files and name in state.names and (all_gone or not removed):
                 left = files[0]
-            elif all_gone or (not removed and random_source.random() < 0.5):
+            elif all_gone or (not removed and random_source.random() < NEW_NAME_LOST):
                 continue  # a name that was made is lost
             elif (at := random_source.randrange(len(files) + 1)) < len(files):
                 left = files[at]
@@ -116,38 +154,48 @@
 
 
 def torn_content(file: FileState, random_source: random.Random) -> bytes:
-    """Writes after the last sync: missing, there, or there up to some byte, with zeros or nothing after it."""
+    """Returns a file after a loss of power: as synced, as written, or torn, with zeros or nothing after some byte."""
     content, synced = file.content, file.synced or b""
-    if content == synced or random_source.random() < 0.4:
+    if content == synced or random_source.random() < UNSYNCED_LOST:
         return synced
-    if random_source.random() < 0.5:
+    if random_source.random() < UNSYNCED_KEPT:
         return content
     cut = random_source.randrange(len(content) + 1)
-    return content[:cut] + (b"\0" * (len(content) - cut) if random_source.random() < 0.5 else b"")
+    return content[:cut] + (b"\0" * (len(content) - cut) if random_source.random() < TORN_WITH_ZEROS else b"")
 
 
 class Disk:
-    """A machine's disk, whatever runs on it. write_s: of each write; hangs: until it doesn't."""
+    """A machine's disk, which outlives the processes that run on it.
+
+    Attributes:
+        folder: Holds its files.
+        write_s: Mean duration of a write, in seconds.
+        stalled: Whether writes wait until this is False.
+        refuses: Whether every sync fails.
+        store: The record store of the last process.
+        writing: The write that is under way, if any.
+    """
 
     def __init__(self, folder: str, random_source: random.Random) -> None:
+        """Opens a folder; delays and losses are drawn from the random source."""
         self.folder, self.random_source = folder, random_source
         self.write_s, self.stalled, self.refuses = WRITE_S, False, False
         self.store = SimulatedRecordStore(folder)
         self.writing: Callable[[], Any] | None = None
 
     def mount(self) -> SimulatedRecordStore:
-        """For a new process."""
+        """Returns the record store for a new process."""
         self.store = SimulatedRecordStore(self.folder, self.store.state)
         self.store.refuses = self.refuses
         return self.store
 
     async def blocking(self, work: Callable[..., Any], *args: Any) -> Any:
-        """In place of a thread that the disk makes wait."""
+        """Runs work with the disk's delay, in place of a thread that waits for a real disk."""
         self.writing = lambda: work(*args)
         try:
             await asyncio.sleep(self.write_s * (0.5 + self.random_source.random()))
             while self.stalled:
-                await asyncio.sleep(STALL_STEP_S)
+                await asyncio.sleep(STALL_POLL_S)
             self.writing = None
             done = work(*args)
             await asyncio.sleep(self.write_s * self.random_source.random())
@@ -156,9 +204,9 @@
             self.writing = None
 
     def end(self, power: bool) -> None:
-        """The process there ends, maybe within a write."""
-        if self.writing and self.random_source.random() < 0.6:
-            self.store.steps_left = self.random_source.randrange(8)  # a record's syncs and what is removed after them
+        """Ends the process that uses the disk, perhaps within a write; `power`: whether the machine loses its power."""
+        if self.writing and self.random_source.random() < END_DURING_WRITE:
+            self.store.steps_left = self.random_source.randrange(RECORD_STEPS)
             try:
                 self.writing()
             except (PowerLost, StorageError):
@@ -169,16 +217,17 @@
             self.store.lose_power(self.random_source)
 
     def wipe(self) -> None:
+        """Empties the disk."""
         shutil.rmtree(self.folder)
         os.makedirs(self.folder)
         self.store.state = SyncedState()
 
     def size(self) -> int:
-        """Bytes that the folder holds."""
+        """Returns the bytes that the folder holds."""
         return sum(entry.stat().st_size for entry in os.scandir(self.folder))
 
     def set_fault(self, how: str) -> None:
-        """slow, hang, refuse; an empty word ends it."""
+        """Makes the disk "slow", lets it "hang" or "refuse"; an empty text makes it healthy."""
         self.write_s = SLOW_WRITE_S if how == "slow" else WRITE_S
         self.stalled = how == "hang"
         self.refuses = self.store.refuses = how == "refuse"
--- a/stoneyoke/lab/simulation/register_history.py
+++ b/stoneyoke/lab/simulation/register_history.py
@@ -1,7 +1,8 @@
-"""What operators and gateways were shown of the register, and whether it can be one register's history.
+"""The history of the configuration register, as operators and gateways saw it, and whether one register can have it.
 
-One number means one content for ever, and nobody is shown an older state than what was shown to anyone before he
-asked (linearizability of a register that only goes up)."""
+One number means one content for ever. Nobody is shown an older state than anybody was shown before he asked: the
+register is linearizable, and its number only rises.
+"""
 
 import bisect
 from collections.abc import Callable
@@ -13,10 +14,12 @@
 from stoneyoke.consensus.register_value import Proposal, RegisterValue
 
 Check = Callable[[bool, float, str], None]
+END_S = 1e18  # later than any moment of a scenario
+LARGEST_NUMBER = 1 << 62
 
 
 class Claim(NamedTuple):
-    """An operator was told something about a version."""
+    """What an operator was told about a version, and when."""
 
     at: float
     version: Version
@@ -24,9 +27,19 @@
 
 @dataclass
 class RegisterHistory:
-    """must: called with what has to hold. sent: when each version was first ordered; bodies: its text. levels: the
-    numbers that anybody was shown, rising, with their times; floors: the same of those acknowledged. shown: versions
-    read back or in force, by number."""
+    """What was sent, shown, acknowledged and refused. Times are the loop's, in seconds.
+
+    Attributes:
+        check: Takes whether something holds, the time, and the violation if it does not.
+        sent: When each version was first sent.
+        bodies: The text of each version.
+        shown_levels: Rising numbers that anybody was shown, with their times.
+        acknowledged_levels: Rising numbers that were acknowledged, with their times.
+        shown: The version that was read back or in force, by its number.
+        acknowledged: The acknowledgements.
+        conflicts: The refusals.
+        chosen: What any controller took for chosen, by ballot. Operators do not see this.
+    """
 
     check: Check
     sent: dict[Version, float] = field(default_factory=dict)
@@ -36,130 +49,148 @@
     shown: dict[int, Version] = field(default_factory=dict)
     acknowledged: list[Claim] = field(default_factory=list)
     conflicts: list[Claim] = field(default_factory=list)
-    chosen: list[Proposal] = field(default_factory=list)  # white box: what any controller took for chosen, by ballot
+    chosen: list[Proposal] = field(default_factory=list)
 
     def order(self, now: float, version: Version, body: bytes) -> None:
+        """Records that an operator sends a version."""
         self.sent.setdefault(version, now)
         self.bodies[version] = body
 
     def level(self, before: float) -> int:
-        """The highest number that anybody was shown until then."""
-        at = bisect.bisect_right(self.shown_levels, (before, 1 << 62))
-        return self.shown_levels[at - 1][1] if at else 0
+        """Returns the highest number that anybody was shown until then."""
+        return highest_until(self.shown_levels, before)
 
     def raise_level(self, now: float, number: int) -> None:
+        """Records that somebody was shown a number."""
         if number > self.level(now):
             self.shown_levels.append((now, number))
 
     def newest_acknowledged(self, before: float) -> int:
-        """The highest number that was acknowledged until then."""
-        at = bisect.bisect_right(self.acknowledged_levels, (before, 1 << 62))
-        return self.acknowledged_levels[at - 1][1] if at else 0
+        """Returns the highest number that was acknowledged until then."""
+        return highest_until(self.acknowledged_levels, before)
+
+    def was_refused(self, version: Version) -> bool:
+        """Returns whether an operator was told that another content has the number."""
+        return any(claim.version == version for claim in self.conflicts)
 
     # ---- what is shown ----
 
     def show(self, now: float, where: str, configuration: Configuration) -> None:
-        """It is read back, or in force at a gateway."""
+        """Records a configuration that is read back, or in force at a gateway."""
         version = configuration.version
-        known = self.bodies.get(version) == configuration.body
-        self.check(known, now, f"CONFIG: {where} has a text of {version} that nobody sent")
+        is_known = self.bodies.get(version) == configuration.body
+        self.check(is_known, now, f"CONFIG: {where} has a text of {version} that nobody sent")
         first = self.shown.setdefault(version.number, version)
-        self.check(first == version, now, f"CONFIG: {where} shows another content of {version} than was shown before")
-        told = any(claim.version == version for claim in self.conflicts)
-        self.check(not told, now, f"CONFIG: {where} shows a content of {version} whose operator was told of a conflict")
+        violation = f"CONFIG: {where} shows another content of {version} than was shown before"
+        self.check(first == version, now, violation)
+        violation = f"CONFIG: {where} shows a content of {version} whose operator was told of a conflict"
+        self.check(not self.was_refused(version), now, violation)
         self.raise_level(now, version.number)
 
     def read(self, asked_at: float, now: float, where: str, configuration: Configuration) -> None:
+        """Records the answer to a read that was asked at a time."""
         number, least = configuration.version.number, self.level(asked_at)
         self.check(number >= least, now, f"CONFIG: {where} reads back r{number}, r{least} was shown before")
         self.show(now, where, configuration)
 
     def read_nothing(self, asked_at: float, now: float, where: str) -> None:
+        """Records the answer that there is no configuration."""
         least = self.level(asked_at)
-        self.check(least == 0, now, f"CONFIG: {where} says that there is no configuration, r{least} was shown before")
+        violation = f"CONFIG: {where} says that there is no configuration, r{least} was shown before"
+        self.check(least == 0, now, violation)
 
     def acknowledge(self, now: float, version: Version) -> None:
-        told = any(claim.version == version for claim in self.conflicts)
-        self.check(not told, now, f"CONFIG: {version} was rejected, then acknowledged")
+        """Records an acknowledgement."""
+        self.check(not self.was_refused(version), now, f"CONFIG: {version} was rejected, then acknowledged")
         self.acknowledged.append(Claim(now, version))
         if version.number > self.newest_acknowledged(now):
             self.acknowledged_levels.append((now, version.number))
         self.raise_level(now, version.number)
 
     def conflict(self, now: float, version: Version, controller: str, chosen: RegisterValue | None) -> None:
-        """An operator was told that another content is in force under its number. chosen: known to that controller."""
-        decided = chosen is not None and chosen.version.number >= version.number and chosen.version != version
-        self.check(decided, now, f"CONFIG: {controller} tells of a conflict at {version}, and nothing else was decided")
-        again = any(claim.version == version for claim in self.acknowledged)
-        self.check(not again, now, f"CONFIG: {version} was acknowledged, then refused")
-        self.check(
-            self.shown.get(version.number) != version, now, f"CONFIG: {version} was shown, then refused as a conflict"
-        )
+        """Records that an operator was told of another content under the number.
+
+        Args:
+            now: The time.
+            version: What the operator sent.
+            controller: The controller that refused.
+            chosen: What that controller knows to be chosen.
+        """
+        is_decided = chosen is not None and chosen.version.number >= version.number and chosen.version != version
+        violation = f"CONFIG: {controller} tells of a conflict at {version}, and nothing else was decided"
+        self.check(is_decided, now, violation)
+        was_acknowledged = any(claim.version == version for claim in self.acknowledged)
+        self.check(not was_acknowledged, now, f"CONFIG: {version} was acknowledged, then refused")
+        was_shown = self.shown.get(version.number) == version
+        self.check(not was_shown, now, f"CONFIG: {version} was shown, then refused as a conflict")
         self.conflicts.append(Claim(now, version))
 
-    # ---- white box ----
-
-    def learn(self, now: float, where: str, accepted: Proposal) -> None:
-        """A controller takes this for chosen: it has to fit between what was chosen before and after it."""
-        place = bisect.bisect_left(self.chosen, accepted.ballot, key=ballot_of)
-        if place < len(self.chosen) and self.chosen[place].ballot == accepted.ballot:
-            same = self.chosen[place].value == accepted.value
-            return self.check(same, now, f"CHOSEN: {where} has another value under ballot {accepted.ballot}")
-        self.chosen.insert(place, accepted)
-        for older, newer in zip(self.chosen[max(0, place - 1) :], self.chosen[place : place + 2], strict=False):
-            if older is not newer:
-                self.check(
-                    follows(older.value, newer.value), now, f"CHOSEN: {where}: {told(older)}, then {told(newer)}"
-                )
+    # ---- what controllers take for chosen ----
+
+    def learn(self, now: float, where: str, proposal: Proposal) -> None:
+        """Records a proposal that a controller takes for chosen: it must fit between those before and after it."""
+        place = bisect.bisect_left(self.chosen, proposal.ballot, key=ballot_of)
+        if place < len(self.chosen) and self.chosen[place].ballot == proposal.ballot:
+            is_same = self.chosen[place].value == proposal.value
+            self.check(is_same, now, f"CHOSEN: {where} has another value under ballot {proposal.ballot}")
+            return
+        self.chosen.insert(place, proposal)
+        neighbours = self.chosen[max(0, place - 1) : place + 2]
+        for older, newer in zip(neighbours, neighbours[1:], strict=False):
+            violation = f"CHOSEN: {where}: {describe(older)}, then {describe(newer)}"
+            self.check(may_follow(older.value, newer.value), now, violation)
 
     # ---- at the end ----
 
     def audit(self, now: float) -> None:
-        """What can be said only once all is known."""
+        """Checks what can be told only once all is known."""
         for claim in self.acknowledged:
             content = self.shown.get(claim.version.number, claim.version)
-            self.check(
-                content == claim.version or self.superseded(claim),
-                now,
-                f"CONFIG: {claim.version} was acknowledged, and another content was shown under its number",
-            )
-        for one in self.acknowledged:
-            other = next((two for two in self.acknowledged if is_rival(one.version, two.version)), None)
-            self.check(
-                other is None or self.superseded(one) or self.superseded(other),
-                now,
-                f"CONFIG: two contents of {one.version} were acknowledged",
-            )
+            holds = content == claim.version or self.is_superseded(claim)
+            violation = f"CONFIG: {claim.version} was acknowledged, and another content was shown under its number"
+            self.check(holds, now, violation)
+        for claim in self.acknowledged:
+            rival = next((other for other in self.acknowledged if is_rival(claim.version, other.version)), None)
+            holds = rival is None or self.is_superseded(claim) or self.is_superseded(rival)
+            self.check(holds, now, f"CONFIG: two contents of {claim.version} were acknowledged")
+        refused = {claim.version for claim in self.conflicts}
         for claim in self.conflicts:
-            rivals = [two for two in self.sent if is_rival(claim.version, two) and self.sent[two] <= claim.at]
-            told = {claim.version for claim in self.conflicts}
-            self.check(
-                any(two not in told for two in rivals), now, f"CONFIG: every content of {claim.version} was refused"
-            )
-
-    def superseded(self, claim: Claim) -> bool:
-        """A higher number may have been decided before this acknowledgement: then it says only that."""
+            rivals = [other for other in self.sent if is_rival(claim.version, other) and self.sent[other] <= claim.at]
+            holds = any(rival not in refused for rival in rivals)
+            self.check(holds, now, f"CONFIG: every content of {claim.version} was refused")
+
+    def is_superseded(self, claim: Claim) -> bool:
+        """Returns whether a higher number may have been decided before an acknowledgement: then it says only that."""
         return any(
-            version.number > claim.version.number and sent_at <= claim.at and self.level(1e18) >= version.number
+            version.number > claim.version.number and sent_at <= claim.at and self.level(END_S) >= version.number
             for version, sent_at in self.sent.items()
         )
 
 
+def highest_until(levels: list[tuple[float, int]], before: float) -> int:
+    """Returns the last of rising numbers with their times until a time; 0 if there is none."""
+    place = bisect.bisect_right(levels, (before, LARGEST_NUMBER))
+    return levels[place - 1][1] if place else 0
+
+
 def is_rival(one: Version, other: Version) -> bool:
+    """Returns whether two versions are different contents under one number."""
     return one.number == other.number and one != other
 
 
-def ballot_of(accepted: Proposal) -> Ballot:
-    return accepted.ballot
+def ballot_of(proposal: Proposal) -> Ballot:
+    """Returns the ballot of a proposal, as a sort key."""
+    return proposal.ballot
 
 
-def follows(older: RegisterValue, newer: RegisterValue) -> bool:
-    """Whether one chosen value may come after another one, with others between them."""
-    grown = newer.version.number > older.version.number or newer.version == older.version
-    voters = newer.voters.number > older.voters.number or newer.voters == older.voters
-    return grown and voters
+def may_follow(older: RegisterValue, newer: RegisterValue) -> bool:
+    """Returns whether one chosen value may come after another one, with others between them."""
+    version_rises = newer.version.number > older.version.number or newer.version == older.version
+    voters_rise = newer.voters.number > older.voters.number or newer.voters == older.voters
+    return version_rises and voters_rise
 
 
-def told(accepted: Proposal) -> str:
-    value = accepted.value
-    return f"{value.version} voters {value.voters.number} {value.voters.addresses()} by {accepted.ballot.counter}"
+def describe(proposal: Proposal) -> str:
+    """Returns a proposal as violations show it."""
+    value = proposal.value
+    return f"{value.version} voters {value.voters.number} {value.voters.addresses()} by {proposal.ballot.counter}"
--- a/tests/system/test_record_store.py
+++ b/tests/system/test_record_store.py
@@ -96,9 +96,9 @@
                 assert not self.save(family)
                 self.store.refuses = False
             case "full":
-                self.store.room = self.random_source.randrange(12000)
+                self.store.capacity_bytes = self.random_source.randrange(12000)
                 self.save(family)
-                self.store.room = None
+                self.store.capacity_bytes = None
             case "ends":
                 self.store.steps_left = self.random_source.randrange(12)
                 try:
@@ -207,7 +207,7 @@
     for at in range(5):
         store.save("register", {b"body": b"%d" % at * 4000})
         store.save("promise", {b"ballot": b"%d" % at})
-    store.room = 14000  # two of the register and one promise
+    store.capacity_bytes = 14000  # two of the register and one promise
     for at in range(5, 20):
         store.save("register", {b"body": b"%d" % (at % 10) * 4000})
     with raises(StorageError):
@@ -218,7 +218,7 @@
     again = SimulatedRecordStore(folder, store.state)
     assert again.load("register")[0] == {b"body": b"9" * 4000} and again.load("promise")[0] == {b"ballot": b"4"}
     assert len(os.listdir(folder)) <= 6
-    again.room = 40000
+    again.capacity_bytes = 40000
     again.save("register", {b"body": b"z" * 16000})
 
 
