--- a/stoneyoke/api/__init__.py
+++ b/stoneyoke/api/__init__.py
@@ -1,1 +1,1 @@
-"""What comes from outside the system: tables of what is taken, and the calls of backends and operators. No I/O."""
+"""What comes from outside the system: tables of the settings it accepts, and the calls of instances and operators."""
--- a/stoneyoke/api/bounds.py
+++ b/stoneyoke/api/bounds.py
@@ -4,7 +4,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from stoneyoke.api.schema import Setting, Table, above, at_least, read
+from stoneyoke.api.checks import above, at_least
+from stoneyoke.api.schema import Setting, Table, read_table
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -66,5 +67,5 @@
 
 def service_bounds(settings: Mapping[str, Any] | None) -> ServiceBounds:
     """The bounds out of a `bound_set` that was read with BOUND_SETTINGS, or the defaults where there is none."""
-    found = read({}, BOUND_SETTINGS) if settings is None else settings
+    found = read_table({}, BOUND_SETTINGS) if settings is None else settings
     return ServiceBounds(**{FIELD_NAMES.get(name, name): value for name, value in found.items()})
--- a/stoneyoke/api/configuration.py
+++ b/stoneyoke/api/configuration.py
@@ -1,186 +1,170 @@
-"""The operator's configuration: its table of settings, and the checks that span fields (PROTOCOL, The operator)."""
+"""The operator's configuration: its version, its content, and the checks that span fields. No I/O."""
 
 import json
-import re
 from collections import Counter
 from collections.abc import Iterator
 from dataclasses import dataclass
 from functools import total_ordering
 from hashlib import blake2b
-from typing import Any
-
-from stoneyoke.api.schema import NEEDED, InvalidField, Setting, Table, above, at_least, filled, one_of, read
-
-NUMBER = re.compile(r"r([0-9]{1,15})").fullmatch
-TOKEN = re.compile(r"[!-~]{1,4096}").fullmatch
-
-
-def token(value: str) -> str:
-    """What is wrong with a text that is to hold seen characters alone."""
-    return "" if TOKEN(value) else "is not made of seen characters"
-
-
-def prefix(value: str) -> str:
-    """What is wrong with a path's prefix, which begins and ends with a slash."""
-    return "" if TOKEN(value) and value[0] == value[-1] == "/" else "does not begin and end with a slash"
-
-
-def numbered(value: str) -> str:
-    """What is wrong with a version, which is r and a number."""
-    return "" if NUMBER(value) else f"{value[:40]!r} is not r and a number"
-
-
-SERVICE: Table = (
-    Setting("label", str, NEEDED, filled),
-    Setting("health_path", str, "/health", token),
-    Setting("max_conns", int, 100, at_least(1)),
-    Setting("protocol", str, "h1"),
-    Setting("tls_mode", bool, False),
-)
-LIMITS: Table = (
-    Setting("max_header_bytes", int, 16_384, at_least(1)),
-    Setting("max_body_bytes", int, 1 << 26, at_least(0)),
-    Setting("header_timeout_s", float, 3.0, above(0)),
-    Setting("idle_timeout_s", float, 15.0, above(0)),
-)
-TENANT: Table = (
-    Setting("label", str, NEEDED, token),
-    Setting("api_keys", [str], NEEDED),
-    Setting("rank", int, 0, at_least(0)),
-    Setting("rate_per_s", float, 0.0, at_least(0)),
-    Setting("burst_size", float, 0.0, at_least(0)),
-)
-PART: Table = (
-    Setting("target_service", str, NEEDED, filled),
-    Setting("share", float, NEEDED, at_least(0)),
-)
-ROUTE: Table = (
-    Setting("label", str, NEEDED, filled),
-    Setting("path_prefix", str, NEEDED, prefix),
-    Setting("route_kind", str, NEEDED, one_of("pure", "effectful")),
-    Setting("timeout_s", float, NEEDED, above(0, 86_400)),
-    Setting("target_s", float, 0.0, at_least(0, 86_400)),
-    Setting("rank", int, 0, at_least(0)),
-    Setting("target_service", str, None, filled),
-    Setting("weighted", [PART], None, filled),
-    Setting("max_tries", int, NEEDED, at_least(1, 1000)),
-    Setting("is_public", bool, False),
-)
-HOST: Table = (
-    Setting("hostname", str, NEEDED, token),
-    Setting("path_map", [ROUTE], NEEDED),
-)
-CONFIGURATION: Table = (
-    Setting("generation", str, NEEDED, numbered),
-    Setting("service_list", [SERVICE], NEEDED),
-    Setting("limits", LIMITS, None),
-    Setting("tenant_list", [TENANT], None),
-    Setting("host_map", [HOST], NEEDED),
-)
+from typing import Any, NamedTuple
+
+from stoneyoke.api.checks import match_version, visible_text_error
+from stoneyoke.api.configuration_schema import CONFIGURATION, LIMITS
+from stoneyoke.api.errors import InvalidField
+from stoneyoke.api.schema import read_table
+
+DIGEST_BYTES = 16
+MAX_REASON_LENGTH = 200
 
 
 @total_ordering
 @dataclass(frozen=True, slots=True)
 class Version:
-    """A configuration's place in the order: its number, then its digest, so that two texts sent under one number
-    end as the same one everywhere. Number 0 is no configuration."""
+    """A configuration's place in the order: its number, then its digest.
+
+    The digest makes two texts that were sent under one number end as the same one everywhere. Number 0 is no
+    configuration.
+    """
 
     number: int = 0
     digest: bytes = b""
 
     def __lt__(self, other: "Version") -> bool:
+        """Whether the other version replaces this one."""
         return (self.number, self.digest) < (other.number, other.digest)
 
     def __str__(self) -> str:
+        """The version as the operator writes it."""
         return f"r{self.number}"
 
 
-@dataclass(frozen=True, slots=True)
+class WeightedTarget(NamedTuple):
+    """A service that a route leads to, and its share of the route's requests, in any unit."""
+
+    service: str
+    share: float
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Configuration:
-    """A whole configuration that was checked. `body` is the operator's text, byte for byte."""
+    """A complete configuration that was checked.
+
+    Attributes:
+        version: Its place in the order.
+        body: The operator's text, byte for byte.
+        services: Settings of each service, by label.
+        limits: Settings of the limits on clients.
+        tenants: Settings of each tenant; None: requests carry no keys.
+        hosts: Settings of each host with its routes.
+    """
 
     version: Version
     body: bytes
     services: dict[str, dict[str, Any]]
     limits: dict[str, Any]
-    tenants: list[dict[str, Any]] | None  # None: requests carry no keys
+    tenants: list[dict[str, Any]] | None
     hosts: list[dict[str, Any]]
 
     def routes(self) -> Iterator[tuple[str, dict[str, Any]]]:
-        """Each route with its host's name in lower case."""
+        """Each route's settings with its host's name in lower case."""
         return ((host["hostname"].lower(), route) for host in self.hosts for route in host["path_map"])
 
 
-def no_constant(word: str) -> Any:
-    """Refuses NaN and the infinities, which JSON does not have."""
-    raise ValueError(f"{word} is no number")
+def weighted_targets(route: dict[str, Any]) -> list[WeightedTarget]:
+    """The services of a route, each with its share."""
+    if route["weighted"]:
+        return [WeightedTarget(part["target_service"], part["share"]) for part in route["weighted"]]
+    return [WeightedTarget(route["target_service"], 1.0)]
 
 
 def read_json(body: bytes) -> Any:
-    """Raises InvalidField: a body that can't be read whole."""
+    """Parses JSON, without the infinities and NaN that Python's parser adds to it.
+
+    Raises:
+        InvalidField: The body can't be read whole.
+    """
     try:
-        return json.loads(body, parse_constant=no_constant)
-    except (ValueError, RecursionError) as bad:
-        raise InvalidField("body", f"can't be read whole: {bad}"[:200]) from bad
+        return json.loads(body, parse_constant=reject_constant)
+    except (ValueError, RecursionError) as error:
+        raise InvalidField("body", f"can't be read whole: {error}"[:MAX_REASON_LENGTH]) from error
+
+
+def reject_constant(word: str) -> Any:
+    """Raises ValueError for NaN, Infinity and -Infinity."""
+    raise ValueError(f"{word} is no number")
 
 
 def read_configuration(body: bytes) -> Configuration:
-    """A configuration out of its text. Raises InvalidField, naming the first field that is wrong."""
-    given = read(read_json(body), CONFIGURATION)
-    match = NUMBER(given["generation"])
-    assert match
-    chart = Configuration(
-        Version(int(match[1]), blake2b(body, digest_size=16).digest()),
-        body,
-        {one["label"]: one for one in given["service_list"]},
-        given["limits"] or read({}, LIMITS),
-        given["tenant_list"],
-        given["host_map"],
+    """A configuration out of its text.
+
+    Raises:
+        InvalidField: It is invalid; the error names the first field that is wrong.
+
+    Source:
+        The operators' PROTOCOL, The operator: which configurations are invalid.
+    """
+    settings = read_table(read_json(body), CONFIGURATION)
+    number = version_number(settings["generation"])
+    services = {service["label"]: service for service in settings["service_list"]}
+    if len(services) < len(settings["service_list"]):
+        raise InvalidField("service_list", "two services share a label")
+    configuration = Configuration(
+        version=Version(number, blake2b(body, digest_size=DIGEST_BYTES).digest()),
+        body=body,
+        services=services,
+        limits=settings["limits"] or read_table({}, LIMITS),
+        tenants=settings["tenant_list"],
+        hosts=settings["host_map"],
     )
-    if chart.version.number < 1:
+    check_keys(configuration)
+    check_routes(configuration)
+    return configuration
+
+
+def version_number(generation: str) -> int:
+    """The number of a version's text. Raises InvalidField for r0, which stands for no configuration."""
+    match = match_version(generation)
+    number = int(match[1]) if match else 0
+    if number < 1:
         raise InvalidField("generation", "r0 is no version")
-    if len(chart.services) < len(given["service_list"]):
-        raise InvalidField("service_list", "two services share a label")
-    check_keys(chart)
-    check_routes(chart)
-    return chart
+    return number
 
 
-def check_keys(chart: Configuration) -> None:
-    """Raises InvalidField where two tenants share a key."""
+def check_keys(configuration: Configuration) -> None:
+    """Raises InvalidField where two tenants share a key or a label."""
+    tenants = configuration.tenants or []
     holders: dict[str, str] = {}
-    labels = Counter(tenant["label"] for tenant in chart.tenants or ())
-    for at, tenant in enumerate(chart.tenants or ()):
-        for spot, key in enumerate(tenant["api_keys"]):
-            where = f"tenant_list[{at}].api_keys[{spot}]"
-            if why := token(key):
-                raise InvalidField(where, why)
+    labels = Counter(tenant["label"] for tenant in tenants)
+    for tenant_at, tenant in enumerate(tenants):
+        for key_at, key in enumerate(tenant["api_keys"]):
+            field = f"tenant_list[{tenant_at}].api_keys[{key_at}]"
+            if reason := visible_text_error(key):
+                raise InvalidField(field, reason)
             if holders.setdefault(key, tenant["label"]) != tenant["label"] or labels[tenant["label"]] > 1:
-                raise InvalidField(where, f"two tenants share a key or a label ({tenant['label']})")
+                raise InvalidField(field, f"two tenants share a key or a label ({tenant['label']})")
 
 
-def check_routes(chart: Configuration) -> None:
-    """Raises InvalidField where routes contradict each other or name what isn't there."""
+def check_routes(configuration: Configuration) -> None:
+    """Raises InvalidField where two routes share host and prefix, or a route can't be followed."""
     places = set()
-    for at, host in enumerate(chart.hosts):
-        for spot, route in enumerate(host["path_map"]):
-            where = f"host_map[{at}].path_map[{spot}]"
+    for host_at, host in enumerate(configuration.hosts):
+        for route_at, route in enumerate(host["path_map"]):
+            field = f"host_map[{host_at}].path_map[{route_at}]"
             place = (host["hostname"].lower(), route["path_prefix"])
             if place in places:
-                raise InvalidField(f"{where}.path_prefix", f"two routes share {''.join(place)}")
+                raise InvalidField(f"{field}.path_prefix", f"two routes share {''.join(place)}")
             places.add(place)
-            if (route["target_service"] is None) == (route["weighted"] is None):
-                raise InvalidField(f"{where}.target_service", "either this or weighted is needed")
-            for number, (service, _) in enumerate(targets(route)):
-                field = f"weighted[{number}].target_service" if route["weighted"] else "target_service"
-                if service not in chart.services:
-                    raise InvalidField(f"{where}.{field}", f"unknown service {service[:60]!r}")
-            if sum(share for _, share in targets(route)) <= 0:
-                raise InvalidField(f"{where}.weighted", "the shares add up to 0")
-
-
-def targets(route: dict[str, Any]) -> list[tuple[str, float]]:
-    """A route's services, each with its share."""
-    if route["weighted"]:
-        return [(part["target_service"], part["share"]) for part in route["weighted"]]
-    return [(route["target_service"], 1.0)]
+            check_targets(configuration, route, field)
+
+
+def check_targets(configuration: Configuration, route: dict[str, Any], field: str) -> None:
+    """Raises InvalidField where a route names no or unknown services, or its shares add up to 0."""
+    if (route["target_service"] is None) == (route["weighted"] is None):
+        raise InvalidField(f"{field}.target_service", "either this or weighted is needed")
+    targets = weighted_targets(route)
+    for target_at, target in enumerate(targets):
+        if target.service not in configuration.services:
+            name = f"weighted[{target_at}].target_service" if route["weighted"] else "target_service"
+            raise InvalidField(f"{field}.{name}", f"unknown service {target.service[:60]!r}")
+    if sum(target.share for target in targets) <= 0:
+        raise InvalidField(f"{field}.weighted", "the shares add up to 0")
--- /dev/null
+++ b/stoneyoke/api/configuration_schema.py
@@ -0,0 +1,66 @@
+"""The operator's configuration as a table of settings.
+
+Source:
+    The operators' PROTOCOL, The operator.
+"""
+
+from stoneyoke.api.checks import (
+    above,
+    at_least,
+    not_empty,
+    one_of,
+    path_prefix_error,
+    version_error,
+    visible_text_error,
+)
+from stoneyoke.api.schema import REQUIRED, Setting, Table
+
+DAY_S = 86_400
+
+SERVICE: Table = (
+    Setting("label", str, REQUIRED, not_empty),
+    Setting("health_path", str, "/health", visible_text_error),
+    Setting("max_conns", int, 100, at_least(1)),
+    Setting("protocol", str, "h1"),
+    Setting("tls_mode", bool, False),
+)
+LIMITS: Table = (
+    Setting("max_header_bytes", int, 16_384, at_least(1)),
+    Setting("max_body_bytes", int, 1 << 26, at_least(0)),
+    Setting("header_timeout_s", float, 3.0, above(0)),
+    Setting("idle_timeout_s", float, 15.0, above(0)),
+)
+TENANT: Table = (
+    Setting("label", str, REQUIRED, visible_text_error),
+    Setting("api_keys", [str], REQUIRED),
+    Setting("rank", int, 0, at_least(0)),
+    Setting("rate_per_s", float, 0.0, at_least(0)),
+    Setting("burst_size", float, 0.0, at_least(0)),
+)
+WEIGHTED_TARGET: Table = (
+    Setting("target_service", str, REQUIRED, not_empty),
+    Setting("share", float, REQUIRED, at_least(0)),
+)
+ROUTE: Table = (
+    Setting("label", str, REQUIRED, not_empty),
+    Setting("path_prefix", str, REQUIRED, path_prefix_error),
+    Setting("route_kind", str, REQUIRED, one_of("pure", "effectful")),
+    Setting("timeout_s", float, REQUIRED, above(0, DAY_S)),
+    Setting("target_s", float, 0.0, at_least(0, DAY_S)),
+    Setting("rank", int, 0, at_least(0)),
+    Setting("target_service", str, None, not_empty),
+    Setting("weighted", [WEIGHTED_TARGET], None, not_empty),
+    Setting("max_tries", int, REQUIRED, at_least(1, 1000)),
+    Setting("is_public", bool, False),
+)
+HOST: Table = (
+    Setting("hostname", str, REQUIRED, visible_text_error),
+    Setting("path_map", [ROUTE], REQUIRED),
+)
+CONFIGURATION: Table = (
+    Setting("generation", str, REQUIRED, version_error),
+    Setting("service_list", [SERVICE], REQUIRED),
+    Setting("limits", LIMITS, None),
+    Setting("tenant_list", [TENANT], None),
+    Setting("host_map", [HOST], REQUIRED),
+)
--- a/stoneyoke/api/schema.py
+++ b/stoneyoke/api/schema.py
@@ -1,92 +1,93 @@
-"""Tables of settings: each with its type, its default and its check; a reader names the field that is unfit."""
+"""Tables of settings, and a reader that checks a parsed object against one and names the first field that is wrong."""
 
 import math
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass
 from typing import Any
 
-NEEDED = object()  # in place of a default
+from stoneyoke.api.checks import Check
+from stoneyoke.api.errors import InvalidField
 
-
-class InvalidField(Exception):
-    """A value that can't be taken; `path` names its field, `why` what is wrong with it."""
-
-    def __init__(self, path: str, why: str) -> None:
-        super().__init__(f"{path}: {why}")
-        self.path, self.why = path, why
+REQUIRED = object()  # in place of a default
+MAX_INT_AS_FLOAT = 1e300  # a larger whole number is not turned into a float
+EXCERPT_LENGTH = 40
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """kind: str, int, float, bool, dict, a table for a nested object, or a list holding one of these.
+    """A setting: its name, its type, its default and the check of its value.
 
-    float takes whole numbers too; bool is no number; no number is infinite. `check` returns what is wrong, or ""."""
+    Attributes:
+        name: Name in the object.
+        kind: str, int, float, bool, dict, a Table for a nested object, or a list that holds one of these. A float also
+            takes whole numbers, a bool is no number, and no number is infinite.
+        default: Value where it is missing or null; REQUIRED if it must not be.
+        check: Applied to a value of the right type.
+    """
 
     name: str
     kind: Any
-    default: Any = NEEDED
-    check: Callable[[Any], str] | None = None
+    default: Any = REQUIRED
+    check: Check | None = None
 
 
 Table = tuple[Setting, ...]
 
 
-def at_least(low: float, top: float = 1e12) -> Callable[[float], str]:
-    """A check: the value is from low to top."""
-    return lambda value: "" if low <= value <= top else f"{value!r} is not from {low:g} to {top:g}"
-
-
-def above(low: float, top: float = 1e12) -> Callable[[float], str]:
-    """A check: the value is over low, up to top."""
-    return lambda value: "" if low < value <= top else f"{value!r} is not over {low:g} up to {top:g}"
-
-
-def one_of(*words: str) -> Callable[[str], str]:
-    """A check: the value is one of these words."""
-    return lambda value: "" if value in words else f"{value!r} is none of {', '.join(words)}"
+def read_table(given: Any, table: Table, path: str = "") -> dict[str, Any]:
+    """The settings of a table out of an object, with defaults filled in. Fields that the table lacks are left out.
 
+    Args:
+        given: The object.
+        table: The settings.
+        path: Where the object lies, for the error; empty for the whole.
 
-def filled(value: Any) -> str:
-    """A check: the value is not empty."""
-    return "" if value else "is empty"
-
-
-def read(given: Any, table: Table, path: str = "") -> dict[str, Any]:
-    """The table's fields out of an object, defaults filled in; what the table doesn't know is left out."""
+    Raises:
+        InvalidField: A setting is missing, or its value is of another type or fails its check.
+    """
     if not isinstance(given, Mapping):
-        raise InvalidField(path or "the whole", f"is no object but {shown(given)}")
+        raise InvalidField(path or "the whole", f"is no object but {excerpt(given)}")
     found = {}
     for setting in table:
-        where = f"{path}.{setting.name}" if path else setting.name
+        field = f"{path}.{setting.name}" if path else setting.name
         value = given.get(setting.name)
         if value is None:
-            if setting.default is NEEDED:
-                raise InvalidField(where, "is missing")
+            if setting.default is REQUIRED:
+                raise InvalidField(field, "is missing")
             found[setting.name] = setting.default
             continue
-        value = fit(value, setting.kind, where)
-        if setting.check and (why := setting.check(value)):
-            raise InvalidField(where, why)
+        value = read_value(value, setting.kind, field)
+        if setting.check and (reason := setting.check(value)):
+            raise InvalidField(field, reason)
         found[setting.name] = value
     return found
 
 
-def fit(value: Any, kind: Any, where: str) -> Any:
-    """A value as a setting's kind wants it. Raises InvalidField, which names where."""
+def read_value(value: Any, kind: Any, field: str) -> Any:
+    """A value as a setting's kind wants it.
+
+    Raises:
+        InvalidField: It is of another type; the error names `field`.
+    """
     if isinstance(kind, tuple):
-        return read(value, kind, where)
+        return read_table(value, kind, field)
     if isinstance(kind, list):
         if not isinstance(value, list):
-            raise InvalidField(where, f"is no list but {shown(value)}")
-        return [fit(one, kind[0], f"{where}[{at}]") for at, one in enumerate(value)]
-    if kind is float and isinstance(value, int) and not isinstance(value, bool) and abs(value) < 1e300:
+            raise InvalidField(field, f"is no list but {excerpt(value)}")
+        return [read_value(item, kind[0], f"{field}[{at}]") for at, item in enumerate(value)]
+    if kind is float and isinstance(value, int) and not isinstance(value, bool) and abs(value) < MAX_INT_AS_FLOAT:
         value = float(value)
-    if not isinstance(value, kind) or kind in (int, float) and (isinstance(value, bool) or not math.isfinite(value)):
-        raise InvalidField(where, f"is no {kind.__name__} but {shown(value)}")
+    if not isinstance(value, kind) or kind in (int, float) and not is_finite_number(value):
+        raise InvalidField(field, f"is no {kind.__name__} but {excerpt(value)}")
     return value
 
 
-def shown(value: Any) -> str:
-    """A value as it stands in a message, cut to 40 characters."""
+def is_finite_number(value: Any) -> bool:
+    """Whether a number is finite and no bool."""
+    return not isinstance(value, bool) and math.isfinite(value)
+
+
+def excerpt(value: Any) -> str:
+    """A value as it stands in an error's text, cut to EXCERPT_LENGTH characters."""
     text = repr(value) if not isinstance(value, dict | list) else type(value).__name__
-    return text if len(text) <= 40 else text[:37] + "..."
+    return text if len(text) <= EXCERPT_LENGTH else text[: EXCERPT_LENGTH - 3] + "..."
--- a/stoneyoke/consensus/replica_start.py
+++ b/stoneyoke/consensus/replica_start.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from stoneyoke.api.configuration import Version, read_configuration
-from stoneyoke.api.schema import InvalidField
+from stoneyoke.api.errors import InvalidField
 from stoneyoke.consensus.acceptor import Acceptor
 from stoneyoke.consensus.ballot import NO_BALLOT
 from stoneyoke.consensus.errors import InvalidRecord
--- a/stoneyoke/controlplane/chosen_configuration.py
+++ b/stoneyoke/controlplane/chosen_configuration.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from stoneyoke.api.configuration import Configuration, Version, read_configuration
-from stoneyoke.api.schema import InvalidField
+from stoneyoke.api.errors import InvalidField
 from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
 from stoneyoke.consensus.message_rows import version_row
 from stoneyoke.consensus.register_value import Proposal
--- a/stoneyoke/controlplane/configuration_service.py
+++ b/stoneyoke/controlplane/configuration_service.py
@@ -4,10 +4,11 @@
 import functools
 from collections import deque
 from dataclasses import dataclass, replace
+from http import HTTPStatus
 
 from loguru import logger
 
-from stoneyoke.api.calls import Acknowledged, Answer, Document, Rejected, Unavailable
+from stoneyoke.api.calls import Acknowledged, ApiResult, Document, Rejected, Unavailable
 from stoneyoke.api.configuration import Configuration
 from stoneyoke.consensus.peer_calls import TRANSFER_S_PER_BYTE
 from stoneyoke.consensus.register_value import Proposal, RegisterValue
@@ -16,8 +17,6 @@
 
 ANSWER_TIMEOUT_S = 0.85  # a caller tries another controller after a second without an answer (PROTOCOL, The operator)
 PROPOSAL_TIMEOUT_S = 3.0  # a proposal goes on after its operator was told that the outcome is unknown
-NOT_FOUND_STATUS = 404
-CONFLICT_STATUS = 409  # the operator's call fails at once; it is not sent to another controller
 NO_QUORUM = Unavailable("cut off from most controllers: ask another one")
 
 
@@ -26,7 +25,7 @@
     """An operator's call that waits for its outcome. deadline: by the event loop's time."""
 
     configuration: Configuration
-    answer: asyncio.Future[Answer]
+    answer: asyncio.Future[ApiResult]
     deadline: float
 
 
@@ -43,13 +42,13 @@
     return replace(found, version=first.version, body=first.body)
 
 
-def outcome_of(configuration: Configuration, chosen: RegisterValue) -> Answer | None:
+def outcome_of(configuration: Configuration, chosen: RegisterValue) -> ApiResult | None:
     """The answer to the operator of a replacement, given a chosen value; None if that does not decide it."""
     if chosen.version.number > configuration.version.number or chosen.version == configuration.version:
         return Acknowledged()
     if chosen.version.number == configuration.version.number:
         why = f"another configuration is in force as {configuration.version}"
-        return Rejected(CONFLICT_STATUS, "generation", why)
+        return Rejected(HTTPStatus.CONFLICT, "generation", why)
     return None
 
 
@@ -67,7 +66,7 @@
         self.pending: deque[PendingReplacement] = deque()
         self.worker: asyncio.Task[None] | None = None
 
-    async def replace(self, configuration: Configuration) -> Answer:
+    async def replace(self, configuration: Configuration) -> ApiResult:
         """Acknowledges a configuration once it, or one with a higher number, is chosen."""
         if not self.cluster.has_quorum():
             return NO_QUORUM
@@ -117,7 +116,7 @@
             return None
         return await self.replication.read(ANSWER_TIMEOUT_S)
 
-    async def read(self) -> Answer:
+    async def read(self) -> ApiResult:
         """The newest configuration, no older than any that was acknowledged or read before this call."""
         if not self.cluster.has_quorum():
             return NO_QUORUM
@@ -125,5 +124,5 @@
         if chosen is None:
             return Unavailable("too few controllers answer: ask another one")
         if not chosen.value.body:
-            return Rejected(NOT_FOUND_STATUS, "generation", "no configuration has been put yet")
+            return Rejected(HTTPStatus.NOT_FOUND, "generation", "no configuration has been put yet")
         return Document(chosen.value.body)
--- a/stoneyoke/controlplane/controller.py
+++ b/stoneyoke/controlplane/controller.py
@@ -1,8 +1,8 @@
 """A controller: puts the parts of the control plane together, starts them, and passes calls on to them."""
 
 from stoneyoke.api.calls import (
-    Answer,
-    Asked,
+    ApiCall,
+    ApiResult,
     Document,
     Heartbeat,
     Leave,
@@ -187,7 +187,7 @@
         """The answer to a message of a gateway or another controller; None for a message that is no request."""
         return await self.router.answer(message)
 
-    async def handle_call(self, call: Asked) -> Answer:
+    async def handle_call(self, call: ApiCall) -> ApiResult:
         """The answer to a call of an instance or an operator."""
         match call:
             case Heartbeat():
--- a/stoneyoke/controlplane/discovery_service.py
+++ b/stoneyoke/controlplane/discovery_service.py
@@ -21,7 +21,7 @@
 import contextlib
 from collections.abc import Iterable
 
-from stoneyoke.api.calls import Acknowledged, Answer, Heartbeat, Leave, Unavailable
+from stoneyoke.api.calls import Acknowledged, ApiResult, Heartbeat, Leave, Unavailable
 from stoneyoke.consensus.quorum import majority
 from stoneyoke.controlplane.cluster_view import ClusterView
 from stoneyoke.controlplane.controller_context import ControllerContext
@@ -78,7 +78,7 @@
 
     # ---- calls of instances ----
 
-    async def heartbeat(self, beat: Heartbeat) -> Answer:
+    async def heartbeat(self, beat: Heartbeat) -> ApiResult:
         """Takes a heartbeat. A drain is acknowledged by a majority, any other one by this controller with a quorum."""
         if self.recovering_from_stall():
             return Unavailable("stood still")
@@ -89,13 +89,13 @@
             return await self.acknowledge_by_majority(self.registry.records[beat.instance].row)
         return Acknowledged() if self.cluster.has_quorum() else Unavailable("cut off from most controllers")
 
-    async def leave(self, request: Leave) -> Answer:
+    async def leave(self, request: Leave) -> ApiResult:
         """Takes an instance's leave, acknowledged by a majority."""
         row = self.registry.leave(request.instance, self.clock())
         self.context.changes.notify()
         return await self.acknowledge_by_majority(row)
 
-    async def acknowledge_by_majority(self, row: InstanceRow) -> Answer:
+    async def acknowledge_by_majority(self, row: InstanceRow) -> ApiResult:
         """Replicates a row that must not be lost with this controller; acknowledges once a majority has it."""
         if not self.cluster.has_quorum():
             return Unavailable("cut off from most controllers")
--- a/stoneyoke/controlplane/http_api.py
+++ b/stoneyoke/controlplane/http_api.py
@@ -2,11 +2,13 @@
 
 import asyncio
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 from typing import cast
 
 from loguru import logger
 
-from stoneyoke.api.calls import Answer, Asked, Rejected, Unavailable, answer, ask
+from stoneyoke.api.calls import ApiCall, ApiResult, Rejected, Unavailable
+from stoneyoke.api.http_mapping import read_call, reply_to
 from stoneyoke.net.errors import MalformedMessage
 from stoneyoke.net.message_reader import Message, MessageReader
 from stoneyoke.net.message_writer import status_line, write_message
@@ -15,13 +17,12 @@
 IDLE_TIMEOUT_S = 30.0
 REJECT_LINGER_S = 0.2  # closing at once after a rejection would reset the connection before the answer is read
 ACCEPT_BACKLOG = 512
-BAD_REQUEST_STATUS = 400
 
 
 class HttpApi:
     """Reads calls, has them handled, writes the answers."""
 
-    def __init__(self, handle: Callable[[Asked], Awaitable[Answer]], max_body_bytes: int) -> None:
+    def __init__(self, handle: Callable[[ApiCall], Awaitable[ApiResult]], max_body_bytes: int) -> None:
         """Does not listen yet.
 
         Args:
@@ -49,7 +50,7 @@
         try:
             await self._serve_calls(messages, writer)
         except MalformedMessage as error:
-            self._write(writer, Rejected(error.status, "message", str(error)), keep_alive=False)
+            self._write(writer, Rejected(HTTPStatus(error.status), "message", str(error)), keep_alive=False)
             cast(StreamProtocol, writer.transport.get_protocol()).discard_input()
             await asyncio.sleep(REJECT_LINGER_S)
         except (OSError, asyncio.CancelledError):  # a TimeoutError is an OSError
@@ -68,18 +69,18 @@
                 return
             await writer.drain()
 
-    async def _answer(self, message: Message) -> Answer:
+    async def _answer(self, message: Message) -> ApiResult:
         try:
-            call = ask(message.method.decode("ascii"), message.target.decode("ascii"), message.body)
+            call = read_call(message.method.decode("ascii"), message.target.decode("ascii"), message.body)
             return call if isinstance(call, Rejected) else await self.handle(call)
         except UnicodeDecodeError:
-            return Rejected(BAD_REQUEST_STATUS, "path", "characters that are not ASCII")
+            return Rejected(HTTPStatus.BAD_REQUEST, "path", "characters that are not ASCII")
         except Exception:  # outermost guard: a fault costs this one call, not the process
             logger.exception("a call of an instance or operator failed; it is answered with 503")
             return Unavailable("failed here")
 
-    def _write(self, writer: asyncio.StreamWriter, given: Answer, *, keep_alive: bool) -> None:
-        status, body = answer(given)
+    def _write(self, writer: asyncio.StreamWriter, given: ApiResult, *, keep_alive: bool) -> None:
+        status, body = reply_to(given)
         connection = b"" if keep_alive else b"Connection: close\r\n"
         content = b"Content-Type: application/json\r\nContent-Length: %d\r\n" % len(body)
         write_message(writer, [status_line(status), connection, content], body)
--- a/stoneyoke/controlplane/instance_registry.py
+++ b/stoneyoke/controlplane/instance_registry.py
@@ -65,7 +65,7 @@
         capacity=beat.capacity,
         phase=Phase.DRAINING if beat.draining else Phase.READY,
         call_seq=beat.call_seq,
-        warmup_left_s=beat.warm_s,
+        warmup_left_s=beat.warmup_left_s,
     )
 
 
--- a/stoneyoke/gateway/config_sync.py
+++ b/stoneyoke/gateway/config_sync.py
@@ -9,7 +9,7 @@
 
 from stoneyoke.controlplane.heartbeat_ring import watchers
 from stoneyoke.api.configuration import Configuration, Version, read_configuration
-from stoneyoke.api.schema import InvalidField
+from stoneyoke.api.errors import InvalidField
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 from stoneyoke.transport.messages import FetchRequest, FetchResponse, PullRequest, PullResponse, VersionRow
 from stoneyoke.transport.messages.pull import GATEWAY_KIND
--- a/stoneyoke/gateway/routes.py
+++ b/stoneyoke/gateway/routes.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from stoneyoke.api.configuration import Configuration, Version, targets
+from stoneyoke.api.configuration import Configuration, Version, weighted_targets
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,8 +58,8 @@
     hosts: dict[str, list[tuple[str, Route]]] = {}
     for host, given in chart.routes():
         shares, upto = [], 0.0
-        total = sum(share for _, share in targets(given))
-        for service, share in targets(given):
+        total = sum(share for _, share in weighted_targets(given))
+        for service, share in weighted_targets(given):
             upto += share / total
             if share > 0:
                 shares.append((service, upto))
--- a/stoneyoke/lab/capacity/hollow_fleet.py
+++ b/stoneyoke/lab/capacity/hollow_fleet.py
@@ -15,8 +15,9 @@
 
 from loguru import logger
 
-from stoneyoke.api.calls import Acknowledged, Answer, Rejected, ask
+from stoneyoke.api.calls import Acknowledged, ApiResult, Rejected
 from stoneyoke.api.configuration import Configuration, Version
+from stoneyoke.api.http_mapping import read_call
 from stoneyoke.controlplane.controller import Controller
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.controlplane.settings import ControllerEnvironment, ControllerSettings
@@ -160,11 +161,11 @@
     async def call(self, name: str, method: str, target: str, body: bytes) -> bool:
         """As a backend or the operator, at one controller; charged to that."""
 
-        async def meet() -> Answer:
-            asked = ask(method, target, body)
+        async def meet() -> ApiResult:
+            asked = read_call(method, target, body)
             return asked if isinstance(asked, Rejected) else await self.controllers[name].handle_call(asked)
 
-        said: Answer = await self.network.run_on(name, meet())
+        said: ApiResult = await self.network.run_on(name, meet())
         return said == Acknowledged()
 
     async def put(self) -> float:
--- a/stoneyoke/lab/capacity/hot_paths.py
+++ b/stoneyoke/lab/capacity/hot_paths.py
@@ -8,9 +8,11 @@
 from types import GenericAlias
 from typing import Any, get_args, get_origin
 
-from stoneyoke.api.calls import Heartbeat, ask
-from stoneyoke.api.configuration import CONFIGURATION, Configuration, Version, read_configuration, read_json
-from stoneyoke.api.schema import read
+from stoneyoke.api.calls import Heartbeat
+from stoneyoke.api.configuration import Configuration, Version, read_configuration, read_json
+from stoneyoke.api.configuration_schema import CONFIGURATION
+from stoneyoke.api.http_mapping import read_call
+from stoneyoke.api.schema import read_table
 from stoneyoke.controlplane.instance_registry import InstanceRecord, InstanceRegistry, Phase, row_from_heartbeat
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.instance_directory import InstanceDirectory
@@ -117,9 +119,16 @@
     deflated = zlib.compress(body, 6)
 
     def parse() -> Configuration:
-        given = read(read_json(body), CONFIGURATION)
+        given = read_table(read_json(body), CONFIGURATION)
         services = {one["label"]: one for one in given["service_list"]}
-        return Configuration(Version(1), body, services, given["limits"], given["tenant_list"], given["host_map"])
+        return Configuration(
+            version=Version(1),
+            body=body,
+            services=services,
+            limits=given["limits"],
+            tenants=given["tenant_list"],
+            hosts=given["host_map"],
+        )
 
     chart, parse_s = processor_once_s(parse)
     table_s = processor_once_s(lambda: table_of(chart))[1]
@@ -207,7 +216,7 @@
 
     def read_calls() -> None:
         for target, body in calls:
-            heard(ask("POST", target, body))
+            heard(read_call("POST", target, body))
 
     registry.merge(row(0, 10**6, Phase.DRAINING), 1.0)
     news = registry.changes_since(registry.seq - 1, 1.0)
--- a/stoneyoke/lab/simulation/backends.py
+++ b/stoneyoke/lab/simulation/backends.py
@@ -3,7 +3,8 @@
 import asyncio
 import json
 
-from stoneyoke.api.calls import Acknowledged, ask
+from stoneyoke.api.calls import Acknowledged
+from stoneyoke.api.http_mapping import read_call
 from stoneyoke.lab.simulation.bounds import HEARTBEAT_S
 from stoneyoke.lab.simulation.checker import AcknowledgedDrain
 from stoneyoke.lab.simulation.control_api_client import ControlApiClient
@@ -43,7 +44,7 @@
         for name in (names * MAX_CALLS)[:MAX_CALLS]:
             self.call_seq += 1
             body = heartbeat_text(self.address, phase, self.call_seq)
-            received = await self.client.call(name, ask("POST", f"/instances/{self.name}/heartbeat", body))
+            received = await self.client.call(name, read_call("POST", f"/instances/{self.name}/heartbeat", body))
             if received == Acknowledged():
                 if phase == "draining":
                     self.faults.on_acknowledgement(FaultKind.AFTER_DRAIN, name)
@@ -65,7 +66,7 @@
             environment.event_counts["drains"] += 1
         await asyncio.sleep(then_s)
         name = self.client.choices()[0]
-        await self.client.call(name, ask("POST", f"/instances/{self.name}/leave", b""))
+        await self.client.call(name, read_call("POST", f"/instances/{self.name}/leave", b""))
 
 
 async def run_backends_at(client: ControlApiClient, faults: FaultInjector, at: int) -> None:
--- a/stoneyoke/lab/simulation/consensus_defects.py
+++ b/stoneyoke/lab/simulation/consensus_defects.py
@@ -3,9 +3,10 @@
 import contextlib
 from collections.abc import Callable, Iterable, Iterator, Mapping
 from dataclasses import replace
+from http import HTTPStatus
 from typing import Any
 
-from stoneyoke.api.calls import Acknowledged, Answer, Rejected
+from stoneyoke.api.calls import Acknowledged, ApiResult, Rejected
 from stoneyoke.api.configuration import Configuration
 from stoneyoke.consensus import quorum, replica, voter_set
 from stoneyoke.consensus.acceptor import Acceptor
@@ -140,9 +141,9 @@
 def conflict_for_older() -> list[Patch]:
     """An order below what is chosen is refused."""
 
-    def outcome_of(order: Configuration, chosen: RegisterValue) -> Answer | None:
+    def outcome_of(order: Configuration, chosen: RegisterValue) -> ApiResult | None:
         if chosen.version.number > order.version.number:
-            return Rejected(configuration_service.CONFLICT_STATUS, "generation", "older")
+            return Rejected(HTTPStatus.CONFLICT, "generation", "older")
         return real(order, chosen)
 
     real = configuration_service.outcome_of
@@ -152,7 +153,7 @@
 def conflict_acknowledged() -> list[Patch]:
     """Another content under a number that is in force is acknowledged."""
 
-    def outcome_of(order: Configuration, chosen: RegisterValue) -> Answer | None:
+    def outcome_of(order: Configuration, chosen: RegisterValue) -> ApiResult | None:
         return Acknowledged() if chosen.version.number >= order.version.number else None
 
     return [(configuration_service, "outcome_of", outcome_of)]
--- a/stoneyoke/lab/simulation/control_api_client.py
+++ b/stoneyoke/lab/simulation/control_api_client.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from stoneyoke.api.calls import Answer, Asked, Document, Rejected
+from stoneyoke.api.calls import ApiCall, ApiResult, Document, Rejected
 from stoneyoke.lab.simulation.bounds import CALL_TIMEOUT_S, DETECT_CUT_S, REFUSE_S
 from stoneyoke.lab.simulation.machines import ControllerMachine
 from stoneyoke.lab.simulation.network import LATE_S
@@ -32,7 +32,7 @@
         self.environment.random_source.shuffle(names)
         return names
 
-    async def call(self, name: str, asked: Asked | Rejected, within_s: float = CALL_TIMEOUT_S) -> Answer | None:
+    async def call(self, name: str, asked: ApiCall | Rejected, within_s: float = CALL_TIMEOUT_S) -> ApiResult | None:
         """Calls one controller.
 
         Args:
@@ -47,9 +47,9 @@
             return asked
         machine = self.cluster.controllers[name]
         controller, asked_at = machine.controller, self.environment.now()
-        answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        answer: asyncio.Future[ApiResult] = asyncio.get_running_loop().create_future()
         self.environment.network.run_on("", self.carry(machine, asked, answer))
-        received: Answer | None
+        received: ApiResult | None
         try:
             async with asyncio.timeout(within_s):
                 received = await answer
@@ -60,7 +60,7 @@
         self.check_refusal(machine, asked_at, received)
         return received
 
-    async def carry(self, machine: ControllerMachine, asked: Asked, answer: "asyncio.Future[Answer]") -> None:
+    async def carry(self, machine: ControllerMachine, asked: ApiCall, answer: "asyncio.Future[ApiResult]") -> None:
         """Carries a call out whether or not its caller waits, maybe late or twice, while the process runs."""
         network, random_source = self.environment.network, self.environment.random_source
         await asyncio.sleep(ONE_WAY_S)
@@ -78,7 +78,7 @@
         if not answer.done() and not is_lost and not network.held[machine.name]:
             answer.set_result(given)
 
-    def check_refusal(self, machine: ControllerMachine, asked_at: float, received: Answer | None) -> None:
+    def check_refusal(self, machine: ControllerMachine, asked_at: float, received: ApiResult | None) -> None:
         """Checks that a controller which is cut off refuses at once, and not as its caller's fault."""
         cut_off_since = self.cut_off_since.get(machine.name, NEVER_S)
         must_know_at = max(cut_off_since, machine.started_at) + DETECT_CUT_S
--- a/stoneyoke/lab/simulation/exhaustive/snapshots.py
+++ b/stoneyoke/lab/simulation/exhaustive/snapshots.py
@@ -100,4 +100,4 @@
 
 def configuration(version: Version) -> Configuration:
     """Returns an operator's configuration. Its text is its digest, so that a mixed-up text is seen."""
-    return Configuration(version, version.digest, {}, {}, None, [])
+    return Configuration(version=version, body=version.digest, services={}, limits={}, tenants=None, hosts=[])
--- a/stoneyoke/lab/simulation/operators.py
+++ b/stoneyoke/lab/simulation/operators.py
@@ -3,10 +3,11 @@
 import asyncio
 import itertools
 import json
+from http import HTTPStatus
 
-from stoneyoke.api.calls import Acknowledged, Document, ReadConfiguration, Rejected, ask
+from stoneyoke.api.calls import Acknowledged, Document, ReadConfiguration, Rejected
 from stoneyoke.api.configuration import Version, read_configuration
-from stoneyoke.controlplane.configuration_service import CONFLICT_STATUS
+from stoneyoke.api.http_mapping import read_call
 from stoneyoke.lab.simulation.checker import PendingOrder
 from stoneyoke.lab.simulation.control_api_client import ControlApiClient
 from stoneyoke.lab.simulation.faults import FaultInjector
@@ -68,8 +69,8 @@
     async def put_invalid(self, number: int) -> None:
         """Writes a configuration that names an unknown service; it must be rejected, and not as a conflict."""
         body = self.text(number + 50).replace(b'"target_service": "orders"', b'"target_service": "other"')
-        received = await self.client.call(controller_address(0), ask("POST", "/config/replace", body))
-        is_rejected = isinstance(received, Rejected) and received.status != CONFLICT_STATUS
+        received = await self.client.call(controller_address(0), read_call("POST", "/config/replace", body))
+        is_rejected = isinstance(received, Rejected) and received.status != HTTPStatus.CONFLICT
         violation = "CONFIG: something invalid was not refused"
         self.checker.check(is_rejected, self.environment.now(), violation)
 
@@ -106,11 +107,11 @@
     async def put_once(self, name: str, version: Version, body: bytes) -> bool | None:
         """Calls one controller; returns whether it acknowledged or rejected, None if the answer is not clear."""
         checker = self.checker
-        received = await self.client.call(name, ask("POST", "/config/replace", body))
+        received = await self.client.call(name, read_call("POST", "/config/replace", body))
         now = self.environment.now()
         if isinstance(received, Rejected):
-            checker.record(now, f"{name} rejected {version} {received.path}")
-            is_conflict = received.status == CONFLICT_STATUS
+            checker.record(now, f"{name} rejected {version} {received.field}")
+            is_conflict = received.status == HTTPStatus.CONFLICT
             checker.check(is_conflict, now, f"CONFIG: {name} refuses a valid order: {received}")
             controller = self.client.cluster.controllers[name].controller
             chosen = controller.replica.chosen if controller else None
--- a/stoneyoke/lab/simulation/register_defects.py
+++ b/stoneyoke/lab/simulation/register_defects.py
@@ -1,6 +1,7 @@
 """Defects of the register: of consensus, its records, its voters, and what operators are told."""
 
 from dataclasses import replace
+from http import HTTPStatus
 from typing import Any
 
 from stoneyoke.api.calls import Acknowledged, Rejected
@@ -120,7 +121,7 @@
     def outcome_of(order: Any, chosen: Any) -> Any:
         told = real(order, chosen)
         if chosen.version.number > order.version.number:
-            return Rejected(configuration_service.CONFLICT_STATUS, "generation", "older than what is in force")
+            return Rejected(HTTPStatus.CONFLICT, "generation", "older than what is in force")
         return told
 
     return [(configuration_service, "outcome_of", outcome_of)]
--- a/stoneyoke/programs/settings.py
+++ b/stoneyoke/programs/settings.py
@@ -6,8 +6,9 @@
 from typing import Any
 
 from stoneyoke.api.bounds import BOUND_SETTINGS, ServiceBounds, service_bounds
-from stoneyoke.api.calls import addressed
-from stoneyoke.api.schema import NEEDED, InvalidField, Setting, Table, above, at_least, filled, read
+from stoneyoke.api.checks import above, address_error, at_least, not_empty
+from stoneyoke.api.errors import InvalidField
+from stoneyoke.api.schema import REQUIRED, Setting, Table, read_table
 
 VARIABLE = "STONEYOKE_NODE_FILE"
 
@@ -26,8 +27,8 @@
     Setting(
         "self",
         (
-            Setting("node_name", str, NEEDED, filled),
-            Setting("ip_addr", str, NEEDED, lambda value: addressed(f"{value}:1")),
+            Setting("node_name", str, REQUIRED, not_empty),
+            Setting("ip_addr", str, REQUIRED, lambda value: address_error(f"{value}:1")),
             Setting("zone_name", str, ""),
             Setting("region_name", str, ""),
             Setting("first_start", bool, False),
@@ -46,14 +47,14 @@
     Setting(
         "network",
         (
-            Setting("port_range", [int], NEEDED, ports),
-            Setting("seed_addrs", [str], NEEDED, filled),
+            Setting("port_range", [int], REQUIRED, ports),
+            Setting("seed_addrs", [str], REQUIRED, not_empty),
             Setting(
                 "binds",
                 (
-                    Setting("front_addr", str, "", lambda value: addressed(value) if value else ""),
-                    Setting("ready_addr", str, "", lambda value: addressed(value) if value else ""),
-                    Setting("control_addr", str, "", lambda value: addressed(value) if value else ""),
+                    Setting("front_addr", str, "", lambda value: address_error(value) if value else ""),
+                    Setting("ready_addr", str, "", lambda value: address_error(value) if value else ""),
+                    Setting("control_addr", str, "", lambda value: address_error(value) if value else ""),
                 ),
                 {"front_addr": "", "ready_addr": "", "control_addr": ""},
             ),
@@ -123,11 +124,11 @@
 
 def make(given: dict[str, Any]) -> Settings:
     """Settings out of a whole file's content. Raises InvalidField."""
-    found = read(given, SETTINGS)
+    found = read_table(given, SETTINGS)
     own, network, limits = found["self"], found["network"], found["self"]["limits"]
-    terms = found["term_set"] or read({}, TERMS)
+    terms = found["term_set"] or read_table({}, TERMS)
     for at, seed in enumerate(network["seed_addrs"]):
-        if why := addressed(seed):
+        if why := address_error(seed):
             raise InvalidField(f"network.seed_addrs[{at}]", why)
     return Settings(
         own["node_name"],
--- a/stoneyoke/programs/stoneyokectl.py
+++ b/stoneyoke/programs/stoneyokectl.py
@@ -20,9 +20,9 @@
 
 from absl import app, flags
 
-from stoneyoke.api.calls import addressed
-from stoneyoke.api.configuration import NUMBER, Configuration, read_configuration
-from stoneyoke.api.schema import InvalidField
+from stoneyoke.api.checks import address_error, match_version
+from stoneyoke.api.configuration import Configuration, read_configuration
+from stoneyoke.api.errors import InvalidField
 from stoneyoke.consensus.ballot import NO_BALLOT
 from stoneyoke.consensus.errors import InvalidRecord
 from stoneyoke.consensus.record_formats import (
@@ -61,7 +61,7 @@
     except OSError as bad:
         raise CommandError(f"{path} can't be read: {bad}") from bad
     except InvalidField as bad:
-        raise CommandError(f"{path}: {bad.path}: {bad.why}") from bad
+        raise CommandError(f"{path}: {bad.field}: {bad.reason}") from bad
 
 
 def call(method: str, path: str, body: bytes = b"") -> bytes:
@@ -69,7 +69,7 @@
     if not CORES.value:
         raise CommandError("--core names no address")
     for core in CORES.value:
-        if why := addressed(core):
+        if why := address_error(core):
             raise CommandError(f"--core: {why}")
     until, last = time.monotonic() + WITHIN.value, "no core was asked"
     while time.monotonic() < until:
@@ -190,7 +190,7 @@
 
 def watch(version: str) -> None:
     """Waits until all gateways have a version. Raises CommandError where they don't in time."""
-    match = NUMBER(version)
+    match = match_version(version)
     if not match:
         raise CommandError(f"{version!r} is not r and a number")
     until, late = time.monotonic() + WITHIN.value, ["no gateway is known"]
--- a/tests/system/test_configuration_service.py
+++ b/tests/system/test_configuration_service.py
@@ -44,5 +44,5 @@
 def _():
     chosen = register_with(5)
     conflict = outcome_of(configuration(5, other_content), chosen)
-    assert isinstance(conflict, Rejected) and conflict.status == 409 and conflict.path == "generation"
+    assert isinstance(conflict, Rejected) and conflict.status == 409 and conflict.field == "generation"
     assert outcome_of(configuration(6), chosen) is None
--- a/tests/system/test_controller.py
+++ b/tests/system/test_controller.py
@@ -7,13 +7,14 @@
 from controller_cluster import run
 from ward import each, test
 
-from stoneyoke.api.calls import Acknowledged, Document, ReadConfiguration, Rejected, Unavailable, ask
+from stoneyoke.api.calls import Acknowledged, Document, ReadConfiguration, Rejected, Unavailable
+from stoneyoke.api.http_mapping import read_call
 from stoneyoke.consensus.register_value import FIRST_DISK
 from stoneyoke.controlplane.instance_registry import Phase
 
 
 def put(number, change=None):
-    return ask("POST", "/config/replace", example(number, change))
+    return read_call("POST", "/config/replace", example(number, change))
 
 
 def other_content(configuration):
@@ -21,7 +22,7 @@
 
 
 def beat(seq=1, phase="ready", instance="i-1"):
-    return ask(
+    return read_call(
         "POST",
         f"/instances/{instance}/heartbeat",
         json.dumps(
@@ -281,7 +282,7 @@
         records = [registry.records.get("i-1") for registry in registries]
         assert sum(record is not None and record.row.phase == Phase.DRAINING for record in records) >= 2
         cluster.lost = dict.fromkeys(cluster.names, ("InstanceUpdate",))
-        assert isinstance(await one.handle_call(ask("POST", "/instances/i-1/leave", b"")), Unavailable)
+        assert isinstance(await one.handle_call(read_call("POST", "/instances/i-1/leave", b"")), Unavailable)
 
     run(play)
 
--- a/tests/system/test_discovery_service.py
+++ b/tests/system/test_discovery_service.py
@@ -131,7 +131,17 @@
 
 
 def beat(call_seq=1, draining=False, instance="i-1"):
-    return Heartbeat(instance, "10.0.1.1:80", "tide", "v1", "east", 2, draining, call_seq, 0.0)
+    return Heartbeat(
+        instance=instance,
+        address="10.0.1.1:80",
+        service="tide",
+        generation="v1",
+        zone="east",
+        capacity=2,
+        draining=draining,
+        call_seq=call_seq,
+        warmup_left_s=0.0,
+    )
 
 
 @test("a drain is acknowledged once a majority of the voters has it, and only then")
--- a/tests/system/test_programs.py
+++ b/tests/system/test_programs.py
@@ -9,7 +9,7 @@
 
 from stoneyoke.storage.record_store import RecordStore
 from stoneyoke.api.configuration import read_configuration
-from stoneyoke.api.schema import InvalidField
+from stoneyoke.api.errors import InvalidField
 from stoneyoke.programs.stoneyokectl import differences
 from stoneyoke.programs.log_buffer import LogBuffer
 from stoneyoke.programs.settings import BadSettings, make, read_settings
@@ -62,7 +62,7 @@
     change(given)
     with raises(InvalidField) as bad:
         make(given)
-    assert bad.raised.path == path
+    assert bad.raised.field == path
 
 
 @fixture
