--- /dev/null
+++ b/stoneyoke/control/backend_selection.py
@@ -0,0 +1,156 @@
+"""Choice of a backend for an attempt: ranking by latency, slow start, ejection of failing backends."""
+
+import math
+
+from stoneyoke.control.backend_table import Backend, BackendTable
+from stoneyoke.control.concurrency import ConcurrencyLimit
+from stoneyoke.control.context import TICK_US, DecisionContext
+from stoneyoke.control.events import PeerEvidence
+from stoneyoke.control.open_rpc import InFlight
+from stoneyoke.control.parameters import NO_FAULT, AttemptOutcome, DeduplicationScope
+from stoneyoke.limits.token_bucket import SECOND, TokenBucket
+from stoneyoke.spread.zone_ranking import ring_positions, rotation_size
+
+EJECTED_US = SECOND  # how long a failing backend gets no attempts
+EJECTION_MARGIN = 0.4  # ejected above the median share of failures by this
+LATENCY_BAND = 1.5  # each band of the order is this much slower than the one before
+TYPICAL_LATENCY = 2.25  # below this many times the fleet's latency a backend tells of the whole fleet
+RANKING_CHANGES = 4  # changes after which the order is renewed: answers, overdue attempts and quarters of a second
+REFUSAL_LATENCY = 3.0  # a failure counts as slow as this, or a backend that refuses quickly would attract all
+
+
+class BackendSelector:
+    """The backends of a gateway in ranked order. The order is filled from its top, each backend up to a limit."""
+
+    def __init__(self, context: DecisionContext) -> None:
+        """Begins without backends."""
+        self.context, self.concurrency = context, ConcurrencyLimit(context)
+        self.table, self.order = BackendTable(), list[Backend]()
+        self.changes, self.ranked_at = 0, context.now  # since the order was renewed, and when it was
+        self.usual_latency = 1.0  # median of the backends measured of late
+        self.peer_evidence = PeerEvidence(frozenset(), frozenset())
+
+    def choose(self, tried: set[int], share: float, home: Backend | None, scope: DeduplicationScope) -> Backend | None:
+        """The backend for an RPC that may fill this share of the limit, in the scope of a home that may have run it."""
+        limit, order = self.concurrency.limit, self.order
+        overloaded, rotation = self.concurrency.is_overloaded(), rotation_size(self.concurrency.answers_per_s)
+        filled = sum(b.in_flight - (0 if overloaded else b.overdue) for b in order if self.is_typical(b))
+        # Where gateways are many the limit is a fraction: drawn, so that the gateways' parts sum to the whole.
+        if filled + self.context.random_source.draw() >= limit * share:
+            return None
+        backend_limit = max(1.0, 2 * limit / max(1, len(order)))
+        best, best_load = None, (math.inf, 0)
+        for at, backend in enumerate(order):
+            # Rotates among the first, the one used longest ago first: else a busy gateway would load just one.
+            if best_load[0] <= 0 and (at >= rotation or backend.ring_position >= len(order)):
+                break
+            if backend.index in tried or not self.is_usable(backend):
+                continue
+            if home and not backend.shares(scope, home):
+                continue
+            is_probed = backend.index in self.peer_evidence.probed
+            load = (-1, 0) if is_probed else (backend.in_flight + backend.latency_band, backend.last_attempt_at)
+            if load < best_load and backend.in_flight < backend_limit:
+                best, best_load = backend, load
+        return best
+
+    def is_usable(self, backend: Backend) -> bool:
+        """Whether it may get an attempt: not ejected, and a cold one only within this gateway's budget (rule 4)."""
+        ejected = self.context.now < backend.ejected_until or backend.index in self.peer_evidence.left_out
+        return not ejected and (backend.is_warm or backend.cold_budget.fill(self.context.now) >= 1.0)
+
+    def is_typical(self, backend: Backend) -> bool:
+        """Whether it is not much slower than the others that were measured of late."""
+        return backend.observed_latency < TYPICAL_LATENCY * self.usual_latency
+
+    def grant_cold_budgets(self, ready: list[Backend]) -> None:
+        """Each gateway grants its part, be it a fraction of an attempt: the gateways' parts sum to the whole."""
+        parameters = self.context.parameters
+        share = self.concurrency.answers_per_s / max(1, sum(b.is_warm for b in ready))
+        window_s = parameters.overload_window_us / SECOND
+        for backend in ready:
+            warm_share = backend.warm_share(parameters, self.context.now)
+            backend.is_warm = warm_share >= 1.0
+            if not backend.is_warm:
+                # At most half of it over time, a quarter at once, and its part of the load (twice that cost
+                # 0.02 to 0.1). Two a window from all gateways at least: a fleet all cold must get going.
+                rate = min(1.0, 0.5 * parameters.overload_factor) * warm_share * share
+                rate = max(rate, 2 / parameters.gateways / window_s)
+                backend.cold_budget.resize(rate, max(1.0, 0.5 * rate * window_s), self.context.now)
+
+    def mark_cold(self, backend: Backend, started_us: int) -> None:
+        """Takes a backend for one that started then. Budgets begin at drawn levels: gateways don't grant at once."""
+        backend.started_us, backend.is_warm = started_us, False
+        backend.cold_budget = TokenBucket(0.0, 1.0, self.context.random_source.draw(), self.context.now)
+
+    def renew_order(self) -> None:
+        """Ranks by bands of latency against the fleet's median, cold backends first, then by the place on the ring."""
+        now = self.context.now
+        quarters, self.changes, self.ranked_at = (now - self.ranked_at) / (5 * TICK_US), 0, now
+        ready = self.table.ready()
+        if ready:
+            self.fade_measurements(ready, quarters)
+            self.grant_cold_budgets(ready)
+            self.assign_bands(ready)
+        # A cold one goes first in its band: its budget keeps it from more than its part, and so all parts are used.
+        probed = self.peer_evidence.probed
+        self.order = sorted(ready, key=lambda b: (b.index not in probed, b.latency_band, b.is_warm, b.ring_position))
+        self.concurrency.backends = len(self.order)
+
+    def fade_measurements(self, ready: list[Backend], quarters: float) -> None:
+        """Renews observed latencies. What was measured is slowly forgotten, so that a slow backend is tried again."""
+        now, methods = self.context.now, self.context.methods
+        mean_us = sum(method.mean_latency_us for method in methods) / len(methods)
+        for backend in ready:
+            silence = (now - backend.silent_since) / mean_us / 2 if backend.in_flight else 0.01
+            backend.observed_latency = max(backend.relative_latency, silence)
+            kept = 1.0 if backend.in_flight else 0.98**quarters
+            backend.relative_latency = 1 + (backend.relative_latency - 1) * kept
+            backend.failure_share *= 0.95**quarters
+        # One that is never used tells nothing of an overload. The 1.0 is for a single measured one: it is no norm.
+        recent = [b.observed_latency for b in ready if b.in_flight or now - b.measured_at < 5 * SECOND]
+        self.usual_latency = sorted([1.0, *recent])[len(recent) // 2]
+
+    def assign_bands(self, ready: list[Backend]) -> None:
+        """Sets each backend's band and place on the ring. Ejects those with far more failures than the median."""
+        now, parameters = self.context.now, self.context.parameters
+        latency = sorted(b.observed_latency for b in ready)[len(ready) // 2]
+        failures = sorted(b.failure_share for b in ready)[len(ready) // 2]
+        ring = ring_positions([b.zone for b in ready], parameters.zone, parameters.own_index)
+        for backend, position in zip(ready, ring, strict=True):
+            backend.ring_position = position
+            backend.latency_band = max(0, int(math.log(backend.observed_latency / latency) / math.log(LATENCY_BAND)))
+            if backend.failure_share > failures + EJECTION_MARGIN and now >= backend.ejected_until:
+                backend.ejected_until = now + EJECTED_US
+
+    def measure(self, attempt: InFlight, method: int, outcome: AttemptOutcome) -> None:
+        """Learns from an attempt that has ended."""
+        self.changes += 1
+        backend, statistics = self.table.backends[attempt.backend], self.context.methods[method]
+        latency_us = self.context.now - attempt.started_at
+        if outcome in (AttemptOutcome.OK, AttemptOutcome.ERROR, AttemptOutcome.REJECTED):
+            backend.silent_since = self.context.now
+        backend.failure_share += ((outcome not in NO_FAULT) - backend.failure_share) * 0.25
+        if outcome is AttemptOutcome.OK:
+            # With a tenth lost four times a second: a running mean of answers a second.
+            self.concurrency.answers_per_s += 0.4 * backend.is_warm
+            statistics.record(latency_us)
+        if outcome is AttemptOutcome.NO_CONNECTION:
+            # What accepts no connection may have died, and comes back cold before discovery reports it.
+            backend.ejected_until = self.context.now + EJECTED_US
+            self.mark_cold(backend, self.context.now + EJECTED_US)
+        elif outcome is not AttemptOutcome.NOT_SENT:
+            relative = latency_us / statistics.mean_latency_us
+            relative = relative if outcome is AttemptOutcome.OK else max(REFUSAL_LATENCY, relative)
+            backend.relative_latency += (relative - backend.relative_latency) * 0.15  # 0.3 lost 0.17 on one incident
+            backend.measured_at = self.context.now
+        latency = min(1.5, latency_us / self.context.parameters.methods[method].soft_deadline_us)
+        self.concurrency.record(outcome, latency, self.is_typical(backend))
+
+    def look(self) -> None:
+        """Four times a second: renews the order if enough has changed, and drops what is gone."""
+        self.concurrency.decay()
+        self.changes += 1
+        if self.changes >= RANKING_CHANGES:  # a second at the latest; a quiet gateway has little to rank anew
+            self.renew_order()
+        self.table.drop_gone()
--- /dev/null
+++ b/stoneyoke/control/concurrency.py
@@ -0,0 +1,63 @@
+"""The concurrency limit: how many attempts this gateway keeps in flight, and the signals of an overloaded fleet."""
+
+import math
+
+from stoneyoke.control.context import DecisionContext
+from stoneyoke.control.parameters import PROVEN_NOT_RUN, AttemptOutcome
+
+# Latencies here are in soft deadlines of the method.
+TARGET_LATENCY = 0.35  # with this mean the fleet is full and few answers are late
+OVERLOAD_LATENCY = 0.3  # mean latency of good answers above which the fleet is overloaded
+OVERLOAD_REFUSALS = 0.4  # likewise the share of attempts rejected or timed out
+
+
+class ConcurrencyLimit:
+    """A limit moved by each attempt's latency so that the mean stays at the target, well inside the soft deadline."""
+
+    def __init__(self, context: DecisionContext) -> None:
+        """Begins with a guess of the limit, which answers soon replace."""
+        self.context = context
+        self.limit = 16.0  # attempts of this gateway; a fraction where gateways are many
+        self.in_flight, self.usual_in_flight = 0, 4.0
+        self.backends = 0  # ranked ones
+        self.latency = 0.1  # running mean of good answers
+        self.refusals = 0.0  # running mean: share of attempts rejected or timed out
+        self.answers_per_s = 0.0  # good answers of warm backends
+
+    def is_refused(self) -> bool:
+        """Whether the backends turn so much away that the fleet is full."""
+        return self.refusals > OVERLOAD_REFUSALS
+
+    def is_overloaded(self) -> bool:
+        """Attempts without an answer show an overload only while answers are slow too. Else they are lost."""
+        return self.latency > OVERLOAD_LATENCY or self.is_refused()
+
+    def smoothing(self, seconds: float) -> float:
+        """The weight of an answer in a mean over so many seconds of them. (0.3 at most let overloads last a day.)"""
+        return min(0.6, 1 / seconds / max(1.0, self.answers_per_s))
+
+    def record(self, outcome: AttemptOutcome, latency: float, is_typical: bool) -> None:
+        """Moves signals and limit by an attempt's end. A backend that is not typical tells nothing of the fleet."""
+        if outcome is AttemptOutcome.OK:
+            self.latency += (latency - self.latency) * self.smoothing(0.4)
+        refused = outcome in (AttemptOutcome.REJECTED, AttemptOutcome.TIMED_OUT)
+        if outcome is AttemptOutcome.OK or refused:
+            self.refusals += (refused - self.refusals) * self.smoothing(0.4) / 2
+        lost_in_overload = outcome not in PROVEN_NOT_RUN and is_typical and self.is_overloaded()
+        if outcome is AttemptOutcome.OK and is_typical:
+            self.adjust(latency)
+        elif (refused and self.is_refused()) or lost_in_overload:
+            self.adjust(1.0)
+
+    def adjust(self, latency: float) -> None:
+        """Moves the limit by one more attempt's latency."""
+        if latency > TARGET_LATENCY or self.in_flight + 1 >= 0.5 * self.limit:
+            self.limit *= math.exp(self.smoothing(1.0) * (TARGET_LATENCY - latency))
+        # One and a half attempts a backend, shared by the gateways, never overload a fleet: no less than that.
+        self.limit = max(1.5 * self.backends / self.context.parameters.gateways, self.limit)
+
+    def decay(self) -> None:
+        """Four times a second: lowers a limit that is not used, or it would let a sudden overload in unchecked."""
+        self.usual_in_flight += (self.in_flight - self.usual_in_flight) * 0.1
+        self.limit = min(self.limit, 3 * self.usual_in_flight + 4)
+        self.answers_per_s *= 0.9
--- a/stoneyoke/control/open_rpc.py
+++ b/stoneyoke/control/open_rpc.py
@@ -1,41 +1,53 @@
-"""What the decisions remember of an RPC, a method and a counter call: rows without logic."""
+"""Records of RPCs in progress and of counter queries. No logic here."""
 
 from collections.abc import Generator
 from typing import Any, NamedTuple
 
 from stoneyoke.control.actions import Action, AddToCounter
-from stoneyoke.control.events import Arrival
+from stoneyoke.control.events import Arrival, AttemptEnded
 
-Rpc = Generator[Action | int, Any, None]
+# An RPC's way through the decisions: yields an action, or WAIT, and is resumed with what came of it.
+Step = Action | None
+RpcSteps = Generator[Step, Any, None]
+WAIT = None  # yielded to be resumed with STILL_WAITING at OpenRpc.resume_at_us
+STILL_WAITING = None  # an RPC is resumed with this when the time has come and nothing else has
 
 
-class Call(NamedTuple):
-    """A counter call to come; its answer is read for a customer of whom so much was told,
-    and holds that part of the period's additions."""
+class Reservation(NamedTuple):
+    """Units of the shared bucket that stand in the counter for an RPC."""
 
     name: int
     amount: float
-    customer: int = -1
-    told: float = 0.0
-    part: float = 1.0
 
 
-class MethodRow:
-    """What the module reads of a method, a row a method."""
+class Verdict(NamedTuple):
+    """What the quotas say to an RPC."""
 
-    def __init__(self, soft_deadline_us: int) -> None:
-        self.mean = soft_deadline_us / 6  # a first guess of the time taken; answers soon replace it
-        self.seen = 0
-        self.longest = 0  # the longest wait that a client's try came with: a first try's
+    wait_us: int  # 0: admitted; else after how long there are units for it
+    reservation: Reservation | None = None
+
+
+AdmissionSteps = Generator[Step, Any, Verdict]  # the part of RpcSteps that ends with the quotas' verdict
+AttemptSteps = Generator[Step, Any, AttemptEnded]  # the part that ends with an attempt
+
+
+class InFlight(NamedTuple):
+    """An attempt that has not ended."""
+
+    backend: int
+    started_at: int
 
 
 class OpenRpc:
-    """An RPC held or with call-outs out; dropped when it is ended and none is out."""
-
-    def __init__(self, call: Arrival, now: int) -> None:
-        self.call, self.begun = call, now
-        self.steps: Rpc | None = None
-        self.outs: dict[int, tuple[int, int]] = {}  # call-out number -> backend, time
-        self.asked: AddToCounter | None = None  # what it waits for the counter to answer
-        self.sent = self.look_at = self.slow_at = 0  # slow_at: call-outs whose slowness has been counted
-        self.ended = False
+    """An RPC that waits for its answer, or has attempts in flight. Dropped once both are over."""
+
+    def __init__(self, arrival: Arrival, now: int) -> None:
+        """Begins without attempts."""
+        self.arrival, self.arrived_at = arrival, now
+        self.steps: RpcSteps | None = None
+        self.in_flight: dict[int, InFlight] = {}  # by the attempt's number
+        self.attempts_started = 0
+        self.overdue_counted = 0  # attempts that have been counted as overdue
+        self.query: AddToCounter | None = None  # the counter query whose reply it waits for
+        self.resume_at_us = 0
+        self.answered = False  # it has its final answer, or nobody waits for one
--- a/stoneyoke/control/parameters.py
+++ b/stoneyoke/control/parameters.py
@@ -39,6 +39,10 @@
 
 # These outcomes alone prove that the backend has not run the RPC.
 PROVEN_NOT_RUN = (AttemptOutcome.REJECTED, AttemptOutcome.NO_CONNECTION, AttemptOutcome.CUT, AttemptOutcome.NOT_SENT)
+# After these the backend has neither failed nor been unreachable.
+NO_FAULT = (AttemptOutcome.OK, AttemptOutcome.CANCELLED, AttemptOutcome.REJECTED, AttemptOutcome.NOT_SENT)
+# After these the backend has had no work with the attempt.
+NOT_REACHED = (AttemptOutcome.NO_CONNECTION, AttemptOutcome.NOT_SENT)
 
 
 class BackendState(IntEnum):
@@ -61,6 +65,16 @@
     utility: float  # what an answer within the soft deadline is worth
     attempts_max: int = 0  # 0: as GatewayParameters.attempts_max says
 
+    @property
+    def is_idempotent(self) -> bool:
+        """Whether an RPC may run any number of times."""
+        return self.idempotency is Idempotency.IDEMPOTENT
+
+    @property
+    def is_deduplicated(self) -> bool:
+        """Whether backends recognise a repeat, within the scope and the window."""
+        return self.idempotency is Idempotency.DEDUPLICATED
+
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Plan:
--- /dev/null
+++ b/stoneyoke/control/quota_shares.py
@@ -0,0 +1,82 @@
+"""Each gateway's share of a customer's quota: its own part of the demand that all gateways count at the counter."""
+
+import math
+
+from stoneyoke.control.actions import ForgetCustomer
+from stoneyoke.control.context import DecisionContext
+from stoneyoke.control.counter_calls import QuerySchedule, ScheduledQuery, demand_name
+from stoneyoke.control.counter_load import SILENT_QUERIES
+from stoneyoke.control.customer import Customer
+from stoneyoke.control.events import CounterReply
+from stoneyoke.control.quotas import Quotas
+from stoneyoke.limits.token_bucket import SECOND
+
+DECAY = 0.6  # of the demand counted before, each period
+
+
+class QuotaShares:
+    """Counts demand and renews shares each second."""
+
+    def __init__(self, context: DecisionContext, quotas: Quotas) -> None:
+        """Renews the shares of the customers of `quotas`."""
+        self.context, self.quotas = context, quotas
+        self.schedule = QuerySchedule(quotas.counter, self.read_total)
+
+    def close_second(self) -> None:
+        """At each second's end: closes the periods that end now, schedules their queries and renews the shares."""
+        now, counter = self.context.now, self.quotas.counter
+        second = now // SECOND
+        self.schedule.clear()
+        silent = counter.unanswered >= SILENT_QUERIES and counter.asked_at - counter.replied_at > SECOND
+        for customer in list(self.quotas.customers.values()):
+            if (second + customer.customer_id) % customer.period_s == 0:
+                self.close_period(customer, second)
+            if now - customer.counted_at > (2 if silent else 20) * SECOND:
+                customer.others_units = customer.others_s = 0.0
+            self.renew_share(customer)
+            if customer.may_be_forgotten(now):
+                del self.quotas.customers[customer.index]
+                self.context.actions.append(ForgetCustomer(customer.index))
+
+    def close_period(self, customer: Customer, second: int) -> None:
+        """Adds the period's demand to the customer's own, and has it counted."""
+        units, customer.demand_units = customer.demand_units, 0.0
+        customer.own_units = DECAY * customer.own_units + units
+        customer.own_s = DECAY * customer.own_s + customer.period_s
+        is_shared = self.context.parameters.has_counter and customer.even_share < 1
+        if is_shared and self.context.now < customer.counting_until:
+            self.schedule_queries(customer, units, second)
+
+    def schedule_queries(self, customer: Customer, units: float, second: int) -> None:
+        """Schedules what counts a period's demand: an addition and a later reading, or one query for both."""
+        load, draw = self.quotas.load, self.context.random_source.draw
+        name, queried_share = demand_name(customer.customer_id, second), load.queried_share
+        if not customer.shared_bucket:
+            if units > 0:
+                self.schedule.add_units(customer, name, units)
+            if draw() < queried_share:
+                self.schedule.add_reading(customer, name, units)
+        elif units > 0 and not load.asks_about(customer.shared_bucket) and draw() < queried_share:
+            # What is left out while the counter is overloaded is made up for by its weight.
+            self.schedule.add_both(customer, name, units / queried_share, draw())
+
+    def read_total(self, query: ScheduledQuery, reply: CounterReply) -> None:
+        """Takes the others' demand from a total."""
+        customer = self.quotas.customers.get(query.customer)
+        if not customer or not reply.added or not math.isfinite(reply.total):
+            return
+        if reply.total < query.own_units * 0.999:  # the counter has lost values: as if it were silent
+            return
+        periods = (self.context.now - customer.counted_at) / SECOND / customer.period_s
+        kept = DECAY ** min(20.0, periods)
+        customer.counted_at = self.context.now
+        customer.others_units = kept * customer.others_units + reply.total - query.own_units
+        customer.others_s = kept * customer.others_s + query.period_share * customer.period_s
+        self.renew_share(customer)
+
+    def renew_share(self, customer: Customer) -> None:
+        """Own part of the counted demand. The even share while nothing is known of the others."""
+        own = customer.own_units / max(customer.own_s, 1)
+        demand = own + customer.others_units / max(customer.others_s, 0.01)
+        is_known = demand > 0 and customer.others_s > 0
+        customer.take_share(own / demand if is_known else customer.even_share, self.context.now)
--- /dev/null
+++ b/stoneyoke/control/rpc_runner.py
@@ -0,0 +1,107 @@
+"""Runs the retry policy of each open RPC step by step and keeps account of its attempts. Decides nothing itself."""
+
+from functools import partial
+
+from stoneyoke.control.actions import Action, AddToCounter, CancelAttempt, StartAttempt
+from stoneyoke.control.backend_selection import BackendSelector
+from stoneyoke.control.context import DecisionContext
+from stoneyoke.control.events import AnswerStarted, Arrival, AttemptEnded, ClientGone, CounterReply
+from stoneyoke.control.open_rpc import STILL_WAITING, InFlight, OpenRpc
+from stoneyoke.control.quotas import Quotas
+from stoneyoke.control.retry_policy import RetryPolicy
+from stoneyoke.limits.token_bucket import SECOND
+
+STREAMING_US = 3600 * SECOND  # an RPC whose answer arrives is left alone: longer than any deadline
+
+
+class RpcRunner:
+    """The open RPCs of a gateway. Each is a generator of RetryPolicy.serve, resumed with what came of its step."""
+
+    def __init__(
+        self, context: DecisionContext, policy: RetryPolicy, quotas: Quotas, backends: BackendSelector
+    ) -> None:
+        """Runs RPCs by `policy`; counts their attempts with the customers of `quotas` and with `backends`."""
+        self.context, self.policy, self.quotas, self.backends = context, policy, quotas, backends
+        self.open: dict[int, OpenRpc] = {}
+
+    def start(self, arrival: Arrival) -> None:
+        """Begins an RPC."""
+        rpc = OpenRpc(arrival, self.context.now)
+        self.open[arrival.rpc] = rpc
+        rpc.steps = self.policy.serve(rpc)
+        self.carry_out(rpc, next(rpc.steps))
+
+    def resume(self, rpc: OpenRpc, result: AttemptEnded | CounterReply | None) -> None:
+        """Lets an RPC go on, unless it has its answer."""
+        rpc.query = None
+        if rpc.steps and not rpc.answered:
+            self.carry_out(rpc, rpc.steps.send(result))
+
+    def resume_due(self) -> None:
+        """Resumes the RPCs whose time to look again has come."""
+        for rpc in [r for r in self.open.values() if r.resume_at_us <= self.context.now]:
+            self.resume(rpc, STILL_WAITING)
+
+    def carry_out(self, rpc: OpenRpc, step: Action | None) -> None:
+        """Does what an RPC's policy has yielded."""
+        if step is None:
+            return
+        if isinstance(step, AddToCounter):
+            rpc.query = step
+            self.quotas.counter.add(step.name, step.amount, partial(self.query_answered, rpc, step))
+            return
+        self.context.actions.append(step)
+        if isinstance(step, StartAttempt):
+            self.attempt_started(rpc, step)
+        elif not isinstance(step, CancelAttempt):
+            rpc.answered = True
+            self.drop_if_done(rpc)
+
+    def attempt_started(self, rpc: OpenRpc, step: StartAttempt) -> None:
+        """Counts an attempt as in flight."""
+        self.backends.table.backends[step.backend].attempt_started(self.context.now)
+        self.backends.concurrency.in_flight += 1
+        self.quotas.customers[rpc.arrival.customer].in_flight += 1
+        rpc.in_flight[rpc.attempts_started] = InFlight(step.backend, self.context.now)
+        rpc.attempts_started += 1
+
+    def attempt_ended(self, result: AttemptEnded) -> None:
+        """Settles an attempt and resumes its RPC. A result for an attempt that is not in flight is ignored."""
+        rpc = self.open.get(result.rpc)
+        if rpc is None or result.attempt not in rpc.in_flight:
+            return
+        attempt = rpc.in_flight.pop(result.attempt)
+        was_overdue = rpc.overdue_counted == result.attempt + 1
+        self.backends.table.backends[attempt.backend].attempt_ended(was_overdue)
+        self.backends.concurrency.in_flight -= 1
+        customer = self.quotas.customers[rpc.arrival.customer]
+        customer.in_flight -= 1
+        # The true cost comes with the first good answer.
+        if self.context.parameters.settles_units and customer.plan.rate > 0 and result.settled_units > 0:
+            customer.bucket.level += rpc.arrival.units - result.settled_units
+        if attempt.started_at >= self.context.resumed_at:
+            self.backends.measure(attempt, rpc.arrival.method, result.outcome)
+        rpc.answered = rpc.answered or result.is_final
+        self.resume(rpc, result)
+        self.drop_if_done(rpc)
+
+    def query_answered(self, rpc: OpenRpc, query: AddToCounter, reply: CounterReply) -> None:
+        """Resumes an RPC with the counter's reply, unless it has gone on without it."""
+        if rpc.query is query and not rpc.answered:
+            self.resume(rpc, reply)
+
+    def client_gone(self, event: ClientGone) -> None:
+        """Owes an RPC no answer any more. Its attempts in flight still count."""
+        if rpc := self.open.get(event.rpc):
+            rpc.answered = True
+            self.drop_if_done(rpc)
+
+    def answer_started(self, event: AnswerStarted) -> None:
+        """Leaves an RPC alone whose answer arrives: only the end of its attempt counts now."""
+        if rpc := self.open.get(event.rpc):
+            rpc.resume_at_us = self.context.now + STREAMING_US
+
+    def drop_if_done(self, rpc: OpenRpc) -> None:
+        """Forgets an RPC that has its answer and no attempt in flight."""
+        if rpc.answered and not rpc.in_flight:
+            self.open.pop(rpc.arrival.rpc, None)
--- a/stoneyoke/gateway/admission.py
+++ b/stoneyoke/gateway/admission.py
@@ -5,7 +5,9 @@
 from dataclasses import replace
 
 from stoneyoke.api.bounds import ServiceBounds
-from stoneyoke.control.quotas import Customer, Quotas
+from stoneyoke.control.context import DecisionContext
+from stoneyoke.control.customer import Customer
+from stoneyoke.control.quotas import Quotas
 from stoneyoke.control.events import Arrival
 from stoneyoke.control.parameters import Idempotency, DeduplicationScope, Method, Plan, GatewayParameters
 from stoneyoke.limits.local_quota import (
@@ -56,7 +58,7 @@
 
 class Admission(Quotas):
     def __init__(self, seed: int, now: int, bounds: ServiceBounds) -> None:
-        super().__init__(parameters(seed), now)
+        super().__init__(DecisionContext(parameters(seed), now))
         self.bounds, self.heard_at = bounds, now - LONG_AGO
         self.among(ASSUMED_GATEWAYS)
         self.indices: dict[str, int] = {}  # tenants that have come; no more than the operator names
@@ -76,10 +78,10 @@
         )
         if tenant.label not in self.local_quotas:
             self.local_quotas[tenant.label] = LocalQuota()
-            self.parameters = replace(self.parameters, plans=(*self.parameters.plans, plan))
-        elif self.parameters.plans[index] != plan:  # a configuration has changed it
-            plans = (*self.parameters.plans[:index], plan, *self.parameters.plans[index + 1 :])
-            self.parameters = replace(self.parameters, plans=plans)
+            self.context.parameters = replace(self.context.parameters, plans=(*self.context.parameters.plans, plan))
+        elif self.context.parameters.plans[index] != plan:  # a configuration has changed it
+            plans = (*self.context.parameters.plans[:index], plan, *self.context.parameters.plans[index + 1 :])
+            self.context.parameters = replace(self.context.parameters, plans=plans)
             if customer := self.customers.get(index):
                 customer.plan = plan
         return Arrival(
@@ -90,12 +92,12 @@
             customer_id=index,
             wait_us=wait_us,
             units=1.0,
-            customer_gateways=self.parameters.gateways,
+            customer_gateways=self.context.parameters.gateways,
         )
 
     def among(self, gateways: int) -> None:
         """How many gateways share what is not told."""
-        self.parameters = replace(self.parameters, gateways=max(1, gateways))
+        self.context.parameters = replace(self.context.parameters, gateways=max(1, gateways))
 
     def heard(self, now: int) -> None:
         """The keeper has answered."""
@@ -103,45 +105,49 @@
 
     def knock(self, call: Arrival, local_quota: LocalQuota, now: int) -> int | None:
         """0: it passes. Else the wait that its refusal states; None: the keeper has to be asked."""
-        self.now = now
+        self.context.now = now
         customer = self.customer(call)
-        customer.tries += 1
+        customer.rpcs += 1
         local_quota.record_demand(call.units, now / SECOND)
         if local_quota.try_take(call.units):
             return 0
         shut = int(local_quota.closed_until * SECOND) - now
-        return self.advised(customer, shut) if shut > 0 else None
+        return self.advised_wait(customer, shut) if shut > 0 else None
 
     def answered(self, call: Arrival, local_quota: LocalQuota, now: int) -> int:
         """After the keeper has answered, or has not in time."""
-        self.now = now
+        self.context.now = now
         customer = self.customer(call)
         if local_quota.try_take(call.units):
             return 0
         shut = int(local_quota.closed_until * SECOND) - now
-        return self.advised(customer, shut) if shut > 0 else self.alone(customer, call, local_quota)
+        return self.advised_wait(customer, shut) if shut > 0 else self.alone(customer, call, local_quota)
 
     def alone(self, customer: Customer, call: Arrival, local_quota: LocalQuota) -> int:
         """No keeper was heard: from the part of the store that is this gateway's own."""
-        now, heard_at = self.now / SECOND, self.heard_at / SECOND
+        now, heard_at = self.context.now / SECOND, self.heard_at / SECOND
         share, reserve_units = local_quota.isolated_allowance(heard_at, now)
-        plan, gateways = customer.plan, self.parameters.gateways
+        plan, gateways = customer.plan, self.context.parameters.gateways
         beyond = excess_units(plan.rate, plan.burst, self.bounds)
         if self.alone_at.get(call.customer, -LONG_AGO) < self.heard_at:
-            self.alone_at[call.customer] = self.now
+            self.alone_at[call.customer] = self.context.now
             # Document units, by chance: a part of one lets nothing through, and the parts sum to the same.
-            first = min(2.0, float(int(ISOLATED_START_RATIO * beyond / gateways + self.random_source.draw())))
-            customer.store.level, customer.store.filled_at = max(reserve_units, first), self.now
+            first = min(2.0, float(int(ISOLATED_START_RATIO * beyond / gateways + self.context.random_source.draw())))
+            customer.bucket.level, customer.bucket.filled_at = max(reserve_units, first), self.context.now
         # A new life that has heard nobody: all may have started just now. Those that were told of hardly any part
         # share what the rule allows beyond the store: even slices for small tenants, little of a large one.
         untold = 0.25 * beyond / (plan.rate * self.bounds.quota_window_s)
-        if now - max(heard_at, self.born / SECOND) < UNGRANTED_S:
-            untold = UNGRANTED_RATIO * beyond / (plan.rate * UNGRANTED_S) if heard_at > self.born / SECOND else 1.0
-        customer.slice = max(share, min(1.0, untold) / gateways)
-        customer.store.resize(plan.rate * customer.slice, max(customer.depth(), reserve_units), self.now)
-        wait = self.slice_wait(customer, call)
+        if now - max(heard_at, self.context.born_at / SECOND) < UNGRANTED_S:
+            untold = (
+                UNGRANTED_RATIO * beyond / (plan.rate * UNGRANTED_S)
+                if heard_at > self.context.born_at / SECOND
+                else 1.0
+            )
+        customer.share = max(share, min(1.0, untold) / gateways)
+        customer.bucket.resize(plan.rate * customer.share, max(customer.depth(), reserve_units), self.context.now)
+        wait = self.share_wait(customer, call)
         if wait > 0:
-            return self.advised(customer, wait)
-        customer.store.level -= call.units
+            return self.advised_wait(customer, wait)
+        customer.bucket.level -= call.units
         local_quota.isolated_units += call.units
         return 0
--- a/stoneyoke/runtime/runtime.py
+++ b/stoneyoke/runtime/runtime.py
@@ -71,7 +71,7 @@
         self.pending: dict[int, PendingRequest] = {}
         self.requests_opened = 0
         self.customers = IdIndex[int]()  # released by ForgetCustomer
-        self.next_timer_at = self.gateway.born
+        self.next_timer_at = self.gateway.context.born_at
         self.stalled_from = self.stalled_until = 0
         self.send_to_counter: Callable[[AddToCounter], None] = lambda _: None
         self.attempt_observer: AttemptObserver | None = None
@@ -116,7 +116,7 @@
         except Exception:  # outermost guard: a fault in the decision logic costs this event, never the gateway
             logger.exception("The decision logic failed on {}; the event is lost and the gateway serves on.", event)
             self.metrics.check_invariant(False, "decision logic failed")
-            actions = self.gateway.actions
+            actions = self.gateway.context.actions
         for action in actions:
             try:
                 self.execute(action)
@@ -197,7 +197,7 @@
 
     def knows_backend(self, backend: int) -> bool:
         """Whether the decision logic still keeps a row for a backend, so that its index is in use."""
-        return backend in self.gateway.backends
+        return self.gateway.knows(backend)
 
     # ---- actions ----
 
--- a/stoneyoke/spread/__init__.py
+++ b/stoneyoke/spread/__init__.py
@@ -1,1 +1,1 @@
-"""Where each gateway of many begins, so that together they call all backends alike. No I/O."""
+"""Spreads the attempts of many gateways evenly over all backends, without any word between the gateways."""
--- a/stoneyoke/spread/zone_ranking.py
+++ b/stoneyoke/spread/zone_ranking.py
@@ -1,40 +1,55 @@
-"""Places in the order of backends: a ring of zones, on which each gateway begins somewhere else. No I/O."""
+"""A gateway's order among equal backends: a ring of all zones on which each gateway begins elsewhere. No I/O."""
 
 import math
 
-GOLDEN = 0.618034  # steps of this part of a ring never come close to one another (three-distance theorem)
-# In seconds of own call-outs: a gateway takes turns among so many backends. In a window of that length each
-# then gets one from it or none, and the sum of many gateways is far more even than by chance.
-TURN_S = 2.0
-# Among no more, whatever the rate: each gateway learns the pace of each by itself and meets each bad one.
-# (Without a limit calm+mass took 4,242 connections in place of 1,736 and fell to 0.72; four cost 0.02 on one
-# grown site.)
-MOST = 2
+GOLDEN = 0.618034  # multiples of this part of a ring never come close to one another (three-distance theorem)
+# A gateway rotates among so many backends that in a window of this length, in seconds, each gets one of its
+# attempts or none. The sum over many gateways is then far more even than by chance.
+ROTATION_WINDOW_S = 2.0
+# At most among so many, whatever its rate: each gateway learns the latency of each by itself and meets each bad
+# one. (Without a limit calm+mass took 4,242 connections in place of 1,736 and fell to 0.72; four cost 0.02 on
+# one grown site.)
+ROTATION_MAX = 2
 
 
-def places(zones: list[int], own_zone: int, own: int) -> list[int]:
-    """Each backend's place for one gateway, by its index in the list, which is the same at all gateways, a
-    zone after the other. The zone's gateways take an even stretch of the ring first: mostly their own zone,
-    and some of a large one for a small one's. What is not in the stretch has places from len(zones) on.
+def ring_positions(zones: list[int], own_zone: int, own_index: int) -> list[int]:
+    """The place of each backend in one gateway's order.
 
-    Stretches begin and end within a backend, to which both zones send a part. (With whole ones those at the
-    ends were the first of twice as many gateways.)"""
+    The backends are a ring, zone after zone. A zone's gateways have an even stretch of it: mostly the backends of
+    their own zone, and some of a large one for a small one's. Stretches begin and end within a backend, to which
+    both zones then send. (With whole backends those at the ends were the first of twice as many gateways.)
+
+    Args:
+        zones: the zone of each backend, sorted. The list is the same at all gateways.
+        own_zone: the gateway's zone.
+        own_index: the gateway's number. Each begins elsewhere in its stretch.
+
+    Returns:
+        The place of each backend, in the order of `zones`. Outside of the stretch they are from len(zones) on.
+    """
     count, kinds = len(zones), sorted(set(zones))
     if not count:
         return []
     stretch = count / len(kinds)
     begin = kinds.index(own_zone) * stretch if own_zone in kinds else 0.0
-    turn = own * GOLDEN % 1
+    offset = own_index * GOLDEN % 1  # of the stretch
     low, high = int(begin + 1e-9), math.ceil(begin + stretch - 1e-9)
-    here = [at % count for at in range(low, high)]
-    rest = [at % count for at in range(high, low + count)]
-    found = [0] * count
-    for part, first, base in ((here, int(begin + turn * stretch) - low, 0), (rest, int(turn * len(rest)), count)):
-        for place, at in enumerate(part[first:] + part[:first]):
-            found[at] = base + place
-    return found
-
-
-def turns(rate: float) -> int:
-    """Among how many backends a gateway takes turns that makes so many call-outs a second."""
-    return max(1, min(MOST, math.ceil(TURN_S * rate)))
+    inside = [at % count for at in range(low, high)]
+    outside = [at % count for at in range(high, low + count)]
+    first_inside, first_outside = int(begin + offset * stretch) - low, int(offset * len(outside))
+    positions = [0] * count
+    for position, at in enumerate(rotated(inside, first_inside)):
+        positions[at] = position
+    for position, at in enumerate(rotated(outside, first_outside), start=count):
+        positions[at] = position
+    return positions
+
+
+def rotated(backends: list[int], first: int) -> list[int]:
+    """A list that begins at its element `first` and goes round."""
+    return backends[first:] + backends[:first]
+
+
+def rotation_size(attempts_per_s: float) -> int:
+    """The number of backends among which a gateway rotates at this rate of attempts."""
+    return max(1, min(ROTATION_MAX, math.ceil(ROTATION_WINDOW_S * attempts_per_s)))
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -125,13 +125,13 @@
 async def test_advice_reaches_the_gateways_decisions():
     async with TwoGateways() as two:
         program = two.programs[0]
-        (index,) = program.runtime.gateway.backends
+        (index,) = program.runtime.gateway.backends.table.backends
         program.peers.apply_advice(PeerEvidence(frozenset([index]), frozenset()))
-        assert program.runtime.gateway.peer_evidence.left_out == {index}
+        assert program.runtime.gateway.backends.peer_evidence.left_out == {index}
         assert program.metrics.counts["fleet: backend ejected on peer evidence"] == 1
         assert program.metrics.counts["fleet: left out on hearsay"] == 1  # the name before, for one release
         program.peers.leave()
-        assert program.runtime.gateway.peer_evidence.left_out == frozenset()
+        assert program.runtime.gateway.backends.peer_evidence.left_out == frozenset()
 
 
 @pytest.mark.parametrize(
--- a/tests/net/test_runtime.py
+++ b/tests/net/test_runtime.py
@@ -57,9 +57,13 @@
         runtime = town.program.runtime
         description = RequestDescription(method=0, plan=0, customer_id=5, units=1.0, customer_gateways=3.0)
         held = runtime.open_request(description, runtime.clock.now() + 1_000_000)
-        assert isinstance(held.decisions[0], StartAttempt) and runtime.gateway.out == 1
+        assert isinstance(held.decisions[0], StartAttempt) and runtime.gateway.backends.concurrency.in_flight == 1
         runtime.close_request(held)
-        assert runtime.gateway.out == 0 and not runtime.pending and not runtime.gateway.open
+        assert (
+            runtime.gateway.backends.concurrency.in_flight == 0
+            and not runtime.pending
+            and not runtime.gateway.rpcs.open
+        )
 
 
 @on_loop
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -55,7 +55,11 @@
         ids = [line for lines, _ in town.backend.got for line in lines if line.startswith(b"Req-Id: ")]
         assert max(map(ids.count, ids), default=0) <= SETTINGS["caps"]["try-limit"]
         runtime = town.program.runtime
-        assert not runtime.pending and runtime.gateway.out == 0 and not town.program.metrics.violations
+        assert (
+            not runtime.pending
+            and runtime.gateway.backends.concurrency.in_flight == 0
+            and not town.program.metrics.violations
+        )
 
 
 def answers_then_hangs_up(data):
--- a/tests/spread/test_places.py
+++ b/tests/spread/test_zone_ranking.py
@@ -7,37 +7,43 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoneyoke.spread.zone_ranking import MOST, TURN_S, places, turns
+from stoneyoke.spread.zone_ranking import ROTATION_MAX, ROTATION_WINDOW_S, ring_positions, rotation_size
 
 
 @given(st.lists(st.integers(0, 4), min_size=1, max_size=40), st.integers(0, 5), st.integers(0, 400))
 @settings(derandomize=True, deadline=None)
 def test_every_backend_has_a_place_of_its_own_and_one_is_the_first(zones, own_zone, own):
-    found = places(sorted(zones), own_zone, own)
+    found = ring_positions(sorted(zones), own_zone, own)
     assert len(set(found)) == len(zones) and min(found) == 0
 
 
 def test_a_zone_of_its_own_comes_first():
-    found = places([0] * 10 + [1] * 10 + [2] * 10, 1, 7)
+    found = ring_positions([0] * 10 + [1] * 10 + [2] * 10, 1, 7)
     assert {at for at, place in enumerate(found) if place < 10} == set(range(10, 20))
 
 
 @pytest.mark.parametrize("gateways, backends", [(200, 40), (300, 60), (100, 12)])
 def test_first_places_are_shared_evenly(gateways, backends):
     zones = sorted(b % 3 for b in range(backends))
-    firsts = [places(zones, g % 3, g).index(0) for g in range(gateways)]
+    firsts = [ring_positions(zones, g % 3, g).index(0) for g in range(gateways)]
     counts = [firsts.count(b) for b in range(backends)]
     assert min(counts) >= 0.5 * gateways / backends and max(counts) <= 1.6 * gateways / backends
 
 
 def test_one_that_joins_moves_few_first_places():
-    before = [places([0] * 40, 0, g).index(0) for g in range(200)]
-    after = [places([0] * 41, 0, g).index(0) for g in range(200)]
+    before = [ring_positions([0] * 40, 0, g).index(0) for g in range(200)]
+    after = [ring_positions([0] * 41, 0, g).index(0) for g in range(200)]
     assert sum(abs(a - b) <= 1 for a, b in zip(before, after, strict=True)) == 200
 
 
 def test_turns_follow_the_rate_and_a_quiet_gateway_has_one():
-    assert [turns(rate) for rate in (0.0, 0.1, 1 / TURN_S, 1.1 / TURN_S, 90.0)] == [1, 1, 1, 2, MOST]
+    assert [rotation_size(rate) for rate in (0.0, 0.1, 1 / ROTATION_WINDOW_S, 1.1 / ROTATION_WINDOW_S, 90.0)] == [
+        1,
+        1,
+        1,
+        2,
+        ROTATION_MAX,
+    ]
 
 
 def load(gateways=60, backends=24, seconds=12, seed=3):
@@ -77,5 +83,5 @@
         bench.end(bench.next_rpc, 0, call.backend)
         bench.pass_time(50_000)
     late = took[60:]
-    assert {b % 2 for b in late} == {0} and len(set(late)) == MOST
-    assert all(len(set(late[n : n + MOST])) == MOST for n in range(0, 60 - MOST, MOST))
+    assert {b % 2 for b in late} == {0} and len(set(late)) == ROTATION_MAX
+    assert all(len(set(late[n : n + ROTATION_MAX])) == ROTATION_MAX for n in range(0, 60 - ROTATION_MAX, ROTATION_MAX))
--- a/tests/system/test_backend_at_work.py
+++ b/tests/system/test_backend_at_work.py
@@ -8,7 +8,7 @@
 from raw_backend import RawBackend, arrived, until
 from ward import test
 
-from stoneyoke.control.ground import BEAT
+from stoneyoke.control.context import TICK_US
 from stoneyoke.gateway.upstreams import judge
 from stoneyoke.control.events import TimerFired
 from stoneyoke.control.parameters import AttemptOutcome
@@ -45,7 +45,7 @@
     """Time passes for the decisions alone, beat by beat."""
     runtime = gateway.upstreams.upstream(gateway.service).runtime
     for _ in range(BEATS):
-        gateway.clock.monotonic_to_unix_us += BEAT
+        gateway.clock.monotonic_to_unix_us += TICK_US
         runtime.dispatch(TimerFired(0))
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -61,37 +61,37 @@
     drain(bench)
     own = bench.next_rpc
     bench.pass_time(1_950_000, count_all(total))
-    assert bench.gateway.customers[0].slice == pytest.approx(slice_ or own / total)
+    assert bench.gateway.quotas.customers[0].share == pytest.approx(slice_ or own / total)
 
 
 def test_a_growing_slice_mints_no_units():
     bench = Bench()
     drain(bench)
-    customer = bench.gateway.customers[0]
-    customer.take_slice(1.0, bench.now)
-    assert customer.store.level < 1
+    customer = bench.gateway.quotas.customers[0]
+    customer.take_share(1.0, bench.now)
+    assert customer.bucket.level < 1
 
 
 def test_silent_counter_leads_back_to_the_even_slice():
     bench = Bench()
     drain(bench)
     bench.pass_time(3_000_000, count_all(50.0))
-    assert bench.gateway.customers[0].slice < 0.3
+    assert bench.gateway.quotas.customers[0].share < 0.3
     drain(bench)
     bench.pass_time(8_000_000, lost)
-    assert bench.gateway.customers[0].slice == pytest.approx(1 / 3)
+    assert bench.gateway.quotas.customers[0].share == pytest.approx(1 / 3)
 
 
 def test_a_lost_call_now_and_then_is_no_silence():
     bench = Bench()
     drain(bench)
     bench.pass_time(3_000_000, count_all(50.0))
-    bench.gateway.counter_asked = bench.now + 2_000_000
+    bench.gateway.quotas.counter.asked_at = bench.now + 2_000_000
     for action in [a for _, a in bench.log if isinstance(a, AddToCounter)][:2]:
         bench.tell(lost(action))
     bench.arrive()
     bench.pass_time(1_000_000)
-    assert bench.gateway.customers[0].slice < 0.3
+    assert bench.gateway.quotas.customers[0].share < 0.3
 
 
 @pytest.mark.parametrize("parameters", [plan(), plan(rate=0.0, burst=0.0, parallel=9)])
@@ -100,7 +100,7 @@
     for customer in range(50):
         bench.arrive(customer=customer)
         bench.end(bench.next_rpc, 0, sent([a for _, a in bench.log])[-1].backend)
-    assert len(of(ForgetCustomer, bench.pass_time(20_000_000))) == 50 and not bench.gateway.customers
+    assert len(of(ForgetCustomer, bench.pass_time(20_000_000))) == 50 and not bench.gateway.quotas.customers
 
 
 def test_thin_customers_seen_once_leave_nothing_behind_for_long():
@@ -109,9 +109,9 @@
     for customer in range(20):
         for out in sent(bench.arrive(customer=customer, units=0.2, width=100.0)):
             bench.end(bench.next_rpc, 0, out.backend)
-    assert len(bench.gateway.customers) == 20
+    assert len(bench.gateway.quotas.customers) == 20
     bench.pass_time(75_000_000)
-    assert not bench.gateway.customers
+    assert not bench.gateway.quotas.customers
 
 
 def test_ceiling_starts_empty_so_a_restart_hands_out_nothing():
@@ -171,7 +171,7 @@
     for n in range(4):  # no two of these have a cell of their own left
         (out,) = sent(bench.end(out.rpc, n, out.backend, AttemptOutcome.BROKEN))
     (out,) = sent(bench.arrive())
-    bench.gateway.taken = 0.4  # a jam, which going round would only feed
+    bench.gateway.backends.concurrency.latency = 0.4  # a jam, which going round would only feed
     assert of(Reject, bench.end(out.rpc, 0, out.backend, AttemptOutcome.BROKEN))
 
 
@@ -204,11 +204,11 @@
     benches = crowd(200, fleet=2, started={0: START}, plans=(plan(1e6, 1e6),))
     cold = 0
     for bench in benches:
-        bench.gateway.answers = 0.1  # 20 a second over all, from the one warm backend
+        bench.gateway.backends.concurrency.answers_per_s = 0.1  # 20 a second over all, from the one warm backend
     for _ in range(10):  # a window of 1.5 s, of which each gateway uses all it may
         for bench in benches:
             bench.pass_time(150_000)
-            bench.gateway.answers = 0.1
+            bench.gateway.backends.concurrency.answers_per_s = 0.1
             for out in sent(bench.arrive()):
                 cold += out.backend == 0
                 bench.end(bench.next_rpc, 0, out.backend, AttemptOutcome.CANCELLED, closed=True)
@@ -219,21 +219,21 @@
 def test_one_that_turns_warm_between_renewals_draws_no_crowd():
     bench = Bench(fleet=6, started={5: START - 9_990_000}, plans=(plan(1e6, 1e6),))
     bench.now += 20_000
-    assert bench.gateway.order[0].index == 5
+    assert bench.gateway.backends.order[0].index == 5
     got = [out.backend for i in range(14) for out in sent(bench.arrive(customer=i))]
     assert got.count(5) <= 1 and len(got) == 14
 
 
 def test_small_rooms_grow_again_within_seconds_of_prompt_answers():
     bench = Bench(gateways=100, plans=(plan(1e6, 1e6),))
-    bench.gateway.concurrency_limit = 0.3
+    bench.gateway.backends.concurrency.limit = 0.3
     for _ in range(30):  # three RPCs a second
         bench.pass_time(330_000)
         outs = sent(bench.arrive())
         bench.pass_time(100_000)
         for out in outs:
             bench.end(bench.next_rpc, 0, out.backend)
-    assert bench.gateway.concurrency_limit > 1.0
+    assert bench.gateway.backends.concurrency.limit > 1.0
 
 
 def test_what_took_no_connection_is_taken_for_cold_when_it_is_back():
@@ -254,13 +254,13 @@
         if turn % 4 == 0:
             (out,) = sent(bench.end(out.rpc, 0, out.backend, AttemptOutcome.CUT))
         bench.end(out.rpc, int(turn % 4 == 0), out.backend)
-    assert all(backend.warm and not backend.started for backend in bench.gateway.backends.values())
+    assert all(backend.is_warm and not backend.started_us for backend in bench.gateway.backends.table.backends.values())
 
 
 def test_many_gateways_rooms_are_fractions_that_sum_to_the_whole():
     benches, through = crowd(200, fleet=20, has_counter=False), 0
     for bench in benches:
-        bench.gateway.concurrency_limit = 0.3
+        bench.gateway.backends.concurrency.limit = 0.3
         through += len(sent(bench.arrive(width=200.0)))
     assert 40 <= through <= 80
 
@@ -272,8 +272,11 @@
         for bench in benches[second % 10 :: 10]:
             got += [second] * len(sent(bench.arrive(width=100.0)))
             if second >= 10:
-                bench.gateway.customers[0].others, bench.gateway.customers[0].others_time = 9.9 * 5, 5.0
-                bench.gateway.customers[0].heard = bench.now
+                bench.gateway.quotas.customers[0].others_units, bench.gateway.quotas.customers[0].others_s = (
+                    9.9 * 5,
+                    5.0,
+                )
+                bench.gateway.quotas.customers[0].counted_at = bench.now
             for out in sent([a for _, a in bench.log[-2:]]):
                 bench.end(bench.next_rpc, 0, out.backend)
         for bench in benches:
@@ -284,10 +287,10 @@
 
 def test_where_few_can_be_asked_about_one_call_counts_and_weighs_for_those_left_out():
     bench = Bench(gateways=100)
-    bench.gateway.counts_until = bench.now + 60_000_000
+    bench.gateway.quotas.load.periodic_until = bench.now + 60_000_000
     calls = []
     for i in range(40):
-        bench.gateway.reading = 0.5
+        bench.gateway.quotas.load.queried_share = 0.5
         bench.arrive(customer=i, width=100.0)
     bench.pass_time(3_000_000, lambda a: calls.append(a) if isinstance(a, AddToCounter) else None)
     assert 8 <= len(calls) <= 32 and all(a.amount == 2.0 for a in calls)
@@ -295,7 +298,7 @@
 
 def test_a_full_store_takes_an_rpc_dearer_than_it_holds_and_owes_the_rest():
     bench = Bench(plans=(plan(1.0, 12.0),), gateways=100, has_counter=False)
-    assert sent(bench.arrive(units=8.0, width=100.0)) and bench.gateway.customers[0].store.level < -6
+    assert sent(bench.arrive(units=8.0, width=100.0)) and bench.gateway.quotas.customers[0].bucket.level < -6
     assert of(Reject, bench.arrive(units=1.0, width=100.0))
 
 
@@ -312,7 +315,7 @@
         while out := sent(actions):
             actions, n = bench.end(bench.next_rpc, n, out[0].backend, AttemptOutcome.REJECTED), n + 1
         tries.append(n)
-    assert tries[0] > 1 and tries[-1] <= 1 and bench.gateway.concurrency_limit < 16
+    assert tries[0] > 1 and tries[-1] <= 1 and bench.gateway.backends.concurrency.limit < 16
 
 
 def test_quiet_backend_loses_what_may_be_repeated():
@@ -328,7 +331,7 @@
     bench = Bench(settles_units=True)
     first = sent(bench.arrive())[0]
     bench.end(1, 0, first.backend, units=7.0)
-    assert bench.gateway.customers[0].store.level == pytest.approx(6 - 7)
+    assert bench.gateway.quotas.customers[0].bucket.level == pytest.approx(6 - 7)
 
 
 def test_unreadable_costs_and_totals_poison_nothing():
@@ -336,7 +339,7 @@
     for units in (float("nan"), float("inf"), 0.0, -3.0):
         bench.arrive(units=units)
     bench.pass_time(2_000_000, count_all(float("nan")))
-    assert 0 <= bench.gateway.customers[0].store.level <= 6 and bench.gateway.customers[0].slice == 1 / 3
+    assert 0 <= bench.gateway.quotas.customers[0].bucket.level <= 6 and bench.gateway.quotas.customers[0].share == 1 / 3
 
 
 def test_late_events_on_ended_rpcs_are_ignored():
@@ -378,23 +381,23 @@
 def test_a_full_room_pushes_back_first_what_comes_too_late_or_is_worth_little():
     bench = Bench(plans=(plan(1000.0, 3000.0), plan(1000.0, 3000.0, price=0.1)))
     bench.arrive(customer=1)
-    bench.gateway.concurrency_limit = 10.0
+    bench.gateway.backends.concurrency.limit = 10.0
     while sent(bench.arrive(wait=1_200_000)):
         pass  # later tries: a part of the room
-    assert bench.gateway.out == 4
+    assert bench.gateway.backends.concurrency.in_flight == 4
     while sent(bench.arrive(customer=2, plan=1)):
         pass
-    assert 4 < bench.gateway.out < 10
+    assert 4 < bench.gateway.backends.concurrency.in_flight < 10
     assert sent(bench.arrive())
 
 
 def test_a_first_try_with_a_short_wait_is_no_later_one_where_clients_mark_those():
     bench = Bench(plans=(plan(1000.0, 3000.0),))
     bench.arrive(customer=1, repeat=True)  # waits for longer than a first try does here
-    bench.gateway.concurrency_limit = 10.0
+    bench.gateway.backends.concurrency.limit = 10.0
     while sent(bench.arrive(wait=1_200_000, repeat=True)):
         pass
-    assert bench.gateway.out == 4 and sent(bench.arrive(wait=1_200_000, repeat=False))
+    assert bench.gateway.backends.concurrency.in_flight == 4 and sent(bench.arrive(wait=1_200_000, repeat=False))
 
 
 def load(bench, number, **call):
@@ -404,13 +407,13 @@
 
 def test_answers_that_take_long_shrink_the_room_and_prompt_ones_widen_it():
     bench = Bench()
-    bench.gateway.concurrency_limit = 12.0
+    bench.gateway.backends.concurrency.limit = 12.0
     for first, took, grows in ((1, 900_000, False), (11, 50_000, True)):
-        outs, before = load(bench, 10), bench.gateway.concurrency_limit
+        outs, before = load(bench, 10), bench.gateway.backends.concurrency.limit
         bench.now += took
         for rpc, out in enumerate(outs, first):
             bench.end(rpc, 0, out.backend)
-        assert (bench.gateway.concurrency_limit > before) is grows
+        assert (bench.gateway.backends.concurrency.limit > before) is grows
 
 
 def test_a_backend_that_refuses_quickly_is_not_taken_for_a_quick_one():
@@ -424,22 +427,22 @@
                 bench.next_rpc, n, out[0].backend, AttemptOutcome.REJECTED if out[0].backend == 0 else AttemptOutcome.OK
             )
     bench.pass_time(300_000)
-    assert bench.gateway.order[-1].index == 0 and bench.gateway.backends[0].band > 0
+    assert bench.gateway.backends.order[-1].index == 0 and bench.gateway.backends.table.backends[0].latency_band > 0
 
 
 def test_one_answer_of_three_means_does_not_sink_a_backend():
     bench = Bench()
     out = sent(bench.arrive())[0]
-    bench.now += int(3 * bench.gateway.methods[0].mean)
+    bench.now += int(3 * bench.gateway.context.methods[0].mean_latency_us)
     bench.end(1, 0, out.backend)
-    bench.gateway.renew_order()
-    assert bench.gateway.backends[out.backend].band == 0
+    bench.gateway.backends.renew_order()
+    assert bench.gateway.backends.table.backends[out.backend].latency_band == 0
 
 
 def test_lost_call_outs_leave_the_room_to_others_while_good_answers_are_prompt():
     bench = Bench()
     load(bench, 6, method=2, wait=6_000_000)
-    bench.gateway.concurrency_limit = 4.0
+    bench.gateway.backends.concurrency.limit = 4.0
     assert of(Reject, bench.arrive())
     bench.pass_time(700_000)
     assert sent(bench.arrive())
@@ -457,18 +460,18 @@
     for _ in range(30):
         ask(False, float("nan"))
         ask(True, 1.0)  # a silent counter would be no crowd either
-    assert bench.gateway.reading == 1.0
+    assert bench.gateway.quotas.load.queried_share == 1.0
     for _ in range(20):
         ask(False, 0.0)
         ask(True, 1.0)
-    turned_away = bench.gateway.reading
+    turned_away = bench.gateway.quotas.load.queried_share
     assert turned_away < 0.7
     for _ in range(100):
         ask(True, 1.0)
-    assert bench.gateway.reading == 1.0
+    assert bench.gateway.quotas.load.queried_share == 1.0
     for _ in range(40):
         ask(True, 1.0, 60_000)
-    assert bench.gateway.reading < 0.1  # slow ones delay RPCs
+    assert bench.gateway.quotas.load.queried_share < 0.1  # slow ones delay RPCs
 
 
 def test_a_failing_backend_rests_and_no_connection_rests_it_at_once():
@@ -484,10 +487,13 @@
     bench = Bench()
     outs = load(bench, 6)
     bench.pass_time(100_000)
-    concurrency_limit, bench.now = bench.gateway.concurrency_limit, bench.now + 2_000_000
+    concurrency_limit, bench.now = bench.gateway.backends.concurrency.limit, bench.now + 2_000_000
     for rpc, out in enumerate(outs, 1):
         bench.end(rpc, 0, out.backend)
-    assert bench.gateway.concurrency_limit >= concurrency_limit and bench.gateway.taken < 0.2
+    assert (
+        bench.gateway.backends.concurrency.limit >= concurrency_limit
+        and bench.gateway.backends.concurrency.latency < 0.2
+    )
 
 
 def test_a_begun_stream_is_left_alone_and_an_ended_one_lets_go():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -111,7 +111,7 @@
             n = next(i for i, c in enumerate(judge.rpcs[rpc]["outs"]) if c[2] is None)
             judge.finish(rpc, n, AttemptOutcome.OK)
             judge.check(before)
-    assert not judge.gateway.open
+    assert not judge.gateway.rpcs.open
     assert all(not of.attempt < 0 for _, of in judge.log if isinstance(of, CancelAttempt))
 
 
@@ -124,7 +124,7 @@
         bench.pass_time(gap * 1000)
         for action in sent(bench.arrive()):
             bench.end(bench.next_rpc, 0, action.backend)
-            peak = max(peak, bench.gateway.answers)
+            peak = max(peak, bench.gateway.backends.concurrency.answers_per_s)
             if action.backend == 0:
                 times.append(bench.now)
     for at in times:
