--- a/tests/system/compatibility/recorded_messages.py
+++ b/tests/system/compatibility/recorded_messages.py
@@ -1,4 +1,4 @@
-"""The messages of messages_0c80eb9.txt as values of today's types, in the file's order.
+"""The messages of 0c80eb9/messages.txt as values of today's types, in the file's order.
 
 The first are one of each kind; the others hold the edges: empty, negative and large values.
 """
@@ -39,7 +39,7 @@
     VersionRow,
 )
 
-RECORDING = Path(__file__).parent / "messages_0c80eb9.txt"
+RECORDING = Path(__file__).parent / "0c80eb9" / "messages.txt"
 
 INSTANCE = InstanceRow(
     instance="i-1",
--- a/tests/system/test_messages.py
+++ b/tests/system/test_messages.py
@@ -1,55 +1,82 @@
-import msgpack
-from ward import test
+"""The codec: every message comes back as it was sent, and nothing else is taken for a message."""
+
+from collections.abc import Iterator
+from typing import Any
 
+import msgpack
 from compatibility.recorded_messages import recorded_values
+from ward import each, raises, test
+
+from stoneyoke.transport.messages import KINDS, MalformedMessage, Message, pack, unpack
+from stoneyoke.transport.messages.codec import LENGTH_BYTES
+
+EXAMPLES = recorded_values()[: len(KINDS)]  # one of each kind
+EACH_EXAMPLE = each(*EXAMPLES)
+CALL_NUMBER = 5
+MSGPACK_NIL = b"\xc0"
+
+
+def body_of(message: Message) -> bytes:
+    """A frame without its length."""
+    return pack(CALL_NUMBER, message)[LENGTH_BYTES:]
+
+
+@test("there is an example of each kind of message")
+def _() -> None:
+    assert [type(example) for example in EXAMPLES] == list(KINDS)
 
-from stoneyoke.transport.messages import KINDS, MalformedMessage, pack, unpack
 
-EXAMPLES = recorded_values()[: len(KINDS)]
+@test("a {message.__class__.__name__} comes back as it was sent")
+def _(message: Message = EACH_EXAMPLE) -> None:
+    assert unpack(body_of(message)) == (CALL_NUMBER, message)
 
 
-@test("every kind of message comes back as it was sent")
-def _():
-    assert {type(one) for one in EXAMPLES} == set(KINDS)
-    for at, one in enumerate(EXAMPLES):
-        assert unpack(pack(at, one)[4:]) == (at, one)
+def byte_mutations(body: bytes) -> Iterator[bytes]:
+    """The body cut short, with bits flipped, and with nothing in place of a byte, at each of its bytes."""
+    for at in range(len(body)):
+        yield body[:at]
+        yield body[:at] + bytes([body[at] ^ 0x81]) + body[at + 1 :]
+        yield body[:at] + MSGPACK_NIL + body[at + 1 :]
 
 
 @test("no mutation of one message raises anything but MalformedMessage")
-def _():
-    garbled = 0
-    for one in EXAMPLES:
-        body = pack(5, one)[4:]
-        for spot in range(len(body)):
-            for wrong in (
-                body[:spot],
-                body[:spot] + bytes([body[spot] ^ 0x81]) + body[spot + 1 :],
-                body[:spot] + b"\xc0" + body[spot + 1 :],
-            ):
-                try:
-                    unpack(wrong)
-                except MalformedMessage:
-                    garbled += 1
-    assert garbled > 500
-
-
-@test("a value of another type, a missing one and one too many are garbled")
-def _():
-    for one in EXAMPLES:
-        tag, number, *values = msgpack.unpackb(pack(5, one)[4:])
-        for at in range(len(values)):
-            for wrong in (None, 3.5, {}, -(1 << 63), "x" if not isinstance(values[at], str) else 3, [[1]]):
-                if isinstance(values[at], float) and isinstance(wrong, float):
-                    continue
-                mutated = [tag, number, *values[:at], wrong, *values[at + 1 :]]
-                try:
-                    unpack(msgpack.packb(mutated))
-                except MalformedMessage:
-                    continue
-                raise AssertionError((one, at, wrong))
-        for mutated in ([tag, number, *values, 1], [tag, number, *values[:-1]] if values else [99, 0]):
+def _() -> None:
+    malformed = 0
+    for message in EXAMPLES:
+        for mutated in byte_mutations(body_of(message)):
             try:
-                unpack(msgpack.packb(mutated))
+                unpack(mutated)
             except MalformedMessage:
-                continue
-            raise AssertionError(mutated)
+                malformed += 1
+    assert malformed > 500
+
+
+def values_of_other_types(value: Any) -> list[Any]:
+    """Values that don't fit where this one does."""
+    others: list[Any] = [None, {}, -(1 << 63), [[1]], 3 if isinstance(value, str) else "x"]
+    return others if isinstance(value, float) else [*others, 3.5]
+
+
+@test("a {message.__class__.__name__} with a value of another type is malformed")
+def _(message: Message = EACH_EXAMPLE) -> None:
+    tag, number, *values = msgpack.unpackb(body_of(message))
+    for at, value in enumerate(values):
+        for other in values_of_other_types(value):
+            with raises(MalformedMessage):
+                unpack(msgpack.packb([tag, number, *values[:at], other, *values[at + 1 :]]))
+
+
+@test("a {message.__class__.__name__} with a value too many or too few is malformed")
+def _(message: Message = EACH_EXAMPLE) -> None:
+    tag, number, *values = msgpack.unpackb(body_of(message))
+    with raises(MalformedMessage):
+        unpack(msgpack.packb([tag, number, *values, 1]))
+    if values:
+        with raises(MalformedMessage):
+            unpack(msgpack.packb([tag, number, *values[:-1]]))
+
+
+@test("a message of an unknown kind is malformed")
+def _() -> None:
+    with raises(MalformedMessage):
+        unpack(msgpack.packb([len(KINDS), 0]))
--- a/tests/system/test_peers.py
+++ b/tests/system/test_peers.py
@@ -1,8 +1,14 @@
+"""Calls between processes over real sockets: which response is accepted for which call, and what ends a connection."""
+
 import asyncio
 import functools
+from collections.abc import Awaitable, Callable, Coroutine, Iterator
+from types import TracebackType
 
-from ward import test
+from ward import each, test
 
+from stoneyoke.transport.errors import MalformedMessage, PeerUnreachable
+from stoneyoke.transport.framing import read_frame
 from stoneyoke.transport.messages import (
     KINDS,
     RESPONSES,
@@ -11,7 +17,7 @@
     HeartbeatRow,
     InstanceRefresh,
     InstanceUpdateResponse,
-    MalformedMessage,
+    Message,
     QuotaGrant,
     QuotaRequest,
     QuotaResponse,
@@ -19,48 +25,61 @@
     pack,
     unpack,
 )
-from stoneyoke.transport.errors import PeerUnreachable
-from stoneyoke.transport.framing import read_frame
+from stoneyoke.transport.messages.codec import LENGTH_BYTES
 from stoneyoke.transport.peer_client import PeerClient
+from stoneyoke.transport.peer_connection import PeerConnection
 from stoneyoke.transport.peer_server import PeerServer
 
-ASKED, ANSWER = FetchRequest(), FetchResponse(version=VersionRow(3, b"digest"), body=b"text")
-OTHER = InstanceRefresh(heartbeats=[HeartbeatRow("i-1", 7)])
-WITHIN_S = 5.0
+REQUEST = FetchRequest()
+RESPONSE = FetchResponse(version=VersionRow(3, b"digest"), body=b"text")
+OTHER_REQUEST = InstanceRefresh(heartbeats=[HeartbeatRow("i-1", 7)])
+CALL_TIMEOUT_S = 5.0
+ANY_PORT = ("127.0.0.1", 0)
+
+# From the connection's number (from 1), the call's number and the request to the bytes written; None: a close.
+Script = Callable[[int, int, Message], bytes | None]
 
 
-def on_loop(story):
+def on_loop(story: Callable[..., Coroutine[None, None, None]]) -> Callable[..., None]:
+    """Runs a test on an event loop of its own."""
+
     @functools.wraps(story)
-    def run():
-        asyncio.run(story())
+    def run(*args: object, **kwargs: object) -> None:
+        asyncio.run(story(*args, **kwargs))
 
     return run
 
 
-class Peer:
-    """script: from (connection's number from 1, call's number, message) to the bytes written; None: a close."""
+class ScriptedPeer:
+    """A peer that answers by a script, and a client that calls it."""
 
-    def __init__(self, script):
-        self.script, self.connections, self.got, self.writers = script, 0, [], []
+    def __init__(self, script: Script) -> None:
+        self.script = script
+        self.connections = 0
+        self.received: list[tuple[int, Message]] = []  # numbers and requests
+        self.writers: list[asyncio.StreamWriter] = []
 
-    async def __aenter__(self):
-        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+    async def __aenter__(self) -> "ScriptedPeer":
+        self.server = await asyncio.start_server(self.serve, *ANY_PORT)
         self.client = PeerClient(self.server.sockets[0].getsockname())
         return self
 
-    async def __aexit__(self, *_):
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, traceback: TracebackType | None
+    ) -> None:
         self.server.close()
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
 
-    async def serve(self, reader, writer):
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         self.writers.append(writer)
-        own = self.connections
+        own_number = self.connections
         try:
             while (body := await read_frame(reader)) is not None:
-                self.got.append(unpack(body))
-                data = self.script(own, *self.got[-1])
+                number, request = unpack(body)
+                self.received.append((number, request))
+                data = self.script(own_number, number, request)
                 if data is None:
                     break
                 writer.write(data)
@@ -70,218 +89,268 @@
         finally:
             writer.close()
 
-    def call(self, message=ASKED):
-        return asyncio.ensure_future(self.client.call(message, WITHIN_S))
+    def call(self, request: Message = REQUEST) -> asyncio.Future[Message]:
+        return asyncio.ensure_future(self.client.call(request, CALL_TIMEOUT_S))
+
+    def connection(self) -> PeerConnection:
+        """The client's last connection."""
+        assert self.client.connection
+        return self.client.connection
+
+
+def answer_all(_: int, number: int, __: Message) -> bytes:
+    """A script: every call gets its response."""
+    return pack(number, RESPONSE)
 
 
-def fetched(number):
-    return FetchResponse(version=VersionRow(number, b"d"), body=b"")
+def answer_nothing(*_: object) -> bytes:
+    """A script: the peer stays silent."""
+    return b""
 
 
-async def until(holds):
+def fetched(version_number: int) -> FetchResponse:
+    return FetchResponse(version=VersionRow(version_number, b"d"), body=b"")
+
+
+async def until(holds: Callable[[], object]) -> None:
     async with asyncio.timeout(5):
         while not holds():
             await asyncio.sleep(0)
 
 
-async def fails(call):
+async def is_unreachable(call: Awaitable[Message]) -> bool:
+    """Whether a call fails, as it should; what it returns else is in the error."""
     try:
-        answer = await call
+        response = await call
     except PeerUnreachable:
         return True
-    raise AssertionError(f"taken: {answer}")
+    raise AssertionError(f"accepted: {response}")
 
 
 @test("each kind of message is a request with its response, or a response")
-def _():
+def _() -> None:
     assert set(RESPONSES) | set(RESPONSES.values()) == set(KINDS)
     assert not set(RESPONSES) & set(RESPONSES.values())
 
 
-@test("answers find their calls in any order, and calls that need a connection at once make one")
+@test("responses find their calls in any order, and calls that need a connection at once open one")
 @on_loop
-async def _():
-    calls = []
+async def _() -> None:
+    calls: list[tuple[int, Message]] = []
 
-    def script(_, number, message):
-        calls.append((number, message))
+    def answer_third_call_first(_: int, number: int, request: Message) -> bytes:
+        calls.append((number, request))
         if len(calls) < 3:
             return b""
         return b"".join(
-            pack(number, fetched(number) if message == ASKED else InstanceUpdateResponse())
-            for number, message in reversed(calls)
+            pack(number, fetched(number) if request == REQUEST else InstanceUpdateResponse())
+            for number, request in reversed(calls)
         )
 
-    async with Peer(script) as peer:
-        first, second, third = peer.call(), peer.call(OTHER), peer.call()
-        assert (await first).version.number == 1 and await second == InstanceUpdateResponse()
-        assert (await third).version.number == 3 and peer.connections == 1
+    async with ScriptedPeer(answer_third_call_first) as peer:
+        first, second, third = peer.call(), peer.call(OTHER_REQUEST), peer.call()
+        assert await first == fetched(1)
+        assert await second == InstanceUpdateResponse()
+        assert await third == fetched(3)
+        assert peer.connections == 1
+
+
+UNEXPECTED: dict[str, Callable[[int], bytes]] = {
+    "of another kind": lambda number: pack(number, QuotaResponse(ok=True, grants=[])),
+    "that is a request": lambda number: pack(number, REQUEST),
+    "to a call that was never made": lambda number: pack(number + 1, RESPONSE),
+    "to call 0": lambda number: pack(0, RESPONSE),
+    "that is no message": lambda number: b"\x00\x00\x00\x01x",
+    "of an impossible length": lambda number: b"\xff\xff\xff\xff",
+    "to a call that has its response": lambda number: pack(1, RESPONSE),
+}
+EACH_FAULT = each(*UNEXPECTED)
+
+
+@test("a response {fault} closes its connection and fails whoever waits on it")
+@on_loop
+async def _(fault: str = EACH_FAULT) -> None:
+    def answer_second_call_wrongly(connection: int, number: int, _: Message) -> bytes:
+        if connection == 1 and number == 2:
+            return UNEXPECTED[fault](number) + pack(number, RESPONSE)  # what comes behind it is not read
+        return pack(number, RESPONSE)
+
+    async with ScriptedPeer(answer_second_call_wrongly) as peer:
+        assert await peer.call() == RESPONSE
+        assert await is_unreachable(peer.call())
+        assert await peer.call() == RESPONSE
+        assert peer.connections == 2
 
 
-@test("an answer of another kind, to no call, or sent twice ends its connection and whoever waits on it")
+@test("a response that is sent twice closes its connection")
 @on_loop
-async def _():
-    for wrong in (
-        lambda number: pack(number, QuotaResponse(ok=True, grants=[])),  # of another kind
-        lambda number: pack(number, ASKED),  # no answer
-        lambda number: pack(number + 1, ANSWER),  # to a call that was never made
-        lambda number: pack(0, ANSWER),
-        lambda number: b"\x00\x00\x00\x01x",  # no message
-        lambda number: b"\xff\xff\xff\xff",
-        lambda number: pack(1, ANSWER),  # to the first, which had its answer
-    ):
-
-        def script(connection, number, _, wrong=wrong):
-            if connection == 1 and number == 2:
-                return wrong(number) + pack(number, ANSWER)  # what comes behind it counts no more
-            return pack(number, ANSWER)
-
-        async with Peer(script) as peer:
-            assert await peer.call() == ANSWER
-            assert await fails(peer.call())
-            assert await peer.call() == ANSWER and peer.connections == 2
-    doubled = Peer(lambda connection, number, _: pack(number, ANSWER) * (1 + (connection == 1)))
-    async with doubled as peer:
-        assert await peer.call() == ANSWER
-        await until(lambda: peer.client.connection.closed)
-        assert await peer.call() == ANSWER and peer.connections == 2
-
-
-@test("an answer to a call of an earlier connection is taken for no call of this one")
+async def _() -> None:
+    async with ScriptedPeer(lambda connection, number, _: pack(number, RESPONSE) * (1 + (connection == 1))) as peer:
+        assert await peer.call() == RESPONSE
+        await until(lambda: peer.connection().closed)
+        assert await peer.call() == RESPONSE
+        assert peer.connections == 2
+
+
+@test("a response to a call of an earlier connection is accepted for no call of this one")
 @on_loop
-async def _():
-    def script(connection, number, _):
+async def _() -> None:
+    def answer_earlier_call(connection: int, number: int, _: Message) -> bytes | None:
         if connection == 1:
             return None
-        return pack(1, ANSWER) if connection == 2 else pack(number, ANSWER)
+        return pack(1, RESPONSE) if connection == 2 else pack(number, RESPONSE)
 
-    async with Peer(script) as peer:
-        assert await fails(peer.call())
-        assert await fails(peer.call())  # number 1 was the earlier connection's
-        assert await peer.call() == ANSWER and peer.got[-1][0] == 3
+    async with ScriptedPeer(answer_earlier_call) as peer:
+        assert await is_unreachable(peer.call())
+        assert await is_unreachable(peer.call())  # number 1 was the earlier connection's
+        assert await peer.call() == RESPONSE
+        assert peer.received[-1][0] == 3
 
 
-@test("what an ended connection still holds is read by nobody")
+@test("what a closed connection still holds is read by nobody")
 @on_loop
-async def _():
-    async with Peer(lambda *_: b"") as peer:
+async def _() -> None:
+    async with ScriptedPeer(answer_nothing) as peer:
         call = peer.call()
-        await until(lambda: peer.got)
-        old = peer.client.connection
-        peer.writers[0].write(pack(1, ANSWER))
+        await until(lambda: peer.received)
+        old = peer.connection()
+        peer.writers[0].write(pack(1, RESPONSE))
         old.close("in doubt")
         try:
-            old.accept_response(1, ANSWER)  # had been read in the turn of the loop in which it ended
-            raise AssertionError("an ended connection takes answers")
+            old.accept_response(1, RESPONSE)  # had been read in the turn of the loop in which it was closed
+            raise AssertionError("a closed connection accepts responses")
         except MalformedMessage:
-            assert await fails(call)
+            assert await is_unreachable(call)
         renewed = peer.call()
-        await until(lambda: len(peer.got) == 2)
-        assert not old.pending and not renewed.done() and peer.client.connection is not old
-        peer.writers[1].write(pack(2, ANSWER))
-        assert await renewed == ANSWER
+        await until(lambda: len(peer.received) == 2)
+        assert not old.pending
+        assert not renewed.done()
+        assert peer.connection() is not old
+        peer.writers[1].write(pack(2, RESPONSE))
+        assert await renewed == RESPONSE
 
 
-@test("a call given up by its caller: its answer finds nobody, and only a second one ends the connection")
+@test("the response to a cancelled call is dropped, and only a second one closes the connection")
 @on_loop
-async def _():
-    async with Peer(lambda _, number, __: b"" if number == 1 else pack(number, ANSWER)) as peer:
-        given_up = peer.call()
-        await until(lambda: peer.got)
-        given_up.cancel()
-        await asyncio.wait([given_up])
-        peer.writers[0].write(pack(1, ANSWER))
-        assert await peer.call() == ANSWER and peer.connections == 1
-        await until(lambda: not peer.client.connection.abandoned)
-        peer.writers[0].write(pack(1, ANSWER))
-        await until(lambda: peer.client.connection.closed)
-
-
-@test("a process that stood still with the answer in hand does not take it, and goes on on another connection")
+async def _() -> None:
+    async with ScriptedPeer(lambda _, number, __: b"" if number == 1 else pack(number, RESPONSE)) as peer:
+        cancelled = peer.call()
+        await until(lambda: peer.received)
+        cancelled.cancel()
+        await asyncio.wait([cancelled])
+        peer.writers[0].write(pack(1, RESPONSE))
+        assert await peer.call() == RESPONSE
+        assert peer.connections == 1
+        await until(lambda: not peer.connection().abandoned)
+        peer.writers[0].write(pack(1, RESPONSE))
+        await until(lambda: peer.connection().closed)
+
+
+@test("a process that was suspended with the response in hand does not accept it, and goes on on another connection")
 @on_loop
-async def _():
-    async with Peer(lambda _, number, __: pack(number, ANSWER)) as peer:
+async def _() -> None:
+    async with ScriptedPeer(answer_all) as peer:
         loop = asyncio.get_running_loop()
-        assert await peer.call() == ANSWER
-        connection, now = peer.client.connection, loop.time
-        answered = connection.call
+        assert await peer.call() == RESPONSE
+        connection, now = peer.connection(), loop.time
+        call_on_connection = connection.call
 
-        async def stands_still(message):
-            answer = await answered(message)
-            loop.time = lambda: now() + WITHIN_S + 1
-            return answer
+        async def suspended_with_response(request: Message) -> Message:
+            response = await call_on_connection(request)
+            loop.time = lambda: now() + CALL_TIMEOUT_S + 1
+            return response
 
-        connection.call = stands_still
-        assert await fails(peer.call()) and connection.closed
-        del loop.time
-        assert await peer.call() == ANSWER and peer.connections == 2
+        connection.call = suspended_with_response
+        assert await is_unreachable(peer.call())
+        assert connection.closed
+        delattr(loop, "time")
+        assert await peer.call() == RESPONSE
+        assert peer.connections == 2
 
 
 @test("a silent peer: the call fails in time, and so do the others on that connection")
 @on_loop
-async def _():
-    async with Peer(lambda *_: b"") as peer:
+async def _() -> None:
+    async with ScriptedPeer(answer_nothing) as peer:
         other = peer.call()
-        await until(lambda: peer.got)
-        assert await fails(asyncio.ensure_future(peer.client.call(ASKED, 0.01))) and await fails(other)
+        await until(lambda: peer.received)
+        assert await is_unreachable(peer.client.call(REQUEST, 0.01))
+        assert await is_unreachable(other)
+
+
+def mutations(data: bytes) -> Iterator[bytes]:
+    """The data cut short, and with a low or a high bit flipped, at each byte."""
+    for at in range(len(data)):
+        yield data[:at]
+        for bit in (1, 128):
+            yield data[:at] + bytes([data[at] ^ bit]) + data[at + 1 :]
 
 
-@test("no mutation of one answer is taken for another call's, and the next call has its own")
+@test("no mutation of one response is accepted for another call's, and the next call has its own")
 @on_loop
-async def _():
-    asked = QuotaRequest(name="edge", incarnation="l", since_answer_ms=0, complete=False, demands=[])
-    whole = QuotaResponse(ok=True, grants=[QuotaGrant("anna", 1.0, 0.0, 0.5, 2.0)])
-    data, taken = pack(1, whole), 0
-    mutations = [data[:at] for at in range(len(data))]
-    mutations += [data[:at] + bytes([data[at] ^ bit]) + data[at + 1 :] for at in range(len(data)) for bit in (1, 128)]
-    for mutated in mutations:
-
-        def script(connection, number, _, mutated=mutated):
+async def _() -> None:
+    request = QuotaRequest(name="edge", incarnation="l", since_answer_ms=0, complete=False, demands=[])
+    response = QuotaResponse(ok=True, grants=[QuotaGrant("anna", 1.0, 0.0, 0.5, 2.0)])
+    all_mutations, accepted = list(mutations(pack(1, response))), 0
+    for mutated in all_mutations:
+
+        def answer_first_call_mutated(connection: int, number: int, _: Message, data: bytes = mutated) -> bytes | None:
             if connection > 1:
-                return pack(number, whole)
-            peer.writers[0].write(mutated)
+                return pack(number, response)
+            peer.writers[0].write(data)
             return None  # it hangs up behind it
 
-        async with Peer(script) as peer:
+        async with ScriptedPeer(answer_first_call_mutated) as peer:
             try:
-                answer = await peer.call(asked)
-                assert isinstance(answer, QuotaResponse) and unpack(mutated[4:])[0] == 1
-                taken += 1
+                received = await peer.call(request)
+                assert isinstance(received, QuotaResponse)
+                assert unpack(mutated[LENGTH_BYTES:])[0] == 1
+                accepted += 1
             except PeerUnreachable:
                 pass
-            async with asyncio.timeout(5):
-                while True:
-                    try:
-                        assert await peer.call(asked) == whole
-                        break
-                    except PeerUnreachable:  # it had not hung up yet
-                        pass
-    assert taken < len(mutations) / 2
+            assert await response_after_hang_up(peer, request) == response
+    assert accepted < len(all_mutations) / 2
 
 
-@test("a server ends a connection on which a call's number falls, or a response is asked")
-@on_loop
-async def _():
-    met = []
-
-    async def meet(message):
-        met.append(message)
-        return ANSWER
-
-    server = PeerServer(meet)
-    await server.open(("127.0.0.1", 0))
-    address = server.bound_address()
-    for second in (pack(5, ASKED), pack(4, ASKED), pack(6, ANSWER), pack(0, ASKED)):
-        met.clear()
-        reader, writer = await asyncio.open_connection(*address)
-        writer.write(pack(5, ASKED))
-        assert unpack(await read_frame(reader)) == (5, ANSWER)
-        writer.write(second)
-        async with asyncio.timeout(5):
+async def response_after_hang_up(peer: ScriptedPeer, request: Message) -> Message:
+    """The first response of a peer that may still be hanging up."""
+    async with asyncio.timeout(5):
+        while True:
             try:
-                assert await read_frame(reader) is None
-            except ConnectionResetError:
+                return await peer.call(request)
+            except PeerUnreachable:
                 pass
-        assert met == [ASKED]
-        writer.transport.abort()
+
+
+WRONG_SECOND: dict[str, bytes] = {
+    "has the same number": pack(5, REQUEST),
+    "has a lower number": pack(4, REQUEST),
+    "is a response": pack(6, RESPONSE),
+    "has number 0": pack(0, REQUEST),
+}
+EACH_WRONG_SECOND = each(*WRONG_SECOND)
+
+
+@test("a server closes a connection on which a second request {fault}")
+@on_loop
+async def _(fault: str = EACH_WRONG_SECOND) -> None:
+    handled: list[Message] = []
+
+    async def handle(request: Message) -> Message:
+        handled.append(request)
+        return RESPONSE
+
+    server = PeerServer(handle)
+    await server.open(ANY_PORT)
+    reader, writer = await asyncio.open_connection(*server.bound_address())
+    writer.write(pack(5, REQUEST))
+    assert unpack(await read_frame(reader) or b"") == (5, RESPONSE)
+    writer.write(WRONG_SECOND[fault])
+    async with asyncio.timeout(5):
+        try:
+            assert await read_frame(reader) is None
+        except ConnectionResetError:
+            pass
+    assert handled == [REQUEST]
+    writer.transport.abort()
     server.close()
