--- a/stoneyoke/lab/simulation/__main__.py
+++ b/stoneyoke/lab/simulation/__main__.py
@@ -20,7 +20,8 @@
 from absl import app, flags
 
 from stoneyoke.lab.simulation.clock import START_S
-from stoneyoke.lab.simulation.consensus_defects import MODEL_THAT_FINDS, found
+from stoneyoke.lab.simulation.defects.in_models import MODEL_THAT_FINDS, find
+from stoneyoke.lab.simulation.defects.in_scenarios import SEEDED_DEFECTS, seeded
 from stoneyoke.lab.simulation.exhaustive import search
 from stoneyoke.lab.simulation.plans import read_plan, reduce
 from stoneyoke.lab.simulation.random_plans import make_plan
@@ -28,7 +29,6 @@
 from stoneyoke.lab.simulation.runs import play, play_many, play_scripted, play_seed, summarize
 from stoneyoke.lab.simulation.scenario import Scenario
 from stoneyoke.lab.simulation.scripted import SCRIPTED_SCENARIOS
-from stoneyoke.lab.simulation.seeded_defects import SEEDED_DEFECTS, seeded
 
 SEEDS = flags.DEFINE_string("seeds", "0-199", "The first and the last seed, or one.")
 JOBS = flags.DEFINE_integer("jobs", len(os.sched_getaffinity(0)), "Scenarios at once.", lower_bound=1)
@@ -135,7 +135,7 @@
 def find_consensus_defects() -> int:
     """Looks for each defect of the consensus register in the models."""
     with ProcessPoolExecutor(JOBS.value) as pool:
-        return report_defects(MODEL_THAT_FINDS, pool.map(found, MODEL_THAT_FINDS))
+        return report_defects(MODEL_THAT_FINDS, pool.map(find, MODEL_THAT_FINDS))
 
 
 COMMANDS = {
--- /dev/null
+++ b/stoneyoke/lab/simulation/defects/orders.py
@@ -0,0 +1,116 @@
+"""Defects of what operators are told of their orders and reads."""
+
+from dataclasses import replace
+from http import HTTPStatus
+from typing import Any
+
+from stoneyoke.api.calls import Acknowledged, ApiResult, Rejected
+from stoneyoke.api.configuration import Configuration
+from stoneyoke.consensus.majority_read import MajorityRead
+from stoneyoke.consensus.proposal_round import Phase
+from stoneyoke.consensus.proposer import Proposer
+from stoneyoke.consensus.reader import Reader
+from stoneyoke.consensus.register_value import Proposal, RegisterValue
+from stoneyoke.controlplane import configuration_service
+from stoneyoke.lab.simulation.defects.patches import Patch
+
+
+def equal_numbers_overwritten() -> list[Patch]:
+    """Of two contents under one number the later one replaces the first."""
+
+    def apply_replacements(orders: tuple[Configuration, ...], found: RegisterValue) -> RegisterValue:
+        newer = [one for one in orders if one.version.number >= found.version.number]
+        if not newer:
+            return found
+        first = max(newer, key=lambda one: one.version.number)
+        return replace(found, version=first.version, body=first.body)
+
+    return [Patch(configuration_service, "apply_replacements", apply_replacements)]
+
+
+def conflict_for_older() -> list[Patch]:
+    """An order below what is chosen is refused."""
+
+    def outcome_of(order: Configuration, chosen: RegisterValue) -> ApiResult | None:
+        if chosen.version.number > order.version.number:
+            return Rejected(HTTPStatus.CONFLICT, "generation", "older")
+        return real(order, chosen)
+
+    real = configuration_service.outcome_of
+    return [Patch(configuration_service, "outcome_of", outcome_of)]
+
+
+def conflict_acknowledged() -> list[Patch]:
+    """Another content under a number that is in force is acknowledged."""
+
+    def outcome_of(order: Configuration, chosen: RegisterValue) -> ApiResult | None:
+        return Acknowledged() if chosen.version.number >= order.version.number else None
+
+    return [Patch(configuration_service, "outcome_of", outcome_of)]
+
+
+def query_without_agreement() -> list[Patch]:
+    """A read takes the newest value that a majority tells, though one member alone may hold it."""
+
+    def chosen_proposal(self: MajorityRead) -> Proposal | None:
+        return self.newest_found() if self.has_quorum() else None
+
+    return [Patch(MajorityRead, "chosen_proposal", chosen_proposal)]
+
+
+def query_incomplete() -> list[Patch]:
+    """A read asks no majority: what this process knows to be newest is enough."""
+    return [
+        Patch(MajorityRead, "has_quorum", lambda self: True),
+        Patch(MajorityRead, "chosen_proposal", lambda self: self.newest_found()),
+    ]
+
+
+def highest_digest_wins() -> list[Patch]:
+    """Of two contents under one number the greater digest replaces the other, and both are acknowledged."""
+
+    def apply_replacements(orders: Any, found: Any) -> Any:
+        highest = max(orders, key=lambda one: one.version)
+        return replace(found, version=highest.version, body=highest.body) if highest.version > found.version else found
+
+    def outcome_of(order: Any, chosen: Any) -> Any:
+        return Acknowledged() if chosen.version >= order.version else None
+
+    return [
+        Patch(configuration_service, "apply_replacements", apply_replacements),
+        Patch(configuration_service, "outcome_of", outcome_of),
+    ]
+
+
+def read_without_majority() -> list[Patch]:
+    """A controller reads back what it knows itself."""
+
+    async def read(self: Any, within_s: float) -> Any:
+        return self.replica.chosen
+
+    return [Patch(Reader, "read", read)]
+
+
+def repeated_order_refused() -> list[Patch]:
+    """An order whose number is taken is refused, even if it is the same one sent again."""
+    real = configuration_service.outcome_of
+
+    def outcome_of(order: Any, chosen: Any) -> Any:
+        outcome = real(order, chosen)
+        if chosen.version.number > order.version.number:
+            return Rejected(HTTPStatus.CONFLICT, "generation", "older than what is in force")
+        return outcome
+
+    return [Patch(configuration_service, "outcome_of", outcome_of)]
+
+
+def acknowledged_once_accepted() -> list[Patch]:
+    """An order is acknowledged once its own controller has accepted it."""
+    real = Proposer.accept_at
+
+    async def accept_at(self: Proposer, current: Any, address: str) -> None:
+        await real(self, current, address)
+        if address == self.peers.own_address and current.phase is Phase.ACCEPT:
+            current.phase = Phase.CHOSEN
+
+    return [Patch(Proposer, "accept_at", accept_at)]
--- /dev/null
+++ b/stoneyoke/lab/simulation/defects/quorums.py
@@ -0,0 +1,61 @@
+"""Defects of majorities and of the voters that count."""
+
+from collections.abc import Iterable
+from dataclasses import replace
+
+from stoneyoke.consensus import quorum
+from stoneyoke.consensus.proposal_round import ProposalRound
+from stoneyoke.consensus.quorum import majority
+from stoneyoke.consensus.register_value import RegisterValue, ReplicaId
+from stoneyoke.lab.simulation.defects.patches import Patch
+
+
+def majority_one_short() -> list[Patch]:
+    """Half of the voters count as a majority."""
+
+    def short(voters: int) -> int:
+        return max(1, voters // 2)
+
+    return [Patch(quorum, "majority", short)]
+
+
+def only_new_voters() -> list[Patch]:
+    """A change of voters is chosen by a majority of the new voters alone."""
+    return [Patch(RegisterValue, "quorum_groups", lambda self: (self.voters.members,))]
+
+
+def only_old_voters() -> list[Patch]:
+    """A change of voters is chosen by a majority of the voters before alone."""
+
+    def quorum_groups(self: RegisterValue) -> tuple[tuple[ReplicaId, ...], ...]:
+        return (self.previous or self.voters.members,)
+
+    return [Patch(RegisterValue, "quorum_groups", quorum_groups)]
+
+
+def any_member_counts() -> list[Patch]:
+    """Whoever answers counts for a majority, voter or not."""
+
+    def has_majority(group: Iterable[ReplicaId], heard: Iterable[ReplicaId]) -> bool:
+        return len(set(heard)) >= majority(len(set(group)))
+
+    return [Patch(quorum, "has_majority", has_majority)]
+
+
+def read_quorum_one_short() -> list[Patch]:
+    """A read counts as complete with one answer too few."""
+
+    def short(voters: int) -> int:
+        return max(1, (voters + 1) // 2 - 1)
+
+    return [Patch(quorum, "read_quorum", short)]
+
+
+def change_without_old_voters() -> list[Patch]:
+    """A change of voters forgets the voters before at once, and needs a majority of the new ones only."""
+    real = ProposalRound.build_value
+
+    def build_value(self: ProposalRound, found: RegisterValue) -> RegisterValue:
+        return replace(real(self, found), previous=())
+
+    return [Patch(ProposalRound, "build_value", build_value)]
--- a/stoneyoke/lab/simulation/runs.py
+++ b/stoneyoke/lab/simulation/runs.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from stoneyoke.lab.simulation import seeded_defects
+from stoneyoke.lab.simulation.defects import in_scenarios
 from stoneyoke.lab.simulation.plans import Plan, read_plan
 from stoneyoke.lab.simulation.random_plans import make_plan
 from stoneyoke.lab.simulation.results import ScenarioResult, Summary
@@ -19,7 +19,7 @@
 
 def play(plan: Plan, defect: str = "") -> ScenarioResult:
     """Plays a plan, with a seeded defect if one is named. An exception of the scenario itself is a violation."""
-    with seeded_defects.seeded(defect):
+    with in_scenarios.seeded(defect):
         try:
             return Scenario(plan).play()
         except Exception as error:  # one scenario that fails must not end the run
--- a/tests/system/test_exhaustive.py
+++ b/tests/system/test_exhaustive.py
@@ -5,7 +5,7 @@
 from ward import test
 
 from stoneyoke.consensus import quorum
-from stoneyoke.lab.simulation.consensus_defects import CONSENSUS_DEFECTS, MODEL_THAT_FINDS, found, seeded
+from stoneyoke.lab.simulation.defects.in_models import CONSENSUS_DEFECTS, MODEL_THAT_FINDS, find, seeded
 from stoneyoke.lab.simulation.exhaustive.search import explore, model_named
 from stoneyoke.lab.simulation.exhaustive.models import MODELS
 
@@ -48,7 +48,7 @@
 def _():
     assert set(MODEL_THAT_FINDS) == set(CONSENSUS_DEFECTS)
     with ProcessPoolExecutor(JOBS) as pool:
-        for name, how in zip(MODEL_THAT_FINDS, pool.map(found, MODEL_THAT_FINDS), strict=True):
+        for name, how in zip(MODEL_THAT_FINDS, pool.map(find, MODEL_THAT_FINDS), strict=True):
             assert how, name
 
 
--- a/tests/system/test_hard_days.py
+++ b/tests/system/test_hard_days.py
@@ -64,28 +64,28 @@
 # By which day each seeded defect is found, point by point (docs/design/control-safety.md).
 FOUND_BY = {
     # 1: cut off or frozen
-    "cut_off_serves": "cut_off_for_20_s",
-    "copies_short": "cut_off_for_20_s",
-    "pull_from_one": "cut_off_for_20_s",
-    "quorum_short": "two_frozen_in_turn",
-    "reads_alone": "frozen_in_each_step_got",
+    "isolated_controller_serves": "cut_off_for_20_s",
+    "read_quorum_one_short": "cut_off_for_20_s",
+    "caught_up_from_one_controller": "cut_off_for_20_s",
+    "majority_one_short": "two_frozen_in_turn",
+    "read_without_majority": "frozen_in_each_step_got",
     # 2: one number, two contents; sent again
     "highest_digest_wins": "eight_contents_at_once",
-    "taken_is_refused": "eight_orders_at_once",
-    "accepts_any": "frozen_between_phases",
-    "unchosen_in_force": "cut_between_phases",
-    "confirmed_once_accepted": "cut_between_phases",
+    "repeated_order_refused": "eight_orders_at_once",
+    "accepts_below_promise": "frozen_between_phases",
+    "accepted_counts_as_chosen": "cut_between_phases",
+    "acknowledged_once_accepted": "cut_between_phases",
     # 3: a second loss after a repair
-    "joint_ignored": "old_majority_meets_again_2",
-    "replaced_singly": "old_majority_meets_again_2",
-    "lost_voter_stays": "second_loss_after_exchange",
+    "only_new_voters": "old_majority_meets_again_2",
+    "change_without_old_voters": "old_majority_meets_again_2",
+    "lost_voter_never_replaced": "second_loss_after_exchange",
     "lost_disk_votes": "emptied_in_turn",
-    "half_way_left": "acknowledged_and_told_to_nobody",
-    # 4: after many changes; records_kept has a test of its own
+    "partial_proposal_left": "acknowledged_and_told_to_nobody",
+    # 4: after many changes; records_never_removed has a test of its own
     "never_caught_up": "every_voter_replaced_of_3",
     # 5: late answers
-    "counts_from_answer": "lease_answers_late",
-    "goes_back": "late_and_doubled",
+    "lease_counted_from_answer": "lease_answers_late",
+    "configuration_goes_back": "late_and_doubled",
 }
 
 
@@ -125,4 +125,4 @@
 
 @test("records that are never removed are told by what the disk holds")
 def _():
-    assert play_scripted("eight_contents_at_once", "records_kept").disk_bytes > DISK_BYTES
+    assert play_scripted("eight_contents_at_once", "records_never_removed").disk_bytes > DISK_BYTES
--- a/tests/system/test_instance_registry.py
+++ b/tests/system/test_instance_registry.py
@@ -15,7 +15,7 @@
 )
 from stoneyoke.gateway import instance_directory
 from stoneyoke.gateway.instance_directory import InstanceDirectory
-from stoneyoke.lab.simulation.seeded_defects import seeded
+from stoneyoke.lab.simulation.defects.in_scenarios import seeded
 from stoneyoke.transport.messages import InstanceRow
 
 SILENT_S = 5.0
@@ -215,5 +215,5 @@
 @test("a drain survives another instance at its address, and the seeded defect that forgets it is seen")
 def _():
     assert drain_survives_reuse_of_its_address()
-    with seeded("drain_forgotten"):
+    with seeded("drain_lost_to_new_instance"):
         assert not drain_survives_reuse_of_its_address()
--- a/tests/system/test_leases.py
+++ b/tests/system/test_leases.py
@@ -5,7 +5,7 @@
 from ward import each, test
 
 from stoneyoke.controlplane.leases import HOLDER_TTL_FRACTION, LEASE_TTL_S, GrantRequest, LeaseGranter, LeaseHolder
-from stoneyoke.lab.simulation.seeded_defects import seeded
+from stoneyoke.lab.simulation.defects.in_scenarios import seeded
 
 NAMES = ("a", "b", "c")
 STEPS = 400
@@ -105,7 +105,7 @@
 @test("a late release and a restart free no lease that still runs; the defect {defect} is seen")
 def _(
     holds=each(late_release_changes_nothing, restarted_voter_waits),
-    defect=each("gives_back_late", "grants_after_start"),
+    defect=each("late_release_counts", "grants_right_after_start"),
 ):
     assert holds()
     with seeded(defect):
--- a/tests/system/test_simulation.py
+++ b/tests/system/test_simulation.py
@@ -14,7 +14,7 @@
 from stoneyoke.lab.simulation.plans import read_plan, smaller_plans
 from stoneyoke.lab.simulation.random_plans import make_plan
 from stoneyoke.lab.simulation.runs import play, play_many, play_seed, play_stored_case, summarize
-from stoneyoke.lab.simulation.seeded_defects import SEEDED_DEFECTS
+from stoneyoke.lab.simulation.defects.in_scenarios import SEEDED_DEFECTS
 
 KEPT = sorted((Path(__file__).parent / "regress").glob("*.json"))
 SEEDS = 200
