--- a/stoneyoke/consensus/record_formats.py
+++ b/stoneyoke/consensus/record_formats.py
@@ -12,8 +12,7 @@
 from stoneyoke.consensus.ballot import Ballot
 from stoneyoke.consensus.errors import InvalidRecord
 from stoneyoke.consensus.register_value import FIRST_DISK, Proposal, RegisterValue, ReplicaId, VoterSet, replica_ids
-
-Record = dict[bytes, bytes]
+from stoneyoke.storage.record_file import Record
 
 IDENTITY = "identity"
 """Family of the disk's own name, written once."""
--- a/stoneyoke/consensus/replica.py
+++ b/stoneyoke/consensus/replica.py
@@ -12,7 +12,7 @@
 from stoneyoke.consensus.register_value import Proposal, ReplicaId, VoterSet
 from stoneyoke.consensus.replica_disk import RecordStorage, ReplicaDisk, RunBlocking
 from stoneyoke.consensus.replica_start import load_state
-from stoneyoke.storage.record_store import StorageError
+from stoneyoke.storage.errors import StorageError
 
 
 class Replica:
--- a/stoneyoke/consensus/replica_disk.py
+++ b/stoneyoke/consensus/replica_disk.py
@@ -6,8 +6,9 @@
 
 from loguru import logger
 
-from stoneyoke.consensus.record_formats import Record
-from stoneyoke.storage.record_store import StorageError
+from stoneyoke.storage.errors import StorageError
+from stoneyoke.storage.record_file import Record
+from stoneyoke.storage.record_store import LoadedRecord
 
 RETRY_S = 0.5
 """Pause before a disk that refuses at the start is tried again."""
@@ -24,8 +25,8 @@
     def save(self, family: str, record: Record) -> None:
         """Returns once the record is on disk. Raises StorageError."""
 
-    def load(self, family: str) -> tuple[Record | None, list[str]]:
-        """The newest whole record, and what was wrong with those after it. Raises StorageError."""
+    def load(self, family: str) -> LoadedRecord:
+        """The newest whole record of a family. Raises StorageError."""
 
 
 class WriteQueueFull(StorageError):
@@ -62,11 +63,10 @@
 
         Nothing may be answered before: an older record, or none, would forget a promise.
         """
-        loaded: tuple[Record | None, list[str]] = await self.retry(self.store.load, family)
-        record, damaged = loaded
-        for damage in damaged:
-            logger.warning("disk: {}. The record before it is used", damage)
-        return record
+        loaded: LoadedRecord = await self.retry(self.store.load, family)
+        for reason in loaded.torn:
+            logger.warning("disk: {}. The record before it is used", reason)
+        return loaded.record
 
     async def retry(self, work: Callable[..., Any], *arguments: Any) -> Any:
         """The result of work on the disk, tried until it succeeds."""
--- a/stoneyoke/consensus/replica_start.py
+++ b/stoneyoke/consensus/replica_start.py
@@ -18,7 +18,6 @@
     LEGACY_VOTERS,
     PROMISE,
     REGISTER,
-    Record,
     identity_record,
     legacy_register,
     read_identity,
@@ -28,6 +27,7 @@
 )
 from stoneyoke.consensus.register_value import FIRST_DISK, Proposal, initial_value
 from stoneyoke.consensus.replica_disk import ReplicaDisk
+from stoneyoke.storage.record_file import Record
 
 DISK_NAME_BITS = 64
 
--- a/stoneyoke/lab/simulation/disks.py
+++ b/stoneyoke/lab/simulation/disks.py
@@ -13,7 +13,8 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from stoneyoke.storage.record_store import RecordStore, StorageError
+from stoneyoke.storage.errors import StorageError
+from stoneyoke.storage.record_store import RecordStore
 
 WRITE_S = 0.004  # of a healthy disk
 SLOW_WRITE_S = 0.15  # of a slow disk
--- a/stoneyoke/lab/simulation/exhaustive/snapshots.py
+++ b/stoneyoke/lab/simulation/exhaustive/snapshots.py
@@ -10,6 +10,7 @@
 from stoneyoke.consensus.register_value import Change
 from stoneyoke.consensus.replica import Replica
 from stoneyoke.lab.simulation.exhaustive.state import Process, QuerySnapshot, RoundSnapshot
+from stoneyoke.storage.record_store import LoadedRecord
 
 
 class NullRecordStore:
@@ -18,9 +19,9 @@
     def save(self, family: str, record: Any) -> None:
         """Ignores the record."""
 
-    def load(self, family: str) -> tuple[None, list[str]]:
+    def load(self, family: str) -> LoadedRecord:
         """Finds no record, and no damaged file."""
-        return None, []
+        return LoadedRecord(None, [])
 
 
 NULL_RECORD_STORE = NullRecordStore()
--- a/stoneyoke/programs/stoneyokectl.py
+++ b/stoneyoke/programs/stoneyokectl.py
@@ -38,7 +38,8 @@
 )
 from stoneyoke.consensus.recovery import recovered_register
 from stoneyoke.consensus.register_value import ReplicaId
-from stoneyoke.storage.record_store import RecordStore, StorageError
+from stoneyoke.storage.errors import StorageError
+from stoneyoke.storage.record_store import RecordStore
 
 CORES = flags.DEFINE_list("core", [], "Addresses of core machines (control_addr), asked in turn.")
 AS_JSON = flags.DEFINE_bool("json", False, "Print one JSON object in place of lines.")
@@ -254,7 +255,7 @@
         raise CommandError("acknowledged changes that only lost disks held are lost by this: say so with --confirm")
     store = opened(folder)
     try:
-        held, identity, promise = (store.load(family)[0] for family in (REGISTER, IDENTITY, PROMISE))
+        held, identity, promise = (store.load(family).record for family in (REGISTER, IDENTITY, PROMISE))
         if held is None or identity is None:
             raise CommandError(f"{folder} holds no register")
         promised = read_promise(promise) if promise else NO_BALLOT
--- a/stoneyoke/storage/__init__.py
+++ b/stoneyoke/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a core keeps on its disk."""
+"""Records on a controller's disk that survive crashes and losses of power."""
--- a/stoneyoke/storage/record_store.py
+++ b/stoneyoke/storage/record_store.py
@@ -1,120 +1,140 @@
-"""Records on disk: a fresh dbm.dumb for each, under a name never used before, with a digest inside.
+"""Records on disk that survive crashes and losses of power.
 
-dbm.dumb rewrites its index in place, so a live one is never updated: a record is written whole under the next
-number, its files and its folder are synced, and only then it counts. A torn one is told by its digest and the one
-before it is read (DEPLOY, Disk: after a loss of power later writes are there, missing or torn, and each name made
-or removed since the folder's last sync is kept or lost by itself).
+Each record is a `dbm.dumb` of its own, under a name never used before. `dbm.dumb` rewrites its index in place, so a
+record that counts is never updated: a new one is written whole under the next number, its files and the folder are
+synced, and only then it counts. A torn record is told by its digest, and the one before it is read.
 
-What `load` gives is never older than the newest record whose `save` returned, nor than what an earlier `load` gave:
+A loss of power keeps what was synced. Later writes to a file are there, missing or torn. Each name that was made or
+removed since the folder's last sync is kept or lost by itself (DEPLOY, Disk).
 
-* Numbers rise within a process, and a start goes on above the highest name that it sees. A name that it does not see,
+What `load` returns is never older than the newest record whose `save` returned, nor than what an earlier `load`
+returned. That holds for these reasons:
+
+* Numbers rise within a process, and a start goes on above the highest number that it sees. A name that it doesn't see,
   because it was removed, can come back only until the next sync of the folder, and no `save` returns without one.
-* A record that was found after a kill may not be on the disk yet: `load` syncs it before it gives it.
-* Only what is missing or torn is passed over. A record that can't be read (no descriptor left, a read error) fails
+* A record that is found after a crash may not be on the disk yet. `load` syncs it before returning it.
+* Only a record that is missing or torn is passed over. One that can't be read (no descriptor left, a read error) fails
   the `load`, since the one before it would be too old.
-* A record is removed only when a newer one is synced, names included."""
+* A record is removed only when a newer one is synced, names included.
+"""
 
 import contextlib
-import dbm.dumb
 import errno
 import os
-import re
 import threading
-from hashlib import blake2b
-
-PARTS = (".dat", ".dir", ".bak")
-SYNCED_PARTS = (".dat", ".dir")
-RECORDS_KEPT = 3  # of each family: the newest and those before it
-FORMAT = b"1"
-NO_SPACE = frozenset({errno.ENOSPC, errno.EDQUOT})
-# Opening or seeking fails so where a file is missing, is none, or its index tells of no place in it.
-TORN_ERRORS = frozenset({errno.ENOENT, errno.EISDIR, errno.ENOTDIR, errno.EINVAL})
-RECORD_FILE = re.compile(r"([a-z]+)-(0|[1-9][0-9]*)(\.dat|\.dir|\.bak)").fullmatch
+from typing import NamedTuple
 
+from stoneyoke.storage.errors import RecordNotRead, RecordNotWritten, TornRecord
+from stoneyoke.storage.record_file import (
+    BACKUP,
+    DATA,
+    INDEX,
+    Record,
+    RecordFile,
+    list_record_files,
+    read_data_and_index,
+    record_name,
+    write_data_and_index,
+)
 
-class StorageError(Exception):
-    """A record could not be written or read: the disk refuses, or is full."""
+RECORDS_KEPT = 3
+"""Records of each family that are left: the newest and those before it."""
+NO_SPACE_ERRORS = frozenset({errno.ENOSPC, errno.EDQUOT})
 
 
-class TornRecord(StorageError):
-    """A record is not whole; its `save` never returned."""
+class LoadedRecord(NamedTuple):
+    """What `load` returns.
 
+    Attributes:
+        record: The newest whole record; None if there is none.
+        torn: What is wrong with each record after it, newest first.
+    """
 
-def record_digest(record: dict[bytes, bytes]) -> bytes:
-    sums = blake2b(digest_size=16)
-    for name in sorted(record):
-        sums.update(b"%d:%d:" % (len(name), len(record[name])) + name + record[name])
-    return sums.digest()
+    record: Record | None
+    torn: list[str]
 
 
 class RecordStore:
-    """A folder of records in families, for one process at a time. Every method blocks while the disk does; of calls in
-    several threads each waits for the one before it, and the newest is the one that was called last."""
+    """A folder of records in families, for one process at a time.
+
+    Every method blocks for as long as the disk does. Calls in several threads run one after another. The newest record
+    is the one whose `save` was called last, even if an earlier call waited longer for the disk.
+
+    Attributes:
+        folder: Path of the folder.
+        next_number: Number of the next record, of whatever family.
+        whole_numbers: By family, the last few numbers that are known to be whole and synced.
+    """
 
     def __init__(self, folder: str) -> None:
+        """Opens a folder, and makes it if it isn't there."""
         self.folder = folder
         os.makedirs(folder, exist_ok=True)
-        self.next_number = 1 + max((number for _, number, _ in self.record_files()), default=0)
-        self.whole_numbers: dict[str, list[int]] = {}  # by family: numbers known to be whole and synced, the last few
+        self.next_number = 1 + max((file.number for file in self.record_files()), default=0)
+        self.whole_numbers: dict[str, list[int]] = {}
         self.number_lock, self.disk_lock = threading.Lock(), threading.Lock()
 
-    def record_files(self) -> list[tuple[str, int, str]]:
-        """Family, number and file name of all that is here."""
-        found = []
-        for name in os.listdir(self.folder):
-            if match := RECORD_FILE(name):
-                found.append((match[1], int(match[2]), name))
-        return found
+    def record_files(self) -> list[RecordFile]:
+        """The files of all records, whole or not."""
+        return list_record_files(self.folder)
 
     def numbers_of(self, family: str) -> list[int]:
-        """Of all files of a family, whole or not; the newest first."""
-        return sorted({number for name, number, _ in self.record_files() if name == family}, reverse=True)
+        """Numbers of all records of a family, whole or not; the newest first."""
+        return sorted({file.number for file in self.record_files() if file.family == family}, reverse=True)
 
     def base_path(self, family: str, number: int) -> str:
-        return os.path.join(self.folder, f"{family}-{number}")
+        """Path of a record's files without their endings."""
+        return os.path.join(self.folder, record_name(family, number))
 
     # ---- writing ----
 
-    def save(self, family: str, record: dict[bytes, bytes]) -> None:
-        """Written and synced, names and folder too, when this returns. Raises StorageError: then a later `load` may
-        give this record or the one before it."""
-        with self.number_lock:
+    def save(self, family: str, record: Record) -> None:
+        """Writes a record. Its files, their names and the folder are synced when this returns.
+
+        Raises:
+            RecordNotWritten: The disk refused. A later `load` may return this record or the one before it.
+        """
+        with self.number_lock:  # taken before the wait for the disk, so that the last call has the highest number
             number, self.next_number = self.next_number, self.next_number + 1
         with self.disk_lock:
             try:
                 self.write_record(family, number, record)
-            except OSError as bad:
+            except OSError as error:
                 self.remove_record(family, number)
-                raise StorageError(f"{family}-{number} could not be written: {bad}") from bad
+                raise RecordNotWritten(record_name(family, number), error) from error
             self.whole_numbers[family] = sorted([*self.whole_numbers.get(family, ()), number])[-RECORDS_KEPT:]
             self.remove_old_records(family)
 
-    def write_record(self, family: str, number: int, record: dict[bytes, bytes]) -> None:
-        """A full disk gets a second try, with no more on it than is needed."""
+    def write_record(self, family: str, number: int, record: Record) -> None:
+        """Writes and syncs a record. A full disk is tried again with as little on it as possible. Raises OSError."""
         try:
-            self.write_files(family, number, record)
-            self.sync_record(family, number)
-        except OSError as bad:
-            if bad.errno not in NO_SPACE:
+            self.write_and_sync(family, number, record)
+        except OSError as error:
+            if error.errno not in NO_SPACE_ERRORS:
                 raise
             self.remove_record(family, number)
             self.free_space()
-            self.write_files(family, number, record)
-            self.sync_record(family, number)
+            self.write_and_sync(family, number, record)
+
+    def write_and_sync(self, family: str, number: int, record: Record) -> None:
+        """Writes a record's files and makes them durable. Raises OSError."""
+        self.write_files(family, number, record)
+        self.sync_record(family, number)
 
-    def write_files(self, family: str, number: int, record: dict[bytes, bytes]) -> None:
-        base = self.base_path(family, number)
-        with dbm.dumb.open(base, "n") as base_file:
-            for name, value in (record | {b"\x00digest": record_digest(record), b"\x00format": FORMAT}).items():
-                base_file[name] = value
-        self.remove_file(base + ".bak")
+    def write_files(self, family: str, number: int, record: Record) -> None:
+        """Writes a record's files without syncing them. Raises OSError."""
+        path = self.base_path(family, number)
+        write_data_and_index(path, record)
+        self.remove_file(path + BACKUP)
 
     def sync_record(self, family: str, number: int) -> None:
-        for part in SYNCED_PARTS:
-            self.sync_path(self.base_path(family, number) + part)
+        """Makes a record's files durable, then their names. Raises OSError."""
+        for ending in (DATA, INDEX):
+            self.sync_path(self.base_path(family, number) + ending)
         self.sync_path(self.folder)
 
     def sync_path(self, path: str) -> None:
+        """Syncs a file, or a folder's names. Raises OSError."""
         descriptor = os.open(path, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -123,45 +143,46 @@
 
     # ---- reading ----
 
-    def load(self, family: str) -> tuple[dict[bytes, bytes] | None, list[str]]:
-        """The newest record that is whole, and what was wrong with those after it. Raises StorageError where it can't
-        be told which that is, or the disk does not confirm it: what a killed process wrote may not be synced yet."""
-        wrong: list[str] = []
+    def load(self, family: str) -> LoadedRecord:
+        """The newest whole record of a family.
+
+        Raises:
+            RecordNotRead: Which record that is can't be told, or the disk doesn't confirm it. What a killed process
+                wrote may not be synced yet.
+        """
+        torn: list[str] = []
         with self.disk_lock:
             try:
                 for number in self.numbers_of(family):
                     try:
                         record = self.read_record(family, number)
-                    except TornRecord as bad:
-                        wrong.append(str(bad))
+                    except TornRecord as error:
+                        torn.append(str(error))
                         continue
-                    if number not in self.whole_numbers.get(family, ()):
-                        self.sync_record(family, number)
-                        self.whole_numbers[family] = [number]
-                    return record, wrong
-            except OSError as bad:
-                raise StorageError(f"{family} could not be loaded: {bad}") from bad
-        return None, wrong
-
-    def read_record(self, family: str, number: int) -> dict[bytes, bytes]:
-        """Raises TornRecord where the record is not whole, StorageError where that can't be told."""
-        try:
-            with dbm.dumb.open(self.base_path(family, number), "r") as base_file:
-                record = {bytes(name): base_file[name] for name in base_file.keys()}  # type: ignore[arg-type]
-        except Exception as bad:  # a torn index is read as Python source: whatever that raises, it is torn
-            if isinstance(bad, MemoryError) or isinstance(bad, OSError) and bad.errno not in TORN_ERRORS:
-                raise StorageError(f"{family}-{number} could not be read: {bad}"[:200]) from bad
-            raise TornRecord(f"{family}-{number} is torn: {bad}"[:200]) from bad
-        told, form = record.pop(b"\x00digest", b""), record.pop(b"\x00format", b"")
-        if told != record_digest(record) or form != FORMAT:
-            raise TornRecord(f"{family}-{number} is torn: its digest or format is another")
-        return record
+                    self.confirm(family, number)
+                    return LoadedRecord(record, torn)
+            except OSError as error:
+                raise RecordNotRead(family, error) from error
+        return LoadedRecord(None, torn)
+
+    def read_record(self, family: str, number: int) -> Record:
+        """One record. Raises TornRecord if it isn't whole, RecordNotRead if that can't be told."""
+        return read_data_and_index(self.base_path(family, number))
+
+    def confirm(self, family: str, number: int) -> None:
+        """Makes a whole record durable if this process doesn't know that it is. Raises OSError."""
+        if number not in self.whole_numbers.get(family, ()):
+            self.sync_record(family, number)
+            self.whole_numbers[family] = [number]
 
     # ---- removing ----
 
     def remove_old_records(self, family: str) -> None:
-        """Drops all but the last few, with what failed or came back. Names removed need no sync: at worst they come
-        back, under lower numbers. Only called with a good record in the family."""
+        """Removes all but the last few records, with torn ones and those whose names came back.
+
+        It is only called with a whole record in the family. The removals need no sync: at worst the names come back,
+        under lower numbers.
+        """
         newest = self.whole_numbers[family][-1]
         with contextlib.suppress(OSError):
             for number in self.numbers_of(family):
@@ -169,15 +190,17 @@
                     self.remove_record(family, number)
 
     def free_space(self) -> None:
-        """Of each family that was kept or loaded here the newest good record stays, alone."""
+        """Leaves the newest whole record alone, in each family that was saved or loaded here."""
         for family, numbers in self.whole_numbers.items():
             self.whole_numbers[family] = numbers[-1:]
             self.remove_old_records(family)
 
     def remove_record(self, family: str, number: int) -> None:
-        for part in PARTS:
-            self.remove_file(self.base_path(family, number) + part)
+        """Removes a record's files, as far as the disk allows."""
+        for ending in (DATA, INDEX, BACKUP):
+            self.remove_file(self.base_path(family, number) + ending)
 
     def remove_file(self, path: str) -> None:
+        """Removes a file, if it is there and the disk allows."""
         with contextlib.suppress(OSError):
             os.remove(path)
--- a/tests/system/controller_cluster.py
+++ b/tests/system/controller_cluster.py
@@ -6,10 +6,11 @@
 from typing import Any
 
 from stoneyoke.api.bounds import ServiceBounds
-from stoneyoke.consensus.record_formats import Record
 from stoneyoke.controlplane.controller import Controller
 from stoneyoke.controlplane.settings import ControllerEnvironment, ControllerSettings
-from stoneyoke.storage.record_store import StorageError
+from stoneyoke.storage.errors import StorageError
+from stoneyoke.storage.record_file import Record
+from stoneyoke.storage.record_store import LoadedRecord
 from stoneyoke.transport.errors import PeerUnreachable
 from stoneyoke.transport.messages import Message, pack, unpack
 
@@ -55,8 +56,8 @@
         self.kept += 1
         self.records[family] = dict(record)
 
-    def load(self, family: str) -> tuple[Record | None, list[str]]:
-        return self.records.get(family), []
+    def load(self, family: str) -> LoadedRecord:
+        return LoadedRecord(self.records.get(family), [])
 
 
 class Cluster:
--- a/tests/system/test_record_store.py
+++ b/tests/system/test_record_store.py
@@ -1,4 +1,5 @@
 import builtins
+import dbm.dumb
 import errno
 import os
 import random
@@ -10,7 +11,8 @@
 
 from stoneyoke.lab.simulation.disks import PowerLost, SimulatedRecordStore
 from stoneyoke.storage import record_store
-from stoneyoke.storage.record_store import RecordStore, StorageError
+from stoneyoke.storage.errors import StorageError
+from stoneyoke.storage.record_store import RecordStore
 
 
 @fixture
@@ -164,12 +166,12 @@
             raise OSError(errno.EMFILE, "too many open files")
         return real(path, *args, **kwargs)
 
-    record_store.dbm.dumb._io.open = refuse
+    dbm.dumb._io.open = refuse
     try:
         with raises(StorageError):
             RecordStore(folder).load("register")
     finally:
-        record_store.dbm.dumb._io.open = real
+        dbm.dumb._io.open = real
     assert RecordStore(folder).load("register")[0] == {b"body": b"2"}
 
 
