--- a/tests/system/test_controller.py
+++ b/tests/system/test_controller.py
@@ -21,7 +21,7 @@
     configuration.update(limits=None)
 
 
-def beat(seq=1, phase="ready", instance="i-1"):
+def heartbeat(seq=1, phase="ready", instance="i-1"):
     return read_call(
         "POST",
         f"/instances/{instance}/heartbeat",
@@ -43,6 +43,10 @@
     return cluster.controllers[name].replica.voters()
 
 
+def status(cluster, name="10.0.0.2"):
+    return json.loads(cluster.controllers[name].status())
+
+
 def lease_holders(cluster):
     return [name for name, one in cluster.controllers.items() if one.lease.is_held()]
 
@@ -159,7 +163,7 @@
         alone = cluster.controllers["10.0.0.1"]
         await cluster.until(lambda: not alone.has_quorum())
         began = alone.clock()
-        for asked in (put(5), beat(), beat(2, "draining")):
+        for asked in (put(5), heartbeat(), heartbeat(2, "draining")):
             assert isinstance(await alone.handle_call(asked), Unavailable)
         assert not alone.lease.is_held()
         assert alone.clock() - began < 0.1
@@ -276,8 +280,8 @@
     async def play(cluster):
         await all_have_quorum(cluster)
         one = cluster.controllers["10.0.0.1"]
-        assert await one.handle_call(beat()) == Acknowledged()
-        assert await one.handle_call(beat(2, "draining")) == Acknowledged()
+        assert await one.handle_call(heartbeat()) == Acknowledged()
+        assert await one.handle_call(heartbeat(2, "draining")) == Acknowledged()
         registries = [controller.discovery.registry for controller in cluster.controllers.values()]
         records = [registry.records.get("i-1") for registry in registries]
         assert sum(record is not None and record.row.phase == Phase.DRAINING for record in records) >= 2
@@ -291,7 +295,7 @@
 def _():
     async def play(cluster):
         await all_have_quorum(cluster)
-        assert await cluster.controllers["10.0.0.1"].handle_call(beat(2, "draining")) == Acknowledged()
+        assert await cluster.controllers["10.0.0.1"].handle_call(heartbeat(2, "draining")) == Acknowledged()
         cluster.stop("10.0.0.1")
         again = await cluster.start("10.0.0.1")
         assert not again.discovery.synced()
@@ -454,3 +458,18 @@
         await cluster.until(lambda: cluster.disks["10.0.0.1"].records["register"][b"body"] == example(8))
 
     run(play)
+
+
+@test("the status names quorum and lease holder, also by their names of the release before")
+def _():
+    async def play(cluster):
+        await all_have_quorum(cluster)
+        await cluster.until(lambda: lease_holders(cluster))
+        await asyncio.sleep(1)
+        found = status(cluster)
+        assert found["has_quorum"] is found["in_touch"] is True
+        assert found["lease_holder"] == found["keeper"] == lease_holders(cluster)[0]
+        assert found["voters"] == {"number": 1, "members": [f"{name}/{FIRST_DISK}" for name in cluster.names]}
+        assert set(found["controllers"]) == {"10.0.0.1", "10.0.0.3"}
+
+    run(play)
--- a/tests/system/test_discovery_service.py
+++ b/tests/system/test_discovery_service.py
@@ -1,4 +1,4 @@
-"""Discovery at a controller without its register: links that answer as told, a clock by hand, no waiting."""
+"""The discovery service alone: links that answer as the test says, a clock set by hand, no waiting."""
 
 import asyncio
 import random
@@ -66,7 +66,7 @@
 
 
 class DiscoveryCluster:
-    """Discovery at several controllers, each with links to all others. ahead_s: by how much a clock stood still."""
+    """Discovery at several controllers, each with links to all others. ahead_s: how far the clock jumped, as after a suspension."""
 
     def __init__(self, count, first_start=True):
         self.names = [f"10.0.0.{at}" for at in range(1, count + 1)]
@@ -130,7 +130,7 @@
         loop.close()
 
 
-def beat(call_seq=1, draining=False, instance="i-1"):
+def heartbeat_call(call_seq=1, draining=False, instance="i-1"):
     return Heartbeat(
         instance=instance,
         address="10.0.1.1:80",
@@ -148,12 +148,12 @@
 def _():
     async def story(cluster):
         one, links = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]
-        assert await one.heartbeat(beat()) == Acknowledged()
+        assert await one.heartbeat(heartbeat_call()) == Acknowledged()
         for other in ("10.0.0.2", "10.0.0.3"):
             links[other].lost = (InstanceUpdate,)
-        assert isinstance(await one.heartbeat(beat(2, True)), Unavailable)
+        assert isinstance(await one.heartbeat(heartbeat_call(2, True)), Unavailable)
         links["10.0.0.3"].lost = ()
-        assert await one.heartbeat(beat(3, True)) == Acknowledged()
+        assert await one.heartbeat(heartbeat_call(3, True)) == Acknowledged()
         assert cluster.services["10.0.0.3"].registry.records["i-1"].row.phase == Phase.DRAINING
         cluster.voters = ("10.0.0.1", "10.0.0.2")  # the third has it, and does not vote
         assert isinstance(await one.leave(Leave("i-1")), Unavailable)
@@ -166,36 +166,36 @@
     play(story)
 
 
-@test("an answer that comes after the process stood still is not counted, nor one under other voters")
+@test("an answer that comes after the process was suspended is not counted, nor one under other voters")
 def _():
     async def story(cluster):
         one, links = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]
 
-        def stands_still(_):
+        def suspend(_):
             cluster.ahead_s += ACK_WINDOW_S + 0.1
             return InstanceUpdateResponse()
 
         handle = links["10.0.0.2"].handle
         links["10.0.0.3"].lost = (InstanceUpdate,)
-        links["10.0.0.2"].handle = stands_still
-        assert isinstance(await one.heartbeat(beat(2, True)), Unavailable)
+        links["10.0.0.2"].handle = suspend
+        assert isinstance(await one.heartbeat(heartbeat_call(2, True)), Unavailable)
 
         def voters_change(message):
             cluster.voters = ("10.0.0.1", "10.0.0.2", "10.0.0.4")
             return handle(message)
 
         links["10.0.0.2"].handle = voters_change
-        assert isinstance(await one.heartbeat(beat(3, True)), Unavailable)
-        assert await one.heartbeat(beat(4, True)) == Acknowledged()
+        assert isinstance(await one.heartbeat(heartbeat_call(3, True)), Unavailable)
+        assert await one.heartbeat(heartbeat_call(4, True)) == Acknowledged()
 
     play(story)
 
 
-@test("a process that stood still takes no telling and no heartbeat for a while: they may have waited for it")
+@test("a process that was suspended takes no update and no heartbeat for a while: they may have waited in its sockets")
 def _():
     async def story(cluster):
         one = cluster.services["10.0.0.1"]
-        await cluster.services["10.0.0.2"].heartbeat(beat())
+        await cluster.services["10.0.0.2"].heartbeat(heartbeat_call())
         row = cluster.services["10.0.0.2"].registry.records["i-1"].row
         cluster.ahead_s += STALL_THRESHOLD_S + 0.1
         for _ in range(2):  # before its first sweep and after it
@@ -203,24 +203,24 @@
             assert one.handle_refresh(InstanceRefresh(heartbeats=[HeartbeatRow("i-1", 9)])) == InstanceUpdateResponse(
                 accepted=False
             )
-            assert isinstance(await one.heartbeat(beat()), Unavailable)
+            assert isinstance(await one.heartbeat(heartbeat_call()), Unavailable)
             assert not one.registry.records
             one.sweep()
-        assert isinstance(await cluster.services["10.0.0.2"].heartbeat(beat(2, True)), Unavailable)
+        assert isinstance(await cluster.services["10.0.0.2"].heartbeat(heartbeat_call(2, True)), Unavailable)
         await cluster.pass_time(STALL_RECOVERY_S + 0.1)
         assert one.handle_update(InstanceUpdate(instances=[row])) == InstanceUpdateResponse(accepted=True)
 
     play(story)
 
 
-@test("what was told whole is told again in short; what changed is told whole again")
+@test("a row that was forwarded is refreshed in short; a row that changed is forwarded in full")
 def _():
     async def story(cluster):
         one, link = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]["10.0.0.2"]
         for call_seq in (1, 2, 3):
-            await one.heartbeat(beat(call_seq))
+            await one.heartbeat(heartbeat_call(call_seq))
             await one.forward_heartbeats(one.registry.rows_of(["i-1"], cluster.clock()))
-        await one.heartbeat(beat(4, True))
+        await one.heartbeat(heartbeat_call(4, True))
         await one.forward_heartbeats(one.registry.rows_of(["i-1"], cluster.clock()))
         await asyncio.sleep(0.1)
         assert link.carried == [InstanceUpdate, InstanceRefresh, InstanceRefresh, InstanceUpdate, InstanceUpdate]
@@ -229,12 +229,12 @@
     play(story)
 
 
-@test("a controller that started again is not synced by one synced peer: that one may lack a drain")
+@test("a controller that restarted is not synced by one synced peer: that one may lack a drain")
 def _():
     async def story(cluster):
         one, links = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]
         links["10.0.0.3"].lost = (InstanceUpdate,)
-        assert await one.heartbeat(beat(2, True)) == Acknowledged()  # 1 and 2 have it, 3 does not
+        assert await one.heartbeat(heartbeat_call(2, True)) == Acknowledged()  # 1 and 2 have it, 3 does not
         again = cluster.start("10.0.0.2")
         await cluster.pass_time(COUNTED_S)
         cluster.pull("10.0.0.2", "10.0.0.3")
@@ -247,7 +247,7 @@
     play(story)
 
 
-@test("pulls count only from those that are synced and vote, and not while a telling to the last life may be counted")
+@test("pulls count only from synced voters, and not while an answer of the process before may be counted")
 def _():
     async def story(cluster):
         again = cluster.start("10.0.0.1")
@@ -265,14 +265,14 @@
     play(story)
 
 
-@test("five voters: one that answered and started again before the count was done still learns of the drain")
+@test("five voters: one that answered and restarted before the count was done still learns of the drain")
 def _():
     async def story(cluster):
         one, links = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]
         for other in ("10.0.0.4", "10.0.0.5"):
             links[other].lost = (InstanceUpdate,)
         links["10.0.0.3"].delay_s = 0.5
-        counting = cluster.tasks.spawn(one.heartbeat(beat(2, True)))
+        counting = cluster.tasks.spawn(one.heartbeat(heartbeat_call(2, True)))
         await asyncio.sleep(0.1)
         assert cluster.services["10.0.0.2"].registry.records  # it has answered, and now it ends
         again = cluster.start("10.0.0.2")
@@ -288,7 +288,7 @@
     play(story, count=5)
 
 
-@test("with nobody synced to pull from, it takes the time in which every backend beats, all of it in touch")
+@test("with no synced voter to pull from, it takes one round of all instances' heartbeats, all of it with a quorum")
 def _():
     async def story(cluster):
         one = cluster.services["10.0.0.1"]
@@ -301,7 +301,7 @@
         cluster.quorum = True
         await cluster.pass_time(HEARTBEAT_ROUND_S - 0.5)
         assert not one.synced()
-        cluster.ahead_s += HEARTBEAT_ROUND_S  # it stood still: it heard nobody meanwhile
+        cluster.ahead_s += HEARTBEAT_ROUND_S  # it was suspended and heard nobody meanwhile
         assert not one.synced()
         cluster.notified.clear()
         await cluster.pass_time(HEARTBEAT_ROUND_S + STALL_RECOVERY_S + 2 * SWEEP_INTERVAL_S)
@@ -310,7 +310,7 @@
     play(story, first_start=False)
 
 
-@test("the system's first start is synced at once; who becomes a voter while it runs starts over")
+@test("the system's first start is synced at once; a controller that becomes a voter while it runs starts over")
 def _():
     startup_sync = StartupSync("d", 0.0, HEARTBEAT_ROUND_S)
     startup_sync.mark_first_start()
--- a/tests/system/test_instance_registry.py
+++ b/tests/system/test_instance_registry.py
@@ -30,10 +30,12 @@
     return record and Phase(record.row.phase)
 
 
-@test("tellings of one backend come to the same in every order; a drain holds though a higher call_seq tells ready")
+@test(
+    "rows of one instance merge to the same in every order; a drain holds though a row with a higher call_seq is ready"
+)
 def _():
-    tellings = [row(call_seq=5), row(call_seq=7, phase=Phase.DRAINING), row(call_seq=9)]
-    for order in itertools.permutations(tellings):
+    rows = [row(call_seq=5), row(call_seq=7, phase=Phase.DRAINING), row(call_seq=9)]
+    for order in itertools.permutations(rows):
         registry = InstanceRegistry(SILENT_S)
         for at, one in enumerate(order):
             registry.merge(one, float(at))
@@ -41,20 +43,20 @@
         assert (record.row.phase, record.row.call_seq) == (Phase.DRAINING, 9), order
 
 
-@test("a drain that was told under the call_seq of a later heartbeat is news to a controller that missed it")
+@test("a drain that arrives with the call_seq of a later heartbeat is a change for a controller that missed it")
 def _():
     knows, missed = InstanceRegistry(SILENT_S), InstanceRegistry(SILENT_S)
     for registry in (knows, missed):
         registry.merge(row(call_seq=5), 0.0)
     knows.merge(row(call_seq=7, phase=Phase.DRAINING), 1.0)
     knows.merge(row(call_seq=9, phase=Phase.DRAINING), 2.0)
-    assert not missed.refresh("i-1", 9, 2.0)  # the telling of the drain was lost, that of the next heartbeat was not
+    assert not missed.refresh("i-1", 9, 2.0)  # the row of the drain was lost, the refresh of the next heartbeat was not
     seq = missed.seq
-    assert [missed.merge(told, 2.1) for told in knows.changes_since(0, 2.1)] == [True]
-    assert [told.phase for told in missed.changes_since(seq, 2.2)] == [Phase.DRAINING]
+    assert [missed.merge(one, 2.1) for one in knows.changes_since(0, 2.1)] == [True]
+    assert [one.phase for one in missed.changes_since(seq, 2.2)] == [Phase.DRAINING]
 
 
-@test("a late heartbeat, telling or word of a later heartbeat does not bring back what has left")
+@test("a late heartbeat, row or refresh does not bring back an instance that left")
 def _():
     registry = InstanceRegistry(SILENT_S)
     registry.merge(row(call_seq=5), 0.0)
@@ -76,27 +78,27 @@
     assert phase(registry, "i-2") == Phase.READY
 
 
-@test("a controller that stood still tells nothing as ready that it has not heard of late")
+@test("a controller that was suspended sends no instance as ready that it has not heard of since")
 def _():
-    for quiet_s, told in ((1.0, [Phase.READY]), (SILENT_S + 2.0, [Phase.SILENT]), (RECORD_TTL_S + 1.0, [])):
+    for quiet_s, expected in ((1.0, [Phase.READY]), (SILENT_S + 2.0, [Phase.SILENT]), (RECORD_TTL_S + 1.0, [])):
         registry = InstanceRegistry(SILENT_S)
         registry.merge(row(), 0.0)
         registry.sweep(0.1)
-        assert [one.phase for one in registry.changes_since(0, quiet_s)] == told
+        assert [one.phase for one in registry.changes_since(0, quiet_s)] == expected
 
 
-@test("no chain of tellings outlives the tombstone: whoever is told of a silent backend counts that time as past")
+@test("no chain of rows outlives the tombstone: the silence of a row that arrives as silent counts as past")
 def _():
     first, second = InstanceRegistry(SILENT_S), InstanceRegistry(SILENT_S)
     first.merge(row(), 0.0)
-    for told in first.changes_since(0, RECORD_TTL_S - 1.0):
-        second.merge(told, RECORD_TTL_S - 1.0)
+    for sent in first.changes_since(0, RECORD_TTL_S - 1.0):
+        second.merge(sent, RECORD_TTL_S - 1.0)
     assert phase(second) == Phase.SILENT
     second.sweep(2 * RECORD_TTL_S - SILENT_S)
     assert not second.records
 
 
-@test("an address used again: who was there is silent; word of an end, or of one that is silent, harms nobody there")
+@test("an address used again: the instance before is silent; rows that are gone or silent change nothing there")
 def _():
     registry = InstanceRegistry(SILENT_S)
     registry.merge(row("i-1", 9), 0.0)
@@ -127,7 +129,7 @@
     assert not registry.records
 
 
-@test("those that beat stay, however many have ended")
+@test("instances with heartbeats stay, however many have ended")
 def _():
     registry = InstanceRegistry(SILENT_S)
     registry.merge(row("here", address="10.0.9.9:80"), 0.0)
@@ -138,7 +140,7 @@
     assert phase(registry, "i-0") is None and phase(registry, f"i-{MAX_ENDED_RECORDS}") == Phase.GONE
 
 
-@test("a gateway remembers as many ends as a controller, the last ones, for longer")
+@test("a gateway remembers as many instances that left as a controller, the last ones, for longer")
 def _():
     assert instance_directory.MOST_GONE >= instance_registry.MAX_ENDED_RECORDS
     assert instance_directory.GONE_S > instance_registry.TOMBSTONE_TTL_S
@@ -156,16 +158,16 @@
 
 @test("the order of heartbeats does not matter, and what is gone stays gone")
 def _():
-    told = [row(call_seq=1), row(call_seq=2), row(call_seq=3, phase=Phase.DRAINING), row(call_seq=3, phase=Phase.GONE)]
+    rows = [row(call_seq=1), row(call_seq=2), row(call_seq=3, phase=Phase.DRAINING), row(call_seq=3, phase=Phase.GONE)]
     for seed in range(50):
-        registry, mixed = InstanceRegistry(SILENT_S), told * 2
+        registry, mixed = InstanceRegistry(SILENT_S), rows * 2
         random.Random(seed).shuffle(mixed)
         for one in mixed:
             registry.merge(one, 1.0)
         assert registry.records["i-1"].row.phase == Phase.GONE
         assert not registry.merge(row(call_seq=9), 2.0) and registry.records["i-1"].row.phase == Phase.GONE
     registry = InstanceRegistry(SILENT_S)
-    assert registry.merge(told[2], 1.0) and not registry.merge(told[1], 1.1)
+    assert registry.merge(rows[2], 1.0) and not registry.merge(rows[1], 1.1)
     assert registry.records["i-1"].row.phase == Phase.DRAINING
 
 
