--- a/tests/system/test_discovery_service.py
+++ b/tests/system/test_discovery_service.py
@@ -66,7 +66,10 @@
 
 
 class DiscoveryCluster:
-    """Discovery at several controllers, each with links to all others. ahead_s: how far the clock jumped, as after a suspension."""
+    """Discovery at several controllers, each with links to all others.
+
+    ahead_s: how far the clock jumped, as after a suspension.
+    """
 
     def __init__(self, count, first_start=True):
         self.names = [f"10.0.0.{at}" for at in range(1, count + 1)]
