--- a/stoneyoke/api/checks.py
+++ b/stoneyoke/api/checks.py
@@ -43,7 +43,7 @@
 
 def visible_text_error(value: str) -> str:
     """Checks a text of visible ASCII characters."""
-    return "" if match_visible_text(value) else "is not made of seen characters"
+    return "" if match_visible_text(value) else "is not made of visible ASCII characters"
 
 
 def path_prefix_error(value: str) -> str:
--- a/stoneyoke/api/http_mapping.py
+++ b/stoneyoke/api/http_mapping.py
@@ -84,6 +84,7 @@
     )
 
 
+# A status is also found under /harbour, its path in earlier releases.
 ENDPOINTS = (
     Endpoint("POST", re.compile(r"/instances/([^/]+)/heartbeat"), read_heartbeat),
     Endpoint("POST", re.compile(r"/instances/([^/]+)/leave"), lambda instance, _: Leave(instance)),
@@ -110,14 +111,14 @@
         if endpoint.method == method:
             return read_call_at(endpoint, match[1], body)
     if is_known_path:
-        return Rejected(HTTPStatus.METHOD_NOT_ALLOWED, "method", f"{method[:20]} is not taken here")
+        return Rejected(HTTPStatus.METHOD_NOT_ALLOWED, "method", f"{method[:20]} is not allowed on this path")
     return Rejected(HTTPStatus.NOT_FOUND, "path", f"no such call: {path[:80]}")
 
 
 def read_call_at(endpoint: Endpoint, instance: str, body: bytes) -> ApiCall | Rejected:
     """The call of an endpoint, or why its instance or its body is rejected."""
     if instance and not match_instance(instance):
-        reason = "an instance's id of characters that are not seen, or too long"
+        reason = "an instance's id is not 1 to 200 visible ASCII characters"
         return Rejected(HTTPStatus.BAD_REQUEST, "path", reason)
     try:
         return endpoint.read(instance, body)
--- a/stoneyoke/limits/shared_bucket.py
+++ b/stoneyoke/limits/shared_bucket.py
@@ -1,5 +1,7 @@
 """A customer's bucket that all its gateways share through the counter: keys, amounts, what a total means. No I/O.
 
+Times are whole microseconds.
+
 The counter only adds amounts up by key. A customer's key changes with each epoch. Its total is the sum of a marker, the
 units that the bucket lacked when the key was opened, and the units of each RPC forwarded since. Time tells what was
 refilled:
@@ -16,8 +18,8 @@
 from typing import NamedTuple
 
 from stoneyoke.control.parameters import Plan
+from stoneyoke.limits.token_bucket import SECOND
 
-SECOND = 1_000_000  # in microseconds
 EPOCH_US = 40 * SECOND  # a key lives for 60 s at most, and is read for a moment after its epoch
 KEY_TTL_US = 60 * SECOND
 EPOCH_OFFSETS = 97  # customers change their keys at so many different moments
--- a/stoneyoke/transport/messages/instances.py
+++ b/stoneyoke/transport/messages/instances.py
@@ -31,21 +31,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstanceUpdate:
-    """Instances whose heartbeats told the sending controller something new."""
+    """Instances whose heartbeats changed what the sending controller knew of them."""
 
     instances: list[InstanceRow]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstanceRefresh:
-    """Heartbeats that told the sending controller nothing new: a fifth of the bytes of full rows."""
+    """Heartbeats that changed nothing but the call numbers: a fifth of the bytes of full rows."""
 
     heartbeats: list[HeartbeatRow]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstanceUpdateResponse:
-    """Whether the receiver now knows what an update or a refresh told.
+    """Whether the receiver now has what an update or a refresh brought.
 
     It refuses while the message may have waited for its process to be resumed, since it may then be stale.
     """
--- a/stoneyoke/transport/peer_connection.py
+++ b/stoneyoke/transport/peer_connection.py
@@ -52,7 +52,7 @@
         self.pending: dict[int, PendingCall] = {}  # until the response, the caller's cancellation or the close
         self.abandoned: set[int] = set()  # numbers of cancelled calls whose response has not come yet
         self.closed = False
-        self.reading = asyncio.get_running_loop().create_task(self.read_responses(reader))
+        self.reader_task = asyncio.get_running_loop().create_task(self.read_responses(reader))
 
     async def call(self, request: Message) -> Message:
         """Sends a request and waits for its response, without a limit of time.
--- a/tests/limits/simulated_gateways.py
+++ b/tests/limits/simulated_gateways.py
@@ -25,8 +25,8 @@
     Method,
     Plan,
 )
+from stoneyoke.limits.token_bucket import SECOND
 
-SECOND = 1_000_000
 START = 1_000_000_000 * SECOND
 BACKENDS = 40
 ZONES = 3
--- a/tests/limits/test_shared_bucket.py
+++ b/tests/limits/test_shared_bucket.py
@@ -7,7 +7,8 @@
 from hypothesis import strategies as st
 
 from stoneyoke.control.parameters import Plan
-from stoneyoke.limits.shared_bucket import EPOCH_US, SECOND, CounterDialogue, SharedBucket, ceiling_share
+from stoneyoke.limits.shared_bucket import EPOCH_US, CounterDialogue, SharedBucket, ceiling_share
+from stoneyoke.limits.token_bucket import SECOND
 
 PLAN = Plan(rate=4.0, burst=12.0, price=1.0, concurrency_max=0, ceiling_rate=0.0, ceiling_burst=0.0)
 GUARDED = Plan(rate=20.0, burst=30.0, price=1.0, concurrency_max=0, ceiling_rate=44.0, ceiling_burst=70.0)
--- a/tests/limits/test_shared_limits.py
+++ b/tests/limits/test_shared_limits.py
@@ -1,10 +1,11 @@
 """Two to 200 gateways' decisions around one counter: limits hold for all together, whatever happens to them."""
 
 import pytest
-from simulated_gateways import SECOND, Customer, PlanCustomers, SimulatedGateways
+from simulated_gateways import Customer, PlanCustomers, SimulatedGateways
 
 from stoneyoke.control.events import Arrival
 from stoneyoke.control.parameters import Plan
+from stoneyoke.limits.token_bucket import SECOND
 
 THIN = Plan(rate=2.0, burst=8.0, price=1.0, concurrency_max=0, ceiling_rate=0.0, ceiling_burst=0.0)
 GUARDED = Plan(rate=20.0, burst=30.0, price=1.0, concurrency_max=0, ceiling_rate=40.0, ceiling_burst=66.0)
