--- a/stoneyoke/consensus/replica.py
+++ b/stoneyoke/consensus/replica.py
@@ -1,7 +1,7 @@
 """One replica of the register: what it has promised and accepted, and the newest value that it knows to be chosen."""
 
 import random
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 
 from loguru import logger
 
@@ -97,19 +97,11 @@
 
     async def prepare_or_refuse(self, ballot: Ballot) -> bool:
         """As `prepare`, but refuses where the disk fails."""
-        try:
-            return await self.prepare(ballot)
-        except StorageError as error:
-            logger.error("disk: {}. A ballot is refused; this replica counts for nothing new", error)
-            return False
+        return await refuse_on_disk_error(self.prepare(ballot))
 
     async def accept_or_refuse(self, proposal: Proposal) -> bool:
         """As `accept`, but refuses where the disk fails."""
-        try:
-            return await self.accept(proposal)
-        except StorageError as error:
-            logger.error("disk: {}. A proposal is refused; this replica counts for nothing new", error)
-            return False
+        return await refuse_on_disk_error(self.accept(proposal))
 
     # ---- learner ----
 
@@ -144,3 +136,12 @@
         self.chosen = accepted
         self.on_chosen()
         return True
+
+
+async def refuse_on_disk_error(step: Awaitable[bool]) -> bool:
+    """The result of a step that writes to disk, False where the disk fails."""
+    try:
+        return await step
+    except StorageError as error:
+        logger.error("disk: {}. A proposer is refused; this replica counts for nothing new", error)
+        return False
--- a/stoneyoke/consensus/request_handler.py
+++ b/stoneyoke/consensus/replica_server.py
@@ -25,7 +25,7 @@
 COMPRESSION_LEVEL = 6
 
 
-class RequestHandler:
+class ReplicaServer:
     """Serves this process's replica to the other controllers."""
 
     def __init__(self, learner: Learner) -> None:
--- a/stoneyoke/consensus/replication.py
+++ b/stoneyoke/consensus/replication.py
@@ -9,7 +9,7 @@
 from stoneyoke.consensus.reader import Reader
 from stoneyoke.consensus.register_value import Change, Proposal
 from stoneyoke.consensus.replica import Replica
-from stoneyoke.consensus.request_handler import RegisterRequest, RegisterResponse, RequestHandler
+from stoneyoke.consensus.replica_server import RegisterRequest, RegisterResponse, ReplicaServer
 
 
 class Replication:
@@ -35,7 +35,7 @@
         self.learner = Learner(replica, peers, spawn)
         self.proposer = Proposer(self.learner, proposer, random_source)
         self.reader = Reader(self.learner, self.proposer)
-        self.request_handler = RequestHandler(self.learner)
+        self.replica_server = ReplicaServer(self.learner)
 
     async def propose(self, change: Change, within_s: float) -> Proposal | None:
         """Changes the register; see `Proposer.propose`."""
@@ -51,4 +51,4 @@
 
     async def handle(self, request: RegisterRequest) -> RegisterResponse:
         """The answer to another controller's request."""
-        return await self.request_handler.handle(request)
+        return await self.replica_server.handle(request)
--- a/stoneyoke/lab/simulation/exhaustive/rounds.py
+++ b/stoneyoke/lab/simulation/exhaustive/rounds.py
@@ -95,7 +95,7 @@
 
 
 def process_request(state: State, request: Request) -> tuple[State, Reply]:
-    """Lets the acceptor handle a request, as RequestHandler.prepare and accept do."""
+    """Lets the acceptor handle a request, as ReplicaServer.prepare and accept do."""
     process = process_at(state, request.to)
     replica = restore_replica(process)
     accepted = None
