--- a/stoneyoke/lab/cli.py
+++ b/stoneyoke/lab/cli.py
@@ -69,7 +69,7 @@
     scenario = find(file)
     seed = scenario.seed if seed is None else seed
     if only_plan:
-        click.echo(plan.draw(scenario, seed).digest())
+        click.echo(plan.draw_plan(scenario, seed).digest())
         return
     if fleet is not None:
         scenario = msgspec.structs.replace(scenario, fleet=msgspec.structs.replace(scenario.fleet, on=fleet))
@@ -105,12 +105,12 @@
 def report(folder: Path) -> None:
     """Judges a run again, from its ledger, and writes its page."""
     from stoneyoke.lab import report as pages
-    from stoneyoke.lab.result import judge, speeds_of
+    from stoneyoke.lab.result import RunEnd, judge
 
     try:
         scenario, drawn, old = pages.load(folder)
         partial = "interrupted" if old.verdict == "partial" else ""
-        new = judge(folder, scenario, drawn, speeds_of(scenario), old.crashes, [], partial, old.seconds)
+        new = judge(folder, scenario, drawn, RunEnd(seconds=old.seconds, crashes=old.crashes, partial=partial))
         click.echo(f"{new.verdict}{''.join(f'; {reason}' for reason in new.reasons)}")
         click.echo(pages.write(folder))
     except (OSError, msgspec.DecodeError) as bad:
--- a/stoneyoke/lab/fault_orders.py
+++ b/stoneyoke/lab/fault_orders.py
@@ -7,7 +7,7 @@
 
 from stoneyoke.lab.addresses import Addresses
 from stoneyoke.lab.fault_kinds import FaultTarget, target_of
-from stoneyoke.lab.plan import Strike
+from stoneyoke.lab.plan import FaultEvent
 from stoneyoke.lab.worker_process import WorkerProcess
 
 
@@ -28,7 +28,7 @@
         self.addresses, self.workers, self.gateways = addresses, workers, gateways
         self.lives: dict[str, int] = {}  # of gateways that were started again
 
-    def strike(self, strike: Strike) -> None:
+    def strike(self, strike: FaultEvent) -> None:
         """Carries out one strike, or mends it."""
         fault = msgspec.to_builtins(strike.fault)
         order = {"number": strike.number, "fault": fault, "begins": strike.begins}
@@ -36,19 +36,19 @@
         if what == FaultTarget.LINK:
             for name, worker in self.workers.items():
                 if name.startswith("links"):
-                    worker.say(order | {"do": "link", "from": strike.from_, "to": strike.to})
+                    worker.say(order | {"do": "link", "from": strike.source, "to": strike.destination})
         elif what == FaultTarget.GATEWAY:
-            for name in strike.on:
+            for name in strike.processes:
                 self.strike_gateway(strike, name)
         elif what == FaultTarget.BACKEND:
-            for name in strike.on:
+            for name in strike.processes:
                 self.strike_backend(strike, name, order)
         else:
             self.workers["front" if what == FaultTarget.CLIENTS else what].say(
                 order | {"do": "front" if what == FaultTarget.CLIENTS else what}
             )
 
-    def strike_gateway(self, strike: Strike, name: str) -> None:
+    def strike_gateway(self, strike: FaultEvent, name: str) -> None:
         g, supervisor = self.addresses.gateway_names.index(name), self.workers["keeper"]
         match strike.kind, strike.begins:
             case ("kill", True):
@@ -64,7 +64,7 @@
                 self.gateways.configure(g)
                 supervisor.say({"do": "signal", "name": name, "signal": "SIGHUP"})
 
-    def strike_backend(self, strike: Strike, name: str, order: dict[str, Any]) -> None:
+    def strike_backend(self, strike: FaultEvent, name: str, order: dict[str, Any]) -> None:
         backends, discovery = self.workers["backends"], self.workers["discovery"]
         now_ms, b = int(time.time() * 1000), self.addresses.backend_names.index(name)
         backends.say(order | {"do": "backend", "name": name, "new": name + "-new"})
--- a/stoneyoke/lab/figures.py
+++ b/stoneyoke/lab/figures.py
@@ -1,136 +1,235 @@
-"""Figures of a run, from the ledger alone; and whether it says anything of the gateways."""
+"""The figures of a run, from the ledger alone, and whether the run says anything of the gateways."""
 
 from collections import defaultdict
-from typing import Any
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 
 from hdrh.histogram import HdrHistogram
 
-from stoneyoke.lab.ledger_index import LedgerIndex
-from stoneyoke.lab.rules import SLACK_US
+from stoneyoke.lab.ledger_index import ClientTry, Interval, LedgerIndex
+from stoneyoke.lab.ledger_rows import GatewayUse
+from stoneyoke.lab.quota_bucket import CustomerBuckets
+from stoneyoke.lab.rules import REJECTED_STATUSES, SLACK_US
 
-LAG_MS = 100.0  # a stand-in that is later than this in one look of fifty was the limit itself
+# A stand-in whose event loop is later than this in more than one look of fifty may itself have been the bottleneck.
+MAX_LAG_MS = 100.0
+MAX_LATE_SHARE = 0.02
+MIN_LAG_LOOKS = 20
+MAX_LATENCY_US = 60_000_000
+FAILING_KINDS = ("hang", "black_hole")  # faults in which a backend serves nothing
+DETECTION_US = 1_000_000  # from a fault's start until attempts at the backend count against the gateways
+THIRDS = 3
 
 
 def void(index: LedgerIndex) -> str:
-    """Why the run says nothing of the gateways, or nothing."""
-    for name, lags in index.lags.items():
-        late = sum(lag > LAG_MS for lag in lags)
-        if len(lags) > 20 and late > 0.02 * len(lags):
-            looks = f"{late} of {len(lags)} looks"
-            return f"{name} was the limit: its event loop was over {LAG_MS:g} ms late in {looks}"
+    """Why the run says nothing of the gateways; empty if it does."""
+    for process, lags_ms in index.lags_ms.items():
+        late = sum(lag_ms > MAX_LAG_MS for lag_ms in lags_ms)
+        if len(lags_ms) > MIN_LAG_LOOKS and late > MAX_LATE_SHARE * len(lags_ms):
+            looks = f"{late} of {len(lags_ms)} looks"
+            return f"{process} was the limit: its event loop was over {MAX_LAG_MS:g} ms late in {looks}"
     return ""
 
 
 def figures(index: LedgerIndex) -> dict[str, float]:
-    """Shares are of 0 to 1, times in ms, memory in MB, CPU in ms an RPC."""
-    scenario, end = index.scenario, index.scenario.seconds * 1e6
-    # Number: inside, customer, method, gateway, at
-    offered: dict[int, tuple[bool, int, int, int, int]] = {}
-    quota: dict[int, tuple[float, int]] = {}
-    for arrival in index.drawn.arrivals:
-        plan = scenario.plan[index.drawn.customers[arrival.customer].plan]
-        level, last = quota.get(arrival.customer, (plan.burst, arrival.at_us))
-        level = min(plan.burst, level + plan.rate * (arrival.at_us - last) / 1e6)
-        units = index.methods[arrival.method].units
-        inside = level >= units
-        quota[arrival.customer] = level - units * inside, arrival.at_us
-        offered[arrival.number] = inside, arrival.customer, arrival.method, arrival.gateway, arrival.at_us
-    ok: dict[int, int] = {}  # number: when it was served
-    for rpc in index.rpcs.values():
-        if rpc.status == 200 and rpc.answered <= rpc.until + SLACK_US:
-            ok.setdefault(rpc.number, rpc.answered)
-    worth = {
-        n: index.methods[o[2]].utility
-        * index.methods[o[2]].units
-        * scenario.plan[index.drawn.customers[o[1]].plan].price
-        for n, o in offered.items()
-    }
-    in_time = {
-        n
-        for n, at in ok.items()
-        if n in offered and (at <= offered[n][4] + index.methods[offered[n][2]].soft_ms * 1000 + SLACK_US)
+    """All figures. Shares are from 0 to 1, times in ms, memory in MB, CPU in ms a try."""
+    return goodput_figures(index) | try_figures(index) | resource_figures(index)
+
+
+# ---- goodput ----
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class OfferedRequest:
+    """A request that the plan has a client send."""
+
+    inside_quota: bool
+    customer: int
+    method: int
+    gateway: int
+    at_us: int
+    value: float  # what its answer in time is worth
+
+
+def offered_requests(index: LedgerIndex) -> dict[int, OfferedRequest]:
+    """All requests of the plan, by number."""
+    quotas = CustomerBuckets()
+    offered: dict[int, OfferedRequest] = {}
+    for arrival in index.plan.arrivals:
+        plan = index.scenario.plan[index.plan.customers[arrival.customer].plan]
+        method = index.methods[arrival.method]
+        offered[arrival.number] = OfferedRequest(
+            inside_quota=quotas.take(arrival.customer, method.units, plan.rate, plan.burst, arrival.at_us),
+            customer=arrival.customer,
+            method=arrival.method,
+            gateway=arrival.gateway,
+            at_us=arrival.at_us,
+            value=method.utility * method.units * plan.price,
+        )
+    return offered
+
+
+def served_in_time(index: LedgerIndex, offered: dict[int, OfferedRequest]) -> set[int]:
+    """Numbers of the requests that were served within their method's latency target."""
+    served_at_us: dict[int, int] = {}
+    for client_try in index.tries.values():
+        if client_try.status == 200 and client_try.answered_at_us <= client_try.deadline_us + SLACK_US:
+            served_at_us.setdefault(client_try.number, client_try.answered_at_us)
+    in_time = set()
+    for number, at_us in served_at_us.items():
+        request = offered.get(number)
+        if request and at_us <= request.at_us + index.methods[request.method].soft_ms * 1000 + SLACK_US:
+            in_time.add(number)
+    return in_time
+
+
+def goodput_figures(index: LedgerIndex) -> dict[str, float]:
+    """The share of the value inside quotas that was served in time: in all, by method, plan, zone and third."""
+    offered = offered_requests(index)
+    in_time = served_in_time(index, offered)
+    scenario, customers = index.scenario, index.plan.customers
+    gateway_names, end_us = scenario.gateway_names(), scenario.seconds * 1e6
+    by_all = goodput_by(offered, in_time, lambda _: "all")
+    by_method = goodput_by(offered, in_time, lambda request: request.method)
+    by_plan = goodput_by(offered, in_time, lambda request: customers[request.customer].plan)
+    by_zone = goodput_by(offered, in_time, lambda request: gateway_names[request.gateway].split("/")[0])
+    by_third = goodput_by(offered, in_time, lambda request: int(THIRDS * request.at_us / end_us))
+    return {
+        "goodput": by_all["all"],
+        **{f"goodput {method.name}": by_method[number] for number, method in enumerate(index.methods)},
+        **{f"goodput {plan.name}": by_plan[number] for number, plan in enumerate(scenario.plan)},
+        **{f"goodput zone {zone}": by_zone[zone] for zone in scenario.zones()},
+        **{f"goodput third {third + 1}": by_third[third] for third in range(THIRDS)},
     }
-    names = scenario.gateway_names()
-
-    def share(keep: Any) -> float:
-        asked = sum(worth[n] for n, o in offered.items() if o[0] and keep(o))
-        served = sum(worth[n] for n in in_time if offered[n][0] and keep(offered[n]))
-        return round(served / asked, 4) if asked else 1.0
-
-    figures: dict[str, float] = {"goodput": share(lambda _: True)}
-    for at, method in enumerate(index.methods):
-        figures[f"goodput {method.name}"] = share(lambda o, at=at: o[2] == at)
-    for at, plan in enumerate(scenario.plan):
-        figures[f"goodput {plan.name}"] = share(lambda o, at=at: index.drawn.customers[o[1]].plan == at)
-    for zone in scenario.zones():
-        figures[f"goodput zone {zone}"] = share(lambda o, zone=zone: names[o[3]].startswith(zone + "/"))
-    for third in range(3):
-        figures[f"goodput third {third + 1}"] = share(lambda o, third=third: int(3 * o[4] / end) == third)
-    sent, beyond, crossed, calls = 0.0, 0.0, 0, 0
-    levels: dict[int, tuple[float, int]] = {}
-    for at, id_ in sorted((rpc.calls[0][0], rpc.id) for rpc in index.rpcs.values() if rpc.calls):
-        rpc = index.rpcs[id_]
-        plan = scenario.plan[index.plan_of(rpc)]
-        level, last = levels.get(rpc.customer, (plan.burst, at))
-        level = min(plan.burst, level + plan.rate * (at - last) / 1e6)
-        inside, units = level >= index.units(rpc), index.units(rpc)
-        levels[rpc.customer] = level - units * inside, at
-        sent, beyond = sent + units, beyond + units * (not inside)
-        calls += len(rpc.calls)
-        crossed += sum(rpc.gateway.split("/")[0] != backend.split("/")[0] for _, backend in rpc.calls)
-    times = HdrHistogram(1, 60_000_000, 3)
-    for rpc in index.rpcs.values():
-        if rpc.status == 200:
-            times.record_value(max(1, rpc.answered - rpc.sent))
-    tries = len(index.rpcs)
-    per = max(1, tries)
-    figures |= {
-        "tries": tries,
-        "unmet": len(index.unmet),
-        "refused": round(sum(rpc.status in (429, 503) for rpc in index.rpcs.values()) / per, 4),
-        "aborted": round(sum(rpc.status not in (200, 429, 503) for rpc in index.rpcs.values()) / per, 4),
-        "beyond quota": round(beyond / sent, 4) if sent else 0.0,
-        "crossed zones": round(crossed / calls, 4) if calls else 0.0,
-        "call-outs a try": round(calls / per, 4),
-        "counter calls a try": round(index.counts / per, 4),
-        "ms p50": times.get_value_at_percentile(50) / 1000,
-        "ms p99": times.get_value_at_percentile(99) / 1000,
-        "to sick s": calls_to_sick_a_second(index),
-        "link MB": round(index.carried / 1e6, 2),
-        "peer bytes s": round(index.between / scenario.seconds / scenario.gateways.count, 1),
-        "peer messages s": round(index.messages / scenario.seconds / scenario.gateways.count, 2),
-        "memory MB most": round(max((row[3] for rows in index.uses.values() for row in rows), default=0) / 1e6, 1),
-        "descriptors most": max((row[4] for rows in index.uses.values() for row in rows), default=0),
-        "cpu ms a try": round(1000 * sum(cpu_seconds(rows) for rows in index.uses.values()) / per, 3),
-        "crashes": len(index.crashes),
+
+
+def goodput_by(
+    offered: dict[int, OfferedRequest], in_time: set[int], group_of: Callable[[OfferedRequest], int | str]
+) -> dict[int | str, float]:
+    """The goodput of each group of requests; 1 where a group asked for nothing inside quotas."""
+    asked: dict[int | str, float] = defaultdict(float)
+    served: dict[int | str, float] = defaultdict(float)
+    for request in offered.values():
+        if request.inside_quota:
+            asked[group_of(request)] += request.value
+    for number in in_time:
+        if offered[number].inside_quota:
+            served[group_of(offered[number])] += offered[number].value
+    goodput: dict[int | str, float] = defaultdict(lambda: 1.0)
+    goodput.update({group: round(served[group] / value, 4) for group, value in asked.items() if value})
+    return goodput
+
+
+# ---- tries and attempts ----
+
+
+def try_figures(index: LedgerIndex) -> dict[str, float]:
+    """Counts and shares of tries, their attempts and their latency."""
+    tries = index.tries.values()
+    try_count = max(1, len(tries))
+    attempts = sum(len(client_try.attempts) for client_try in tries)
+    crossed = sum(crossed_zones(client_try) for client_try in tries)
+    latency = latency_histogram(tries)
+    return {
+        "tries": len(tries),
+        "unmet": len(index.unsent),
+        "refused": round(sum(one.status in REJECTED_STATUSES for one in tries) / try_count, 4),
+        "aborted": round(sum(one.status not in (200, *REJECTED_STATUSES) for one in tries) / try_count, 4),
+        "beyond quota": share_beyond_quota(index),
+        "crossed zones": round(crossed / attempts, 4) if attempts else 0.0,
+        "call-outs a try": round(attempts / try_count, 4),
+        "counter calls a try": round(index.counter_calls / try_count, 4),
+        "ms p50": latency.get_value_at_percentile(50) / 1000,
+        "ms p99": latency.get_value_at_percentile(99) / 1000,
+        "to sick s": attempts_at_failing_per_s(index),
     }
-    return figures
 
 
-def calls_to_sick_a_second(index: LedgerIndex) -> float:
-    """Call-outs a second to each backend that hangs or fails all, from 1 s after that began to its
-    end."""
-    began: dict[tuple[int, str], int] = {}
-    spans: dict[str, list[tuple[int, int]]] = defaultdict(list)
-    for _, at, number, kind, begins, names, *_ in index.faults:
-        for name in names if kind in ("hang", "black_hole") else ():
-            if begins:
-                began[number, name] = at
-            elif (number, name) in began:
-                spans[name].append((began.pop((number, name)) + 1_000_000, at))
-    for (_, name), at in began.items():
-        spans[name].append((at + 1_000_000, int(index.scenario.seconds * 1e6)))
-    seconds = sum(max(0, b - a) for rows in spans.values() for a, b in rows) / 1e6
-    met = sum(
-        any(a <= at < b for a, b in spans.get(backend, ())) for rpc in index.rpcs.values() for at, backend in rpc.calls
+def crossed_zones(client_try: ClientTry) -> int:
+    """How many attempts of a try went to another zone than its gateway's."""
+    zone = client_try.gateway.split("/")[0]
+    return sum(attempt.backend.split("/")[0] != zone for attempt in client_try.attempts)
+
+
+def latency_histogram(tries: Iterable[ClientTry]) -> HdrHistogram:
+    """Latencies of the served tries, in microseconds."""
+    histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
+    for client_try in tries:
+        if client_try.status == 200:
+            histogram.record_value(max(1, client_try.answered_at_us - client_try.sent_at_us))
+    return histogram
+
+
+def share_beyond_quota(index: LedgerIndex) -> float:
+    """The share of the units that reached backends beyond their customers' quotas."""
+    sent = beyond = 0.0
+    for _, units, inside in units_sent(index):
+        sent += units
+        beyond += units * (not inside)
+    return round(beyond / sent, 4) if sent else 0.0
+
+
+def units_sent(index: LedgerIndex) -> Iterable[tuple[int, float, bool]]:
+    """The units of each try that reached a backend: when, how many, and whether its customer's quota held them."""
+    quotas = CustomerBuckets()
+    for client_try in index.first_attempts():
+        plan, units = index.scenario.plan[index.plan_of(client_try)], index.units(client_try)
+        at_us = client_try.attempts[0].at_us
+        yield at_us, units, quotas.take(client_try.customer, units, plan.rate, plan.burst, at_us)
+
+
+def attempts_at_failing_per_s(index: LedgerIndex) -> float:
+    """Attempts a second at each backend that hangs or fails everything, from shortly after that began to its end."""
+    failing = failing_intervals(index)
+    seconds = sum(max(0, end_us - start_us) for rows in failing.values() for start_us, end_us in rows) / 1e6
+    attempts = sum(
+        any(start_us <= attempt.at_us < end_us for start_us, end_us in failing.get(attempt.backend, ()))
+        for client_try in index.tries.values()
+        for attempt in client_try.attempts
     )
-    return round(met / seconds, 3) if seconds else 0.0
+    return round(attempts / seconds, 3) if seconds else 0.0
+
+
+def failing_intervals(index: LedgerIndex) -> dict[str, list[Interval]]:
+    """When each backend served nothing, by backend, without the time to detect that."""
+    began: dict[tuple[int, str], int] = {}
+    found: dict[str, list[Interval]] = defaultdict(list)
+    for fault in index.faults:
+        for backend in fault.processes if fault.kind in FAILING_KINDS else ():
+            if fault.begins:
+                began[fault.number, backend] = fault.at_us
+            elif (fault.number, backend) in began:
+                start_us = began.pop((fault.number, backend)) + DETECTION_US
+                found[backend].append(Interval(start_us, fault.at_us))
+    end_us = int(index.scenario.seconds * 1e6)
+    for (_, backend), at_us in began.items():
+        found[backend].append(Interval(at_us + DETECTION_US, end_us))
+    return found
+
+
+# ---- resources ----
+
+
+def resource_figures(index: LedgerIndex) -> dict[str, float]:
+    """What the links carried and what the gateways used."""
+    scenario = index.scenario
+    uses = [row for rows in index.uses.values() for row in rows]
+    cpu_s = sum(cpu_seconds(rows) for rows in index.uses.values())
+    return {
+        "link MB": round(index.bytes_carried / 1e6, 2),
+        "peer bytes s": round(index.datagram_bytes / scenario.seconds / scenario.gateways.count, 1),
+        "peer messages s": round(index.datagrams / scenario.seconds / scenario.gateways.count, 2),
+        "memory MB most": round(max((row.memory_bytes for row in uses), default=0) / 1e6, 1),
+        "descriptors most": max((row.descriptors for row in uses), default=0),
+        "cpu ms a try": round(1000 * cpu_s / max(1, len(index.tries)), 3),
+        "crashes": len(index.crashes),
+    }
 
 
-def cpu_seconds(rows: list[list[Any]]) -> float:
-    """Seconds used by a gateway's lives: a fall of the sum is a new one."""
-    total, last = 0.0, 0.0
+def cpu_seconds(rows: list[GatewayUse]) -> float:
+    """CPU seconds that a gateway used. A fall of the sum is a restart, which counts from 0."""
+    total_s = last_s = 0.0
     for row in rows:
-        total += row[5] - last if row[5] >= last else row[5]
-        last = row[5]
-    return total
+        total_s += row.cpu_s - last_s if row.cpu_s >= last_s else row.cpu_s
+        last_s = row.cpu_s
+    return total_s
--- a/stoneyoke/lab/ledger_index.py
+++ b/stoneyoke/lab/ledger_index.py
@@ -1,160 +1,302 @@
-"""The rows that all processes of a run wrote down, indexed by what they tell of. Times are us since it began."""
+"""The rows that all processes of a run wrote, indexed by what they are about. Times: microseconds since its start."""
 
 from collections import defaultdict
-from fnmatch import fnmatchcase as fits
+from collections.abc import Callable
+from fnmatch import fnmatchcase
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
-from stoneyoke.lab.plan import Drawn
+from stoneyoke.lab.ledger_rows import (
+    ENDED,
+    KINDS,
+    OVER_LIMITS,
+    STARTED,
+    AttemptAnswered,
+    AttemptArrived,
+    AttemptExecuted,
+    BackendChanged,
+    BytesCarried,
+    CounterCall,
+    DatagramsCarried,
+    EndpointsSent,
+    FaultChanged,
+    GatewayUse,
+    LedgerRow,
+    LoopLag,
+    ProcessChanged,
+    TryEnded,
+    TrySent,
+    TryUnsent,
+)
+from stoneyoke.lab.plan import RunPlan
 from stoneyoke.lab.scenario import Method, Scenario
 
+FOREVER_US = 1 << 62
+# A restarted gateway needs a moment to be ready, a resumed one to catch up.
+RECOVERY_US = 1_500_000
+# A restarted gateway asks discovery before it listens; until a moment after the answer its link ends with a reset.
+LISTENING_DELAY_US = 500_000
+LINK_RECOVERY_US = 1_000_000  # so long after a fault's end a link may still be affected
+MAX_LINES = 60  # of a violation
+STOPPING_SIGNALS = ("SIGKILL", "SIGSTOP")
 
-class Rpc:
-    """One try of a client, and all that touched it."""
+
+class Interval(NamedTuple):
+    """A time with its end excluded."""
+
+    start_us: int
+    end_us: int
+
+    def overlaps(self, start_us: int, end_us: int) -> bool:
+        """Whether any of the other time is within this one."""
+        return self.start_us < end_us and start_us < self.end_us
+
+
+class Attempt(NamedTuple):
+    """An attempt at a backend."""
+
+    at_us: int
+    backend: str
+
+
+class AttemptEnd(NamedTuple):
+    """A backend's answer to an attempt."""
+
+    at_us: int
+    backend: str
+    outcome: str
+
+
+class ClientTry:
+    """One try of a client, and all that rows say of it."""
 
     __slots__ = (
-        "answered",
-        "calls",
+        "answered_at_us",
+        "attempts",
         "customer",
+        "deadline_us",
         "ends",
-        "first_at",
+        "executions",
+        "first_sent_at_us",
         "gateway",
         "id",
         "method",
         "number",
-        "ran",
-        "sent",
+        "sent_at_us",
         "status",
-        "tries",
-        "until",
         "words",
     )
 
-    def __init__(self, id_: str, row: list[Any]) -> None:
-        self.id = id_
-        self.first_at = self.sent = row[1]
-        self.number, self.customer, self.method, self.gateway, self.tries, self.until = row[3:9]
-        self.status, self.words, self.answered = 0, "", -1
-        self.calls: list[tuple[int, str]] = []
-        self.ends: list[tuple[int, str, str]] = []
-        self.ran: list[tuple[int, str]] = []
+    def __init__(self, row: TrySent) -> None:
+        """Starts without an answer."""
+        self.id = row.id
+        self.first_sent_at_us = self.sent_at_us = row.at_us
+        self.number, self.customer, self.method = row.number, row.customer, row.method
+        self.gateway, self.deadline_us = row.gateway, row.deadline_us
+        self.status, self.words, self.answered_at_us = 0, "", -1
+        self.attempts: list[Attempt] = []
+        self.ends: list[AttemptEnd] = []
+        self.executions: list[Attempt] = []
+
+    def send_again(self, row: TrySent) -> None:
+        """Notes that the try is sent once more, on a new connection."""
+        self.sent_at_us, self.gateway, self.status = row.at_us, row.gateway, 0
+
+    def end_of(self, attempt: Attempt) -> AttemptEnd | None:
+        """The first answer of the attempt's backend since the attempt."""
+        return next((end for end in self.ends if end.backend == attempt.backend and end.at_us >= attempt.at_us), None)
 
 
 class LedgerIndex:
-    """What the rows say of each RPC, gateway, backend and fault."""
+    """What the rows say of each try, gateway, backend and fault."""
+
+    def __init__(self, rows: list[list[Any]], scenario: Scenario, plan: RunPlan) -> None:
+        """Reads all rows.
 
-    def __init__(self, rows: list[list[Any]], scenario: Scenario, drawn: Drawn) -> None:
+        Args:
+            rows: In any order, as the ledger's files have them.
+            scenario: What the run was made of.
+            plan: What its seed made of that.
+        """
         self.rows = sorted(rows, key=lambda row: row[1])
-        self.scenario, self.drawn = scenario, drawn
+        self.scenario = scenario
+        self.plan = plan
         self.methods: list[Method] = scenario.method
-        self.rpcs: dict[str, Rpc] = {}
-        self.unmet: list[list[Any]] = []
-        self.told: dict[str, list[list[Any]]] = defaultdict(list)  # by gateway
-        self.lives: dict[str, list[int]] = defaultdict(list)  # when a gateway's process started
-        self.away: dict[str, list[tuple[int, int]]] = defaultdict(list)  # dead or frozen, by gateway
+        self.tries: dict[str, ClientTry] = {}  # by id
+        self.unsent: list[TryUnsent] = []
+        self.endpoints_sent: dict[str, list[EndpointsSent]] = defaultdict(list)  # by gateway
+        self.gateway_starts: dict[str, list[int]] = defaultdict(list)
+        self.unavailable: dict[str, list[Interval]] = defaultdict(list)  # dead, frozen or recovering; by gateway
         self.backend_starts: dict[str, list[int]] = defaultdict(list)
-        self.backend_ends: dict[str, list[int]] = defaultdict(list)
-        self.faults: list[list[Any]] = []
-        self.uses: dict[str, list[list[Any]]] = defaultdict(list)
-        self.lags: dict[str, list[float]] = defaultdict(list)
-        self.counts = self.turned_away = self.carried = self.between = self.messages = 0
-        self.crashes: list[list[Any]] = []
-        open_away: dict[str, int] = {}
+        self.faults: list[FaultChanged] = []
+        self.uses: dict[str, list[GatewayUse]] = defaultdict(list)  # by gateway
+        self.lags_ms: dict[str, list[float]] = defaultdict(list)  # by process
+        self.counter_calls = self.bytes_carried = self.datagram_bytes = self.datagrams = 0
+        self.crashes: list[ProcessChanged] = []
+        self._stopped_at: dict[str, int] = {}  # gateways that are dead or frozen
         for row in self.rows:
-            match row[0]:
-                case "rpc":
-                    if old := self.rpcs.get(row[2]):  # sent once more after a close that crossed it
-                        old.sent, old.gateway, old.status = row[1], row[6], 0
-                    else:
-                        self.rpcs[row[2]] = Rpc(row[2], row)
-                case "ans" if rpc := self.rpcs.get(row[2]):
-                    rpc.status, rpc.words, rpc.answered = row[3], row[4], row[1]
-                case "call" if rpc := self.rpcs.get(row[2]):
-                    rpc.calls.append((row[1], row[3]))
-                case "end" if rpc := self.rpcs.get(row[2]):
-                    rpc.ends.append((row[1], row[3], row[4]))
-                case "ran" if rpc := self.rpcs.get(row[2]):
-                    rpc.ran.append((row[1], row[3]))
-                case "unmet":
-                    self.unmet.append(row)
-                case "told":
-                    self.told[row[2]].append(row)
-                case "backend":
-                    (self.backend_starts if row[3] == "started" else self.backend_ends)[row[2]].append(row[1])
-                case "fault":
-                    self.faults.append(row)
-                case "use":
-                    self.uses[row[2]].append(row)
-                case "lag":
-                    self.lags[row[2]].append(row[3])
-                case "count":
-                    self.counts += 1
-                    self.turned_away += row[3] is None
-                case "carried":
-                    self.carried += row[2]
-                case "between":
-                    self.between += row[2]
-                    self.messages += row[3]
-                case "process":
-                    name, what = row[2], row[3]
-                    if what == "started":
-                        self.lives[name].append(row[1])
-                    if what in ("SIGKILL", "SIGSTOP", "ended"):
-                        open_away.setdefault(name, row[1])
-                    if what in ("started", "SIGCONT") and name in open_away:
-                        # A new life needs a moment to be ready; a woken one to catch up.
-                        self.away[name].append((open_away.pop(name), row[1] + 1_500_000))
-                    if what == "ended" and not row[5] or what == "over its limits":
-                        self.crashes.append(row)
-        for name, since in open_away.items():
-            self.away[name].append((since, 1 << 62))
-        # A new life is there once discovery has told it something, and a moment more: it asks before it
-        # listens. Until then the link to it is up and it is not, so what it carries ends with a reset.
-        for name, spans in self.away.items():
-            told = [row[1] for row in self.told.get(name, [])]
-            spans[:] = [
-                (a, max(b, min((t for t in told if t >= b - 1_500_000), default=b) + 500_000)) for a, b in spans
-            ]
-
-    def units(self, rpc: Rpc) -> float:
-        return float(self.methods[rpc.method].units)
-
-    def plan_of(self, rpc: Rpc) -> int:
-        return int(self.drawn.customers[rpc.customer].plan)
-
-    def was_away(self, gateway: str, since: int, until: int) -> bool:
-        return any(a < until and since < b for a, b in self.away.get(gateway, ()))
-
-    def link_struck(self, one: str, other: str, since: int, until: int) -> bool:
-        """Whether a fault lay on the link between two at that time, or was mending (a second)."""
-        begun: dict[int, tuple[int, list[Any]]] = {}
-        spans: list[tuple[int, int, list[Any]]] = []
-        for row in self.faults:
-            if not row[6]:
-                continue
-            if row[4]:
-                begun[row[2]] = row[1], row
-                if row[3] == "reset":
-                    spans.append((row[1], row[1] + 1, row))
-            elif row[2] in begun:
-                spans.append((begun.pop(row[2])[0], row[1], row))
-        spans += [(at, 1 << 62, row) for at, row in begun.values() if row[3] != "reset"]
+            if row[0] in KINDS:
+                self._add(msgspec.convert(row, type=LedgerRow))
+        for gateway, since_us in self._stopped_at.items():
+            self.unavailable[gateway].append(Interval(since_us, FOREVER_US))
+        self._extend_restarts()
+
+    def _add(self, row: Any) -> None:
+        """Dispatches a row by its type."""
+        HANDLERS[type(row)](self, row)
+
+    # ---- rows ----
+
+    def _add_try_sent(self, row: TrySent) -> None:
+        known = self.tries.get(row.id)
+        if known:
+            known.send_again(row)
+        else:
+            self.tries[row.id] = ClientTry(row)
+
+    def _add_try_ended(self, row: TryEnded) -> None:
+        if client_try := self.tries.get(row.id):
+            client_try.status, client_try.words, client_try.answered_at_us = row.status, row.words, row.at_us
+
+    def _add_try_unsent(self, row: TryUnsent) -> None:
+        self.unsent.append(row)
+
+    def _add_attempt_arrived(self, row: AttemptArrived) -> None:
+        if client_try := self.tries.get(row.id):
+            client_try.attempts.append(Attempt(row.at_us, row.backend))
+
+    def _add_attempt_answered(self, row: AttemptAnswered) -> None:
+        if client_try := self.tries.get(row.id):
+            client_try.ends.append(AttemptEnd(row.at_us, row.backend, row.outcome))
+
+    def _add_attempt_executed(self, row: AttemptExecuted) -> None:
+        if client_try := self.tries.get(row.id):
+            client_try.executions.append(Attempt(row.at_us, row.backend))
+
+    def _add_endpoints_sent(self, row: EndpointsSent) -> None:
+        self.endpoints_sent[row.gateway].append(row)
+
+    def _add_backend_changed(self, row: BackendChanged) -> None:
+        if row.change == STARTED:
+            self.backend_starts[row.backend].append(row.at_us)
+
+    def _add_fault_changed(self, row: FaultChanged) -> None:
+        self.faults.append(row)
+
+    def _add_gateway_use(self, row: GatewayUse) -> None:
+        self.uses[row.gateway].append(row)
+
+    def _add_loop_lag(self, row: LoopLag) -> None:
+        self.lags_ms[row.process].append(row.lag_ms)
+
+    def _add_counter_call(self, _: CounterCall) -> None:
+        self.counter_calls += 1
+
+    def _add_bytes_carried(self, row: BytesCarried) -> None:
+        self.bytes_carried += row.bytes
+
+    def _add_datagrams_carried(self, row: DatagramsCarried) -> None:
+        self.datagram_bytes += row.bytes
+        self.datagrams += row.datagrams
+
+    def _add_process_changed(self, row: ProcessChanged) -> None:
+        gateway = row.gateway
+        if row.change == STARTED:
+            self.gateway_starts[gateway].append(row.at_us)
+        if row.change in STOPPING_SIGNALS or row.change == ENDED:
+            self._stopped_at.setdefault(gateway, row.at_us)
+        if row.change in (STARTED, "SIGCONT") and gateway in self._stopped_at:
+            self.unavailable[gateway].append(Interval(self._stopped_at.pop(gateway), row.at_us + RECOVERY_US))
+        unexpected_end = row.change == ENDED and not row.expected
+        if unexpected_end or row.change == OVER_LIMITS:
+            self.crashes.append(row)
+
+    def _extend_restarts(self) -> None:
+        """Extends the time in which a restarted gateway is unavailable until it has heard from discovery."""
+        for gateway, intervals in self.unavailable.items():
+            heard_at_us = [row.at_us for row in self.endpoints_sent.get(gateway, [])]
+            for at, (start_us, end_us) in enumerate(intervals):
+                first_heard_us = min((heard for heard in heard_at_us if heard >= end_us - RECOVERY_US), default=end_us)
+                intervals[at] = Interval(start_us, max(end_us, first_heard_us + LISTENING_DELAY_US))
+
+    # ---- questions ----
+
+    def units(self, client_try: ClientTry) -> float:
+        """The units of quota that a try costs."""
+        return float(self.methods[client_try.method].units)
+
+    def plan_of(self, client_try: ClientTry) -> int:
+        """The number of the customer plan of a try."""
+        return int(self.plan.customers[client_try.customer].plan)
+
+    def first_attempts(self) -> list[ClientTry]:
+        """The tries that reached a backend, by the time when they first did."""
+        reached = [client_try for client_try in self.tries.values() if client_try.attempts]
+        return sorted(reached, key=lambda client_try: (client_try.attempts[0].at_us, client_try.id))
+
+    def was_unavailable(self, gateway: str, since_us: int, until_us: int) -> bool:
+        """Whether a gateway was dead, frozen or recovering at any time within these."""
+        return any(interval.overlaps(since_us, until_us) for interval in self.unavailable.get(gateway, ()))
+
+    def link_was_faulty(self, one: str, other: str, since_us: int, until_us: int) -> bool:
+        """Whether a fault affected the link between two processes at any time within these."""
         return any(
-            a < until
-            and since < b + 1_000_000
-            and (fits(one, row[6]) and fits(other, row[7]) or fits(other, row[6]) and fits(one, row[7]))
-            for a, b, row in spans
+            Interval(start_us, end_us + LINK_RECOVERY_US).overlaps(since_us, until_us) and is_between(fault, one, other)
+            for fault, start_us, end_us in self._link_faults()
         )
 
+    def _link_faults(self) -> list[tuple[FaultChanged, int, int]]:
+        """The faults of links, each with its start and its end."""
+        begun: dict[int, FaultChanged] = {}
+        found: list[tuple[FaultChanged, int, int]] = []
+        for fault in self.faults:
+            if not fault.source:
+                continue
+            if fault.begins:
+                begun[fault.number] = fault
+                if fault.kind == "reset":
+                    found.append((fault, fault.at_us, fault.at_us + 1))
+            elif fault.number in begun:
+                found.append((fault, begun.pop(fault.number).at_us, fault.at_us))
+        found += [(fault, fault.at_us, FOREVER_US) for fault in begun.values() if fault.kind != "reset"]
+        return found
+
     def lines(self, ids: set[str]) -> list[Any]:
-        return [row for row in self.rows if len(row) > 2 and row[2] in ids][:60]
+        """The first rows about any of these ids."""
+        return [row for row in self.rows if len(row) > 2 and row[2] in ids][:MAX_LINES]
+
+
+HANDLERS: dict[type, Callable[[LedgerIndex, Any], None]] = {
+    TrySent: LedgerIndex._add_try_sent,
+    TryEnded: LedgerIndex._add_try_ended,
+    TryUnsent: LedgerIndex._add_try_unsent,
+    AttemptArrived: LedgerIndex._add_attempt_arrived,
+    AttemptAnswered: LedgerIndex._add_attempt_answered,
+    AttemptExecuted: LedgerIndex._add_attempt_executed,
+    EndpointsSent: LedgerIndex._add_endpoints_sent,
+    BackendChanged: LedgerIndex._add_backend_changed,
+    FaultChanged: LedgerIndex._add_fault_changed,
+    GatewayUse: LedgerIndex._add_gateway_use,
+    LoopLag: LedgerIndex._add_loop_lag,
+    CounterCall: LedgerIndex._add_counter_call,
+    BytesCarried: LedgerIndex._add_bytes_carried,
+    DatagramsCarried: LedgerIndex._add_datagrams_carried,
+    ProcessChanged: LedgerIndex._add_process_changed,
+}
+
+
+def is_between(fault: FaultChanged, one: str, other: str) -> bool:
+    """Whether a fault's globs match the two ends of a link, in either order."""
+    forth = fnmatchcase(one, fault.source) and fnmatchcase(other, fault.destination)
+    return forth or (fnmatchcase(other, fault.source) and fnmatchcase(one, fault.destination))
 
 
 def read_rows(folder: Path) -> list[list[Any]]:
-    """All rows that a run's processes wrote; a line cut off by a kill is left out."""
-    decode, rows = msgspec.json.Decoder().decode, []
+    """All rows that a run's processes wrote; a line that was cut off by a kill is left out."""
+    decode = msgspec.json.Decoder().decode
+    rows: list[list[Any]] = []
     for path in sorted(folder.glob("*.jsonl")):
         for line in path.read_bytes().splitlines():
             try:
--- a/stoneyoke/lab/plan.py
+++ b/stoneyoke/lab/plan.py
@@ -1,27 +1,34 @@
-"""From a scenario and a seed to all that will be asked for: customers, arrivals, faults. Always the same."""
+"""All that a seed makes of a scenario: customers, arrivals and fault events. One seed always gives the same."""
 
 import hashlib
+from typing import NamedTuple
 
 import msgspec
 import numpy as np
+import numpy.typing as npt
 from msgspec import Struct
 
 from stoneyoke.lab.fault_kinds import FaultTarget, target_of
-from stoneyoke.lab.scenario import Fault, Scenario, matching_processes
+from stoneyoke.lab.scenario import Fault, RandomFaults, Scenario, matching_processes
+
+CUSTOMER_ID_BITS = 33
+RANDOM_FAULT_FACTOR = 4.0
+RANDOM_FAULT_DELAY_MS, RANDOM_FAULT_JITTER_MS = 50.0, 20.0
+RANDOM_FAULT_BYTES_S = 20_000.0
 
 
 class Customer(Struct, frozen=True):
-    """A customer: plan, gateways that it comes through, and how much of its quota it asks for."""
+    """A customer: its plan, the gateways that it comes through, and how much of its quota it uses."""
 
     account: int
     plan: int
-    first: int  # the number of its first gateway
-    width: int
-    use: float  # of its rate that it asks for
+    first: int  # the number of its first gateway; the others follow
+    width: int  # the number of its gateways
+    use: float  # of its rate
 
 
 class Arrival(Struct, frozen=True, array_like=True):
-    """An RPC that a client asks for."""
+    """A request that a client sends."""
 
     at_us: int  # since the start
     number: int
@@ -31,139 +38,197 @@
     wait_us: int
 
 
-class Strike(Struct, frozen=True):
-    """A fault as it will be carried out."""
+class FaultEvent(Struct, frozen=True):
+    """The begin or the end of a fault."""
 
     at_us: int
     kind: str
     begins: bool  # else it ends
-    on: list[str]  # processes
-    from_: str
-    to: str
+    processes: list[str] = msgspec.field(name="on")
+    source: str = msgspec.field(name="from_")  # globs of a link's two ends; of other faults empty
+    destination: str = msgspec.field(name="to")
     fault: Fault
     number: int  # of the fault; its end has the same
 
 
-class Drawn(Struct, frozen=True):
+class RunPlan(Struct, frozen=True):
     """All that a seed makes of a scenario."""
 
     seed: int
     customers: list[Customer]
     arrivals: list[Arrival]
-    strikes: list[Strike]
+    fault_events: list[FaultEvent] = msgspec.field(name="strikes")
 
     def digest(self) -> str:
+        """Equal plans have equal digests, in every process and on every machine."""
         return hashlib.sha256(msgspec.json.encode(self)).hexdigest()[:16]
 
 
-def draw(scenario: Scenario, seed: int) -> Drawn:
-    """The customers, arrivals and strikes of a scenario with a seed."""
+def draw_plan(scenario: Scenario, seed: int) -> RunPlan:
+    """Draws the customers, arrivals and fault events of a scenario."""
     random_source = np.random.Generator(np.random.PCG64(seed))
     customers = draw_customers(scenario, random_source)
-    return Drawn(
-        seed, customers, draw_arrivals(scenario, customers, random_source), draw_strikes(scenario, random_source)
-    )
+    arrivals = draw_arrivals(scenario, customers, random_source)
+    return RunPlan(seed, customers, arrivals, draw_fault_events(scenario, random_source))
+
+
+# ---- customers and arrivals ----
 
 
 def draw_customers(scenario: Scenario, random_source: np.random.Generator) -> list[Customer]:
-    """Customers of all plans, each with its set of gateways."""
-    units = sum(m.units * m.share for m in scenario.method) / sum(m.share for m in scenario.method)
+    """Draws customers of each plan, until they use the plan's share of the load."""
+    mean_units = sum(method.units * method.share for method in scenario.method) / sum(
+        method.share for method in scenario.method
+    )
     shares = sum(plan.share for plan in scenario.plan)
-    count, clients, customers = scenario.gateways.count, scenario.clients, []
-    for at, plan in enumerate(scenario.plan):
-        left = clients.rps * units * plan.share / shares
-        while left > 0:
-            greedy = bool(random_source.random() < clients.greedy)
-            use = clients.greed if greedy else float(random_source.uniform(0.5, 1.5)) * clients.use
-            width = max(1, min(count, round(plan.spread * count)))
-            customers.append(
-                Customer(int(random_source.integers(1 << 33)), at, int(random_source.integers(count)), width, use)
-            )
-            left -= plan.rate * min(1.0, use)
+    gateways, clients = scenario.gateways.count, scenario.clients
+    customers: list[Customer] = []
+    for number, plan in enumerate(scenario.plan):
+        units_left_per_s = clients.rps * mean_units * plan.share / shares
+        width = max(1, min(gateways, round(plan.spread * gateways)))
+        while units_left_per_s > 0:
+            is_greedy = bool(random_source.random() < clients.greedy)
+            use = clients.greed if is_greedy else float(random_source.uniform(0.5, 1.5)) * clients.use
+            account = int(random_source.integers(1 << CUSTOMER_ID_BITS))
+            customers.append(Customer(account, number, int(random_source.integers(gateways)), width, use))
+            units_left_per_s -= plan.rate * min(1.0, use)
     return customers
 
 
+class ArrivalRow(NamedTuple):
+    """An arrival before all are numbered in the order of time."""
+
+    at_us: int
+    customer: int
+    method: int
+    gateway: int
+
+
 def draw_arrivals(scenario: Scenario, customers: list[Customer], random_source: np.random.Generator) -> list[Arrival]:
-    """Poisson for each customer; its gateways take shares of 1 / place ** skew, in an order of its own."""
-    methods, clients, rows = scenario.method, scenario.clients, []
-    share = np.array([m.share for m in methods]) / sum(m.share for m in methods)
-    units = float(sum(m.units * s for m, s in zip(methods, share, strict=True)))
-    bursts = [f for f in scenario.fault if f.kind == "burst"]
-    shifts = sorted(f.at_s for f in scenario.fault if f.kind == "shift")
-    if clients.shift_s:
-        shifts += list(np.arange(clients.shift_s, scenario.seconds, clients.shift_s))
-    for index, customer in enumerate(customers):
-        rate = customer.use * scenario.plan[customer.plan].rate / units
-        peak = rate * max([1.0, *(f.factor for f in bursts)])
-        n = int(random_source.poisson(peak * scenario.seconds))
-        times = np.sort(random_source.uniform(0, scenario.seconds, n))
-        kept = random_source.random(n)
-        weights = 1 / np.arange(1, customer.width + 1) ** scenario.gateways.skew
-        orders = [random_source.permutation(customer.width) for _ in range(len(shifts) + 1)]
-        places = random_source.choice(customer.width, size=n, p=weights / weights.sum())
-        kinds = random_source.choice(len(methods), size=n, p=share)
-        for at_s, keep, place, kind in zip(times, kept, places, kinds, strict=True):
-            factor = max([1.0, *(f.factor for f in bursts if f.at_s <= at_s < f.at_s + f.for_s)])
-            if keep > rate * factor / peak:
-                continue
-            order = orders[sum(s <= at_s for s in shifts)]
-            gateway = (customer.first + int(order[place])) % scenario.gateways.count
-            rows.append((int(at_s * 1e6), index, int(kind), gateway))
+    """Draws Poisson arrivals of each customer. Its gateways take shares of 1 / rank ** skew, ranked at random."""
+    rows: list[ArrivalRow] = []
+    for number, customer in enumerate(customers):
+        rows += draw_customer_arrivals(scenario, number, customer, random_source)
     rows.sort()
+    methods = scenario.method
     return [
-        Arrival(at, n, customer, kind, gateway, int(methods[kind].deadline_ms * 1000))
-        for n, (at, customer, kind, gateway) in enumerate(rows)
+        Arrival(row.at_us, number, row.customer, row.method, row.gateway, int(methods[row.method].deadline_ms * 1000))
+        for number, row in enumerate(rows)
     ]
 
 
-def draw_strikes(scenario: Scenario, random_source: np.random.Generator) -> list[Strike]:
-    """The scenario's faults, and those drawn by chance, as strikes in the order of time."""
+def draw_customer_arrivals(
+    scenario: Scenario, number: int, customer: Customer, random_source: np.random.Generator
+) -> list[ArrivalRow]:
+    """Draws the arrivals of one customer: as many as at the greatest burst, of which the surplus is dropped."""
+    methods, shares = scenario.method, method_shares(scenario)
+    units = float(sum(method.units * share for method, share in zip(methods, shares, strict=True)))
+    rate_per_s = customer.use * scenario.plan[customer.plan].rate / units
+    bursts = [fault for fault in scenario.fault if fault.kind == "burst"]
+    peak_per_s = rate_per_s * max([1.0, *(burst.factor for burst in bursts)])
+    shifts_s = gateway_shifts_s(scenario)
+
+    count = int(random_source.poisson(peak_per_s * scenario.seconds))
+    times_s = np.sort(random_source.uniform(0, scenario.seconds, count))
+    keep_draws = random_source.random(count)
+    weights = 1 / np.arange(1, customer.width + 1) ** scenario.gateways.skew
+    gateway_orders = [random_source.permutation(customer.width) for _ in range(len(shifts_s) + 1)]
+    ranks = random_source.choice(customer.width, size=count, p=weights / weights.sum())
+    method_numbers = random_source.choice(len(methods), size=count, p=shares)
+
+    rows = []
+    for at_s, keep_draw, rank, method in zip(times_s, keep_draws, ranks, method_numbers, strict=True):
+        if keep_draw > rate_per_s * burst_factor(bursts, at_s) / peak_per_s:
+            continue
+        order = gateway_orders[sum(shift_s <= at_s for shift_s in shifts_s)]
+        gateway = (customer.first + int(order[rank])) % scenario.gateways.count
+        rows.append(ArrivalRow(int(at_s * 1e6), number, int(method), gateway))
+    return rows
+
+
+def method_shares(scenario: Scenario) -> npt.NDArray[np.float64]:
+    """The share of each method of the requests; the sum is 1."""
+    shares = np.array([method.share for method in scenario.method])
+    return shares / sum(method.share for method in scenario.method)
+
+
+def burst_factor(bursts: list[Fault], at_s: float) -> float:
+    """The factor on the load at a time."""
+    return max([1.0, *(burst.factor for burst in bursts if burst.at_s <= at_s < burst.at_s + burst.for_s)])
+
+
+def gateway_shifts_s(scenario: Scenario) -> list[float]:
+    """When customers change their busiest gateways."""
+    shifts_s = sorted(fault.at_s for fault in scenario.fault if fault.kind == "shift")
+    if scenario.clients.shift_s:
+        shifts_s += list(np.arange(scenario.clients.shift_s, scenario.seconds, scenario.clients.shift_s))
+    return shifts_s
+
+
+# ---- faults ----
+
+
+def draw_fault_events(scenario: Scenario, random_source: np.random.Generator) -> list[FaultEvent]:
+    """The scenario's faults, and those that the seed draws, as events in the order of time."""
     faults = list(scenario.fault)
     if scenario.random:
-        for _ in range(scenario.random.faults):
-            kind = scenario.random.kinds[int(random_source.integers(len(scenario.random.kinds)))]
-            at = round(float(random_source.uniform(0.1, 0.7)) * scenario.seconds, 2)
-            long = round(float(random_source.uniform(0.2, 1.0)) * scenario.random.longest_s, 2)
-            zone = scenario.zones()[int(random_source.integers(len(scenario.zones())))]
-            start = f"{zone}/*" if target_of(kind) == FaultTarget.LINK else ""
-            faults.append(
-                Fault(
-                    at_s=at,
-                    kind=kind,
-                    for_s=long,
-                    part=scenario.random.part,
-                    factor=4.0,
-                    ms=50.0,
-                    jitter_ms=20.0,
-                    bytes_s=20_000.0,
-                    from_=start,
-                )
-            )
-    strikes = []
+        faults += [draw_fault(scenario, scenario.random, random_source) for _ in range(scenario.random.faults)]
+    events: list[FaultEvent] = []
     for number, fault in enumerate(faults):
-        begin = int(fault.at_s * 1e6)
         if target_of(fault.kind) == FaultTarget.LINK:
-            strikes.append(Strike(begin, fault.kind, True, [], fault.from_ or "*", fault.to or "*", fault, number))
-            if fault.for_s:
-                strikes.append(
-                    Strike(
-                        begin + int(fault.for_s * 1e6),
-                        fault.kind,
-                        False,
-                        [],
-                        fault.from_ or "*",
-                        fault.to or "*",
-                        fault,
-                        number,
-                    )
-                )
-            continue
-        pool = matching_processes(scenario, fault)
-        few = max(1, round(len(pool) * fault.part)) if pool else 0
-        struck = sorted(random_source.choice(pool, size=few, replace=False).tolist()) if few < len(pool) else pool
-        for name in struck:
-            at = begin + int(float(random_source.uniform(0, fault.over_s)) * 1e6) if fault.over_s else begin
-            strikes.append(Strike(at, fault.kind, True, [name], "", "", fault, number))
-            if fault.for_s:
-                strikes.append(Strike(at + int(fault.for_s * 1e6), fault.kind, False, [name], "", "", fault, number))
-    return sorted(strikes, key=lambda s: (s.at_us, s.number, s.on))
+            events += link_fault_events(fault, number)
+        else:
+            events += process_fault_events(scenario, fault, number, random_source)
+    return sorted(events, key=lambda event: (event.at_us, event.number, event.processes))
+
+
+def draw_fault(scenario: Scenario, bounds: RandomFaults, random_source: np.random.Generator) -> Fault:
+    """Draws one fault within the bounds."""
+    kind = bounds.kinds[int(random_source.integers(len(bounds.kinds)))]
+    at_s = round(float(random_source.uniform(0.1, 0.7)) * scenario.seconds, 2)
+    for_s = round(float(random_source.uniform(0.2, 1.0)) * bounds.longest_s, 2)
+    zones = scenario.zones()
+    zone = zones[int(random_source.integers(len(zones)))]
+    return Fault(
+        at_s=at_s,
+        kind=kind,
+        for_s=for_s,
+        part=bounds.part,
+        factor=RANDOM_FAULT_FACTOR,
+        ms=RANDOM_FAULT_DELAY_MS,
+        jitter_ms=RANDOM_FAULT_JITTER_MS,
+        bytes_s=RANDOM_FAULT_BYTES_S,
+        from_=f"{zone}/*" if target_of(kind) == FaultTarget.LINK else "",
+    )
+
+
+def link_fault_events(fault: Fault, number: int) -> list[FaultEvent]:
+    """The begin of a link's fault and, unless it is for good, its end."""
+    begin_us = int(fault.at_s * 1e6)
+    source, destination = fault.from_ or "*", fault.to or "*"
+    events = [FaultEvent(begin_us, fault.kind, True, [], source, destination, fault, number)]
+    if fault.for_s:
+        end_us = begin_us + int(fault.for_s * 1e6)
+        events.append(FaultEvent(end_us, fault.kind, False, [], source, destination, fault, number))
+    return events
+
+
+def process_fault_events(
+    scenario: Scenario, fault: Fault, number: int, random_source: np.random.Generator
+) -> list[FaultEvent]:
+    """The begins and ends of a fault at each of the processes that it strikes."""
+    candidates = matching_processes(scenario, fault)
+    count = max(1, round(len(candidates) * fault.part)) if candidates else 0
+    names = candidates
+    if count < len(candidates):
+        names = sorted(random_source.choice(candidates, size=count, replace=False).tolist())
+    events = []
+    for name in names:
+        begin_us = int(fault.at_s * 1e6)
+        if fault.over_s:
+            begin_us += int(float(random_source.uniform(0, fault.over_s)) * 1e6)
+        events.append(FaultEvent(begin_us, fault.kind, True, [name], "", "", fault, number))
+        if fault.for_s:
+            end_us = begin_us + int(fault.for_s * 1e6)
+            events.append(FaultEvent(end_us, fault.kind, False, [name], "", "", fault, number))
+    return events
--- a/stoneyoke/lab/report.py
+++ b/stoneyoke/lab/report.py
@@ -1,4 +1,4 @@
-"""A run as one HTML page: verdict, figures, plots with the faults marked, violations with their lines."""
+"""A run as one HTML page: verdict, figures, plots with the faults marked, violations with their rows."""
 
 import base64
 import html
@@ -10,32 +10,113 @@
 import msgspec
 import numpy as np
 
+from stoneyoke.lab.figures import units_sent
 from stoneyoke.lab.ledger import Ledger
 from stoneyoke.lab.ledger_index import read_rows
-from stoneyoke.lab.plan import Drawn
-from stoneyoke.lab.result import Result
+from stoneyoke.lab.plan import RunPlan
+from stoneyoke.lab.result import REPLACED_SUFFIX, Result
+from stoneyoke.lab.rules import REJECTED_STATUSES, Violation
 from stoneyoke.lab.scenario import Scenario
+from stoneyoke.lab.spread import Spread
 
 matplotlib.use("Agg")
-from matplotlib import pyplot as plt  # noqa: E402
+from matplotlib import pyplot as plt  # noqa: E402 -- the backend has to be chosen first
 
 STYLE = (
     "body{font:15px sans-serif;margin:2em auto;max-width:1100px}table{border-collapse:collapse}"
     "td,th{border:1px solid #ccc;padding:2px 8px;text-align:left}pre{background:#f6f6f6;padding:.5em;"
     "overflow-x:auto;font-size:12px}h1 span{color:#777}"
 )
+WIDTH_INCHES = 12
+FAULT_COLOUR, USE_COLOUR = "#c33", "#467"
+MAX_VIOLATIONS, MAX_VIOLATION_ROWS = 40, 20
 
 
-def load(out: Path) -> tuple[Scenario, Drawn, Result]:
-    """Raises OSError or msgspec.DecodeError where a folder holds no run."""
+def load(out: Path) -> tuple[Scenario, RunPlan, Result]:
+    """Reads what a run has left in its folder.
+
+    Raises:
+        OSError: A file is missing.
+        msgspec.DecodeError: A file holds something else.
+    """
     return (
         msgspec.json.decode((out / "scenario.json").read_bytes(), type=Scenario),
-        msgspec.json.decode((out / "plan.json").read_bytes(), type=Drawn),
+        msgspec.json.decode((out / "plan.json").read_bytes(), type=RunPlan),
         msgspec.json.decode((out / "result.json").read_bytes(), type=Result),
     )
 
 
-def picture(figure: Any) -> str:
+def write(out: Path) -> Path:
+    """Writes a run's page into its folder.
+
+    Returns:
+        The page's path.
+    """
+    scenario, plan, result = load(out)
+    ledger = Ledger(read_rows(out / "ledger"), scenario, plan)
+    parts = [
+        f"<!doctype html><meta charset=utf-8><title>{scenario.name}</title><style>{STYLE}</style>",
+        f"<h1>{html.escape(scenario.name)} <span>{result.verdict}, seed {result.seed}</span></h1>",
+        f"<p>{html.escape(scenario.about)} Plan {result.plan}, {result.seconds} s in all. Figures: lab.</p>",
+        "".join(f"<p><b>{html.escape(reason)}</b></p>" for reason in result.reasons),
+        *(f"<h2>{title}</h2>{image}" for title, image in plots(ledger)),
+        "<h2>Spread</h2>",
+        spread_table(result.spread),
+        "<h2>Figures</h2>",
+        html_table([(name, f"{value:g}") for name, value in result.figures.items()]),
+    ]
+    if result.crashes:
+        parts += ["<h2>Crashes</h2>", html_table([(crash,) for crash in result.crashes])]
+    if result.violations:
+        parts.append("<h2>Violations</h2>")
+    parts += [violation_html(violation) for violation in result.violations[:MAX_VIOLATIONS]]
+    path = out / "report.html"
+    path.write_text("\n".join(parts))
+    return path
+
+
+def html_table(rows: list[tuple[str, ...]]) -> str:
+    """Rows as an HTML table."""
+    cells = ["<tr>" + "".join(f"<td>{html.escape(str(cell))}</td>" for cell in row) + "</tr>" for row in rows]
+    return f"<table>{''.join(cells)}</table>"
+
+
+def spread_table(spreads: dict[str, Spread]) -> str:
+    """How evenly backends were used, as an HTML table."""
+    rows: list[tuple[str, ...]] = [("", "most", "varies", "idle", "largest jump")]
+    for name, one in spreads.items():
+        rows.append((name, f"{one.most:g}", f"{one.varies:g}", f"{one.idle:g}", f"{one.jump:g}"))
+    return html_table(rows)
+
+
+def violation_html(violation: Violation) -> str:
+    """A violation with its first rows."""
+    rows = "\n".join(msgspec.json.encode(line).decode() for line in violation.lines[:MAX_VIOLATION_ROWS])
+    return (
+        f"<p><b>{violation.rule}</b> at {violation.at_us / 1e6:.3f} s: {html.escape(violation.what)}</p>"
+        f"<pre>{html.escape(rows)}</pre>"
+    )
+
+
+# ---- plots ----
+
+
+def plots(ledger: Ledger) -> list[tuple[str, str]]:
+    """The title and the image of each plot."""
+    return [
+        ("Answers, by when the try was sent", plot_answers(ledger)),
+        ("Load by backend", plot_backends(ledger)),
+        ("Units sent on", plot_units(ledger)),
+        ("Memory and descriptors", plot_resources(ledger)),
+    ]
+
+
+def second_bins(ledger: Ledger) -> Any:
+    """The edges of the run's seconds."""
+    return np.arange(0, ledger.scenario.seconds + 1, 1.0)
+
+
+def image_html(figure: Any) -> str:
     """A figure as an image within the page."""
     data = io.BytesIO()
     figure.savefig(data, format="png", dpi=80, bbox_inches="tight")
@@ -43,133 +124,98 @@
     return f'<img src="data:image/png;base64,{base64.b64encode(data.getvalue()).decode()}">'
 
 
-def faults_on(axis: Any, ledger: Ledger) -> None:
-    """Marks when faults began on a plot over time."""
-    seen = set()
-    for row in ledger.faults:
-        if row[4] and (row[2], row[3]) not in seen:
-            seen.add((row[2], row[3]))
-            axis.axvline(row[1] / 1e6, color="#c33", lw=0.8, alpha=0.7)
-            axis.text(row[1] / 1e6, axis.get_ylim()[1], row[3], color="#c33", fontsize=7, rotation=60, va="bottom")
-
-
-def plots(ledger: Ledger, scenario: Scenario) -> list[tuple[str, str]]:
-    """Title and image of each plot."""
-    end, pictures = scenario.seconds, []
-    bins = np.arange(0, end + 1, 1.0)
-
-    figure, axis = plt.subplots(figsize=(12, 3.2))
-    for label, keep in (("ok", (200,)), ("pushed back", (429, 503)), ("other", None)):
-        times = [
-            r.sent / 1e6
-            for r in ledger.rpcs.values()
-            if (r.status in keep if keep else r.status not in (200, 429, 503))
-        ]
+def mark_faults(axis: Any, ledger: Ledger) -> None:
+    """Marks on a plot over time when faults began."""
+    marked = set()
+    for fault in ledger.faults:
+        if fault.begins and (fault.number, fault.kind) not in marked:
+            marked.add((fault.number, fault.kind))
+            at_s, top = fault.at_us / 1e6, axis.get_ylim()[1]
+            axis.axvline(at_s, color=FAULT_COLOUR, lw=0.8, alpha=0.7)
+            axis.text(at_s, top, fault.kind, color=FAULT_COLOUR, fontsize=7, rotation=60, va="bottom")
+
+
+def plot_answers(ledger: Ledger) -> str:
+    """Tries a second, by how they were answered."""
+    bins = second_bins(ledger)
+    times_s: dict[str, list[float]] = {"ok": [], "pushed back": [], "other": []}
+    for client_try in ledger.tries.values():
+        if client_try.status == 200:
+            label = "ok"
+        else:
+            label = "pushed back" if client_try.status in REJECTED_STATUSES else "other"
+        times_s[label].append(client_try.sent_at_us / 1e6)
+    figure, axis = plt.subplots(figsize=(WIDTH_INCHES, 3.2))
+    for label, times in times_s.items():
         axis.step(bins[:-1], np.histogram(times, bins)[0], where="post", label=label)
     axis.set_xlabel("s")
     axis.set_ylabel("tries a second")
     axis.legend(loc="lower left", fontsize=8)
-    faults_on(axis, ledger)
-    pictures.append(("Answers, by when the try was sent", picture(figure)))
-
-    names = scenario.backend_names()
-    places = {name: at for at, name in enumerate(names)}
-    grid = np.zeros((len(names), len(bins) - 1))
-    for rpc in ledger.rpcs.values():
-        for at, backend in rpc.calls:
-            b, second = places.get(backend.removesuffix("-new")), int(at / 1e6)
-            if b is not None and 0 <= second < grid.shape[1]:
-                grid[b, second] += 1
-    figure, axis = plt.subplots(figsize=(12, 0.6 + 0.055 * len(names) + 2))
-    shown = axis.imshow(grid, aspect="auto", interpolation="nearest", cmap="viridis", origin="lower")
+    mark_faults(axis, ledger)
+    return image_html(figure)
+
+
+def plot_backends(ledger: Ledger) -> str:
+    """Attempts a second, by backend."""
+    numbers = {name: number for number, name in enumerate(ledger.scenario.backend_names())}
+    counts = np.zeros((len(numbers), len(second_bins(ledger)) - 1))
+    for client_try in ledger.tries.values():
+        for attempt in client_try.attempts:
+            number, second = numbers.get(attempt.backend.removesuffix(REPLACED_SUFFIX)), int(attempt.at_us / 1e6)
+            if number is not None and 0 <= second < counts.shape[1]:
+                counts[number, second] += 1
+    figure, axis = plt.subplots(figsize=(WIDTH_INCHES, 0.6 + 0.055 * len(numbers) + 2))
+    shown = axis.imshow(counts, aspect="auto", interpolation="nearest", cmap="viridis", origin="lower")
     figure.colorbar(shown, label="call-outs a second")
     axis.set_xlabel("s")
     axis.set_ylabel("backend")
-    faults_on(axis, ledger)
-    pictures.append(("Load by backend", picture(figure)))
-
-    figure, axis = plt.subplots(figsize=(12, 2.6))
-    levels: dict[int, tuple[float, int]] = {}
-    inside, beyond = np.zeros(len(bins) - 1), np.zeros(len(bins) - 1)
-    for at, id_ in sorted((r.calls[0][0], r.id) for r in ledger.rpcs.values() if r.calls):
-        rpc = ledger.rpcs[id_]
-        plan, units = scenario.plan[ledger.plan_of(rpc)], ledger.units(rpc)
-        level, last = levels.get(rpc.customer, (plan.burst, at))
-        level = min(plan.burst, level + plan.rate * (at - last) / 1e6)
-        fits = level >= units
-        levels[rpc.customer] = level - units * fits, at
-        second = int(at / 1e6)
-        if 0 <= second < len(inside):
-            (inside if fits else beyond)[second] += units
-    axis.stackplot(bins[:-1], inside, beyond, labels=("inside quotas", "beyond"), colors=("#7ab", "#d63"), step="post")
+    mark_faults(axis, ledger)
+    return image_html(figure)
+
+
+def plot_units(ledger: Ledger) -> str:
+    """Units a second that reached backends, inside and beyond the customers' quotas."""
+    bins = second_bins(ledger)
+    inside_quota, beyond = np.zeros(len(bins) - 1), np.zeros(len(bins) - 1)
+    for at_us, units, inside in units_sent(ledger):
+        second = int(at_us / 1e6)
+        if 0 <= second < len(inside_quota):
+            (inside_quota if inside else beyond)[second] += units
+    figure, axis = plt.subplots(figsize=(WIDTH_INCHES, 2.6))
+    axis.stackplot(
+        bins[:-1], inside_quota, beyond, labels=("inside quotas", "beyond"), colors=("#7ab", "#d63"), step="post"
+    )
     axis.set_xlabel("s")
     axis.set_ylabel("units a second")
     axis.legend(loc="lower left", fontsize=8)
-    faults_on(axis, ledger)
-    pictures.append(("Units sent on", picture(figure)))
+    mark_faults(axis, ledger)
+    return image_html(figure)
 
-    figure, axes = plt.subplots(1, 2, figsize=(12, 2.6))
+
+def plot_resources(ledger: Ledger) -> str:
+    """Memory and descriptors, a line for each gateway."""
+    figure, axes = plt.subplots(1, 2, figsize=(WIDTH_INCHES, 2.6))
     for rows in ledger.uses.values():
-        axes[0].plot([r[1] / 1e6 for r in rows], [r[3] / 1e6 for r in rows], lw=0.4, color="#467")
-        axes[1].plot([r[1] / 1e6 for r in rows], [r[4] for r in rows], lw=0.4, color="#467")
+        times_s = [row.at_us / 1e6 for row in rows]
+        axes[0].plot(times_s, [row.memory_bytes / 1e6 for row in rows], lw=0.4, color=USE_COLOUR)
+        axes[1].plot(times_s, [row.descriptors for row in rows], lw=0.4, color=USE_COLOUR)
     axes[0].set_ylabel("MB a gateway")
     axes[1].set_ylabel("descriptors a gateway")
-    pictures.append(("Memory and descriptors", picture(figure)))
-    return pictures
+    return image_html(figure)
 
 
-def table(rows: list[tuple[str, ...]]) -> str:
-    """Rows as an HTML table."""
-    cells = ["<tr>" + "".join(f"<td>{html.escape(str(cell))}</td>" for cell in row) + "</tr>" for row in rows]
-    return f"<table>{''.join(cells)}</table>"
-
-
-def write(out: Path) -> Path:
-    """The page of a run, beside its ledger."""
-    scenario, drawn, result = load(out)
-    ledger = Ledger(read_rows(out / "ledger"), scenario, drawn)
-    parts = [
-        f"<!doctype html><meta charset=utf-8><title>{scenario.name}</title><style>{STYLE}</style>",
-        f"<h1>{html.escape(scenario.name)} <span>{result.verdict}, seed {result.seed}</span></h1>",
-        f"<p>{html.escape(scenario.about)} Plan {result.plan}, {result.seconds} s in all. Figures: lab.</p>",
-        "".join(f"<p><b>{html.escape(reason)}</b></p>" for reason in result.reasons),
-        *(f"<h2>{title}</h2>{image}" for title, image in plots(ledger, scenario)),
-        "<h2>Spread</h2>",
-        table(
-            [
-                ("", "most", "varies", "idle", "largest jump"),
-                *(
-                    (name, f"{one.most:g}", f"{one.varies:g}", f"{one.idle:g}", f"{one.jump:g}")
-                    for name, one in result.spread.items()
-                ),
-            ]
-        ),
-        "<h2>Figures</h2>",
-        table([(k, f"{v:g}") for k, v in result.figures.items()]),
-    ]
-    if result.crashes:
-        parts += ["<h2>Crashes</h2>", table([(crash,) for crash in result.crashes])]
-    if result.violations:
-        parts.append("<h2>Violations</h2>")
-    for one in result.violations[:40]:
-        lines = "\n".join(msgspec.json.encode(line).decode() for line in one.lines[:20])
-        parts.append(
-            f"<p><b>{one.rule}</b> at {one.at_us / 1e6:.3f} s: {html.escape(one.what)}</p>"
-            f"<pre>{html.escape(lines)}</pre>"
-        )
-    path = out / "report.html"
-    path.write_text("\n".join(parts))
-    return path
+# ---- comparison ----
 
 
 def compare(sides: list[list[Result]]) -> list[tuple[str, ...]]:
-    """A row a figure: each side's mean, with the least and the most of its runs."""
+    """One row for each figure: its name, and the mean of each side with the least and the most of its runs."""
+    return [(name, *(summary(side, name) for side in sides)) for name in sides[0][0].figures]
 
-    def cell(results: list[Result], key: str) -> str:
-        values = [r.figures[key] for r in results if key in r.figures]
-        if not values:
-            return "-"
-        mean = sum(values) / len(values)
-        return f"{mean:.4g}" if len(values) == 1 else f"{mean:.4g} ({min(values):.4g} to {max(values):.4g})"
 
-    return [(key, *(cell(side, key) for side in sides)) for key in sides[0][0].figures]
+def summary(results: list[Result], name: str) -> str:
+    """The mean of a figure over runs, with the least and the most if there are several."""
+    values = [result.figures[name] for result in results if name in result.figures]
+    if not values:
+        return "-"
+    mean = sum(values) / len(values)
+    return f"{mean:.4g}" if len(values) == 1 else f"{mean:.4g} ({min(values):.4g} to {max(values):.4g})"
--- a/stoneyoke/lab/result.py
+++ b/stoneyoke/lab/result.py
@@ -1,6 +1,9 @@
-"""What is kept of a run, and how it is judged: from the ledger alone."""
+"""The result of a run, judged from the ledger alone."""
 
 import math
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from enum import StrEnum
 from pathlib import Path
 
 import msgspec
@@ -10,10 +13,25 @@
 from stoneyoke.lab.fault_kinds import FaultTarget, target_of
 from stoneyoke.lab.ledger import Ledger
 from stoneyoke.lab.ledger_index import read_rows
-from stoneyoke.lab.plan import Drawn
-from stoneyoke.lab.rules import Violation
-from stoneyoke.lab.scenario import Scenario
-from stoneyoke.lab.spread import Spread, Use, central, spread
+from stoneyoke.lab.ledger_rows import OVER_LIMITS
+from stoneyoke.lab.plan import RunPlan
+from stoneyoke.lab.rules import Rule, Violation
+from stoneyoke.lab.scenario import Bound, Scenario
+from stoneyoke.lab.spread import BoolMatrix, Spread, Use, central_dispatch, spread
+
+SPREAD_WINDOWS_S = (1, 3)
+STEP_US = 250_000  # in which a backend's health is taken for constant
+REINSTATEMENT_US = 4_000_000  # after a fault's end until the gateways must know of it
+REPLACED_SUFFIX = "-new"  # of the name of an instance that has replaced another one
+
+
+class Verdict(StrEnum):
+    """How a run ended. The first that applies of PARTIAL, VOID and FAILED holds."""
+
+    PASSED = "passed"
+    FAILED = "failed"
+    VOID = "void"  # the laboratory itself was the bottleneck
+    PARTIAL = "partial"  # the run was interrupted
 
 
 class Result(Struct):
@@ -22,102 +40,155 @@
     scenario: str
     seed: int
     plan: str  # a digest of all arrivals and faults
-    verdict: str  # passed, failed, void, partial
+    verdict: str  # a Verdict
     reasons: list[str]
     figures: dict[str, float]
-    spread: dict[str, Spread]  # gateways 1 s, central 1 s, ...
+    spread: dict[str, Spread]  # "gateways 1 s", "central 1 s", ...
     violations: list[Violation]
     crashes: list[str]
     seconds: float
 
 
-def speeds_of(scenario: Scenario) -> list[float]:
-    """Of the backends, about 1."""
+@dataclass(frozen=True, slots=True, kw_only=True)
+class RunEnd:
+    """What is known of a run's end beside its ledger."""
+
+    seconds: float  # in all, with start and end
+    crashes: list[str] = field(default_factory=list)  # one line for each gateway that died
+    reasons: list[str] = field(default_factory=list)  # remarks for the result
+    partial: str = ""  # why the run did not come to its end
+
+
+def backend_speeds(scenario: Scenario) -> list[float]:
+    """The speeds of the backends, about 1."""
     spread = scenario.backends.speed_spread
-    return [round(1 + spread * math.sin(7.1 * (b + 1)), 4) for b in range(scenario.backends.count)]
-
-
-def judge(
-    out: Path,
-    scenario: Scenario,
-    drawn: Drawn,
-    speeds: list[float],
-    crashes: list[str],
-    reasons: list[str],
-    partial: str,
-    seconds: float,
-) -> Result:
-    """From the ledger alone: rules, figures, spread, and what the scenario's bounds say of them."""
-    ledger = Ledger(read_rows(out / "ledger"), scenario, drawn)
+    return [round(1 + spread * math.sin(7.1 * (number + 1)), 4) for number in range(scenario.backends.count)]
+
+
+def judge(out: Path, scenario: Scenario, plan: RunPlan, end: RunEnd) -> Result:
+    """Evaluates the ledger and writes the result into the run's folder.
+
+    Args:
+        out: The run's folder.
+        scenario: What the run was made of.
+        plan: What its seed made of that.
+        end: How it ended.
+    """
+    ledger = Ledger(read_rows(out / "ledger"), scenario, plan)
     violations, figures = ledger.violations(), ledger.figures()
     figures["violations"] = len(violations)
-    spreads = spreads_of(ledger, scenario, speeds)
-    for one in (1, 3):
-        own, best = spreads[f"gateways {one} s"], spreads[f"central {one} s"]
-        figures |= {f"spread {one} s": own.most, f"central {one} s": best.most, f"idle {one} s": own.idle}
-        figures[f"spread {one} s to central"] = round(own.most / best.most, 3) if best.most else 0.0
-    failed = [f"{len(crashes)} gateways crashed"] if crashes else []
-    over = {row[2] for row in ledger.crashes if row[3] == "over its limits"}
-    failed += [f"{name} went over its limits" for name in sorted(over)]
-    failed += [
-        f"rule {rule} broken {n} times"
-        for rule in ("lost", "twice", "drain", "cold", "ceiling")
-        if (n := sum(v.rule == rule for v in violations))
+    spreads = spreads_of(ledger, scenario)
+    figures |= spread_figures(spreads)
+    failures = [
+        *process_failures(ledger, end.crashes),
+        *rule_failures(violations),
+        *bound_failures(scenario.bound, figures),
     ]
-    for bound in scenario.bound:
-        value = figures.get(bound.figure)
-        if value is None:
-            failed.append(f"no figure is named {bound.figure!r}")
-        elif bound.least is not None and value < bound.least:
-            failed.append(f"{bound.figure} is {value:g}, under {bound.least:g}")
-        elif bound.most is not None and value > bound.most:
-            failed.append(f"{bound.figure} is {value:g}, over {bound.most:g}")
     void = ledger.void()
-    verdict = "partial" if partial else "void" if void else "failed" if failed else "passed"
-    reasons = [*([partial] if partial else []), *([void] if void else []), *failed, *reasons]
     result = Result(
-        scenario.name,
-        drawn.seed,
-        drawn.digest(),
-        verdict,
-        reasons,
-        figures,
-        spreads,
-        violations,
-        crashes,
-        round(seconds, 1),
+        scenario=scenario.name,
+        seed=plan.seed,
+        plan=plan.digest(),
+        verdict=verdict(end.partial, void, failures),
+        reasons=[*filter(None, (end.partial, void)), *failures, *end.reasons],
+        figures=figures,
+        spread=spreads,
+        violations=violations,
+        crashes=end.crashes,
+        seconds=round(end.seconds, 1),
     )
     (out / "result.json").write_bytes(msgspec.json.format(msgspec.json.encode(result)))
     return result
 
 
-def spreads_of(ledger: Ledger, scenario: Scenario, speeds: list[float]) -> dict[str, Spread]:
-    """How evenly backends were used over 1 s and 3 s, by the gateways and by a dispatcher that sees all."""
-    places = {name: b for b, name in enumerate(scenario.backend_names())}
-    end_us, step = int(scenario.seconds * 1e6), 250_000
-    up = np.ones((end_us // step + 1, len(speeds)), dtype=bool)
-    sick: dict[tuple[int, str], int] = {}
-    for row in ledger.faults:
-        if target_of(row[3]) != FaultTarget.BACKEND:
-            continue
-        for name in row[5]:
-            if row[4]:
-                sick[row[2], name] = row[1]
-                up[max(0, row[1] // step) :, places[name]] = False
-            else:  # it is healthy, and known to be, some seconds later
-                up[min(len(up), row[1] // step + int(4e6 / step)) :, places[name]] = True
-    uses = []
-    for rpc in ledger.rpcs.values():
-        for at, backend in rpc.calls:
-            end = next((e for e, b, _ in rpc.ends if b == backend and e >= at), at + 1000)
-            if (b := places.get(backend.removesuffix("-new"))) is not None:
-                uses.append(Use(at, end - at, b))
+def verdict(partial: str, void: str, failures: list[str]) -> Verdict:
+    """The verdict that follows from why a run is partial or void, and from its failures."""
+    if partial:
+        return Verdict.PARTIAL
+    if void:
+        return Verdict.VOID
+    return Verdict.FAILED if failures else Verdict.PASSED
+
+
+def process_failures(ledger: Ledger, crashes: list[str]) -> list[str]:
+    """Gateways that crashed or used more than they may."""
+    failures = [f"{len(crashes)} gateways crashed"] if crashes else []
+    over_limits = {row.gateway for row in ledger.crashes if row.change == OVER_LIMITS}
+    return failures + [f"{gateway} went over its limits" for gateway in sorted(over_limits)]
+
+
+def rule_failures(violations: list[Violation]) -> list[str]:
+    """How often each rule was broken."""
+    counts = {rule: sum(violation.rule == rule for violation in violations) for rule in Rule}
+    return [f"rule {rule} broken {count} times" for rule, count in counts.items() if count]
+
+
+def bound_failures(bounds: list[Bound], figures: dict[str, float]) -> Iterator[str]:
+    """The figures that are out of the scenario's bounds."""
+    for bound in bounds:
+        value = figures.get(bound.figure)
+        if value is None:
+            yield f"no figure is named {bound.figure!r}"
+        elif bound.least is not None and value < bound.least:
+            yield f"{bound.figure} is {value:g}, under {bound.least:g}"
+        elif bound.most is not None and value > bound.most:
+            yield f"{bound.figure} is {value:g}, over {bound.most:g}"
+
+
+def spread_figures(spreads: dict[str, Spread]) -> dict[str, float]:
+    """The figures of how evenly backends were used."""
+    figures: dict[str, float] = {}
+    for seconds in SPREAD_WINDOWS_S:
+        own, central = spreads[f"gateways {seconds} s"], spreads[f"central {seconds} s"]
+        figures[f"spread {seconds} s"] = own.most
+        figures[f"central {seconds} s"] = central.most
+        figures[f"idle {seconds} s"] = own.idle
+        figures[f"spread {seconds} s to central"] = round(own.most / central.most, 3) if central.most else 0.0
+    return figures
+
+
+def spreads_of(ledger: Ledger, scenario: Scenario) -> dict[str, Spread]:
+    """How evenly backends were used, by the gateways and by a dispatcher that sees everything."""
+    speeds, end_us = backend_speeds(scenario), int(scenario.seconds * 1e6)
+    up = backends_up(ledger, scenario, end_us)
+    uses = backend_uses(ledger, scenario)
+    central_uses = central_dispatch(uses, speeds, up, STEP_US)
     spreads = {}
-    for seconds in (1, 3):
-        window = seconds * 1_000_000
-        healthy = np.array(
-            [up[w * window // step : (w + 1) * window // step].all(axis=0) for w in range(max(1, end_us // window))]
-        )
-        spreads[f"gateways {seconds} s"] = spread(uses, speeds, healthy, window, end_us)
-        spreads[f"central {seconds} s"] = spread(central(uses, speeds, up, step), speeds, healthy, window, end_us)
+    for seconds in SPREAD_WINDOWS_S:
+        window_us = seconds * 1_000_000
+        windows = range(max(1, end_us // window_us))
+        healthy = np.array([up[w * window_us // STEP_US : (w + 1) * window_us // STEP_US].all(axis=0) for w in windows])
+        spreads[f"gateways {seconds} s"] = spread(uses, speeds, healthy, window_us, end_us)
+        spreads[f"central {seconds} s"] = spread(central_uses, speeds, healthy, window_us, end_us)
     return spreads
+
+
+def backends_up(ledger: Ledger, scenario: Scenario, end_us: int) -> BoolMatrix:
+    """By step and backend, whether it is healthy and the gateways know it."""
+    numbers = {name: number for number, name in enumerate(scenario.backend_names())}
+    up = np.ones((end_us // STEP_US + 1, scenario.backends.count), dtype=bool)
+    for fault in ledger.faults:
+        if target_of(fault.kind) != FaultTarget.BACKEND:
+            continue
+        step = fault.at_us // STEP_US
+        for name in fault.processes:
+            if fault.begins:
+                up[max(0, step) :, numbers[name]] = False
+            else:
+                up[min(len(up), step + REINSTATEMENT_US // STEP_US) :, numbers[name]] = True
+    return up
+
+
+def backend_uses(ledger: Ledger, scenario: Scenario) -> list[Use]:
+    """All attempts at backends, with how long each was there."""
+    numbers = {name: number for number, name in enumerate(scenario.backend_names())}
+    uses = []
+    for client_try in ledger.tries.values():
+        for attempt in client_try.attempts:
+            number = numbers.get(attempt.backend.removesuffix(REPLACED_SUFFIX))
+            if number is None:
+                continue
+            end = client_try.end_of(attempt)
+            end_us = end.at_us if end else attempt.at_us + 1000
+            uses.append(Use(attempt.at_us, end_us - attempt.at_us, number))
+    return uses
--- a/stoneyoke/lab/rules.py
+++ b/stoneyoke/lab/rules.py
@@ -1,22 +1,39 @@
-"""The five rules that hold in every run, from the ledger alone. A violation names the ids that it touches."""
+"""The five rules that hold in every run, checked from the ledger alone."""
 
 import bisect
 from collections import defaultdict
-from typing import Any
+from enum import StrEnum
+from typing import Any, NamedTuple
 
 from msgspec import Struct
 
-from stoneyoke.lab.ledger_index import LedgerIndex
+from stoneyoke.lab.ledger_index import Attempt, ClientTry, LedgerIndex
+from stoneyoke.lab.ledger_rows import GAVE_UP, NO_ANSWER, EndpointsSent
+from stoneyoke.lab.quota_bucket import CustomerBuckets
 
-# The protocol's 50 ms and what a busy machine adds; a run whose stand-ins lag more is void
+# The protocol allows 50 ms; a busy machine adds the rest. A run whose stand-ins lag more than that is void.
 SLACK_US = 150_000
-CEILING_S = 0.15  # of a ceiling's rate, beside its slack: the protocol page
+RATE_LIMIT_SLACK_S = 0.15  # of a limit's rate, beside the slack of its burst. Source: the protocol page.
+REJECTED_STATUSES = (429, 503)
+ENDPOINT_LOOKBACK_US = 1_000_000  # a fault so long before an endpoint list may have kept it from the gateway
+MAX_VIOLATION_IDS = 20
+ACTIVE, LEFT = "active", "left"
+
+
+class Rule(StrEnum):
+    """A guarantee. The values are those of stored results."""
+
+    ANSWERED = "lost"  # each try gets one final answer by its deadline, made for it
+    ONCE = "twice"  # nothing but an idempotent request runs twice
+    DRAINED = "drain"  # nothing new reaches a backend after the grace of its drain
+    WARMED_UP = "cold"  # a cold backend is not sent more than it can do
+    LIMITED = "ceiling"  # no customer exceeds its plan's rate limit
 
 
 class Violation(Struct):
-    """One break of a rule, with the ledger's lines that touched its ids."""
+    """One break of a rule, with the ledger's rows about its ids."""
 
-    rule: str
+    rule: str  # a Rule
     at_us: int
     what: str
     ids: list[str]
@@ -24,153 +41,189 @@
 
 
 def violations(index: LedgerIndex) -> list[Violation]:
-    """All breaks of all rules, with their lines."""
+    """All breaks of all rules, with their rows."""
     found = [
-        *lost_answers(index),
-        *double_executions(index),
-        *sends_to_draining(index),
+        *unanswered_tries(index),
+        *repeated_executions(index),
+        *attempts_after_drain(index),
         *overloaded_cold_backends(index),
-        *exceeded_ceilings(index),
+        *exceeded_rate_limits(index),
     ]
-    for one in found:
-        one.lines = index.lines(set(one.ids))
+    for violation in found:
+        violation.lines = index.lines(set(violation.ids))
     return found
 
 
-def lost_answers(index: LedgerIndex) -> list[Violation]:
-    """Each try that was taken gets one final answer by its deadline, made for it."""
-    front, found = index.scenario.clients_name(), []
-    for rpc in index.rpcs.values():
-        late = rpc.answered > rpc.until + SLACK_US
-        if rpc.status == -1 and rpc.words == "gave up":
+def unanswered_tries(index: LedgerIndex) -> list[Violation]:
+    """Tries without an answer of their own by their deadline, unless a fault or the client is the reason."""
+    found = []
+    for client_try in index.tries.values():
+        id = client_try.id
+        late = client_try.answered_at_us > client_try.deadline_us + SLACK_US
+        if client_try.status == NO_ANSWER and client_try.words == GAVE_UP:
             continue
-        if rpc.status == 200 and rpc.words.split(" ")[0] != rpc.id:
-            found.append(Violation("lost", rpc.answered, f"{rpc.id} was served with {rpc.words!r}", [rpc.id]))
-        elif rpc.status <= 0 or late:
-            until = max(rpc.until, rpc.answered)
-            if index.was_away(rpc.gateway, rpc.sent, until) or index.link_struck(front, rpc.gateway, rpc.sent, until):
-                continue
-            what = "answered late" if late and rpc.status > 0 else rpc.words or "never answered"
-            found.append(Violation("lost", rpc.until, f"{rpc.id} at {rpc.gateway}: {what}", [rpc.id]))
+        if client_try.status == 200 and client_try.words.split(" ")[0] != id:
+            detail = f"{id} was served with {client_try.words!r}"
+            found.append(Violation(Rule.ANSWERED, client_try.answered_at_us, detail, [id]))
+        elif (client_try.status <= 0 or late) and not _is_excused(index, client_try):
+            reason = "answered late" if late and client_try.status > 0 else client_try.words or "never answered"
+            detail = f"{id} at {client_try.gateway}: {reason}"
+            found.append(Violation(Rule.ANSWERED, client_try.deadline_us, detail, [id]))
+    return found
+
+
+def _is_excused(index: LedgerIndex, client_try: ClientTry) -> bool:
+    """Whether the try's gateway or the link to it failed meanwhile."""
+    gateway, sent_us = client_try.gateway, client_try.sent_at_us
+    until_us = max(client_try.deadline_us, client_try.answered_at_us)
+    if index.was_unavailable(gateway, sent_us, until_us):
+        return True
+    return index.link_was_faulty(index.scenario.clients_name(), gateway, sent_us, until_us)
+
+
+def repeated_executions(index: LedgerIndex) -> list[Violation]:
+    """Effects that happened twice or despite a rejection, and tries with two attempts at once."""
+    found = []
+    for client_try in index.tries.values():
+        id, effect = client_try.id, index.methods[client_try.method].effect
+        executions = client_try.executions
+        if effect != "idempotent" and len(executions) > 1:
+            detail = f"{id} ran at {[execution.backend for execution in executions]}"
+            found.append(Violation(Rule.ONCE, executions[1].at_us, detail, [id]))
+        if effect == "at_most_once" and executions and client_try.status in REJECTED_STATUSES:
+            found.append(Violation(Rule.ONCE, client_try.answered_at_us, f"{id} ran and was pushed back", [id]))
+        found += _concurrent_attempts(client_try)
     return found
 
 
-def double_executions(index: LedgerIndex) -> list[Violation]:
-    """Nothing but an idempotent call runs twice, and no RPC has two call-outs out at once."""
+def _concurrent_attempts(client_try: ClientTry) -> list[Violation]:
     found = []
-    for rpc in index.rpcs.values():
-        method = index.methods[rpc.method]
-        if method.effect != "idempotent" and len(rpc.ran) > 1:
-            found.append(Violation("twice", rpc.ran[1][0], f"{rpc.id} ran at {[b for _, b in rpc.ran]}", [rpc.id]))
-        if method.effect == "at_most_once" and rpc.ran and rpc.status in (429, 503):
-            found.append(Violation("twice", rpc.answered, f"{rpc.id} ran and was pushed back", [rpc.id]))
-        for (at, backend), (then, _) in zip(rpc.calls, rpc.calls[1:], strict=False):
-            end = next(((e, what) for e, b, what in rpc.ends if b == backend and e >= at), None)
-            if end and end[0] > then and not end[1].startswith(("unheard", "answer lost")):
-                found.append(Violation("twice", then, f"{rpc.id} had two call-outs out at once", [rpc.id]))
+    for attempt, following in zip(client_try.attempts, client_try.attempts[1:], strict=False):
+        end = client_try.end_of(attempt)
+        # An attempt that the gateway gave up closed its connection, so its answer was heard by nobody.
+        if end and end.at_us > following.at_us and not end.outcome.startswith(("unheard", "answer lost")):
+            detail = f"{client_try.id} had two call-outs out at once"
+            found.append(Violation(Rule.ONCE, following.at_us, detail, [client_try.id]))
     return found
 
 
-def sends_to_draining(index: LedgerIndex) -> list[Violation]:
-    """Nothing new to a backend later than the grace after its gateway was told that it leaves."""
-    discovery, found = index.scenario.discovery_name(), []
-    grace = index.scenario.backends.grace_ms * 1000
-    # Gateway -> backend -> what it was told, when
-    since: dict[str, dict[str, list[tuple[int, str]]]] = {}
-    for gateway, rows in index.told.items():
-        news = since[gateway] = defaultdict(list)
-        for row in rows:
-            named = dict(row[5])
-            if row[4]:  # whole: who is not in it is gone
-                for backend in set(news) - set(named):
-                    if news[backend][-1][1] != "left":
-                        news[backend].append((row[1], "left"))
-            for backend, status in named.items():
-                if not news[backend] or news[backend][-1][1] != status:
-                    news[backend].append((row[1], status))
-    for rpc in index.rpcs.values():
-        for at, backend in rpc.calls:
-            heard = since.get(rpc.gateway, {}).get(backend, [])
-            last = bisect.bisect(heard, (at, "~")) - 1
-            if last < 0 or heard[last][1] == "active" or at <= heard[last][0] + grace + SLACK_US:
+class StatusChange(NamedTuple):
+    """A backend's status from a time on, as one gateway was told."""
+
+    at_us: int
+    status: str
+
+
+def status_changes(rows: list[EndpointsSent]) -> dict[str, list[StatusChange]]:
+    """What one gateway was told of each backend, by backend."""
+    changes: dict[str, list[StatusChange]] = defaultdict(list)
+    for row in rows:
+        statuses = dict(row.endpoints)
+        if row.complete:
+            for backend in set(changes) - set(statuses):
+                statuses[backend] = LEFT
+        for backend, status in statuses.items():
+            if not changes[backend] or changes[backend][-1].status != status:
+                changes[backend].append(StatusChange(row.at_us, status))
+    return changes
+
+
+def attempts_after_drain(index: LedgerIndex) -> list[Violation]:
+    """Attempts later than the grace after their gateway was told that the backend drains."""
+    grace_us = index.scenario.backends.grace_ms * 1000
+    changes = {gateway: status_changes(rows) for gateway, rows in index.endpoints_sent.items()}
+    found = []
+    for client_try in index.tries.values():
+        for attempt in client_try.attempts:
+            told = changes.get(client_try.gateway, {}).get(attempt.backend, [])
+            last = bisect.bisect(told, (attempt.at_us, "~")) - 1
+            if last < 0 or told[last].status == ACTIVE or attempt.at_us <= told[last].at_us + grace_us + SLACK_US:
                 continue
-            told = heard[last][0]
-            # A new life may not have been told yet; over a failing link it was not told in time.
-            life = max((s for s in index.lives.get(rpc.gateway, []) if s <= at), default=0)
-            if (
-                told < life
-                or index.was_away(rpc.gateway, told, at)
-                or (index.link_struck(rpc.gateway, discovery, told - 1_000_000, at))
-                or (index.link_struck(rpc.gateway, backend, rpc.sent, at))
-            ):
+            if _may_not_know(index, client_try, attempt, told[last].at_us):
                 continue
-            found.append(
-                Violation(
-                    "drain",
-                    at,
-                    f"{rpc.id} went from {rpc.gateway} to {backend}, told "
-                    f"{(at - told) / 1e6:.2f} s before that it was {heard[last][1]}",
-                    [rpc.id],
-                )
+            detail = (
+                f"{client_try.id} went from {client_try.gateway} to {attempt.backend}, told "
+                f"{(attempt.at_us - told[last].at_us) / 1e6:.2f} s before that it was {told[last].status}"
             )
+            found.append(Violation(Rule.DRAINED, attempt.at_us, detail, [client_try.id]))
     return found
 
 
+def _may_not_know(index: LedgerIndex, client_try: ClientTry, attempt: Attempt, told_us: int) -> bool:
+    """Whether the gateway has restarted since it was told, or a fault kept the change from it."""
+    gateway = client_try.gateway
+    started_us = max((start for start in index.gateway_starts.get(gateway, []) if start <= attempt.at_us), default=0)
+    if told_us < started_us or index.was_unavailable(gateway, told_us, attempt.at_us):
+        return True
+    discovery = index.scenario.discovery_name()
+    if index.link_was_faulty(gateway, discovery, told_us - ENDPOINT_LOOKBACK_US, attempt.at_us):
+        return True
+    return index.link_was_faulty(gateway, attempt.backend, client_try.sent_at_us, attempt.at_us)
+
+
+class Work(NamedTuple):
+    """Work that an attempt brought to a backend."""
+
+    at_us: int
+    seconds: float
+    id: str
+
+
 def overloaded_cold_backends(index: LedgerIndex) -> list[Violation]:
-    """Work sent to a cold backend within the window, against what it could do then."""
-    given, found = index.scenario.backends, []
-    window, warm_up = given.overload_window_s * 1e6, given.warm_up_s * 1e6
-    calls: dict[str, list[tuple[int, float, str]]] = defaultdict(list)
-    for rpc in index.rpcs.values():
-        for at, backend in rpc.calls:
-            calls[backend].append((at, index.methods[rpc.method].work_ms / 1000, rpc.id))
-    slack = 4 * max(m.work_ms for m in index.methods) / 1000
+    """Work sent to a backend within a window after its start, compared with what it could do then."""
+    work: dict[str, list[Work]] = defaultdict(list)
+    for client_try in index.tries.values():
+        for attempt in client_try.attempts:
+            seconds = index.methods[client_try.method].work_ms / 1000
+            work[attempt.backend].append(Work(attempt.at_us, seconds, client_try.id))
+    found = []
     for backend, starts in index.backend_starts.items():
-        sent = sorted(calls.get(backend, []))
-        for start in starts:
-            for first, (at, _, _) in enumerate(sent):
-                if not start <= at < start + warm_up:
-                    continue
-                last = bisect.bisect(sent, (at + window, 0.0, ""))
-                work = sum(one[1] for one in sent[first:last])
-                middle = min(1.0, (at + window / 2 - start) / warm_up)
-                warmth = given.cold_share + (1 - given.cold_share) * middle
-                can = given.slots * warmth * given.overload_window_s
-                if work > given.overload_factor * can + slack:
-                    found.append(
-                        Violation(
-                            "cold",
-                            at,
-                            f"{backend} was sent {work:.2f} s of work in {given.overload_window_s} s, "
-                            f"{(at - start) / 1e6:.2f} s after its start; it can do {can:.2f}",
-                            [one[2] for one in sent[first:last]][:20],
-                        )
-                    )
-                    break
+        received = sorted(work.get(backend, []))
+        for start_us in starts:
+            violation = _first_overload(index, backend, start_us, received)
+            if violation:
+                found.append(violation)
     return found
 
 
-def exceeded_ceilings(index: LedgerIndex) -> list[Violation]:
-    """No customer takes more than its plan's ceiling."""
-    levels: dict[int, tuple[float, int]] = {}
-    found, largest = [], max(m.units for m in index.methods)
-    firsts = sorted((rpc.calls[0][0], rpc.id) for rpc in index.rpcs.values() if rpc.calls)
-    for at, id_ in firsts:
-        rpc = index.rpcs[id_]
-        plan = index.scenario.plan[index.plan_of(rpc)]
-        if not plan.ceiling_rate:
+def _first_overload(index: LedgerIndex, backend: str, start_us: int, received: list[Work]) -> Violation | None:
+    """The first overload of a backend while it warms up after a start."""
+    settings = index.scenario.backends
+    window_us, warm_up_us = settings.overload_window_s * 1e6, settings.warm_up_s * 1e6
+    slack_s = 4 * max(method.work_ms for method in index.methods) / 1000
+    for first, (at_us, _, _) in enumerate(received):
+        if not start_us <= at_us < start_us + warm_up_us:
             continue
-        level, last = levels.get(rpc.customer, (plan.ceiling_burst, at))
-        level = min(plan.ceiling_burst, level + plan.ceiling_rate * (at - last) / 1e6) - index.units(rpc)
-        levels[rpc.customer] = level, at
-        if level < -max(0.1 * plan.ceiling_burst, largest) - CEILING_S * plan.ceiling_rate:
-            found.append(
-                Violation(
-                    "ceiling",
-                    at,
-                    f"customer {rpc.customer} of {plan.name}: {id_} took its store to {level:.1f}",
-                    [id_],
-                )
+        last = bisect.bisect(received, (at_us + window_us, 0.0, ""))
+        work_s = sum(work.seconds for work in received[first:last])
+        warmed_up = min(1.0, (at_us + window_us / 2 - start_us) / warm_up_us)
+        capacity = settings.cold_share + (1 - settings.cold_share) * warmed_up
+        possible_s = settings.slots * capacity * settings.overload_window_s
+        if work_s > settings.overload_factor * possible_s + slack_s:
+            detail = (
+                f"{backend} was sent {work_s:.2f} s of work in {settings.overload_window_s} s, "
+                f"{(at_us - start_us) / 1e6:.2f} s after its start; it can do {possible_s:.2f}"
             )
-            levels[rpc.customer] = 0.0, at
+            ids = [work.id for work in received[first:last]][:MAX_VIOLATION_IDS]
+            return Violation(Rule.WARMED_UP, at_us, detail, ids)
+    return None
+
+
+def exceeded_rate_limits(index: LedgerIndex) -> list[Violation]:
+    """Tries that reached a backend beyond the rate limit of their customer's plan."""
+    buckets = CustomerBuckets()
+    most_units = max(method.units for method in index.methods)
+    found = []
+    for client_try in index.first_attempts():
+        plan = index.scenario.plan[index.plan_of(client_try)]
+        if not plan.ceiling_rate:
+            continue
+        customer, at_us = client_try.customer, client_try.attempts[0].at_us
+        level = buckets.level(customer, plan.ceiling_rate, plan.ceiling_burst, at_us) - index.units(client_try)
+        slack = max(0.1 * plan.ceiling_burst, most_units) + RATE_LIMIT_SLACK_S * plan.ceiling_rate
+        if level < -slack:
+            detail = f"customer {customer} of {plan.name}: {client_try.id} took its store to {level:.1f}"
+            found.append(Violation(Rule.LIMITED, at_us, detail, [client_try.id]))
+            level = 0.0
+        buckets.set_level(customer, level)
     return found
--- a/stoneyoke/lab/run.py
+++ b/stoneyoke/lab/run.py
@@ -21,8 +21,8 @@
 from stoneyoke.lab.gateway_files import GatewayFiles, gateway_settings
 from stoneyoke.lab.http import open_to
 from stoneyoke.lab.machine_limits import check_capacity
-from stoneyoke.lab.plan import Drawn, Strike, draw
-from stoneyoke.lab.result import Result, judge, speeds_of
+from stoneyoke.lab.plan import FaultEvent, RunPlan, draw_plan
+from stoneyoke.lab.result import Result, RunEnd, judge
 from stoneyoke.lab.scenario import Scenario
 from stoneyoke.lab.worker_process import WorkerProcess
 from stoneyoke.lab.worker_terms import WorkerTerms, worker_terms
@@ -43,13 +43,12 @@
     ) -> None:
         self.scenario, self.seed, self.out, self.progress = scenario, seed, out, progress
         self.addresses = Addresses(scenario, port)
-        self.drawn: Drawn = draw(scenario, seed)
+        self.drawn: RunPlan = draw_plan(scenario, seed)
         self.workers: dict[str, WorkerProcess] = {}
         self.crashes: list[str] = []
         self.reasons: list[str] = []
         self.faults = FaultOrders(self.addresses, self.workers, self)
         self.files = GatewayFiles(scenario, self.addresses, seed, out)
-        self.speeds = speeds_of(scenario)
 
     # ---- gateways ----
 
@@ -142,9 +141,11 @@
 
     # ---- the run ----
 
-    def strike(self, strike: Strike) -> None:
+    def strike(self, strike: FaultEvent) -> None:
         """Writes a strike down and carries it out."""
-        self.book("fault", strike.number, strike.kind, strike.begins, strike.on, strike.from_, strike.to)
+        self.book(
+            "fault", strike.number, strike.kind, strike.begins, strike.processes, strike.source, strike.destination
+        )
         self.faults.strike(strike)
 
     def book(self, kind: str, *what: Any) -> None:
@@ -157,7 +158,7 @@
         for worker in self.workers.values():
             worker.say({"do": "go", "at_ns": self.started_ns})
         with (self.out / "ledger" / "run.jsonl").open("ab") as self.ledger:
-            strikes = list(self.drawn.strikes)
+            strikes = list(self.drawn.fault_events)
             end = self.scenario.seconds
             while (now := (time.monotonic_ns() - self.started_ns) / 1e9) < end:
                 while strikes and strikes[0].at_us / 1e6 <= now:
@@ -198,7 +199,12 @@
         return self.result(partial, time.monotonic() - began)
 
     def result(self, partial: str, seconds: float) -> Result:
-        return judge(self.out, self.scenario, self.drawn, self.speeds, self.crashes, self.reasons, partial, seconds)
+        return judge(
+            self.out,
+            self.scenario,
+            self.drawn,
+            RunEnd(seconds=seconds, crashes=self.crashes, reasons=self.reasons, partial=partial),
+        )
 
 
 def carry_out(scenario: Scenario, seed: int, out: Path, port: int, progress: Callable[[float], None]) -> Result:
--- a/stoneyoke/lab/worker_terms.py
+++ b/stoneyoke/lab/worker_terms.py
@@ -9,8 +9,8 @@
 from stoneyoke.lab.addresses import Addresses, address_text
 from stoneyoke.lab.gateway_files import backend_entry
 from stoneyoke.lab.machine_limits import link_processes
-from stoneyoke.lab.plan import Drawn
-from stoneyoke.lab.result import speeds_of
+from stoneyoke.lab.plan import RunPlan
+from stoneyoke.lab.result import backend_speeds
 from stoneyoke.lab.scenario import Scenario
 
 
@@ -22,7 +22,7 @@
     given: dict[str, Any]
 
 
-def worker_terms(scenario: Scenario, addresses: Addresses, drawn: Drawn, seed: int, out: Path) -> list[WorkerTerms]:
+def worker_terms(scenario: Scenario, addresses: Addresses, drawn: RunPlan, seed: int, out: Path) -> list[WorkerTerms]:
     """All workers of a run, in the order in which they start."""
     return [
         *link_terms(addresses),
@@ -46,7 +46,7 @@
 
 def backends_terms(scenario: Scenario, addresses: Addresses, seed: int) -> WorkerTerms:
     """What the stand-ins of all backends are told."""
-    given, speeds = scenario.backends, speeds_of(scenario)
+    given, speeds = scenario.backends, backend_speeds(scenario)
     methods = [msgspec.to_builtins(m) for m in scenario.method]
     return WorkerTerms(
         "backends",
@@ -109,7 +109,7 @@
     )
 
 
-def clients_terms(scenario: Scenario, addresses: Addresses, drawn: Drawn, seed: int) -> WorkerTerms:
+def clients_terms(scenario: Scenario, addresses: Addresses, drawn: RunPlan, seed: int) -> WorkerTerms:
     """What the clients are told: who asks for what, when and where."""
     methods = [msgspec.to_builtins(m) for m in scenario.method]
     return WorkerTerms(
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: what is wrong is one line with file and key; one seed, one plan."""
+"""Scenario files: an error is one line with file and key; one seed gives one plan."""
 
 import os
 import subprocess
@@ -10,7 +10,7 @@
 
 from stoneyoke.lab.cli import SHIPPED
 from stoneyoke.lab.errors import InvalidScenario
-from stoneyoke.lab.plan import draw
+from stoneyoke.lab.plan import draw_plan
 from stoneyoke.lab.scenario_file import read_scenario
 
 SMALL = (SHIPPED / "small.toml").read_text()
@@ -42,7 +42,7 @@
         ('name = "small"', "name = small", "no TOML"),
     ],
 )
-def test_what_is_wrong_is_one_line_with_file_and_key(tmp_path, was, now, key):
+def test_an_invalid_file_is_reported_in_one_line_with_file_and_key(tmp_path, was, now, key):
     assert was in SMALL
     path = write(tmp_path, SMALL.replace(was, now, 1))
     with pytest.raises(InvalidScenario) as bad:
@@ -51,14 +51,14 @@
     assert text.startswith(f"{path}: ") and key in text and "\n" not in text
 
 
-def test_all_that_is_shipped_can_be_read():
+def test_all_shipped_scenarios_can_be_read():
     assert len([read_scenario(path) for path in SHIPPED.glob("*.toml")]) >= 11
 
 
-def test_one_seed_asks_for_the_same_bytes_also_elsewhere():
+def test_one_seed_gives_the_same_plan_in_another_process():
     scenario = read_scenario(SHIPPED / "small.toml")
-    here = draw(scenario, 5).digest()
-    assert here == draw(scenario, 5).digest() != draw(scenario, 6).digest()
+    here = draw_plan(scenario, 5).digest()
+    assert here == draw_plan(scenario, 5).digest() != draw_plan(scenario, 6).digest()
     there = subprocess.run(
         [sys.executable, "-m", "stoneyoke.single_gateway.cli", "lab", "run", "small", "--seed", "5", "--plan"],
         env=os.environ | {"PYTHONHASHSEED": "77", "PYTHONPATH": os.pathsep.join(sys.path)},
@@ -70,7 +70,7 @@
 
 @settings(derandomize=True, max_examples=25, deadline=None)
 @given(st.integers(0, 2**32), st.integers(1, 8))
-def test_drawn_faults_begin_within_the_run_and_strike_what_is_there(seed, faults):
+def test_drawn_faults_begin_within_the_run_and_name_its_processes(seed, faults):
     kinds = ["cut", "kill", "slow", "crash", "silent", "delay", "stop"]
     text = SMALL + f"\n[random]\nfaults = {faults}\nkinds = {kinds}\n".replace("'", '"')
     import tempfile
@@ -78,10 +78,10 @@
 
     with tempfile.TemporaryDirectory() as folder:
         scenario = read_scenario(write(Path(folder), text))
-    drawn = draw(scenario, seed)
-    assert drawn.digest() == draw(scenario, seed).digest()
+    plan = draw_plan(scenario, seed)
+    assert plan.digest() == draw_plan(scenario, seed).digest()
     names = set(scenario.process_names())
-    assert all(set(s.on) <= names and s.at_us >= 0 for s in drawn.strikes)
-    assert all(s.at_us < scenario.seconds * 1e6 for s in drawn.strikes if s.begins)
-    assert len({s.number for s in drawn.strikes}) == len(scenario.fault) + faults
-    assert [a.at_us for a in drawn.arrivals] == sorted(a.at_us for a in drawn.arrivals)
+    assert all(set(s.processes) <= names and s.at_us >= 0 for s in plan.fault_events)
+    assert all(s.at_us < scenario.seconds * 1e6 for s in plan.fault_events if s.begins)
+    assert len({s.number for s in plan.fault_events}) == len(scenario.fault) + faults
+    assert [a.at_us for a in plan.arrivals] == sorted(a.at_us for a in plan.arrivals)
--- a/tests/lab/test_spread.py
+++ b/tests/lab/test_spread.py
@@ -1,8 +1,8 @@
-"""Spread beside a dispatcher that sees everything: even load is even, a herd and an idle backend show."""
+"""Evenness of load, compared with a dispatcher that sees everything."""
 
 import numpy as np
 
-from stoneyoke.lab.spread import Use, central, spread
+from stoneyoke.lab.spread import Use, central_dispatch, spread
 
 SPEEDS = [1.0, 1.0, 0.5, 1.5]
 UP = np.ones((40, 4), dtype=bool)
@@ -14,32 +14,32 @@
     return [Use(i * 10_000, 5_000, order[i % 8]) for i in range(n)]
 
 
-def test_even_load_is_even_and_one_backend_for_all_is_not():
+def test_load_by_speed_is_even_and_load_on_one_backend_is_not():
     good = spread(even(800), SPEEDS, UP[:8], 1_000_000, 8_000_000)
     assert 0.9 < good.most < 1.15 and good.idle == 0 and good.varies < 0.1
     herd = spread([Use(u.at, u.took, 0) for u in even(800)], SPEEDS, UP[:8], 1_000_000, 8_000_000)
     assert 3.9 < herd.most < 4.1 and herd.idle > 0.7
 
 
-def test_a_jump_from_a_window_to_the_next_shows():
+def test_a_jump_from_one_window_to_the_next_is_measured():
     uses = [Use(u.at, u.took, 2 if 4_000_000 <= u.at < 5_000_000 else u.backend) for u in even(800)]
     assert spread(uses, SPEEDS, UP[:8], 1_000_000, 8_000_000).jump > 5
 
 
-def test_what_is_down_is_owed_nothing():
+def test_a_backend_that_is_down_does_not_count_as_idle():
     up = UP[:8].copy()
     up[:, 2] = False
     uses = [Use(u.at, u.took, 0 if u.backend == 2 else u.backend) for u in even(800)]
     assert spread(uses, SPEEDS, up, 1_000_000, 8_000_000).idle == 0
 
 
-def test_the_dispatcher_spreads_any_arrivals_by_speed_and_uses_what_is_up():
+def test_the_dispatcher_spreads_arrivals_by_speed_over_backends_that_are_up():
     uses = [Use(u.at, 2_000, 0) for u in even(800)]
-    placed = central(uses, SPEEDS, UP, 250_000)
+    placed = central_dispatch(uses, SPEEDS, UP, 250_000)
     assert spread(placed, SPEEDS, UP[:8], 1_000_000, 8_000_000).most < 1.1
-    busy = central([Use(u.at, 300_000, 0) for u in even(800)], SPEEDS, UP, 250_000)
+    busy = central_dispatch([Use(u.at, 300_000, 0) for u in even(800)], SPEEDS, UP, 250_000)
     counts = np.bincount([u.backend for u in busy], minlength=4) / 800
     assert np.allclose(counts, np.array(SPEEDS) / 4, atol=0.03)
     up = UP.copy()
     up[:, 3] = False
-    assert 3 not in {u.backend for u in central(uses, SPEEDS, up, 250_000)}
+    assert 3 not in {u.backend for u in central_dispatch(uses, SPEEDS, up, 250_000)}
