--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -9,7 +9,7 @@
 
 import msgspec
 import pytest
-from helpers import SETTINGS, GatewayUnderTest, free_port, on_loop, until
+from gateway_under_test import SETTINGS, GatewayUnderTest, free_port, runs_on_loop, until
 
 from stoneyoke.control.events import PeerEvidence
 from stoneyoke.fleet.messages import MemberState
@@ -74,7 +74,7 @@
 
     async def __aenter__(self):
         await self.stand_ins.__aenter__()
-        given = json.loads(json.dumps(self.stand_ins.given)) | {"listen": "127.0.0.1:0"}
+        given = json.loads(json.dumps(self.stand_ins.configuration)) | {"listen": "127.0.0.1:0"}
         given["settings"] = SETTINGS | {"self-index": 2}
         one, two = (("127.0.0.1", free_port("127.0.0.1", socket.SOCK_DGRAM)) for _ in range(2))
         self.programs = [
@@ -96,7 +96,7 @@
         await self.stand_ins.__aexit__()
 
 
-@on_loop
+@runs_on_loop
 async def test_two_programs_find_each_other_and_one_leaves():
     async with TwoGateways() as two:
         first, second = (program.peers.agent.membership.table for program in two.programs)
@@ -106,7 +106,7 @@
         assert second.peers["g1"].record.state == MemberState.LEFT
 
 
-@on_loop
+@runs_on_loop
 async def test_a_flood_of_junk_is_counted_and_the_rest_goes_on():
     async with TwoGateways() as two:
         peers = two.programs[0].peers
@@ -121,7 +121,7 @@
         assert not two.programs[0].metrics.violations
 
 
-@on_loop
+@runs_on_loop
 async def test_advice_reaches_the_gateways_decisions():
     async with TwoGateways() as two:
         program = two.programs[0]
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -11,7 +11,7 @@
 import msgspec
 import psutil
 import pytest
-from helpers import free_port
+from gateway_under_test import free_port
 
 from stoneyoke.lab.cli import SHIPPED
 from stoneyoke.lab.errors import NotReady
--- a/tests/net/test_counter_calls.py
+++ b/tests/net/test_counter_calls.py
@@ -1,9 +1,9 @@
-"""Calls to the counter: pipelined, limited, and lost with their connection."""
+"""Queries to the counter service: pipelined, limited, and lost with their connection."""
 
 import asyncio
 
 import pytest
-from helpers import StandIn, on_loop, total, until
+from gateway_under_test import StubServer, runs_on_loop, total_response, until
 
 from stoneyoke.control.actions import AddToCounter
 from stoneyoke.runtime.clock import Clock
@@ -12,8 +12,8 @@
 from stoneyoke.single_gateway.counter import CounterClient
 
 
-class Counted:
-    """Calls to a counter, and what the module would be told."""
+class CounterHarness:
+    """Queries to a counter service, and what the decision logic would be told."""
 
     def __init__(self, address, limit_us=80_000):
         self.told, self.metrics = [], Metrics()
@@ -27,59 +27,59 @@
             self.counter.add(AddToCounter(name, 4_000_000, -2.5))
 
 
-@on_loop
-async def test_counter_calls_go_apart_and_at_the_limit_one_after_another_answered_in_order(monkeypatch):
-    async with StandIn(total(b"2")) as stand_in:
-        calls = Counted(stand_in.address)
+@runs_on_loop
+async def test_counter_queries_use_connections_apart_and_at_the_limit_are_pipelined_in_order(monkeypatch):
+    async with StubServer(total_response(b"2")) as server:
+        calls = CounterHarness(server.address)
         calls.add(*range(9))
         await until(lambda: len(calls.told) == 9)
-        assert stand_in.connections == counter.CONNECTIONS_MAX
+        assert server.connections == counter.CONNECTIONS_MAX
     monkeypatch.setattr(counter, "CONNECTIONS_MAX", 1)
 
     async def answer(request, writer):
-        if len(stand_in.got) < 3:
+        if len(server.got) < 3:
             return None
-        return total(b"1.5") + b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n" + total(b"-2.5e0")
+        return total_response(b"1.5") + b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n" + total_response(b"-2.5e0")
 
-    async with StandIn(answer) as stand_in:
-        calls = Counted(stand_in.address)
+    async with StubServer(answer) as server:
+        calls = CounterHarness(server.address)
         calls.add(1, 2, 2**64 - 1)
         await until(lambda: len(calls.told) == 3)
-        assert calls.told == [(1, 1.5), (2, None), (2**64 - 1, -2.5)] and stand_in.connections == 1
-        assert stand_in.got[2][0][0].split()[:2] == [b"POST", b"/counters/ffffffffffffffff?by=-2.500000&expire_ms=4000"]
+        assert calls.told == [(1, 1.5), (2, None), (2**64 - 1, -2.5)] and server.connections == 1
+        assert server.got[2][0][0].split()[:2] == [b"POST", b"/counters/ffffffffffffffff?by=-2.500000&expire_ms=4000"]
 
 
-@on_loop
-async def test_a_silent_connection_blocks_no_later_call_and_late_answers_find_nobody():
+@runs_on_loop
+async def test_a_silent_connection_blocks_no_later_query_and_late_replies_are_dropped():
     async def answer(request, writer):
         if b"/counters/%016x" % 1 in request[0][0]:
             await asyncio.sleep(0.4)
-            return total(b"11")
-        return total(b"2")
+            return total_response(b"11")
+        return total_response(b"2")
 
-    async with StandIn(answer) as stand_in:
-        calls = Counted(stand_in.address, limit_us=300_000)
+    async with StubServer(answer) as server:
+        calls = CounterHarness(server.address, limit_us=300_000)
         calls.add(1)
         await until(lambda: calls.told)
         calls.add(2)
         await until(lambda: len(calls.told) == 2)
-        assert calls.told == [(1, None), (2, 2.0)] and stand_in.connections == 2
+        assert calls.told == [(1, None), (2, 2.0)] and server.connections == 2
         await until(lambda: not any(connection.queries for connection in calls.counter.connections))
         calls.add(3)
         await until(lambda: len(calls.told) == 3)
-        assert calls.told[2] == (3, 2.0) and stand_in.connections == 2
+        assert calls.told[2] == (3, 2.0) and server.connections == 2
 
 
-@on_loop
-async def test_a_counter_that_is_silent_or_gone_costs_its_limit_and_a_few_connections():
-    async with StandIn(None) as stand_in:
-        calls = Counted(stand_in.address, limit_us=10_000)
+@runs_on_loop
+async def test_a_silent_counter_costs_its_time_out_and_a_few_connections():
+    async with StubServer(None) as server:
+        calls = CounterHarness(server.address, limit_us=10_000)
         for name in range(12):
             calls.add(name)
             await until(lambda name=name: len(calls.told) > name)
             assert len(calls.counter.connections) <= counter.CONNECTIONS_MAX
     assert calls.told == [(name, None) for name in range(12)]
-    calls = Counted(stand_in.address)
+    calls = CounterHarness(server.address)
     calls.add(1, 2)
     await until(lambda: len(calls.told) == 2)
     await until(lambda: not calls.counter.connections and not calls.counter.tasks)
@@ -90,18 +90,21 @@
     [
         (b"HTP\r\n\r\n", "nan"),
         (b"", "nan"),
-        *((total(text), "nan") for text in (b"many", b"", b"nan", b"inf", b"1_0", b" 1", b"+1", b"0x1", b"1,5")),
+        *(
+            (total_response(text), "nan")
+            for text in (b"many", b"", b"nan", b"inf", b"1_0", b" 1", b"+1", b"0x1", b"1,5")
+        ),
     ],
 )
-@on_loop
+@runs_on_loop
 async def test_a_count_without_a_usable_number_was_added_and_its_connection_is_not_used_again(answer, told):
-    async with StandIn(answer) as stand_in:
-        calls = Counted(stand_in.address)
+    async with StubServer(answer) as server:
+        calls = CounterHarness(server.address)
         calls.add(1, 2)
         await until(lambda: len(calls.told) == 2)
         assert sorted((name, str(total)) for name, total in calls.told) == [(1, told), (2, told)]
         await until(lambda: not calls.counter.connections)
-        stand_in.answer = total(b"-2.5e1")
+        server.answer = total_response(b"-2.5e1")
         calls.add(3)
         await until(lambda: len(calls.told) == 3)
-        assert calls.told[2] == (3, -25.0) and stand_in.connections == 3
+        assert calls.told[2] == (3, -25.0) and server.connections == 3
--- a/tests/net/test_program.py
+++ b/tests/net/test_program.py
@@ -8,7 +8,7 @@
 import sys
 
 import pytest
-from helpers import SETTINGS, rpc
+from gateway_under_test import SETTINGS, rpc
 
 from stoneyoke.single_gateway import configuration, program
 from stoneyoke.single_gateway.errors import InvalidConfiguration
@@ -39,7 +39,9 @@
         (None, "NODE_CONFIG"),
     ],
 )
-def test_a_bad_config_ends_it_with_one_line_that_names_it(change, named, monkeypatch, tmp_path, capsys):
+def test_an_invalid_configuration_ends_the_process_with_one_line_that_names_the_key(
+    change, named, monkeypatch, tmp_path, capsys
+):
     path = tmp_path / "config.json"
     path.write_text("{" if change is None else json.dumps(CONFIG | change))
     monkeypatch.setenv("NODE_CONFIG", str(path))
@@ -65,7 +67,7 @@
     assert child.returncode == 0 and "counts: " in rest and "BROKEN" not in rest
 
 
-def test_a_flood_of_half_messages_exhausts_no_descriptors(tmp_path):
+def test_a_flood_of_partial_messages_exhausts_no_descriptors(tmp_path):
     path, limit = tmp_path / "config.json", 120
     path.write_text(json.dumps(CONFIG | {"listen": "127.0.0.1:0", "limits": {"sockets": limit}}))
     code = (
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -1,11 +1,11 @@
-"""Attempts at backends: each outcome told apart, and connections used again or not."""
+"""Attempts at backends: the outcome of each ending, and connections used again or not."""
 
 import asyncio
 import socket
 import time
 
 import pytest
-from helpers import OK, SETTINGS, GatewayUnderTest, StandIn, on_loop, rpc, until
+from gateway_under_test import OK, SETTINGS, GatewayUnderTest, StubServer, rpc, runs_on_loop, until
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
@@ -35,30 +35,30 @@
     st.lists(st.sampled_from(ANSWERS), min_size=1, max_size=12),
     st.lists(st.sampled_from([b"look", b"order"]), min_size=1, max_size=4),
 )
-@on_loop
-async def test_whatever_a_backend_does_each_rpc_gets_one_answer_in_time(answers, kinds):
+@runs_on_loop
+async def test_whatever_a_backend_does_each_rpc_gets_one_response_in_time(answers, kinds):
     left = list(answers)
 
     async def answer(request, writer):
         return left.pop(0) if left else OK
 
     async def ask(number, kind):
-        async with town.caller() as caller:
+        async with gateway.connect() as client:
             start = time.monotonic()
-            status, _, body = await caller.ask(rpc(kind, Req_Id=f"id-{number}", Req_Deadline="0.150"))
+            status, _, body = await client.request(rpc(kind, Req_Id=f"id-{number}", Req_Deadline="0.150"))
             assert (status, body) in ((200, b"yes"), (429, b"")) and time.monotonic() - start < 1.0
-            caller.writer.write_eof()
-            assert await caller.reader.read() == b"", "a second answer"
+            client.writer.write_eof()
+            assert await client.reader.read() == b"", "a second answer"
 
-    async with GatewayUnderTest(answer) as town:
+    async with GatewayUnderTest(answer) as gateway:
         await asyncio.gather(*(ask(number, kind) for number, kind in enumerate(kinds)))
-        ids = [line for lines, _ in town.backend.got for line in lines if line.startswith(b"Req-Id: ")]
+        ids = [line for lines, _ in gateway.backend.got for line in lines if line.startswith(b"Req-Id: ")]
         assert max(map(ids.count, ids), default=0) <= SETTINGS["caps"]["try-limit"]
-        runtime = town.program.runtime
+        runtime = gateway.program.runtime
         assert (
             not runtime.pending
             and runtime.gateway.backends.concurrency.in_flight == 0
-            and not town.program.metrics.violations
+            and not gateway.program.metrics.violations
         )
 
 
@@ -96,20 +96,20 @@
         (OK + b"\x00\xffnoise", AttemptOutcome.OK),
     ],
 )
-@on_loop
-async def test_each_outcome_over_a_connection_is_told_apart(answer, expected):
-    async with StandIn(answer) as stand_in:
-        outcome, got = await Sender(stand_in.address).send_attempt()
+@runs_on_loop
+async def test_each_response_has_its_outcome(answer, expected):
+    async with StubServer(answer) as server:
+        outcome, got = await Sender(server.address).send_attempt()
         assert outcome is expected
         assert outcome is not AttemptOutcome.OK or got.body == b"yes"
-        assert len(stand_in.got) == 1
+        assert len(server.got) == 1
 
 
 class Sender:
     """Call-outs to one backend, without a gateway around them."""
 
     def __init__(self, address, idle_us=30_000_000, most=9):
-        self.clock, self.held = Clock(), PendingRequest(1, Clock(), None)
+        self.clock, self.pending = Clock(), PendingRequest(1, Clock(), None)
         limits = BackendLimits(connect_timeout_us=250_000, idle_timeout_us=idle_us)
         self.backends = Backends(self.clock, Metrics(), DescriptorBudget(most, 0), limits)
         self.backends.set_address(0, address)
@@ -117,28 +117,28 @@
     async def send_attempt(self, n=0, backend=0, within=200_000, body=b""):
         line = [b"POST /x HTTP/1.1\r\nContent-Length: %d\r\n" % len(body)]
         request = OutgoingRequest(head=line, body=body, deadline_us=self.clock.now() + within)
-        return await self.backends.send_attempt(self.held, n, backend, request)
+        return await self.backends.send_attempt(self.pending, n, backend, request)
 
 
-@on_loop
+@runs_on_loop
 async def test_an_answer_may_be_as_long_as_the_memory_allows():
     body = b"x" * 1_000_000
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-    async with GatewayUnderTest(answer) as town, town.caller() as caller:
-        assert (await caller.ask(rpc()))[2] == body
+    async with GatewayUnderTest(answer) as gateway, gateway.connect() as client:
+        assert (await client.request(rpc()))[2] == body
 
 
-@on_loop
+@runs_on_loop
 async def test_an_answer_cut_short_or_framed_by_nothing_but_its_stream_s_end_is_broken():
     for data in (OK[:-1], OK[:20], b"HTTP/1.1 200 OK\r\n\r\nyes"):
-        async with StandIn(answers_then_hangs_up(data)) as stand_in:
-            assert (await Sender(stand_in.address).send_attempt())[0] is AttemptOutcome.BROKEN
+        async with StubServer(answers_then_hangs_up(data)) as server:
+            assert (await Sender(server.address).send_attempt())[0] is AttemptOutcome.BROKEN
 
 
-@on_loop
-async def test_what_never_came_up_has_never_run_and_what_left_in_part_may_have():
-    async with StandIn() as stand_in:
-        address = stand_in.address
+@runs_on_loop
+async def test_a_failed_connect_has_not_run_and_a_partly_written_request_may_have():
+    async with StubServer() as server:
+        address = server.address
     assert (await Sender(address).send_attempt())[0] is AttemptOutcome.NO_CONNECTION
     assert (await Sender(address).send_attempt(backend=1))[0] is AttemptOutcome.NOT_SENT
 
@@ -152,15 +152,15 @@
     server.close()
 
 
-@on_loop
-async def test_a_refused_connection_tells_of_a_dead_backend_only_if_no_other_one_is_up():
-    async with StandIn() as stand_in:
-        sender = Sender(stand_in.address)
+@runs_on_loop
+async def test_a_refused_connection_means_a_dead_backend_only_if_no_other_one_is_up():
+    async with StubServer() as server:
+        sender = Sender(server.address)
         await sender.send_attempt()
-        stand_in.answer = None
+        server.answer = None
         out = asyncio.create_task(sender.send_attempt(within=5_000_000))
-        await until(lambda: len(stand_in.got) == 2)
-        stand_in.server.close()  # takes no more; the connection that is up stays
+        await until(lambda: len(server.got) == 2)
+        server.server.close()  # takes no more; the connection that is up stays
         assert (await sender.send_attempt())[0] is AttemptOutcome.CUT
         out.cancel()
         await asyncio.wait([out])
@@ -168,8 +168,8 @@
         assert sender.backends.descriptor_budget.used == sender.backends.pools[0].busy == 0
 
 
-@on_loop
-async def test_a_machine_that_says_nothing_to_a_connection_costs_the_dial_limit():
+@runs_on_loop
+async def test_a_connect_without_any_reply_ends_at_its_time_out():
     with socket.socket() as silent:  # its queue is full: what comes then gets no answer at all
         silent.bind(("127.0.0.1", 0))
         silent.listen(0)
@@ -178,64 +178,64 @@
             assert (await sender.send_attempt(within=5_000_000))[0] is AttemptOutcome.NO_CONNECTION
             assert 0.2 < time.monotonic() - start < 1.0 and sender.backends.descriptor_budget.used == 0
             out = asyncio.create_task(sender.send_attempt(within=5_000_000))
-            await until(lambda: sender.held.cancel_attempt)
-            sender.held.cancel_attempt(0)
+            await until(lambda: sender.pending.cancel_attempt)
+            sender.pending.cancel_attempt(0)
             assert (await out)[0] is AttemptOutcome.NOT_SENT and sender.backends.descriptor_budget.used == 0
 
 
-@on_loop
-async def test_a_call_off_closes_the_connection_so_that_a_late_answer_meets_no_other_rpc():
-    async with StandIn(None) as stand_in:
-        sender = Sender(stand_in.address)
+@runs_on_loop
+async def test_a_cancellation_closes_the_connection_so_that_a_late_response_meets_no_other_rpc():
+    async with StubServer(None) as server:
+        sender = Sender(server.address)
         out = asyncio.create_task(sender.send_attempt(n=3, within=5_000_000))
-        await until(lambda: stand_in.got)
-        sender.held.cancel_attempt(2)
-        sender.held.cancel_attempt(3)
+        await until(lambda: server.got)
+        sender.pending.cancel_attempt(2)
+        sender.pending.cancel_attempt(3)
         assert (await out)[0] is AttemptOutcome.CANCELLED
-        await until(lambda: stand_in.closed == 1)
-        stand_in.answer = OK
-        assert (await sender.send_attempt())[0] is AttemptOutcome.OK and stand_in.connections == 2
+        await until(lambda: server.closed == 1)
+        server.answer = OK
+        assert (await sender.send_attempt())[0] is AttemptOutcome.OK and server.connections == 2
         assert sender.backends.descriptor_budget.used == 1
 
 
-@on_loop
-async def test_a_call_off_that_meets_the_end_of_its_time_does_no_harm():
-    async with StandIn(None) as stand_in:
-        sender = Sender(stand_in.address)
+@runs_on_loop
+async def test_a_cancellation_that_meets_the_deadline_does_no_harm():
+    async with StubServer(None) as server:
+        sender = Sender(server.address)
         out = asyncio.create_task(sender.send_attempt(within=20_000))
-        await until(lambda: stand_in.got)
+        await until(lambda: server.got)
         time.sleep(0.05)  # noqa: ASYNC251 -- the time is up, and the call-off comes in the same turn of the loop
         loop, faults = asyncio.get_running_loop(), []
         loop.set_exception_handler(lambda _, context: faults.append(context))
-        loop.call_later(0.0, lambda: sender.held.cancel_attempt(0))
+        loop.call_later(0.0, lambda: sender.pending.cancel_attempt(0))
         assert (await out)[0] is AttemptOutcome.TIMED_OUT and not faults
 
 
-@on_loop
-async def test_no_call_out_meets_a_connection_that_closed_spoke_up_or_is_near_its_idle_end():
+@runs_on_loop
+async def test_no_attempt_uses_a_connection_that_closed_sent_bytes_or_is_near_its_idle_time_out():
     async def speaks_up(request, writer):
-        writer.write(OK + b"HTTP/1.1 408 Late\r\n" if len(stand_in.got) == 1 else OK)
-        return b"" if len(stand_in.got) == 2 else None
+        writer.write(OK + b"HTTP/1.1 408 Late\r\n" if len(server.got) == 1 else OK)
+        return b"" if len(server.got) == 2 else None
 
-    async with StandIn(speaks_up) as stand_in:
-        sender = Sender(stand_in.address)
+    async with StubServer(speaks_up) as server:
+        sender = Sender(server.address)
         site = sender.backends.pools[0]
         for made in (1, 2, 3, 3):
             assert (await sender.send_attempt())[0] is AttemptOutcome.OK
-            assert stand_in.connections == made
-            await until(lambda made=made: stand_in.closed >= min(made, 2))
-            await until(lambda: not site.idle or len(stand_in.got) > 2)
+            assert server.connections == made
+            await until(lambda made=made: server.closed >= min(made, 2))
+            await until(lambda: not site.idle or len(server.got) > 2)
         site.idle[0].idle_since -= sender.backends.idle_max_us
-        assert (await sender.send_attempt())[0] is AttemptOutcome.OK and stand_in.connections == 4
+        assert (await sender.send_attempt())[0] is AttemptOutcome.OK and server.connections == 4
         site.idle[0].idle_since -= sender.backends.idle_max_us
         sender.backends.close_expired()
         assert not site.idle and sender.backends.descriptor_budget.used == 0
-        assert len(stand_in.got) == 5, "each call-out was written once"
+        assert len(server.got) == 5, "each attempt was written once"
 
 
-@on_loop
+@runs_on_loop
 async def test_a_backend_s_new_address_is_used_and_its_old_connections_are_not():
-    async with StandIn() as old, StandIn() as new:
+    async with StubServer() as old, StubServer() as new:
         sender = Sender(old.address)
         await sender.send_attempt()
         sender.backends.set_address(0, new.address)
@@ -244,9 +244,9 @@
         assert len(new.got) == sender.backends.descriptor_budget.used == 1
 
 
-@on_loop
-async def test_with_no_descriptor_left_idle_connections_go_else_nothing_is_sent():
-    async with StandIn() as one, StandIn(None) as two:
+@runs_on_loop
+async def test_without_a_descriptor_idle_connections_are_closed_or_nothing_is_sent():
+    async with StubServer() as one, StubServer(None) as two:
         sender = Sender(one.address, most=1)
         sender.backends.set_address(1, two.address)
         await sender.send_attempt()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -68,7 +68,7 @@
     return out
 
 
-def test_an_rpc_is_sent_on_and_a_dear_one_pushed_back():
+def test_an_rpc_is_forwarded_and_one_over_quota_rejected():
     _, (number, records, _) = replies(spawn() + frame([arrival()], number=2))
     assert number == 2 and struct.unpack_from("<BHII", records[-1]) == (1, 3, 0xABCD, 77)
     _, (_, records, _) = replies(spawn() + frame([arrival(units=9.0)], number=2))
