--- a/stoneyoke/controlplane/peer_follower.py
+++ b/stoneyoke/controlplane/peer_follower.py
@@ -35,7 +35,7 @@
         replication: catches up when a peer knows a newer chosen value.
         discovery: takes the rows of instances.
         context: shared parts of the controller.
-        version: rises when an address was added that nobody had told before.
+        version: rises with each call of add_peers that added a controller.
     """
 
     settings: ControllerSettings
@@ -53,7 +53,7 @@
 
     def start_following(self, address: str, peer: Peer) -> None:
         """Starts the task that pulls from a new peer."""
-        peer.tasks.append(self.context.tasks.spawn(self.follow(address, peer)))
+        self.context.tasks.spawn(self.follow(address, peer))
 
     async def follow(self, address: str, peer: Peer) -> None:
         """Pulls from one peer again and again; a failure costs one pull."""
--- a/stoneyoke/controlplane/peers.py
+++ b/stoneyoke/controlplane/peers.py
@@ -1,8 +1,7 @@
 """The other controllers: the connection to each, what it last said of itself, since when it answers."""
 
-import asyncio
 from collections.abc import Callable, Iterator, Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import Protocol
 
 from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
@@ -30,7 +29,7 @@
 
 @dataclass(slots=True)
 class Peer:
-    """Another controller. All but `link` and `tasks` comes from its last answer to a pull.
+    """Another controller. All but `link` comes from its last answer to a pull.
 
     Attributes:
         link: the connection to it.
@@ -45,7 +44,6 @@
         lease_holder: the address of the quota lease's holder, as far as it knows.
         leaving: whether it is shutting down.
         steady_since: since when it has answered without a break as the same process with the same disk.
-        tasks: that follow it.
     """
 
     link: PeerLink
@@ -60,7 +58,6 @@
     lease_holder: str = ""
     leaving: bool = False
     steady_since: float = NEVER
-    tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     def record_response(self, response: PullResponse, now: float) -> None:
         """Takes over what the peer says of itself."""
