--- a/stoneyoke/limits/shared_bucket.py
+++ b/stoneyoke/limits/shared_bucket.py
@@ -15,9 +15,8 @@
 
 import math
 from collections.abc import Generator
-from typing import NamedTuple
+from typing import NamedTuple, Protocol
 
-from stoneyoke.control.parameters import Plan
 from stoneyoke.limits.token_bucket import SECOND
 
 EPOCH_US = 40 * SECOND  # a key lives for 60 s at most, and is read for a moment after its epoch
@@ -34,6 +33,26 @@
 CounterDialogue = Generator[tuple[int, float], tuple[float, int], None]
 
 
+class CustomerLimits(Protocol):
+    """A customer's quota and its ceiling, in units and units a second. A ceiling's rate of 0 stands for none."""
+
+    @property
+    def rate(self) -> float:
+        """Units a second of the quota."""
+
+    @property
+    def burst(self) -> float:
+        """Units that the quota holds at most."""
+
+    @property
+    def ceiling_rate(self) -> float:
+        """Units a second of the ceiling."""
+
+    @property
+    def ceiling_burst(self) -> float:
+        """Units that the ceiling holds at most."""
+
+
 class CeilingShare(NamedTuple):
     """A gateway's share of a customer's ceiling: units a second, and units at once."""
 
@@ -47,24 +66,24 @@
     The bucket is closed until `closed_until`: it was found too low for an RPC, and is not asked again before.
     """
 
-    def __init__(self, plan: Plan, customer_id: int, even_share: float, mean_units: float) -> None:
+    def __init__(self, limits: CustomerLimits, customer_id: int, even_share: float, mean_units: float) -> None:
         """Counts as full until a total is heard.
 
         Args:
-            plan: The customer's rate, burst and ceiling.
+            limits: The customer's quota and ceiling.
             customer_id: The customer, the same at all gateways.
             even_share: One gateway's even share of the customer's rate, 0 to 1.
             mean_units: Mean cost of an RPC.
         """
-        self.rate, self.burst, self.customer_id = plan.rate, plan.burst, customer_id
-        self.has_ceiling = plan.ceiling_rate > 0
+        self.rate, self.burst, self.customer_id = limits.rate, limits.burst, customer_id
+        self.has_ceiling = limits.ceiling_rate > 0
         self.epoch_offset_us = customer_id % EPOCH_OFFSETS * EPOCH_US // EPOCH_OFFSETS
-        self.marker = MARKER_FACTOR * (plan.burst + plan.rate * EPOCH_US / SECOND)
-        self.level, self.level_at = plan.burst, 0
+        self.marker = MARKER_FACTOR * (limits.burst + limits.rate * EPOCH_US / SECOND)
+        self.level, self.level_at = limits.burst, 0
         self.closed_until, self.opened_at = 0, -SECOND
         # An empty one is asked at twice the pace at which its even share refills, however many RPCs come: all
         # gateways together then still find each RPC's worth of units. Half of a whole refill's time at most.
-        self.closed_us = int(min(mean_units / even_share, plan.burst) / plan.rate / 2 * SECOND)
+        self.closed_us = int(min(mean_units / even_share, limits.burst) / limits.rate / 2 * SECOND)
 
     def counter_key(self, now: int, epochs_back: int = 0) -> int:
         """The counter's key for this epoch, or for an earlier one."""
@@ -137,20 +156,20 @@
         return min(self.burst, self.level + self.rate * (now - self.level_at) / SECOND)
 
 
-def ceiling_share(plan: Plan, even_share: float, largest_units: float, own_index: int) -> CeilingShare:
+def ceiling_share(limits: CustomerLimits, even_share: float, largest_units: float, own_index: int) -> CeilingShare:
     """This gateway's share of what the shared bucket can't use up of a ceiling, for RPCs that it does not hold.
 
     Where an even share holds none of the largest RPCs, as many gateways as can hold a whole one get a share each: a
     customer's gateways have consecutive indices, so each knows by its own whether it is one of them.
 
     Args:
-        plan: The customer's rate, burst and ceiling.
+        limits: The customer's quota and ceiling.
         even_share: One gateway's even share of the customer's rate, 0 to 1.
         largest_units: Cost of the largest RPC.
         own_index: Index of this gateway.
     """
-    rate = plan.ceiling_rate - plan.rate
-    burst = plan.ceiling_burst - (1 + GUARDED_OVERFLOW_RATIO) * plan.burst
+    rate = limits.ceiling_rate - limits.rate
+    burst = limits.ceiling_burst - (1 + GUARDED_OVERFLOW_RATIO) * limits.burst
     if rate <= 0 or burst <= 0:
         return CeilingShare(0.0, 0.0)
     if burst * even_share >= largest_units:
--- a/stoneyoke/transport/messages/codec.py
+++ b/stoneyoke/transport/messages/codec.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import fields
 from types import GenericAlias
-from typing import Any, get_args, get_type_hints
+from typing import Any, get_args
 
 import msgpack
 
@@ -168,8 +168,7 @@
 
 def row_decoder(row_type: Any, kind: type) -> Decoder:
     """A decoder of a named tuple."""
-    types = get_type_hints(row_type)
-    decoders = tuple(decoder_of(types[name], kind) for name in row_type._fields)
+    decoders = tuple(decoder_of(expected, kind) for expected in row_type.__annotations__.values())
     make = row_type._make
     length = len(decoders)
 
@@ -223,8 +222,7 @@
 
 def field_decoders(kind: type) -> tuple[tuple[str, Decoder], ...]:
     """Name and decoder of each field of a message, in the order on the wire."""
-    types = get_type_hints(kind)
-    return tuple((field.name, decoder_of(types[field.name], kind)) for field in fields(kind))
+    return tuple((field.name, decoder_of(field.type, kind)) for field in fields(kind))
 
 
 TAGS = {kind: tag for tag, kind in enumerate(KINDS)}
