--- a/stoneyoke/lab/capacity/__main__.py
+++ b/stoneyoke/lab/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""What the system costs by size, measured on hollow instances.
+"""Measures what the system costs by size: processor time, memory and bytes.
 
 python -m stoneyoke.lab.capacity measure                     # everything: a table, some minutes
 python -m stoneyoke.lab.capacity measure --quick             # small sizes, under a minute
@@ -23,7 +23,7 @@
 
 
 def measure() -> int:
-    """Exit code 1 if a case failed."""
+    """Makes the measurements that the flags name, and prints them; exit status 1 if a case failed."""
     cases = [case for one in SUBJECTS if ONLY.value in one.name for case in one.cases(QUICK.value)]
     begun, done = time.monotonic(), []
     for one in measure_all(cases, JOBS.value, MEMORY_GB.value):
@@ -35,6 +35,7 @@
 
 
 def main(argv: list[str]) -> None:
+    """Runs the one command; exit status 2 if another one is named."""
     if argv[1:] != ["measure"]:
         print("capacity: the one command is measure", file=sys.stderr)
         sys.exit(2)
--- a/stoneyoke/lab/capacity/figures.py
+++ b/stoneyoke/lab/capacity/figures.py
@@ -1,4 +1,4 @@
-"""Records of what was measured: a figure, the measurement that it belongs to, the series over an axis. No I/O."""
+"""Records of what was measured: figures, the measurement that they belong to, and series over an axis. No I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -33,7 +33,7 @@
 
 
 class Figure(NamedTuple):
-    """One quantity. unit: "s", "B", "B/s", "1/s", "MB" or "" for a plain number."""
+    """One quantity, with its unit: "s", "s/s", "B", "B/s", "1/s", "MB", or "" for a plain number."""
 
     name: str
     unit: str
@@ -51,8 +51,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """What came of a case. wall_s: how long it took; rss_mb: the measuring process's memory at its peak; failed: why
-    there are no figures, "" if there are."""
+    """The measurement of a case.
+
+    Attributes:
+        case: What was measured.
+        figures: The quantities; none if the case failed.
+        wall_s: How long it took.
+        rss_mb: The measuring process's memory at its peak.
+        failed: Why there are no figures; empty if there are.
+    """
 
     case: Case
     figures: tuple[Figure, ...]
@@ -62,6 +69,8 @@
 
 
 class Point(NamedTuple):
+    """A figure at one size."""
+
     size: float
     value: float
 
@@ -78,7 +87,7 @@
 
 
 def series_of(measurements: Iterable[Measurement]) -> list[Series]:
-    """The measurements turned over: for each subject and figure its values by size, in the order of the subjects."""
+    """Returns, for each subject and figure, its values by size, in the order of the subjects."""
     found: dict[tuple[str, Axis, str, str], list[Point]] = {}
     for one in measurements:
         for figure in one.figures:
--- a/stoneyoke/lab/capacity/fits.py
+++ b/stoneyoke/lab/capacity/fits.py
@@ -1,7 +1,8 @@
-"""How a figure grows with the size: least squares of relative errors over a few shapes, and what they foretell.
+"""How a figure grows with the size: fits of a few shapes by least squares of relative errors, and their forecasts.
 
-The relative error counts at each size alike, so that the smallest sizes are not lost beside the largest. Of shapes
-that fit about as well the simplest is taken. One that falls with the size is noise: then the figure is constant."""
+The relative error counts alike at each size, so that the smallest sizes matter beside the largest. Of shapes that fit
+about as well the simplest is taken. A cost that falls with the size is noise: then the figure is constant.
+"""
 
 import math
 from collections.abc import Callable, Sequence
@@ -11,18 +12,19 @@
 from stoneyoke.lab.capacity.figures import Point
 
 FEWEST_POINTS = 4
-PLAUSIBLE = 2.0  # shapes whose residual is within this many times the best one's bound what is foretold
-NOISE = 0.02  # residuals under this are alike: no run repeats better
+PLAUSIBLE_RATIO = 2.0  # shapes whose residual is within this many times the best one's bound the forecast
+NOISE_RESIDUAL = 0.02  # residuals under this are alike: no run repeats better
 
 
 class Shape(NamedTuple):
-    """value = base x first(size) + slope x second(size)."""
+    """The functions of a shape: a value is base x first(size) + slope x second(size)."""
 
     first: Callable[[float], float]
     second: Callable[[float], float]
 
 
 def always(_: float) -> float:
+    """Returns 1 for each size: the first function of most shapes."""
     return 1.0
 
 
@@ -37,7 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """base and slope: see Shape. residual: root mean square of the relative errors."""
+    """A fitted shape.
+
+    Attributes:
+        shape: Its name in SHAPES.
+        base: See Shape.
+        slope: See Shape.
+        residual: Root mean square of the relative errors.
+    """
 
     shape: str
     base: float
@@ -45,16 +54,17 @@
     residual: float
 
     def at(self, size: float) -> float:
+        """Returns the value at a size; never below 0."""
         shape = SHAPES[self.shape]
         return max(0.0, self.base * shape.first(size) + self.slope * shape.second(size))
 
     def plausible(self) -> bool:
-        """Costs don't fall with the size, nor does either part of a sum."""
+        """Returns whether the cost does not fall with the size, nor either part of a sum."""
         return self.slope >= 0 and (self.base >= 0 or self.shape != "linear and square")
 
 
 class Forecast(NamedTuple):
-    """What the simplest plausible fit foretells at a size, and the lowest and the highest of all that are plausible."""
+    """The value of the simplest plausible fit at a size, and the lowest and the highest value of all plausible ones."""
 
     value: float
     low: float
@@ -62,7 +72,7 @@
 
 
 def fit(name: str, points: Sequence[Point]) -> Fit:
-    """base and slope that keep the sum of squared relative errors least."""
+    """Returns the fit of a shape with the least sum of squared relative errors."""
     shape = SHAPES[name]
     rows = [(shape.first(x) / y, shape.second(x) / y) for x, y in points if y > 0]  # each is to come to 1
     if not rows:
@@ -77,17 +87,17 @@
 
 
 def fits(points: Sequence[Point]) -> list[Fit]:
-    """The shapes that are plausible, the simplest first; none where the sizes are too few to tell shapes apart."""
+    """Returns the plausible fits, the simplest first; none where the sizes are too few to tell shapes apart."""
     if len(points) < FEWEST_POINTS:
         return []
-    found = [made for made in (fit(name, points) for name in SHAPES) if made.plausible()]
-    bound = PLAUSIBLE * max(NOISE, min(made.residual for made in found))
-    return [made for made in found if made.residual <= bound]
+    found = [fitted for fitted in (fit(name, points) for name in SHAPES) if fitted.plausible()]
+    bound = PLAUSIBLE_RATIO * max(NOISE_RESIDUAL, min(fitted.residual for fitted in found))
+    return [fitted for fitted in found if fitted.residual <= bound]
 
 
 def forecast(found: Sequence[Fit], size: float) -> Forecast | None:
-    """At a size that was not measured."""
+    """Returns the forecast at a size that was not measured; None without a plausible fit."""
     if not found:
         return None
-    told = [made.at(size) for made in found]
-    return Forecast(told[0], min(told), max(told))
+    values = [fitted.at(size) for fitted in found]
+    return Forecast(values[0], min(values), max(values))
--- /dev/null
+++ b/stoneyoke/lab/capacity/fleet_measurements.py
@@ -0,0 +1,120 @@
+"""Measurements of whole fleets: each plays one from its start to its end, over one axis."""
+
+import asyncio
+import shutil
+import tempfile
+from collections.abc import Callable
+
+from loguru import logger
+
+from stoneyoke.lab.capacity.figures import Figure
+from stoneyoke.lab.capacity.fleet_costs import FleetShape, event_figures, steady_figures
+from stoneyoke.lab.capacity.hollow_fleet import HollowFleet
+from stoneyoke.lab.capacity.metered_network import MeteredLoop
+from stoneyoke.lab.capacity.meters import rss_mb
+from stoneyoke.lab.simulation.bounds import HEARTBEAT_S
+
+ELECTION_S = 0.5  # after the start of the controllers
+TAIL_S = 0.5  # after all have an event: what it still sets off counts as part of it
+LARGE_FLEET = 2000  # gateways; a larger fleet is played for two seconds only, without events
+SHORT_S = 1.0  # a pull is held for as long: the shortest window that sees each pull once
+
+
+async def play(fleet: HollowFleet) -> list[Figure]:
+    """Measures the start of a fleet, a steady window, a change of configuration, a drain and one more gateway."""
+    shape, before_mb = fleet.shape, rss_mb()
+    await fleet.start_controllers()
+    await asyncio.sleep(ELECTION_S)
+    await fleet.put()
+    fleet.network.run_on("", fleet.send_heartbeats())
+    await asyncio.sleep(HEARTBEAT_S)
+    await fleet.send_heartbeat(0)
+    start = await fleet.cost_of(fleet.start_gateways, shape.settle_s)
+    fleet.network.run_on("", fleet.put_repeatedly())
+    steady = await fleet.cost_of(lambda: asyncio.sleep(shape.window_s))
+    figures = [
+        *event_figures("all gateways start", start, None, len(fleet.gateways)),
+        *steady_figures(steady, shape.gateways),
+        Figure("all in one process: memory", "MB", rss_mb() - before_mb),
+    ]
+    if not shape.events:
+        return figures
+    acknowledged_s = 0.0
+
+    async def change() -> None:
+        nonlocal acknowledged_s
+        acknowledged_s = await fleet.put()
+        await fleet.until(lambda gateway: gateway.has(fleet.version))
+
+    async def drain() -> None:
+        await fleet.send_heartbeat(0, "draining")
+        await fleet.until(fleet.knows_drain)
+
+    async def join() -> None:
+        fleet.start_gateway(shape.gateways)
+        await fleet.until(lambda gateway: gateway.client.config_sync.ready)
+
+    changed = await fleet.cost_of(change, TAIL_S)
+    figures += event_figures("a change", changed, steady, len(fleet.gateways))
+    figures.append(Figure("a change: until acknowledged", "s", acknowledged_s))
+    drained = await fleet.cost_of(drain, TAIL_S)
+    figures += event_figures("a drain", drained, steady, len(fleet.gateways))
+    joined = await fleet.cost_of(join, 2 * TAIL_S)
+    return figures + event_figures("one gateway joins", joined, steady, len(fleet.gateways))
+
+
+def fleet_figures(shape: FleetShape) -> list[Figure]:
+    """Plays one fleet from its start to its end."""
+    folder, loop = tempfile.mkdtemp(prefix="capacity-"), MeteredLoop()
+    logger.disable("stoneyoke")
+
+    async def play_and_end() -> list[Figure]:
+        try:
+            return await play(HollowFleet(shape, loop, folder))
+        finally:
+            for task in asyncio.all_tasks() - {asyncio.current_task()}:
+                task.cancel()
+            await asyncio.sleep(0)
+
+    try:
+        return loop.run_until_complete(play_and_end())
+    finally:
+        loop.close()
+        logger.enable("stoneyoke")
+        shutil.rmtree(folder, ignore_errors=True)
+
+
+def by_gateways(size: int) -> list[Figure]:
+    """Measures a fleet of so many gateways."""
+    if size >= LARGE_FLEET:
+        return fleet_figures(FleetShape(gateways=size, settle_s=SHORT_S, window_s=SHORT_S, events=False))
+    return fleet_figures(FleetShape(gateways=size, window_s=2.0))
+
+
+def by_instances(size: int) -> list[Figure]:
+    """Measures a fleet with so many backends."""
+    return fleet_figures(FleetShape(instances=size))
+
+
+def by_routes(size: int) -> list[Figure]:
+    """Measures a fleet with so many routes."""
+    return fleet_figures(FleetShape(routes=size))
+
+
+def by_changes(size: int) -> list[Figure]:
+    """Measures a fleet whose configuration changes so many times a minute."""
+    return fleet_figures(FleetShape(gateways=30, routes=300, changes_per_minute=size, window_s=30.0, events=False))
+
+
+def by_regions(size: int) -> list[Figure]:
+    """Measures a fleet in so many regions."""
+    return fleet_figures(FleetShape(gateways=40, controllers=5, regions=size))
+
+
+FLEETS: dict[str, Callable[[int], list[Figure]]] = {
+    "fleet by gateways": by_gateways,
+    "fleet by instances": by_instances,
+    "fleet by routes": by_routes,
+    "fleet by changes": by_changes,
+    "fleet by regions": by_regions,
+}
--- /dev/null
+++ b/stoneyoke/lab/capacity/hot_paths/configurations.py
@@ -0,0 +1,100 @@
+"""Hot paths of configurations: reading, compression, the routing table and look-ups in it."""
+
+import zlib
+
+from stoneyoke.api.configuration import Configuration, Version, read_configuration, read_json
+from stoneyoke.api.configuration_schema import CONFIGURATION
+from stoneyoke.api.schema import read_table
+from stoneyoke.gateway.routes import Table, table_of
+from stoneyoke.lab.capacity.figures import Figure
+from stoneyoke.lab.capacity.meters import heap, megabytes, processor_once_s, processor_s, sample_indexes
+from stoneyoke.lab.capacity.workloads import configuration
+
+LOOK_UPS = 200  # timed together
+
+
+def configuration_by_routes(size: int) -> list[Figure]:
+    """Measures a whole configuration of so many routes: its text, reading, the routing table, and look-ups."""
+    body = configuration(routes=size)
+    deflated = zlib.compress(body, 6)
+    parsed = read_configuration(body)
+    table = table_of(parsed)
+    return [
+        Figure("text", "B", len(body)),
+        Figure("deflated", "B", len(deflated)),
+        Figure("deflate once", "s", processor_s(lambda: zlib.compress(body, 6))),
+        Figure("inflate", "s", processor_s(lambda: zlib.decompress(deflated))),
+        Figure("read and check", "s", processor_s(lambda: read_configuration(body))),
+        Figure("make the table", "s", processor_s(lambda: table_of(parsed))),
+        Figure("one look-up, 20 routes a host", "s", look_up_s(table, parsed)),
+        *configuration_heap(body),
+    ]
+
+
+def configuration_heap(body: bytes) -> list[Figure]:
+    """Measures what a process holds of a configuration: a controller text and content, a gateway the table."""
+    parsed, parsed_heap = heap(lambda: read_configuration(body))
+    _, table_heap = heap(lambda: table_of(parsed))
+    return [
+        Figure("chart held", "MB", megabytes(parsed_heap.held)),
+        Figure("reading at the peak", "MB", megabytes(parsed_heap.peak)),
+        Figure("table held", "MB", megabytes(table_heap.held)),
+    ]
+
+
+def look_up_s(table: Table, parsed: Configuration) -> float:
+    """Returns the processor time of one look-up, over requests for routes drawn at random."""
+    routes = list(parsed.routes())
+    asked = [(routes[at][0], routes[at][1]["path_prefix"] + "x") for at in sample_indexes(len(routes), LOOK_UPS)]
+
+    def find_all() -> None:
+        for host, path in asked:
+            table.find(host, path)
+
+    return processor_s(find_all) / len(asked)
+
+
+def look_up_by_host_routes(size: int) -> list[Figure]:
+    """Measures look-ups with all routes on one host, the worst that a host_map can hold."""
+    parsed = read_configuration(configuration(routes=size, routes_per_host=size))
+    return [Figure("one look-up, all routes on one host", "s", look_up_s(table_of(parsed), parsed))]
+
+
+def configuration_by_tenants(size: int) -> list[Figure]:
+    """Measures a configuration of so many tenants, without the check of their keys (see check_keys)."""
+    body = configuration(tenants=size)
+    deflated = zlib.compress(body, 6)
+
+    def parse() -> Configuration:
+        given = read_table(read_json(body), CONFIGURATION)
+        services = {one["label"]: one for one in given["service_list"]}
+        return Configuration(
+            version=Version(1),
+            body=body,
+            services=services,
+            limits=given["limits"],
+            tenants=given["tenant_list"],
+            hosts=given["host_map"],
+        )
+
+    parsed, parse_s = processor_once_s(parse)
+    table_s = processor_once_s(lambda: table_of(parsed))[1]
+    del parsed
+    parsed, parsed_heap = heap(parse)
+    table, table_heap = heap(lambda: table_of(parsed))
+    assert table.keys is not None
+    return [
+        Figure("text", "B", len(body)),
+        Figure("deflated", "B", len(deflated)),
+        Figure("parse, keys not checked", "s", parse_s),
+        Figure("make the table", "s", table_s),
+        Figure("chart held", "MB", megabytes(parsed_heap.held)),
+        Figure("parsing at the peak", "MB", megabytes(parsed_heap.peak)),
+        Figure("keys and tenants held", "MB", megabytes(table_heap.held)),
+    ]
+
+
+def check_keys(size: int) -> list[Figure]:
+    """Measures the whole reading, with the check that no two tenants share a key or a label."""
+    body = configuration(tenants=size)
+    return [Figure("read and check", "s", processor_once_s(lambda: read_configuration(body))[1])]
--- /dev/null
+++ b/stoneyoke/lab/capacity/hot_paths/controller_registry.py
@@ -0,0 +1,77 @@
+"""Hot paths of a controller's registry of instances: heartbeats, changes and pulls."""
+
+from stoneyoke.api.calls import Heartbeat
+from stoneyoke.api.http_mapping import read_call
+from stoneyoke.controlplane.instance_registry import InstanceRecord, InstanceRegistry, Phase, row_from_heartbeat
+from stoneyoke.lab.capacity.figures import Figure
+from stoneyoke.lab.capacity.hot_paths.pull_responses import pull_response
+from stoneyoke.lab.capacity.meters import heap, megabytes, processor_once_s, processor_s, sample_indexes
+from stoneyoke.lab.capacity.workloads import heartbeat, instance_name, row
+from stoneyoke.lab.simulation.bounds import HEARTBEAT_S
+from stoneyoke.transport.messages import InstanceRow, pack
+
+CALLS = 200  # timed together
+SILENT_S = 2.4 * HEARTBEAT_S + 0.5  # after which an instance counts as silent
+
+
+def filled_registry(size: int) -> InstanceRegistry:
+    """Returns a registry of ready instances, put in directly: merge() searches all of them for each new one."""
+    registry = InstanceRegistry(SILENT_S)
+    for at in range(size):
+        registry.records[instance_name(at)] = InstanceRecord(row(at), 0.0, 0.0, at + 1)
+    registry.seq = size
+    return registry
+
+
+def row_of_call(call: object) -> InstanceRow:
+    """Returns the row of a heartbeat's call."""
+    assert isinstance(call, Heartbeat)
+    return row_from_heartbeat(call)
+
+
+def registered_heartbeats(size: int) -> list[Figure]:
+    """Measures a controller that knows so many instances: heartbeats of all, a change, a drain, a sweep, pulls."""
+    registry, registry_heap = heap(lambda: filled_registry(size))
+    seq = 1
+
+    def merge_all() -> None:
+        nonlocal seq
+        seq += 1
+        for at in range(size):
+            registry.merge(row(at, seq), 1.0)
+
+    calls = [(f"/instances/{instance_name(at)}/heartbeat", heartbeat(at, 9)) for at in sample_indexes(size, CALLS)]
+
+    def read_calls() -> None:
+        for target, body in calls:
+            row_of_call(read_call("POST", target, body))
+
+    registry.merge(row(0, 10**6, Phase.DRAINING), 1.0)
+    drained = registry.changes_since(registry.seq - 1, 1.0)
+    complete = pull_response(registry, registry.changes_since(0, 1.0), True)
+    rows_s = processor_s(lambda: [row(at, 1) for at in range(size)])
+    return [
+        Figure("registry held", "MB", megabytes(registry_heap.held)),
+        Figure("read one beat's call", "s", processor_s(read_calls) / len(calls)),
+        Figure("all beat once, calls read already", "s", max(1e-9, processor_s(merge_all) - rows_s)),
+        Figure("sweep", "s", processor_s(lambda: registry.sweep(1.0))),
+        Figure(
+            "one pull after one change: since()",
+            "s",
+            processor_s(lambda: registry.changes_since(registry.seq - 1, 1.0)),
+        ),
+        Figure("one pull after one drain", "B", len(pack(1, pull_response(registry, drained, False)))),
+        Figure("a first pull: pack", "s", processor_s(lambda: pack(1, complete))),
+        Figure("a first pull", "B", len(pack(1, complete))),
+    ]
+
+
+def first_heartbeats(size: int) -> list[Figure]:
+    """Measures the first heartbeats of so many instances."""
+    registry, rows = InstanceRegistry(SILENT_S), [row(at) for at in range(size)]
+
+    def merge_all() -> None:
+        for one in rows:
+            registry.merge(one, 0.0)
+
+    return [Figure("all beat for the first time", "s", processor_once_s(merge_all)[1])]
--- /dev/null
+++ b/stoneyoke/lab/capacity/hot_paths/gateway_directory.py
@@ -0,0 +1,90 @@
+"""Hot paths of a gateway's instances: pulls, changes, sweeps and the upstreams made from them."""
+
+import asyncio
+
+from stoneyoke.controlplane.instance_registry import InstanceRegistry, Phase
+from stoneyoke.gateway.instance_directory import InstanceDirectory
+from stoneyoke.gateway.upstreams import Upstreams
+from stoneyoke.lab.capacity.figures import Figure
+from stoneyoke.lab.capacity.hot_paths.pull_responses import pull_response
+from stoneyoke.lab.capacity.meters import heap, megabytes, processor_once_s, processor_s
+from stoneyoke.lab.capacity.workloads import row
+from stoneyoke.lab.simulation.bounds import BOUNDS
+from stoneyoke.net.backends import BackendLimits, Backends
+from stoneyoke.net.descriptor_budget import DescriptorBudget
+from stoneyoke.runtime.clock import Clock
+from stoneyoke.runtime.metrics import Metrics
+from stoneyoke.transport.messages import InstanceRow, PullResponse, pack, unpack
+
+CONTROLLERS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
+
+
+def directory_with(rows: list[InstanceRow]) -> InstanceDirectory:
+    """Returns a directory with the same rows from each controller."""
+    directory = InstanceDirectory(CONTROLLERS)
+    registry = InstanceRegistry(1.0)
+    for name in CONTROLLERS:
+        directory.hear(name, pull_response(registry, rows, True), 0.0)
+    return directory
+
+
+def merge_pulls(size: int) -> list[Figure]:
+    """Measures a gateway that learns of so many instances from three controllers."""
+    registry = InstanceRegistry(1.0)
+    frame = pack(1, pull_response(registry, [row(at) for at in range(size)], True))[4:]
+
+    def first_pulls() -> InstanceDirectory:
+        known = InstanceDirectory(CONTROLLERS)
+        for name in CONTROLLERS:
+            response = unpack(frame)[1]
+            assert isinstance(response, PullResponse)
+            known.hear(name, response, 0.0)
+        return known
+
+    _, first_s = processor_once_s(first_pulls)
+    known, directory_heap = heap(first_pulls)
+    seq = 1
+
+    def one_change() -> None:
+        nonlocal seq
+        seq += 1
+        known.hear(CONTROLLERS[0], pull_response(registry, [row(0, seq)], False), 0.5)
+
+    one_change()  # frees the first answer, which is not what a change costs
+    return [
+        Figure("first pulls from three controllers", "s", first_s),
+        Figure("directory held", "MB", megabytes(directory_heap.held)),
+        Figure("first pulls at the peak", "MB", megabytes(directory_heap.peak)),
+        Figure("one change merged", "s", processor_s(one_change)),
+        Figure("sweep, four a second", "s", processor_s(lambda: known.sweep(0.6))),
+    ]
+
+
+def renew_upstreams(size: int) -> list[Figure]:
+    """Measures the upstreams of so many instances: the first renewal, and one after a drain."""
+
+    async def renewals() -> list[Figure]:  # in a loop, because the upstreams set timers
+        known, clock, metrics = directory_with([row(at) for at in range(size)]), Clock(), Metrics()
+
+        def make() -> Upstreams:
+            limits = BackendLimits(connect_timeout_us=300_000, idle_timeout_us=4_000_000)
+            backends = Backends(clock, metrics, DescriptorBudget(1000, 100), limits)
+            return Upstreams(clock, metrics, backends, known, (), "zone-00", 5, BOUNDS)
+
+        def renewed_elsewhere() -> Upstreams:
+            other = make()
+            other.renew()
+            return other
+
+        made = make()
+        (_, first_s), again_heap = processor_once_s(made.renew), heap(renewed_elsewhere)[1]
+        drained = pull_response(InstanceRegistry(1.0), [row(0, 2, Phase.DRAINING)], False)
+        known.hear(CONTROLLERS[0], drained, 0.5)
+        _, again_s = processor_once_s(made.renew)
+        return [
+            Figure("first renewal", "s", first_s),
+            Figure("renewal after one drain", "s", again_s),
+            Figure("modules of decisions held", "MB", megabytes(again_heap.held)),
+        ]
+
+    return asyncio.run(renewals())
--- /dev/null
+++ b/stoneyoke/lab/capacity/hot_paths/pull_responses.py
@@ -0,0 +1,28 @@
+"""Pull responses of a controller for measurements: what it tells of instances, and nothing else."""
+
+from stoneyoke.controlplane.instance_registry import InstanceRegistry
+from stoneyoke.transport.messages import BallotRow, InstanceRow, MemberRow, PullResponse, ValueRow, VersionRow
+
+
+def pull_response(registry: InstanceRegistry, rows: list[InstanceRow], complete: bool) -> PullResponse:
+    """Returns what a controller tells of instances; all that it tells besides is empty."""
+    no_ballot = BallotRow(0, "")
+    no_version = VersionRow(0, b"")
+    return PullResponse(
+        incarnation="life",
+        seq=registry.seq,
+        complete=complete,
+        instances=list(rows),
+        replica=MemberRow("", ""),
+        view_ballot=no_ballot,
+        view=ValueRow(0, [], [], no_version, b""),
+        chosen_ballot=no_ballot,
+        version=no_version,
+        instances_synced=True,
+        lease_holder="",
+        leaving=False,
+        zone="",
+        membership_version=1,
+        controllers=[],
+        gateways=[],
+    )
--- a/stoneyoke/lab/capacity/metered_network.py
+++ b/stoneyoke/lab/capacity/metered_network.py
@@ -1,7 +1,8 @@
-"""The simulated network and loop with meters: whose processor time each step was, and what bytes each message had.
+"""The simulated network and loop with meters: the processor time of each machine, and the bytes of its messages.
 
-The simulation names the machine that each step belongs to; what carries messages belongs to none, so that the
-simulation's own cost is not the system's."""
+The simulation names the machine that each step belongs to. What carries messages belongs to none, so that the cost of
+the simulation is not counted as the system's.
+"""
 
 import asyncio
 import random
@@ -16,13 +17,19 @@
 
 
 class MeteredLoop(SimulatedLoop):
-    """spent: processor seconds by machine; each callback is charged to the one in whose context it runs."""
+    """A simulated loop that measures processor time.
+
+    Attributes:
+        spent: Processor seconds by machine; a step is charged to the machine in whose context it runs.
+    """
 
     def __init__(self) -> None:
+        """Starts with no time spent."""
         super().__init__()
         self.spent: defaultdict[str, float] = defaultdict(float)
 
     def metered(self, callback: Callable[..., Any]) -> Callable[..., Any]:
+        """Returns a callback that charges its time."""
         spent = self.spent
 
         def step(*args: Any) -> None:
@@ -40,49 +47,71 @@
     def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: Any = None
     ) -> asyncio.TimerHandle:
+        """Starts a timer whose step is charged."""
         return super().call_at(when, self.metered(callback), *args, context=context)
 
 
 @dataclass
 class Traffic:
-    """Messages and their bytes, by sender and receiver's machine."""
+    """Messages and their bytes.
+
+    Attributes:
+        messages: Messages in and out, by machine.
+        sent: Bytes sent, by machine.
+        received: Bytes received, by machine.
+        between_regions: Bytes from one region to another.
+    """
 
-    messages: defaultdict[str, int] = field(default_factory=lambda: defaultdict(int))  # in and out
+    messages: defaultdict[str, int] = field(default_factory=lambda: defaultdict(int))
     sent: defaultdict[str, int] = field(default_factory=lambda: defaultdict(int))
     received: defaultdict[str, int] = field(default_factory=lambda: defaultdict(int))
     between_regions: int = 0
 
-    def carried(self, sender: str, receiver: str, size: int, far: bool) -> None:
+    def bytes_of(self, machine: str) -> int:
+        """Returns the bytes in and out of a machine."""
+        return self.sent[machine] + self.received[machine]
+
+    def add(self, sender: str, receiver: str, size: int, crosses_regions: bool) -> None:
+        """Counts a message of so many bytes."""
         self.messages[sender] += 1
         self.messages[receiver] += 1
         self.sent[sender] += size
         self.received[receiver] += size
-        self.between_regions += size if far else 0
+        self.between_regions += size if crosses_regions else 0
 
 
 class MeteredNetwork(SimulatedNetwork):
-    """region_of: machines' regions; far_s: one way between two of them."""
+    """A simulated network that counts messages and bytes, with longer ways between regions."""
+
+    def __init__(self, random_source: random.Random, region_of: Callable[[str], int], between_regions_s: float) -> None:
+        """Starts without machines.
 
-    def __init__(self, random_source: random.Random, region_of: Callable[[str], int], far_s: float) -> None:
+        Args:
+            random_source: Delays are drawn from it.
+            region_of: Returns the region of a machine.
+            between_regions_s: One way between two regions, in seconds.
+        """
         super().__init__(random_source)
-        self.region_of, self.far_s = region_of, far_s
+        self.region_of, self.between_regions_s = region_of, between_regions_s
         self.traffic = Traffic()
 
-    def far(self, own: str, other: str) -> bool:
+    def crosses_regions(self, own: str, other: str) -> bool:
+        """Returns whether two machines are in different regions."""
         return self.region_of(own) != self.region_of(other)
 
-    async def transmit(self, own: str, other: str) -> bool:
-        arrives = await super().transmit(own, other)
-        if self.far(own, other):
-            await asyncio.sleep(self.far_s)
+    async def transmit(self, sender: str, receiver: str) -> bool:
+        """Waits for as long as a message is on its way."""
+        arrives = await super().transmit(sender, receiver)
+        if self.crosses_regions(sender, receiver):
+            await asyncio.sleep(self.between_regions_s)
         return arrives
 
     async def deliver(self, call: PeerCall) -> None:
         """Counts a call's bytes and carries it."""
-        self.traffic.carried(call.sender, call.receiver, len(call.frame), self.far(call.sender, call.receiver))
+        self.traffic.add(call.sender, call.receiver, len(call.frame), self.crosses_regions(call.sender, call.receiver))
         await super().deliver(call)
 
     async def return_answer(self, call: PeerCall, frame: bytes) -> None:
         """Counts an answer's bytes and carries it."""
-        self.traffic.carried(call.receiver, call.sender, len(frame), self.far(call.sender, call.receiver))
+        self.traffic.add(call.receiver, call.sender, len(frame), self.crosses_regions(call.sender, call.receiver))
         await super().return_answer(call, frame)
--- a/stoneyoke/lab/capacity/meters.py
+++ b/stoneyoke/lab/capacity/meters.py
@@ -1,6 +1,7 @@
 """Processor time and memory of a piece of work, in the process that does it."""
 
 import gc
+import random
 import time
 import tracemalloc
 from collections.abc import Callable
@@ -10,6 +11,7 @@
 R = TypeVar("R")
 
 SHORTEST_S = 0.05  # shorter work is repeated until it has taken this long
+SAMPLE_SEED = 3
 ROUNDS = 3  # of short work; the least disturbed one counts
 
 
@@ -21,7 +23,7 @@
 
 
 def processor_s(work: Callable[[], object]) -> float:
-    """Of one call of this work. It must bear being repeated."""
+    """Returns the processor time of one call of work that can be repeated."""
     gc.collect()
     gc.disable()
     try:
@@ -43,7 +45,7 @@
 
 
 def processor_once_s(work: Callable[[], R]) -> tuple[R, float]:
-    """Of work that can't be repeated, and what it returned."""
+    """Returns the result and the processor time of work that can't be repeated."""
     gc.collect()
     gc.disable()
     try:
@@ -55,7 +57,7 @@
 
 
 def heap(work: Callable[[], R]) -> tuple[R, Heap]:
-    """Of what this work makes and returns. Slows it down, so its time is measured apart."""
+    """Returns the result of work and what it holds. This slows the work down, so its time is measured apart."""
     gc.collect()
     gc.disable()
     tracemalloc.start()
@@ -69,7 +71,7 @@
 
 
 def peak_rss_mb() -> float:
-    """Of this process's own image; the resource module's figure may be inherited from the parent."""
+    """Returns the peak memory of this process, in MB; the resource module's figure may be inherited from the parent."""
     for line in Path("/proc/self/status").read_text().splitlines():
         if line.startswith("VmHWM:"):
             return int(line.split()[1]) / 1024
@@ -77,7 +79,18 @@
 
 
 def rss_mb() -> float:
+    """Returns the memory of this process, in MB."""
     for line in Path("/proc/self/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
     return 0.0
+
+
+def sample_indexes(count: int, most: int) -> list[int]:
+    """Returns some indexes below a count, at most so many, the same ones each time."""
+    return random.Random(SAMPLE_SEED).sample(range(count), min(count, most))
+
+
+def megabytes(count: int) -> float:
+    """Returns bytes as megabytes."""
+    return count / 1e6
--- a/stoneyoke/lab/capacity/report.py
+++ b/stoneyoke/lab/capacity/report.py
@@ -1,4 +1,4 @@
-"""The measurements as a table and as JSON, each figure with its fit and what that foretells at the target. No I/O."""
+"""Reports of measurements as a table and as JSON, each figure with its fit and its forecast at the target. No I/O."""
 
 import json
 from collections.abc import Sequence
@@ -12,8 +12,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One figure over its axis. beyond: by which factor the target lies beyond the largest size measured; 1 at most
-    where it is within."""
+    """One figure over its axis, with its forecast.
+
+    Attributes:
+        series: The values by size.
+        fit: The simplest plausible fit, if any.
+        target: The operators' size.
+        forecast: The figure at the target, if there is a fit.
+        beyond: The target divided by the largest size that was measured.
+    """
 
     series: Series
     fit: Fit | None
@@ -22,10 +29,12 @@
     beyond: float
 
     def extrapolated(self) -> bool:
+        """Returns whether the target lies beyond the sizes that were measured."""
         return self.beyond > 1.0
 
 
 def row_of(series: Series) -> Row:
+    """Returns the row of a figure."""
     found, target = fits(series.points), TARGETS[series.axis]
     return Row(
         series,
@@ -37,7 +46,7 @@
 
 
 def shown(value: float, unit: str) -> str:
-    """Three digits, with the unit's usual prefix."""
+    """Returns a value with three digits and the usual prefix of its unit."""
     if unit in ("s", "s/s"):
         for scale, name in ((1.0, "s"), (MILLI, "ms"), (MICRO, "us"), (NANO, "ns")):
             if abs(value) >= scale:
@@ -51,21 +60,23 @@
 
 
 def line(row: Row) -> str:
+    """Returns a row as text: the values, the fit and the forecast with its bounds."""
     series = row.series
     points = ", ".join(f"{point.size:g}: {shown(point.value, series.unit)}" for point in series.points)
     if row.fit is None or row.forecast is None:
         return f"  {series.name}: {points}"
-    told = row.forecast
+    forecast_at_target = row.forecast
     where = f"extrapolated x{row.beyond:.3g}" if row.extrapolated() else "within"
     return (
         f"  {series.name}: {points}\n"
         f"      {row.fit.shape}, slope {row.fit.slope:.3g}, base {row.fit.base:.3g}, residual {row.fit.residual:.0%}; "
-        f"at {row.target:g} ({where}): {shown(told.value, series.unit)} "
-        f"[{shown(told.low, series.unit)} to {shown(told.high, series.unit)}]"
+        f"at {row.target:g} ({where}): {shown(forecast_at_target.value, series.unit)} "
+        f"[{shown(forecast_at_target.low, series.unit)} to {shown(forecast_at_target.high, series.unit)}]"
     )
 
 
 def table(measurements: Sequence[Measurement]) -> str:
+    """Returns all measurements as text, by subject, with the failures at the end."""
     lines, subject = [], ""
     for row in map(row_of, series_of(measurements)):
         if row.series.subject != subject:
@@ -87,7 +98,7 @@
 
 
 def document(measurements: Sequence[Measurement], wall_s: float) -> str:
-    """All of it as JSON."""
+    """Returns all measurements and fits as JSON."""
     return json.dumps(
         {
             "wall_s": round(wall_s, 1),
--- a/stoneyoke/lab/capacity/runner.py
+++ b/stoneyoke/lab/capacity/runner.py
@@ -14,10 +14,16 @@
 from stoneyoke.lab.capacity.subjects import WORK
 
 GIGABYTE = 1 << 30
+MAX_ERROR_CHARACTERS = 200
 
 
 def measure(case: Case, memory_gb: float = 0.0) -> Measurement:
-    """memory_gb: of this process; 0: not bounded. What goes wrong is told in the measurement."""
+    """Measures one case in this process; a failure is part of the measurement.
+
+    Args:
+        case: What is measured.
+        memory_gb: The process may use so much; 0 for no bound.
+    """
     if memory_gb:
         top = int(memory_gb * GIGABYTE)
         resource.setrlimit(resource.RLIMIT_AS, (top, top))
@@ -28,15 +34,22 @@
         figures = tuple(WORK[case.subject](case.size))
     except MemoryError:
         failed = f"more than {memory_gb:g} GB"
-    except Exception as bad:  # one case that fails must not cost the others
-        failed = f"{type(bad).__name__}: {bad}"[:200]
+    except Exception as error:  # one case that fails must not cost the others
+        failed = f"{type(error).__name__}: {error}"[:MAX_ERROR_CHARACTERS]
     logger.enable("stoneyoke")
     return Measurement(case, figures, time.monotonic() - begun, peak_rss_mb(), failed)
 
 
 def measure_all(cases: Iterable[Case], jobs: int, memory_gb: float) -> Iterator[Measurement]:
-    """In the order of the cases. memory_gb: of all processes together. A process that is ended costs those cases that
-    are not measured yet, never those that are."""
+    """Measures cases in processes of their own; yields them in their order.
+
+    A process that is ended from outside costs the cases that are not measured yet, never those that are.
+
+    Args:
+        cases: What is measured.
+        jobs: Processes at once.
+        memory_gb: For all processes together.
+    """
     with ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn"), max_tasks_per_child=1) as pool:
         begun = [(case, pool.submit(measure, case, memory_gb / jobs)) for case in cases]
         for case, measured in begun:
--- a/stoneyoke/lab/capacity/subjects.py
+++ b/stoneyoke/lab/capacity/subjects.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from stoneyoke.lab.capacity.figures import Axis, Case, Figure
-from stoneyoke.lab.capacity.hollow_fleet import FLEETS
+from stoneyoke.lab.capacity.fleet_measurements import FLEETS
 from stoneyoke.lab.capacity.hot_paths import PATHS
 
 WORK: dict[str, Callable[[int], list[Figure]]] = {**FLEETS, **PATHS}
@@ -12,7 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """The key of its work in WORK, and the sizes, the largest first: long work is begun first."""
+    """A subject of measurement.
+
+    Attributes:
+        name: The key of its work in WORK.
+        axis: What grows.
+        sizes: The sizes, the largest first: long work starts first.
+        quick: Smaller sizes, for a look of less than a minute.
+    """
 
     name: str
     axis: Axis
@@ -20,6 +27,7 @@
     quick: tuple[int, ...]
 
     def cases(self, quick: bool) -> list[Case]:
+        """Returns the cases at all sizes, or at the quick ones."""
         return [Case(self.name, self.axis, size) for size in (self.quick if quick else self.sizes)]
 
 
--- a/stoneyoke/lab/capacity/workloads.py
+++ b/stoneyoke/lab/capacity/workloads.py
@@ -1,11 +1,10 @@
-"""Configurations, backends' calls and records of any size, the same ones from the same size."""
+"""Configurations, heartbeats and rows of any size; the same size gives the same ones."""
 
 import json
 import random
 import string
 from typing import Any
 
-from stoneyoke.api.bounds import ServiceBounds
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.transport.messages import InstanceRow
 
@@ -15,19 +14,20 @@
 KEYS_PER_TENANT = 2  # as in the operators' pages
 KEY_CHARACTERS = 20
 ZONES = 18
-BOUNDS = ServiceBounds(retry_slack_attempts=56.0)
 
 
 def word(random_source: random.Random, length: int) -> str:
+    """Returns random letters and digits."""
     return "".join(random_source.choices(string.ascii_lowercase + string.digits, k=length))
 
 
 def service_name(at: int) -> str:
+    """Returns the name of the service with this index."""
     return f"service-{at:04d}"
 
 
 def route(random_source: random.Random, service: str) -> dict[str, Any]:
-    """As the operators' example writes them."""
+    """Returns a route, as the operators write it."""
     return {
         "label": f"r-{word(random_source, 7)}",
         "path_prefix": f"/{word(random_source, 7)}/{word(random_source, 4)}/",
@@ -42,6 +42,7 @@
 
 
 def tenant(random_source: random.Random, at: int) -> dict[str, Any]:
+    """Returns the tenant with this index, as the operators write it."""
     return {
         "label": f"tenant-{at:07d}",
         "api_keys": [word(random_source, KEY_CHARACTERS) for _ in range(KEYS_PER_TENANT)],
@@ -52,7 +53,7 @@
 
 
 def configuration(routes: int = 20, tenants: int = 8, number: int = 1, routes_per_host: int = ROUTES_PER_HOST) -> bytes:
-    """The operator's text."""
+    """Returns the text of a configuration of this size; the same arguments give the same text."""
     random_source = random.Random(7)
     services = max(1, routes // ROUTES_PER_SERVICE)
     rows = [route(random_source, service_name(at % services)) for at in range(routes)]
@@ -89,15 +90,17 @@
 
 
 def instance_name(at: int) -> str:
+    """Returns the name of the instance with this index."""
     return f"i-{at:08x}"
 
 
 def address(at: int) -> str:
+    """Returns the address of the instance with this index."""
     return f"10.{at >> 16 & 255}.{at >> 8 & 255}.{at & 255}:8080"
 
 
 def row(at: int, call_seq: int = 1, phase: Phase = Phase.READY) -> InstanceRow:
-    """A backend as cores tell of it."""
+    """Returns the row of the instance with this index, as controllers send it."""
     service = service_name(at // INSTANCES_PER_SERVICE)
     return InstanceRow(
         instance_name(at), address(at), service, f"zone-{at % ZONES:02d}", "v1", 2, int(phase), call_seq, 0.0
@@ -105,7 +108,7 @@
 
 
 def heartbeat(at: int, call_seq: int, phase: str = "ready") -> bytes:
-    """A backend's call, as the protocol writes it."""
+    """Returns the body of a heartbeat of the instance with this index."""
     return json.dumps(
         {
             "address": address(at),
--- a/stoneyoke/lab/simulation/disks.py
+++ b/stoneyoke/lab/simulation/disks.py
@@ -5,6 +5,7 @@
 """
 
 import asyncio
+import contextlib
 import errno
 import os
 import random
@@ -195,7 +196,7 @@
         self.writing = lambda: work(*args)
         try:
             await asyncio.sleep(self.write_s * (0.5 + self.random_source.random()))
-            while self.stalled:
+            while self.stalled:  # noqa: ASYNC110 -- a poll is part of the trace: an event would wake it earlier
                 await asyncio.sleep(STALL_POLL_S)
             self.writing = None
             done = work(*args)
@@ -208,10 +209,8 @@
         """Ends the process that uses the disk, perhaps within a write; `power`: whether the machine loses its power."""
         if self.writing and self.random_source.random() < END_DURING_WRITE:
             self.store.steps_left = self.random_source.randrange(RECORD_STEPS)
-            try:
+            with contextlib.suppress(PowerLost, StorageError):
                 self.writing()
-            except (PowerLost, StorageError):
-                pass
         self.writing = None
         self.store.steps_left = -1
         if power:
--- a/stoneyoke/lab/simulation/exhaustive/snapshots.py
+++ b/stoneyoke/lab/simulation/exhaustive/snapshots.py
@@ -19,7 +19,7 @@
     def save(self, family: str, record: Any) -> None:
         """Ignores the record."""
 
-    def load(self, family: str) -> LoadedRecord:
+    def load(self, family: str) -> LoadedRecord:  # noqa: ARG002 -- the signature of RecordStore
         """Finds no record, and no damaged file."""
         return LoadedRecord(None, [])
 
