--- a/stoneyoke/control/backend_selection.py
+++ b/stoneyoke/control/backend_selection.py
@@ -14,7 +14,7 @@
 EJECTED_US = SECOND  # how long a failing backend gets no attempts
 EJECTION_MARGIN = 0.4  # ejected above the median share of failures by this
 LATENCY_BAND = 1.5  # each band of the order is this much slower than the one before
-TYPICAL_LATENCY = 2.25  # below this many times the fleet's latency a backend tells of the whole fleet
+TYPICAL_LATENCY = 2.25  # times the median of the backends measured of late
 RANKING_CHANGES = 4  # changes after which the order is renewed: answers, overdue attempts and quarters of a second
 REFUSAL_LATENCY = 3.0  # a failure counts as slow as this, or a backend that refuses quickly would attract all
 
@@ -27,14 +27,14 @@
         self.context, self.concurrency = context, ConcurrencyLimit(context)
         self.table, self.order = BackendTable(), list[Backend]()
         self.changes, self.ranked_at = 0, context.now  # since the order was renewed, and when it was
-        self.usual_latency = 1.0  # median of the backends measured of late
+        self.typical_max = TYPICAL_LATENCY  # observed latencies of backends that tell of the whole fleet
         self.peer_evidence = PeerEvidence(frozenset(), frozenset())
 
     def choose(self, tried: set[int], share: float, home: Backend | None, scope: DeduplicationScope) -> Backend | None:
         """The backend for an RPC that may fill this share of the limit, in the scope of a home that may have run it."""
-        limit, order = self.concurrency.limit, self.order
+        limit, order, typical_max = self.concurrency.limit, self.order, self.typical_max
         overloaded, rotation = self.concurrency.is_overloaded(), rotation_size(self.concurrency.answers_per_s)
-        filled = sum(b.in_flight - (0 if overloaded else b.overdue) for b in order if self.is_typical(b))
+        filled = sum(b.in_flight - (0 if overloaded else b.overdue) for b in order if b.observed_latency < typical_max)
         # Where gateways are many the limit is a fraction: drawn, so that the gateways' parts sum to the whole.
         if filled + self.context.random_source.draw() >= limit * share:
             return None
@@ -61,7 +61,7 @@
 
     def is_typical(self, backend: Backend) -> bool:
         """Whether it is not much slower than the others that were measured of late."""
-        return backend.observed_latency < TYPICAL_LATENCY * self.usual_latency
+        return backend.observed_latency < self.typical_max
 
     def grant_cold_budgets(self, ready: list[Backend]) -> None:
         """Each gateway grants its part, be it a fraction of an attempt: the gateways' parts sum to the whole."""
@@ -109,7 +109,7 @@
             backend.failure_share *= 0.95**quarters
         # One that is never used tells nothing of an overload. The 1.0 is for a single measured one: it is no norm.
         recent = [b.observed_latency for b in ready if b.in_flight or now - b.measured_at < 5 * SECOND]
-        self.usual_latency = sorted([1.0, *recent])[len(recent) // 2]
+        self.typical_max = TYPICAL_LATENCY * sorted([1.0, *recent])[len(recent) // 2]
 
     def assign_bands(self, ready: list[Backend]) -> None:
         """Sets each backend's band and place on the ring. Ejects those with far more failures than the median."""
--- a/stoneyoke/control/counter_load.py
+++ b/stoneyoke/control/counter_load.py
@@ -39,8 +39,7 @@
         share = 0.9 * self.queried_share if failed else 1.03 * self.queried_share + 0.01
         self.queried_share = max(0.05, min(1.0, share))
         self.usual_queried_share += (self.queried_share - self.usual_queried_share) * 0.04
-        # Where not half of the RPCs can be asked about, all but those under a ceiling go by the period.
-        # Both at once did worse than either.
+        # Below half, all but those under a ceiling go by the period: both at once did worse than either.
         if self.asks() and self.has_ceilings and self.usual_queried_share < 0.45:
             self.periodic_until = self.context.now + 30 * SECOND
             self.queried_share = self.usual_queried_share = 1.0
--- a/stoneyoke/control/gateway.py
+++ b/stoneyoke/control/gateway.py
@@ -122,6 +122,7 @@
         self.backends.renew_order()
 
     def parameters_changed(self, event: events.ParametersChanged) -> None:
-        """Takes new parameters. What was measured stays."""
-        self.context.replace_parameters(event.parameters)
-        self.retry_policy.parameters_changed()
+        """Takes new parameters. What was measured stays. More gateways may share the retry budget now."""
+        parameters, budget = event.parameters, self.retry_policy.retry_budget
+        self.context.replace_parameters(parameters)
+        budget.resize(parameters.retry_budget_per_s, parameters.retry_budget_depth, self.context.now)
--- a/stoneyoke/control/retry_policy.py
+++ b/stoneyoke/control/retry_policy.py
@@ -82,11 +82,6 @@
         self.retry_budget = TokenBucket(parameters.retry_budget_per_s, parameters.retry_budget_depth, 1.0, context.now)
         self.mean_value = 0.0  # running mean over RPCs of their value, see priority()
 
-    def parameters_changed(self) -> None:
-        """Reshapes the retry budget: the number of gateways that share it may have changed."""
-        parameters = self.context.parameters
-        self.retry_budget.resize(parameters.retry_budget_per_s, parameters.retry_budget_depth, self.context.now)
-
     def serve(self, rpc: OpenRpc) -> RpcSteps:
         """One RPC, from its arrival to its final answer."""
         arrival = rpc.arrival
@@ -114,11 +109,14 @@
                 break
         if reservation and rpc.attempts_started == 0:
             self.quotas.counter.add(reservation.name, -reservation.amount)  # the RPC was never sent
-        if history.may_be_rejected():
-            # An overloaded fleet's own wait: a soft deadline, in which a full one empties.
-            yield Reject(arrival.rpc, self.quotas.jittered(method.soft_deadline_us), True)
-        else:
-            yield Abandon(arrival.rpc)
+        yield self.final_answer(arrival, history)
+
+    def final_answer(self, arrival: Arrival, history: AttemptHistory) -> Reject | Abandon:
+        """The answer to an RPC that no attempt has answered, and that gets no further one."""
+        if not history.may_be_rejected():
+            return Abandon(arrival.rpc)
+        # The wait is a soft deadline, in which a full fleet empties.
+        return Reject(arrival.rpc, self.quotas.jittered(history.method.soft_deadline_us), True)
 
     def next_backend(self, history: AttemptHistory, admission_share: float) -> Backend | None:
         """The backend for the next attempt, if there may be one."""
