--- a/stoneyoke/controlplane/membership.py
+++ b/stoneyoke/controlplane/membership.py
@@ -20,7 +20,7 @@
 LEAVE_POLL_S = 0.05
 
 
-@dataclass(eq=False, kw_only=True)
+@dataclass(eq=False, repr=False, kw_only=True)
 class Membership:
     """Keeps the voter set at its size, made of controllers that answer.
 
--- a/stoneyoke/controlplane/peer_follower.py
+++ b/stoneyoke/controlplane/peer_follower.py
@@ -24,7 +24,7 @@
 NO_MEMBERSHIP_VERSION = -1  # the answer always contains the lists of controllers and gateways
 
 
-@dataclass(eq=False, kw_only=True)
+@dataclass(eq=False, repr=False, kw_only=True)
 class PeerFollower:
     """Pulls from each known peer, for as long as the process runs.
 
--- a/stoneyoke/controlplane/pull_service.py
+++ b/stoneyoke/controlplane/pull_service.py
@@ -21,7 +21,7 @@
 MAX_PULL_HOLD_S = 2.0  # a pull is answered after this time, with news or without
 
 
-@dataclass(eq=False, kw_only=True)
+@dataclass(eq=False, repr=False, kw_only=True)
 class PullService:
     """Holds a pull until there is news for it, for as long as the request allows.
 
--- a/stoneyoke/controlplane/quota_lease.py
+++ b/stoneyoke/controlplane/quota_lease.py
@@ -35,7 +35,7 @@
     started_at: float
 
 
-@dataclass(eq=False, kw_only=True)
+@dataclass(eq=False, repr=False, kw_only=True)
 class QuotaLease:
     """The candidate's and holder's side of the quota lease.
 
--- a/stoneyoke/controlplane/status.py
+++ b/stoneyoke/controlplane/status.py
@@ -1,7 +1,8 @@
 """A controller's status report, as JSON for people and for stoneyokectl. No I/O."""
 
 import json
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
+from typing import TypedDict
 
 from stoneyoke.consensus.register_value import VoterSet
 from stoneyoke.consensus.replica import Replica
@@ -12,7 +13,7 @@
 from stoneyoke.controlplane.quota_lease import QuotaLease
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
+@dataclass(eq=False, repr=False, kw_only=True)
 class StatusSources:
     """The parts of a controller that its status is read from."""
 
@@ -25,8 +26,7 @@
     registry: InstanceRegistry
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class BallotStatus:
+class BallotStatus(TypedDict):
     """Ballot counters of this controller's replica; None: there is no such value."""
 
     promised: int
@@ -34,16 +34,14 @@
     chosen: int | None
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class VotersStatus:
+class VotersStatus(TypedDict):
     """The newest voter set known here; members as address/disk."""
 
     number: int
     members: list[str]
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class ControllerStatus:
+class ControllerStatus(TypedDict):
     """Another controller. silent_s: seconds since its last answer."""
 
     disk: str | None
@@ -52,8 +50,7 @@
     silent_s: float
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class GatewayStatus:
+class GatewayStatus(TypedDict):
     """A gateway. silent_s: seconds since its last pull here."""
 
     version: str
@@ -61,8 +58,7 @@
     ready: bool
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class BackendStatus:
+class BackendStatus(TypedDict):
     """An instance. silent_s: seconds since its last heartbeat that this controller knows of."""
 
     service: str
@@ -72,8 +68,7 @@
     silent_s: float
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class Status:
+class Status(TypedDict):
     """The whole report.
 
     Attributes:
@@ -99,7 +94,7 @@
 
 def status_json(sources: StatusSources, now: float) -> bytes:
     """The report as JSON; lengths of time in seconds."""
-    return json.dumps(asdict(read_status(sources, now)), indent=1).encode()
+    return json.dumps(read_status(sources, now), indent=1).encode()
 
 
 def read_status(sources: StatusSources, now: float) -> Status:
