--- a/tests/system/test_record_store.py
+++ b/tests/system/test_record_store.py
@@ -1,4 +1,7 @@
+"""The record store: what was saved or loaded is never forgotten, through crashes, losses of power and full disks."""
+
 import builtins
+import contextlib
 import dbm.dumb
 import errno
 import os
@@ -7,12 +10,15 @@
 import threading
 from dataclasses import dataclass, field
 
-from ward import fixture, raises, test
+from ward import each, fixture, raises, test
 
 from stoneyoke.lab.simulation.disks import PowerLost, SimulatedRecordStore
-from stoneyoke.storage import record_store
-from stoneyoke.storage.errors import StorageError
-from stoneyoke.storage.record_store import RecordStore
+from stoneyoke.storage.errors import RecordNotRead, RecordNotWritten, StorageError, TornRecord
+from stoneyoke.storage.record_store import RECORDS_KEPT, RecordStore
+
+SEEDS = range(80)
+STEPS = 25
+TORN_RECORDS = 15  # of each damage
 
 
 @fixture
@@ -21,35 +27,39 @@
         yield name
 
 
-@test("what was kept is read back by a new start, the newest first")
+@test("a new start reads back the newest record of each family")
 def _(folder=folder):
-    hold = RecordStore(folder)
-    for at in range(6):
-        hold.save("word", {b"body": b"%d" % at})
-    hold.save("crew", {b"names": b"x"})
-    assert RecordStore(folder).load("word") == ({b"body": b"5"}, [])
-    assert RecordStore(folder).load("crew") == ({b"names": b"x"}, [])
-    assert (
-        len({name.split(".")[0] for name in os.listdir(folder) if name.startswith("word")}) == record_store.RECORDS_KEPT
-    )
+    store = RecordStore(folder)
+    for number in range(6):
+        store.save("register", {b"body": b"%d" % number})
+    store.save("promise", {b"counter": b"x"})
+    assert RecordStore(folder).load("register") == ({b"body": b"5"}, [])
+    assert RecordStore(folder).load("promise") == ({b"counter": b"x"}, [])
+    left = {file.number for file in RecordStore(folder).record_files() if file.family == "register"}
+    assert len(left) == RECORDS_KEPT
 
 
 @dataclass
 class History:
-    """What one family was given: each record by its place, and the newest that a keep or a load has confirmed."""
+    """The records of one family, in the order of their saves.
+
+    Attributes:
+        attempted: Each record that a save was called for.
+        confirmed: Index of the newest one that a save or a load has confirmed; -1: none.
+    """
 
-    begun: list[dict[bytes, bytes]] = field(default_factory=list)
-    sure: int = -1
+    attempted: list[dict[bytes, bytes]] = field(default_factory=list)
+    confirmed: int = -1
 
-    def check(self, loaded):
-        place = self.begun.index(loaded) if loaded is not None else -1
-        assert place >= self.sure, f"record {place} is older than {self.sure}"
-        self.sure = place
+    def assert_not_older(self, loaded):
+        """A load returns nothing older than what was confirmed, and confirms what it returns."""
+        index = self.attempted.index(loaded) if loaded is not None else -1
+        assert index >= self.confirmed, f"record {index} is older than {self.confirmed}"
+        self.confirmed = index
 
 
-class DiskTrial:
-    """A store through keeps, failures, kills and losses of power, by lot; each start is checked against what was kept
-    and what an earlier start was given."""
+class RandomDiskHistory:
+    """A store through random saves, failures, crashes and losses of power. Each start is checked."""
 
     def __init__(self, folder, seed):
         self.folder, self.random_source = folder, random.Random(seed)
@@ -57,43 +67,49 @@
         self.store = SimulatedRecordStore(folder)
 
     def save(self, family):
+        """Whether the store took the next record of a family."""
         history = self.histories[family]
         size = self.random_source.choice((0, 30, 600, 3000)) if family == "register" else 8
-        history.begun.append({b"body": b"%s %d " % (family.encode(), len(history.begun)) + b"x" * size, b"more": b"y"})
+        number = len(history.attempted)
+        history.attempted.append({b"body": b"%s %d " % (family.encode(), number) + b"x" * size, b"more": b"y"})
         try:
-            self.store.save(family, history.begun[-1])
+            self.store.save(family, history.attempted[-1])
         except StorageError:
             return False
-        history.sure = len(history.begun) - 1
+        history.confirmed = number
         return True
 
-    def start(self, power):
-        """The process ended, with its machine's power or without; the next one begins."""
+    def restart(self, loses_power):
+        """The process has ended, with its machine's power or without; the next one starts."""
         self.store.steps_left = -1
-        if power:
+        if loses_power:
             self.store.lose_power(self.random_source)
         elif self.random_source.random() < 0.5:
-            self.cut_writes_short()
+            self.truncate_unsynced_files()
         self.store = SimulatedRecordStore(self.folder, self.store.state)
-        self.check()
+        self.assert_nothing_forgotten()
 
-    def cut_writes_short(self):
+    def truncate_unsynced_files(self):
         """A killed process may have written a part of what it had not synced yet."""
         for name in sorted(os.listdir(self.folder)):
             content = self.store.content(name)
             if content != self.store.state.contents.get(name) and self.random_source.random() < 0.5:
                 os.truncate(os.path.join(self.folder, name), self.random_source.randrange(len(content) + 1))
 
-    def check(self):
+    def assert_nothing_forgotten(self):
         for family, history in self.histories.items():
-            history.check(self.store.load(family)[0])
+            history.assert_not_older(self.store.load(family).record)
 
     def step(self):
+        """One random event."""
         family = self.random_source.choice(list(self.histories))
-        match self.random_source.choice(("keep", "keep", "keep", "refused", "full", "ends", "ends", "restart", "load")):
-            case "keep":
+        event = self.random_source.choice(
+            ("save", "save", "save", "refuse", "full", "crash", "crash", "restart", "load")
+        )
+        match event:
+            case "save":
                 self.save(family)
-            case "refused":
+            case "refuse":
                 self.store.refuses = True
                 assert not self.save(family)
                 self.store.refuses = False
@@ -101,43 +117,42 @@
                 self.store.capacity_bytes = self.random_source.randrange(12000)
                 self.save(family)
                 self.store.capacity_bytes = None
-            case "ends":
-                self.store.steps_left = self.random_source.randrange(12)
-                try:
-                    for _ in range(2):
-                        self.save(family)
-                except PowerLost:
-                    pass
-                self.start(self.random_source.random() < 0.7)
+            case "crash":
+                self.crash_in_save(family)
             case "restart":
-                self.start(self.random_source.random() < 0.7)
+                self.restart(self.random_source.random() < 0.7)
             case "load":
-                self.check()
+                self.assert_nothing_forgotten()
 
-    def recover(self):
-        """The disk is well again: each family takes what it is given, and no more than its share is left."""
+    def crash_in_save(self, family):
+        """The process ends at some step of the next saves."""
+        self.store.steps_left = self.random_source.randrange(12)
+        with contextlib.suppress(PowerLost):
+            for _ in range(2):
+                self.save(family)
+        self.restart(self.random_source.random() < 0.7)
+
+    def assert_recovers(self):
+        """On a healthy disk each family takes what it is given, and no more than its last records are left."""
         for family in self.histories:
-            for _ in range(record_store.RECORDS_KEPT):
+            for _ in range(RECORDS_KEPT):
                 assert self.save(family)
-        self.start(power=False)
-        held = [(family, number) for family, number, _ in self.store.record_files()]
-        assert len(held) == len(self.histories) * record_store.RECORDS_KEPT * 2, sorted(os.listdir(self.folder))
+        self.restart(loses_power=False)
+        assert len(self.store.record_files()) == len(self.histories) * RECORDS_KEPT * 2, sorted(os.listdir(self.folder))
 
 
-@test("through failures, kills and losses of power no load gives less than was kept, or loaded, before")
-def _():
-    for seed in range(80):
-        with tempfile.TemporaryDirectory() as folder:
-            trial = DiskTrial(folder, seed)
-            try:
-                for _ in range(25):
-                    trial.step()
-                trial.recover()
-            except AssertionError as wrong:
-                raise AssertionError(f"seed {seed}: {wrong}") from wrong
+@test(
+    "no load returns less than was saved or loaded before, through failures, crashes and losses of power: seed {seed}"
+)
+def _(seed=each(*SEEDS)):
+    with tempfile.TemporaryDirectory() as folder:
+        history = RandomDiskHistory(folder, seed)
+        for _ in range(STEPS):
+            history.step()
+        history.assert_recovers()
 
 
-@test("what a killed process wrote and did not sync is synced before it is loaded, or not loaded")
+@test("what a killed process wrote without a sync is synced before a load returns it, or not returned")
 def _(folder=folder):
     store = SimulatedRecordStore(folder)
     store.save("register", {b"body": b"1"})
@@ -146,16 +161,16 @@
         store.save("register", {b"body": b"2"})
     store = SimulatedRecordStore(folder, store.state)
     store.refuses = True
-    with raises(StorageError):
+    with raises(RecordNotRead):
         store.load("register")
     store.refuses = False
-    assert store.load("register")[0] == {b"body": b"2"}
+    assert store.load("register").record == {b"body": b"2"}
     for seed in range(20):
         store.lose_power(random.Random(seed))
-        assert SimulatedRecordStore(folder, store.state).load("register")[0] == {b"body": b"2"}
+        assert SimulatedRecordStore(folder, store.state).load("register").record == {b"body": b"2"}
 
 
-@test("a record that can't be opened now is no reason to read the one before it")
+@test("a load fails, and returns no older record, while the newest one can't be opened")
 def _(folder=folder):
     store, real = RecordStore(folder), builtins.open
     for body in (b"1", b"2"):
@@ -168,42 +183,40 @@
 
     dbm.dumb._io.open = refuse
     try:
-        with raises(StorageError):
+        with raises(RecordNotRead):
             RecordStore(folder).load("register")
     finally:
         dbm.dumb._io.open = real
-    assert RecordStore(folder).load("register")[0] == {b"body": b"2"}
+    assert RecordStore(folder).load("register").record == {b"body": b"2"}
 
 
-@test("halves of records, and files of other names, hide nothing and are not in the way")
+@test("half records and files of other names hide no record, and their numbers are not used again")
 def _(folder=folder):
     for name in ("register-9.dat", "register-8.dir", "register-7.bak", "register-007.dir", "register-1.dat.old", "x"):
         with open(os.path.join(folder, name), "wb") as file:
             file.write(b"\0\xff'")
     os.mkdir(os.path.join(folder, "register-12.dat"))
     store = RecordStore(folder)
-    assert store.load("register")[0] is None
+    assert store.load("register").record is None
     store.save("register", {b"body": b"1"})
     with open(os.path.join(folder, "register-20.dir"), "wb") as file:
         file.write(b"'body', (0, 1)\n")
     again = RecordStore(folder)
-    assert again.load("register")[0] == {b"body": b"1"} and again.next_number == 21
+    assert again.load("register").record == {b"body": b"1"} and again.next_number == 21
 
 
-@test("500 records leave the last few, in a few times the bytes of one")
+@test("500 records leave the last few on disk")
 def _(folder=folder):
     store, body = SimulatedRecordStore(folder), b"x" * 5000
     for at in range(500):
         store.save("register", {b"body": body + b"%d" % at})
         store.save("promise", {b"ballot": b"%d" % at})
     names = os.listdir(folder)
-    assert len(names) == 2 * 2 * record_store.RECORDS_KEPT  # two families, two files each
-    assert sum(os.path.getsize(os.path.join(folder, name)) for name in names) < record_store.RECORDS_KEPT * (
-        5000 + 6 * 1024
-    )
+    assert len(names) == 2 * 2 * RECORDS_KEPT  # two families, two files each
+    assert sum(os.path.getsize(os.path.join(folder, name)) for name in names) < RECORDS_KEPT * (5000 + 6 * 1024)
 
 
-@test("a full disk keeps the newest alone, refuses what does not fit, and takes the next as soon as there is room")
+@test("a full disk keeps the newest record alone, refuses what does not fit, and takes the next once there is space")
 def _(folder=folder):
     store = SimulatedRecordStore(folder)
     for at in range(5):
@@ -218,13 +231,13 @@
         with raises(StorageError):
             store.save("promise", {b"ballot": b"z" * 16000})
     again = SimulatedRecordStore(folder, store.state)
-    assert again.load("register")[0] == {b"body": b"9" * 4000} and again.load("promise")[0] == {b"ballot": b"4"}
+    assert again.load("register").record == {b"body": b"9" * 4000} and again.load("promise").record == {b"ballot": b"4"}
     assert len(os.listdir(folder)) <= 6
     again.capacity_bytes = 40000
     again.save("register", {b"body": b"z" * 16000})
 
 
-@test("a keep that was given up on while the disk stood still does not outlive the one after it")
+@test("a save that waited for a stalled disk does not replace the one that was called after it")
 def _(folder=folder):
     class StalledStore(SimulatedRecordStore):
         def sync_path(self, path):
@@ -241,58 +254,79 @@
     goes_on.set()
     for thread in threads:
         thread.join(10)
-    assert store.load("register")[0] == RecordStore(folder).load("register")[0] == {b"body": b"2"}
+    assert store.load("register").record == RecordStore(folder).load("register").record == {b"body": b"2"}
 
 
-@test("a record torn anywhere, or half missing, is thrown away and the one before it is read")
-def _(folder=folder):
+def removed(_data, _index):
+    """The file is lost."""
+
+
+def truncated(data, index):
+    return data[:index]
+
+
+def zeroed(data, index):
+    return data[:index] + bytes(len(data) - index)
+
+
+def flipped(data, index):
+    return data[:index] + bytes([data[index] ^ 0x55]) + data[index + 1 :]
+
+
+@test("a record that is {damage.__name__} anywhere is passed over and named, and the one before it is read")
+def _(folder=folder, damage=each(removed, truncated, zeroed, flipped)):
     random_source = random.Random(5)
-    for at in range(60):
-        hold = RecordStore(folder)
-        hold.save("word", {b"body": b"sure %d" % at * 50})
-        hold.save("word", {b"body": b"torn %d" % at * 50})
-        newest = f"word-{hold.next_number - 1}"
-        path = os.path.join(folder, newest + random_source.choice((".dat", ".dir")))
-        data = open(path, "rb").read()
-        how = at % 4
-        if how == 0:
-            os.remove(path)
-        else:
-            spot = random_source.randrange(len(data))
-            torn = (
-                data[:spot],
-                data[:spot] + bytes(len(data) - spot),
-                data[:spot] + bytes([data[spot] ^ 0x55]) + data[spot + 1 :],
-            )[how - 1]
-            open(path, "wb").write(torn)
-        found, wrong = RecordStore(folder).load("word")
-        assert found == {b"body": b"sure %d" % at * 50} or found == {b"body": b"torn %d" % at * 50}
-        assert wrong or found == {b"body": b"torn %d" % at * 50}
-
-
-@test("a name is never used again, though its record was dropped")
+    for round_number in range(TORN_RECORDS):
+        store = RecordStore(folder)
+        whole, newest = ({b"body": b"%s %d" % (text, round_number) * 50} for text in (b"whole", b"newest"))
+        store.save("register", whole)
+        store.save("register", newest)
+        name = f"register-{store.next_number - 1}"
+        path = os.path.join(folder, name + random_source.choice((".dat", ".dir")))
+        with open(path, "rb") as file:
+            data = file.read()
+        damaged = damage(data, random_source.randrange(len(data)))
+        os.remove(path)
+        if damaged is not None:
+            with open(path, "wb") as file:
+                file.write(damaged)
+        loaded = RecordStore(folder).load("register")
+        assert loaded.record == newest and not loaded.torn or loaded.record == whole and name in loaded.torn[0]
+
+
+@test("the error of a torn record names the record")
 def _(folder=folder):
-    hold = RecordStore(folder)
-    hold.save("word", {b"body": b"1"})
+    store = RecordStore(folder)
+    store.save("register", {b"body": b"1"})
+    os.truncate(os.path.join(folder, "register-1.dat"), 3)
+    with raises(TornRecord) as torn:
+        store.read_record("register", 1)
+    assert torn.raised.record == "register-1" and isinstance(torn.raised, StorageError)
+
+
+@test("a number is never used again, though its record was removed")
+def _(folder=folder):
+    store = RecordStore(folder)
+    store.save("register", {b"body": b"1"})
     assert RecordStore(folder).next_number == 2
 
 
-@test("files and folder are synced before keep returns, and a disk that refuses raises StorageError")
+@test("files and folder are synced before a save returns, and a disk that refuses fails the save")
 def _(folder=folder):
     synced, real = [], os.fsync
-    hold = RecordStore(folder)
+    store = RecordStore(folder)
     try:
         os.fsync = lambda number: synced.append(os.readlink(f"/proc/self/fd/{number}"))
-        hold.save("word", {b"body": b"1"})
-        assert [os.path.basename(name) for name in synced[:2]] == ["word-1.dat", "word-1.dir"]
+        store.save("register", {b"body": b"1"})
+        assert [os.path.basename(name) for name in synced[:2]] == ["register-1.dat", "register-1.dir"]
         assert synced[-1] == os.path.realpath(folder)
 
         def refuse(_):
-            raise OSError(5, "refused")
+            raise OSError(errno.EIO, "refused")
 
         os.fsync = refuse
-        with raises(StorageError):
-            hold.save("word", {b"body": b"2"})
+        with raises(RecordNotWritten):
+            store.save("register", {b"body": b"2"})
     finally:
         os.fsync = real
-    assert RecordStore(folder).load("word")[0] == {b"body": b"1"}
+    assert RecordStore(folder).load("register").record == {b"body": b"1"}
--- a/tests/system/test_recovery.py
+++ b/tests/system/test_recovery.py
@@ -70,10 +70,10 @@
         flags.FLAGS(["stoneyokectl", "--noconfirm"])
         with raises(stoneyokectl.CommandError):
             stoneyokectl.recover(folder, A.address)
-        assert read_register(RecordStore(folder).load(REGISTER)[0]) == held
+        assert read_register(RecordStore(folder).load(REGISTER).record) == held
         flags.FLAGS(["stoneyokectl", "--confirm"])
         stoneyokectl.recover(folder, A.address)
-        after = read_register(RecordStore(folder).load(REGISTER)[0])
+        after = read_register(RecordStore(folder).load(REGISTER).record)
         assert after.value.voters.members == (A,) and after.value.voters.number > 4 and not after.value.previous
         assert after.ballot.counter > 9 and after.value.body == example(5)
         stoneyokectl.records(folder)
--- a/tests/system/test_stored_data.py
+++ b/tests/system/test_stored_data.py
@@ -100,9 +100,9 @@
 
 @test("a torn record of an earlier release is passed over and named")
 def _(stored=stored):
-    record, wrong = RecordStore(stored.folder).load(REGISTER)
+    record, torn = RecordStore(stored.folder).load(REGISTER)
     assert read_register(record) == register_value(stored.values["registers"][-1])
-    assert len(wrong) == 1 and stored.values["torn"] in wrong[0]
+    assert len(torn) == 1 and stored.values["torn"] in torn[0]
 
 
 @test("each whole record of an earlier release reads as the value that it was written for")
