--- a/stoneyoke/controlplane/discovery_service.py
+++ b/stoneyoke/controlplane/discovery_service.py
@@ -44,6 +44,10 @@
 FORWARDED_SLACK = 100  # instances beyond twice the registry that may be remembered as forwarded
 NEVER = -1e9
 
+STALLED = Unavailable("stood still")
+NO_QUORUM = Unavailable("cut off from most controllers")
+TOO_FEW_VOTERS = Unavailable("too few controllers know yet")
+
 
 class DiscoveryService:
     """Instances at one controller, and what its peers know of them."""
@@ -81,13 +85,13 @@
     async def heartbeat(self, beat: Heartbeat) -> ApiResult:
         """Takes a heartbeat. A drain is acknowledged by a majority, any other one by this controller with a quorum."""
         if self.recovering_from_stall():
-            return Unavailable("stood still")
+            return STALLED
         if self.registry.merge(row_from_heartbeat(beat), self.clock()):
             self.context.changes.notify()
         self.pending_heartbeats[beat.instance] = None
         if beat.draining:
             return await self.acknowledge_by_majority(self.registry.records[beat.instance].row)
-        return Acknowledged() if self.cluster.has_quorum() else Unavailable("cut off from most controllers")
+        return Acknowledged() if self.cluster.has_quorum() else NO_QUORUM
 
     async def leave(self, request: Leave) -> ApiResult:
         """Takes an instance's leave, acknowledged by a majority."""
@@ -98,11 +102,11 @@
     async def acknowledge_by_majority(self, row: InstanceRow) -> ApiResult:
         """Replicates a row that must not be lost with this controller; acknowledges once a majority has it."""
         if not self.cluster.has_quorum():
-            return Unavailable("cut off from most controllers")
+            return NO_QUORUM
         voters = self.cluster.voters()
         known = await self.replicate([row], voters)
         if not voters or known < majority(len(voters)) or self.cluster.voters() != voters:
-            return Unavailable("too few controllers know yet")
+            return TOO_FEW_VOTERS
         return Acknowledged()
 
     # ---- to other controllers ----
