--- a/stoneyoke/net/attempt.py
+++ b/stoneyoke/net/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a backend answer a request, and what its end tells of whether the backend may have run it."""
+"""One attempt at a backend, and whether the backend may have run the request if the attempt fails."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -92,7 +92,7 @@
         return self.request is not None and self.request.may_have_left()
 
     def failure_outcome(self, error: OSError, *, deadline_passed: bool) -> AttemptOutcome:
-        """What an error tells of the attempt.
+        """The outcome of an attempt that an error has ended.
 
         Args:
             error: What ended the attempt.
--- a/stoneyoke/net/backends.py
+++ b/stoneyoke/net/backends.py
@@ -53,7 +53,8 @@
     Attributes:
         pools: The connections of each backend that has an address.
         may_cancel_attempts: False once this process is to end: a backend at work is then left to finish.
-        classify: The outcome that a response tells, or None in place of one; each protocol has its own.
+        classify: Gives the outcome of a response, or of a stream that ended without one (None). Each protocol has its
+            own.
         accepts_new_work: Whether a backend takes new requests, by the latest endpoint list; set by the list's owner.
     """
 
--- a/stoneyoke/net/client_connection.py
+++ b/stoneyoke/net/client_connection.py
@@ -9,7 +9,7 @@
 
 
 class Phase(Enum):
-    """What a client's connection is at."""
+    """The phase of a client's connection."""
 
     IDLE = auto()
     """Nothing of a message has come, and no response is owed. Left with the next byte, for READING."""
@@ -33,7 +33,7 @@
         accepted_at: When it was accepted, in microseconds.
         since_us: When its phase began. A message's time counts from its first byte.
         next_message_at: While a response is owed, when the first byte beyond its request came; else 0.
-        phase: What it is at.
+        phase: See Phase.
         silent: No message has come whole yet.
         pending: The request that is being forwarded.
         disconnected: The client has closed its side, or the connection is lost.
--- a/stoneyoke/net/connection_table.py
+++ b/stoneyoke/net/connection_table.py
@@ -75,7 +75,7 @@
     # ---- closing for the sake of others ----
 
     def make_room_for_silent(self) -> None:
-        """At their limit, closes the oldest silent connection: they make room for each other, and for no other one."""
+        """At their limit, closes the oldest silent connection: a flood of them costs no other connection its place."""
         if len(self.silent) >= self.silent_max:
             oldest = next((client for client in self.silent if client.can_close_safely()), None)
             if oldest:
--- a/stoneyoke/net/errors.py
+++ b/stoneyoke/net/errors.py
@@ -9,6 +9,6 @@
     """
 
     def __init__(self, reason: str, status: int = 400) -> None:
-        """Takes the reason, which the peer is told, and the status."""
+        """Takes the reason, which goes into the rejection's body, and the status."""
         super().__init__(reason)
         self.status = status
--- a/stoneyoke/net/message_reader.py
+++ b/stoneyoke/net/message_reader.py
@@ -10,7 +10,7 @@
 from stoneyoke.net.stream import READ_BYTES
 
 BODY_MAX_BYTES = 65_536  # the protocol page's limit of a body
-HEAD_MAX_BYTES = 16_384  # the largest head of the protocol page holds some 500
+HEAD_MAX_BYTES = 16_384  # the largest head of the protocol page has some 500
 FRAMING_FACTOR = 5  # a message with its framing may hold this many times its body's limit: chunks may be small
 NO_BODY_STATUSES = (204, 304)
 FIRST_FINAL_STATUS = 200  # lower ones are informational: the response follows
--- a/stoneyoke/net/message_writer.py
+++ b/stoneyoke/net/message_writer.py
@@ -1,4 +1,4 @@
-"""Writes HTTP/1.1 messages, and tells whether a byte of a request can have left this process."""
+"""Writes HTTP/1.1 messages, and keeps track of whether a byte of a request can have left this process."""
 
 import asyncio
 from http import HTTPStatus
@@ -32,7 +32,7 @@
     A transport offers the first send to the kernel at once and keeps what that does not take in its own buffer. So no
     byte has left in three cases: the connection was closing before; that first send was refused; or the transport is
     still open and its buffer holds as much as was handed to it. A transport that has closed meanwhile holds nothing
-    any more, and that tells nothing: some bytes may have left.
+    any more, and that proves nothing: some bytes may have left.
 
     "No byte has left" stays true only if what the buffer holds never leaves. Whoever relies on it aborts the
     connection before the event loop turns again. A request of which a part has left counts as one that may run. The
--- a/stoneyoke/runtime/pending_request.py
+++ b/stoneyoke/runtime/pending_request.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class RequestDescription:
-    """What the decision logic is told of a request on its arrival.
+    """What the decision logic learns of a request on its arrival.
 
     Attributes:
         method: The method's number in the parameters.
@@ -34,7 +34,7 @@
 
 
 class RequestOwner(Protocol):
-    """Who is told of the fate of a pending request's client: the runtime that opened the request."""
+    """Who opened a pending request, and has to know if its client goes: the runtime."""
 
     def client_gone(self, request: "PendingRequest") -> None:
         """The client has closed its connection; nobody waits for the response."""
--- a/stoneyoke/runtime/runtime.py
+++ b/stoneyoke/runtime/runtime.py
@@ -37,7 +37,7 @@
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.pending_request import Decision, PendingRequest, RequestDescription
 
-STALL_US = 100_000  # a timer that is overdue by this much tells of a stalled process; a busy loop is late by 20 ms
+STALL_US = 100_000  # a timer this late means that the process was stalled; a busy event loop is late by 20 ms
 STALL_RECOVERY_US = 50_000  # connections that were made during a stall are accepted within this time after it
 CATCH_UP_TURNS = 8  # of the event loop: the longest endpoint list, 64 KiB, is read in four
 
@@ -81,8 +81,8 @@
     def arrival_time(self) -> int:
         """The earliest time, in microseconds, at which input that is read now may have come.
 
-        While the process is stalled, clients go on sending. A timer that is overdue tells of a stall that is not yet
-        noted, and one that was overdue a moment ago of a stall whose input is still being read.
+        While the process is stalled, clients go on sending. An overdue timer shows a stall that is not noted yet.
+        One that was overdue a moment ago shows a stall whose input is still being read.
         """
         now = self.clock.now()
         if now - self.next_timer_at > STALL_US:
@@ -125,7 +125,7 @@
                 self.metrics.check_invariant(False, "action failed")
 
     def open_request(self, description: RequestDescription, deadline_us: int) -> PendingRequest:
-        """Tells the decision logic of a request that has arrived.
+        """Reports a request that has arrived to the decision logic.
 
         Args:
             description: What the request is.
@@ -149,7 +149,7 @@
         return request
 
     def attempt_ended(self, request: PendingRequest, attempt: int, backend: int, outcome: AttemptOutcome) -> None:
-        """Tells the decision logic how an attempt has ended."""
+        """Reports the outcome of an attempt to the decision logic."""
         if self.attempt_observer:
             self.attempt_observer.attempt_ended(request.index, outcome)
         self.dispatch(
@@ -164,7 +164,7 @@
         )
 
     def client_gone(self, request: PendingRequest) -> None:
-        """Tells the decision logic, once, that the client has closed its connection."""
+        """Reports once to the decision logic that the client has closed its connection."""
         if not request.client_gone:
             request.client_gone = True
             self.dispatch(ClientGone(request.index))
@@ -188,11 +188,11 @@
         )
 
     def counter_replied(self, name: int, added: bool, total: float) -> None:
-        """Tells the decision logic of the counter service's reply (see CounterReply)."""
+        """Reports the counter service's reply to the decision logic (see CounterReply)."""
         self.dispatch(CounterReply(name, added, total))
 
     def endpoints_changed(self, change: EndpointsChanged) -> None:
-        """Tells the decision logic of a new endpoint list, or of changes to it."""
+        """Reports a new endpoint list, or changes to it, to the decision logic."""
         self.dispatch(change)
 
     def knows_backend(self, backend: int) -> bool:
--- a/stoneyoke/simhost/host.py
+++ b/stoneyoke/simhost/host.py
@@ -41,7 +41,7 @@
                 raise
             except InvalidConfiguration as error:
                 reply.add_text(ActionCode.BROKEN, fields[0], str(error))
-            except Exception as error:  # outermost guard: the simulator is told of any fault in the decision logic
+            except Exception as error:  # outermost guard: any fault in the decision logic is reported to the simulator
                 reply.add_text(ActionCode.BROKEN, fields[0], f"{type(error).__name__}: {error}")
         return reply.frame()
 
@@ -75,7 +75,7 @@
         self.instances[number] = Instance(number, read_parameters(seed, settings), batch.clock_us)
 
     def change_endpoints(self, instance: Instance, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """Tells an instance of a change to its list of backends."""
+        """Reports a change of the list of backends to an instance."""
         _, mode, _, number = fields
         if mode == LIST_FAILED:
             instance.query_failed(batch, reply)
--- a/stoneyoke/simhost/instance.py
+++ b/stoneyoke/simhost/instance.py
@@ -2,29 +2,7 @@
 
 from collections.abc import Callable
 
-from stoneyoke.control import Gateway
-from stoneyoke.control.actions import (
-    Abandon,
-    Action,
-    AddToCounter,
-    CancelAttempt,
-    ForgetCustomer,
-    Reject,
-    SetTimer,
-    StartAttempt,
-    Subscribe,
-)
-from stoneyoke.control.events import (
-    AnswerStarted,
-    Arrival,
-    AttemptEnded,
-    ClientGone,
-    CounterReply,
-    Endpoint,
-    EndpointsChanged,
-    Event,
-    TimerFired,
-)
+from stoneyoke.control import Gateway, actions, events
 from stoneyoke.control.parameters import AttemptOutcome, BackendState, GatewayParameters
 from stoneyoke.runtime.id_index import IdIndex
 from stoneyoke.simhost.errors import MalformedFrame
@@ -50,6 +28,8 @@
     410: AttemptOutcome.NOT_SENT,
 }
 
+FINAL_ACTIONS = (actions.Reject, actions.Abandon)  # the decision logic may hold nothing of a request after these
+
 
 class Instance:
     """One simulated gateway. It turns the wire's events into the decision logic's, and the actions back.
@@ -86,7 +66,7 @@
         """A client's request has come."""
         _, request, method, plan, customer, wait_us, units, width, _, bits = fields
         marks_retries = self.gateway.parameters.clients_mark_retries
-        arrival = Arrival(
+        arrival = events.Arrival(
             rpc=self.requests.acquire(request),
             method=method,
             plan=plan,
@@ -107,7 +87,7 @@
         rpc = self.requests.index_by_id.get(request)
         if rpc is None:
             return
-        ended = AttemptEnded(
+        ended = events.AttemptEnded(
             rpc=rpc,
             attempt=attempt,
             backend=self.backends.acquire(backend),
@@ -121,72 +101,72 @@
         """A client has gone."""
         rpc = self.requests.index_by_id.get(fields[1])
         if rpc is not None:
-            self.dispatch_for_request(fields[1], ClientGone(rpc), batch, reply)
+            self.dispatch_for_request(fields[1], events.ClientGone(rpc), batch, reply)
 
     def first(self, fields: Fields, batch: Batch, reply: Reply) -> None:
         """A streamed response has begun."""
         rpc = self.requests.index_by_id.get(fields[1])
         if rpc is not None:
-            self.dispatch_for_request(fields[1], AnswerStarted(rpc), batch, reply)
+            self.dispatch_for_request(fields[1], events.AnswerStarted(rpc), batch, reply)
 
     def wakeup(self, fields: Fields, batch: Batch, reply: Reply) -> None:
         """A timer has come due."""
-        self.dispatch(TimerFired(fields[1]), batch, reply)
+        self.dispatch(events.TimerFired(fields[1]), batch, reply)
 
     def count_result(self, fields: Fields, batch: Batch, reply: Reply) -> None:
         """The counter service has replied."""
         _, name, _, outcome, total = fields
         added = OUTCOMES.get(outcome) is AttemptOutcome.OK
-        self.dispatch(CounterReply(name, added, total), batch, reply)
+        self.dispatch(events.CounterReply(name, added, total), batch, reply)
 
     def query_failed(self, batch: Batch, reply: Reply) -> None:
         """Discovery has not answered; the list stays."""
-        self.dispatch(EndpointsChanged(False, True), batch, reply)
+        self.dispatch(events.EndpointsChanged(False, True), batch, reply)
 
     def endpoints_changed(self, mode: int, rows: list[Fields], batch: Batch, reply: Reply) -> None:
         """Discovery has sent a whole list or changes to it."""
         endpoints = [
-            Endpoint(self.backends.acquire(backend), zone, cell, started_us, BackendState(state))
+            events.Endpoint(self.backends.acquire(backend), zone, cell, started_us, BackendState(state))
             for cell, zone, _, _, backend, started_us, state in rows
         ]
-        self.dispatch(EndpointsChanged(mode != LIST_UPDATE, False, endpoints), batch, reply)
+        self.dispatch(events.EndpointsChanged(mode != LIST_UPDATE, False, endpoints), batch, reply)
 
     # ---- the decision logic ----
 
-    def dispatch(self, event: Event, batch: Batch, reply: Reply) -> None:
+    def dispatch(self, event: events.Event, batch: Batch, reply: Reply) -> None:
         """Delivers an event and adds the actions that follow from it to the reply."""
         for action in self.gateway.handle(event, batch.clock_us):
             self.add_action(action, reply)
-            if isinstance(action, Reject | Abandon) and not self.gateway.holds(action.rpc):
+            if isinstance(action, FINAL_ACTIONS) and not self.gateway.holds(action.rpc):
                 self.requests.release(action.rpc)
 
-    def dispatch_for_request(self, request: int, event: Event, batch: Batch, reply: Reply) -> None:
+    def dispatch_for_request(self, request: int, event: events.Event, batch: Batch, reply: Reply) -> None:
         """Delivers a request's event; releases the request's index if nothing is held of it any more."""
         self.dispatch(event, batch, reply)
         rpc = self.requests.index_by_id.get(request)
         if rpc is not None and not self.gateway.holds(rpc):
             self.requests.release(rpc)
 
-    def add_action(self, action: Action, reply: Reply) -> None:
+    def add_action(self, action: actions.Action, reply: Reply) -> None:
         """Adds an action to the reply, in the wire's numbers."""
         requests = self.requests.id_by_index
         match action:
-            case StartAttempt(rpc, backend, limit_us):
+            case actions.StartAttempt(rpc, backend, limit_us):
                 to = self.backends.id_by_index[backend]
                 reply.add(ActionCode.SEND, self.number, requests[rpc], to, min(limit_us, TIME_MAX_US))
-            case Reject(rpc, retry_after_us):
+            case actions.Reject(rpc, retry_after_us):
                 reply.add(ActionCode.DECLINE, self.number, requests[rpc], min(retry_after_us, TIME_MAX_US))
-            case Abandon(rpc):
+            case actions.Abandon(rpc):
                 reply.add(ActionCode.REPORT_FAILURE, self.number, requests[rpc])
-            case CancelAttempt(rpc, attempt):
+            case actions.CancelAttempt(rpc, attempt):
                 reply.add(ActionCode.CALL_OFF, self.number, requests[rpc], attempt)
-            case SetTimer(delay_us, token):
+            case actions.SetTimer(delay_us, token):
                 reply.add(ActionCode.TIMER, self.number, delay_us, token)
-            case AddToCounter(name, ttl_us, amount):
+            case actions.AddToCounter(name, ttl_us, amount):
                 reply.add(ActionCode.BUMP, self.number, name, ttl_us, amount)
-            case Subscribe():
+            case actions.Subscribe():
                 reply.add(ActionCode.OBSERVE, self.number, 1)
-            case ForgetCustomer(customer):
+            case actions.ForgetCustomer(customer):
                 self.customers.release(customer)
 
 
--- a/stoneyoke/single_gateway/counter.py
+++ b/stoneyoke/single_gateway/counter.py
@@ -25,7 +25,7 @@
 
 
 class CounterListener(Protocol):
-    """Who is told of the counter service's replies."""
+    """Who receives the counter service's replies."""
 
     def counter_replied(self, name: int, added: bool, total: float) -> None:
         """A query has ended (see CounterReply)."""
@@ -62,7 +62,7 @@
         self.closed = False
 
     def is_spent(self, now: int) -> bool:
-        """Whether it is near the service's idle time-out, or its oldest query tells that it has fallen silent."""
+        """Whether it is near the service's idle time-out, or it has not answered its oldest query for too long."""
         if self.queries:
             return now - self.queries[0].sent_at > SILENCE_US
         return now - self.used_at > IDLE_MAX_US
@@ -76,7 +76,7 @@
 
 
 class CounterClient:
-    """Adds to counters over a few connections, and tells of the totals.
+    """Adds to counters over a few connections, and reports the totals.
 
     Attributes:
         connections: Those to where the service is now.
@@ -91,7 +91,7 @@
         Args:
             clock: The process's clock.
             metrics: Counts the queries by their end.
-            listener: Is told of each reply, once.
+            listener: Receives each reply once.
             address: Where the service is.
             timeout_us: How long to wait for a reply.
         """
@@ -221,7 +221,7 @@
         self.finish(query, "no answer in time", added=False)
 
     def finish(self, query: CounterQuery, ending: str, *, added: bool, total: float = 0.0) -> None:
-        """Tells of a query's end, once.
+        """Reports a query's end, once.
 
         Args:
             query: The query.
--- a/stoneyoke/single_gateway/discovery.py
+++ b/stoneyoke/single_gateway/discovery.py
@@ -14,7 +14,7 @@
 from stoneyoke.single_gateway.endpoints import EndpointUpdate, read_endpoint_update
 
 # How long a query waits for a change. By the protocol page, every gateway counts as notified 2 s after a change. A
-# connection that has fallen silent tells nothing for this long and RESPONSE_TIMEOUT_S, so both are short.
+# connection that has fallen silent is noticed after this long and RESPONSE_TIMEOUT_S, so both are short.
 LONG_POLL_MS = 1_000
 RESPONSE_TIMEOUT_S = 0.5  # beyond the wait that the query asks for
 # A process that has just started knows the list that it was started with, and backends may have begun to drain since.
--- a/stoneyoke/single_gateway/endpoint_table.py
+++ b/stoneyoke/single_gateway/endpoint_table.py
@@ -35,7 +35,7 @@
 
         Args:
             zones: The zones' names, in the order of the settings.
-            addresses: Is told each backend's address.
+            addresses: Receives each backend's address.
             is_in_use: Whether the decision logic still has a row for a backend.
         """
         self.zones, self.addresses, self.is_in_use = zones, addresses, is_in_use
@@ -44,7 +44,7 @@
         self.endpoint_by_address: dict[Address, ListedEndpoint] = {}
 
     def apply(self, update: EndpointUpdate) -> EndpointsChanged:
-        """Applies an update; returns what the decision logic is told of it."""
+        """Applies an update; returns the event for the decision logic."""
         if update.complete:
             for name in self.address_by_name.keys() - {endpoint.name for endpoint in update.endpoints}:
                 self.remove_address(name)
@@ -87,7 +87,7 @@
             self.addresses.remove(self.indices.index_by_id[name])
 
     def event_of(self, endpoint: ListedEndpoint) -> Endpoint:
-        """What the decision logic is told of an endpoint. One that is gone loses its address."""
+        """An endpoint as the decision logic's event has it. One that is gone loses its address."""
         if endpoint.state is BackendState.GONE:
             self.remove_address(endpoint.name)
         known_zone = endpoint.zone in self.zones
--- a/stoneyoke/single_gateway/request_head.py
+++ b/stoneyoke/single_gateway/request_head.py
@@ -17,7 +17,7 @@
 is_decimal = re.compile(rb"[0-9]{1,10}(\.[0-9]{1,20})?").fullmatch  # no sign, blank, exponent or word
 is_whole_number = re.compile(rb"[0-9]{1,10}").fullmatch
 is_customer_id = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
-is_token = re.compile(rb"[!-~]{1,255}").fullmatch  # what passes on to a backend holds visible bytes only
+is_token = re.compile(rb"[!-~]{1,255}").fullmatch  # what passes on to a backend has visible bytes only
 is_target = re.compile(rb"[!-~]+").fullmatch
 is_text = re.compile(rb"[ -~]*").fullmatch
 
@@ -78,8 +78,8 @@
     """Reads a request's head.
 
     Raises:
-        MalformedMessage: Something is missing, repeated, unknown or out of its bounds. Its status is what the client
-            is told: 404 for a method's name, 405 for an HTTP method, else 400.
+        MalformedMessage: Something is missing, repeated, unknown or out of its bounds. Its status is the
+            client's: 404 for a method's name, 405 for an HTTP method, else 400.
     """
     if message.repeated and (repeated := message.repeated & SINGLE_HEADERS):
         raise MalformedMessage(f"{min(repeated).decode()} comes twice")
--- a/stoneyoke/single_gateway/rpc_handler.py
+++ b/stoneyoke/single_gateway/rpc_handler.py
@@ -24,7 +24,7 @@
 KILL_MARGIN_S = 0.7
 DEADLINE_MIN_S = 3.0
 DRAIN_S = 1.5
-WAIT_MIN_S = 0.001  # a backend is told no shorter time than this
+WAIT_MIN_S = 0.001  # the shortest time that a backend is given
 
 
 class RpcHandler(HttpServer):
@@ -95,7 +95,7 @@
             elif pending.client_gone:
                 return CLIENT_GONE
             else:
-                # The decision logic decides in time; None tells that it has not.
+                # The decision logic decides before the deadline. None means that it has not.
                 self.metrics.check_invariant(isinstance(decision, Abandon), "unexpected decision")
                 self.metrics.add("RPCs: abandoned")
                 return Reply(502)
