--- a/stoneyoke/consensus/proposal_round.py
+++ b/stoneyoke/consensus/proposal_round.py
@@ -36,7 +36,7 @@
 RUNNING_PHASES = (Phase.PREPARE, Phase.ACCEPT)
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, kw_only=True)
 class ProposalRound:
     """One round under one ballot.
 
--- a/stoneyoke/consensus/proposer.py
+++ b/stoneyoke/consensus/proposer.py
@@ -59,7 +59,12 @@
         known = self.replica.view()
         if known is None:
             return None
-        current = ProposalRound(self.next_ballot(known), known, self.replica.chosen_voters_number(), change)
+        current = ProposalRound(
+            ballot=self.next_ballot(known),
+            known=known,
+            chosen_voters_number=self.replica.chosen_voters_number(),
+            change=change,
+        )
         await self.drive(current)
         if current.phase is not Phase.CHOSEN:
             self.counter = max(self.counter, current.highest_refusal.counter)
--- a/stoneyoke/lab/simulation/exhaustive/rounds.py
+++ b/stoneyoke/lab/simulation/exhaustive/rounds.py
@@ -57,7 +57,10 @@
     state = with_process(state, process._replace(counter=counter))
     ballot = Ballot(counter, process.proposer())
     current = ProposalRound(
-        ballot, known, replica.chosen_voters_number(), operations.change(operation, ongoing.desired)
+        ballot=ballot,
+        known=known,
+        chosen_voters_number=replica.chosen_voters_number(),
+        change=operations.change(operation, ongoing.desired),
     )
     started = ongoing._replace(tries=ongoing.tries - 1, query=None, contacted=frozenset())
     return send_requests(model, state, before, started, current)
--- a/stoneyoke/lab/simulation/exhaustive/snapshots.py
+++ b/stoneyoke/lab/simulation/exhaustive/snapshots.py
@@ -64,15 +64,15 @@
 def restore_round(snapshot: RoundSnapshot, change: Change) -> ProposalRound:
     """Returns the round of a snapshot. Its change is a function, so it is no part of the snapshot."""
     return ProposalRound(
-        snapshot.ballot,
-        snapshot.known,
-        snapshot.chosen_voters_number,
-        change,
-        snapshot.phase,
-        dict(snapshot.promises),
-        set(snapshot.accepts),
-        snapshot.proposal,
-        snapshot.highest,
+        ballot=snapshot.ballot,
+        known=snapshot.known,
+        chosen_voters_number=snapshot.chosen_voters_number,
+        change=change,
+        phase=snapshot.phase,
+        promises=dict(snapshot.promises),
+        acceptances=set(snapshot.accepts),
+        proposed_value=snapshot.proposal,
+        highest_refusal=snapshot.highest,
     )
 
 
--- /dev/null
+++ b/tests/system/test_replica.py
@@ -0,0 +1,43 @@
+"""One replica and its disk: what a disk that stalls or refuses does to requests."""
+
+import asyncio
+
+from controller_cluster import Disk
+from ward import raises, test
+
+from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
+from stoneyoke.consensus.register_value import initial_value
+from stoneyoke.consensus.replica import Replica
+from stoneyoke.consensus.replica_disk import MAX_WAITING_WRITES, WriteQueueFull
+
+
+@test("a stalled disk holds a bounded number of writes, refuses further ones, and takes new ones once it goes on")
+async def _():
+    goes_on = asyncio.Event()
+
+    async def stall(work, *arguments):
+        await goes_on.wait()
+        return work(*arguments)
+
+    replica = Replica("10.0.0.1", Disk(), stall, lambda: None)
+    waiting = [asyncio.create_task(replica.prepare(Ballot(at + 1, "a"))) for at in range(MAX_WAITING_WRITES)]
+    await asyncio.sleep(0)
+    with raises(WriteQueueFull):
+        await replica.prepare(Ballot(100, "a"))
+    assert not await replica.prepare_or_refuse(Ballot(100, "a"))
+    goes_on.set()
+    assert all(await asyncio.gather(*waiting)) and replica.acceptor.promised.counter == MAX_WAITING_WRITES
+    assert await replica.prepare(Ballot(100, "a"))
+
+
+@test("a disk that refuses leaves the promise and the accepted value as they were")
+async def _():
+    async def run_at_once(work, *arguments):
+        return work(*arguments)
+
+    disk = Disk()
+    replica = Replica("10.0.0.1", disk, run_at_once, lambda: None)
+    disk.refuses = True
+    assert not await replica.prepare_or_refuse(Ballot(1, "a"))
+    assert not await replica.accept_or_refuse(initial_value(["10.0.0.1"])._replace(ballot=Ballot(1, "a")))
+    assert replica.acceptor.promised == NO_BALLOT and replica.acceptor.accepted is None
