--- /dev/null
+++ b/tests/control/test_retry_policy.py
@@ -0,0 +1,121 @@
+"""Retries: when an RPC is sent again, cancelled, rejected or abandoned."""
+
+import pytest
+from decision_bench import METHODS, DecisionBench, actions_of, attempts_in, counter_total, plan
+
+from stoneyoke.control.actions import Abandon, CancelAttempt, Reject, StartAttempt
+from stoneyoke.control.events import AnswerStarted, Arrival, CounterReply
+from stoneyoke.control.parameters import AttemptOutcome
+
+
+@pytest.mark.parametrize(
+    "method, outcome, answer",
+    [
+        (2, AttemptOutcome.ERROR, Abandon),
+        (2, AttemptOutcome.TIMED_OUT, Abandon),
+        (2, AttemptOutcome.NO_CONNECTION, StartAttempt),
+        (0, AttemptOutcome.ERROR, StartAttempt),
+        (1, AttemptOutcome.BROKEN, StartAttempt),
+        (3, AttemptOutcome.CANCELLED, StartAttempt),
+    ],
+)
+def test_the_action_after_a_failed_attempt(method, outcome, answer):
+    bench = DecisionBench()
+    first = attempts_in(bench.arrive(method=method))[0]
+    after = bench.end_attempt(1, 0, first.backend, outcome)
+    assert isinstance(after[0], answer)
+    if method == 1:
+        assert after[0].backend % 2 == first.backend % 2  # its zone
+
+
+@pytest.mark.parametrize("method, answer", [(1, Abandon), (3, Reject)])
+def test_a_deduplicated_rpc_is_not_sent_after_its_window_and_rejected_only_if_all_recognise_repeats(method, answer):
+    bench = DecisionBench()
+    first = attempts_in(bench.arrive(method=method, wait_us=6_000_000))[0]
+    bench.now += METHODS[method].deduplication_window_us
+    assert isinstance(bench.end_attempt(1, 0, first.backend, AttemptOutcome.ERROR)[0], answer)
+
+
+@pytest.mark.parametrize("fleet, answer", [(2, Abandon), (3, StartAttempt)])  # zones 0 and 1; then 0, 1 and 0
+def test_a_deduplicated_rpc_that_may_have_run_stays_in_its_scope(fleet, answer):
+    bench = DecisionBench(fleet=fleet)
+    first = attempts_in(bench.arrive(method=1))[0]
+    assert isinstance(bench.end_attempt(1, 0, first.backend, AttemptOutcome.ERROR)[0], answer)
+
+
+def test_an_idempotent_rpc_that_may_have_run_goes_anywhere_but_not_into_an_overload():
+    bench = DecisionBench(fleet=6)
+    (out,) = attempts_in(bench.arrive())
+    for n in range(4):  # no two of these have a cell of their own left
+        (out,) = attempts_in(bench.end_attempt(out.rpc, n, out.backend, AttemptOutcome.BROKEN))
+    (out,) = attempts_in(bench.arrive())
+    bench.gateway.backends.concurrency.latency = 0.4  # an overload, which retries would only feed
+    assert actions_of(Reject, bench.end_attempt(out.rpc, 0, out.backend, AttemptOutcome.BROKEN))
+
+
+@pytest.mark.parametrize("method, answer", [(2, Abandon), (0, Reject)])
+def test_an_rpc_timed_out_at_its_deadline_still_gets_an_answer(method, answer):
+    bench = DecisionBench()
+    first = attempts_in(bench.arrive(method=method))[0]
+    bench.now += 2_500_000
+    after = bench.end_attempt(1, 0, first.backend, AttemptOutcome.TIMED_OUT, is_final=False)
+    assert actions_of(answer, after) and not attempts_in(after)
+
+
+def test_in_a_fleet_that_rejects_most_attempts_rpcs_are_not_retried():
+    bench = DecisionBench(fleet=20, plans=(plan(1e6, 1e6),))
+    tries = []
+    for _ in range(12):
+        actions, n = bench.arrive(), 0
+        while out := attempts_in(actions):
+            actions, n = bench.end_attempt(bench.next_rpc, n, out[0].backend, AttemptOutcome.REJECTED), n + 1
+        tries.append(n)
+    assert tries[0] > 1 and tries[-1] <= 1 and bench.gateway.backends.concurrency.limit < 16
+
+
+def test_an_idempotent_rpc_at_a_silent_backend_is_cancelled_and_sent_again():
+    bench = DecisionBench()
+    first = attempts_in(bench.arrive())[0]
+    off = actions_of(CancelAttempt, bench.pass_time(1_500_000))
+    assert off and off[0].attempt == 0
+    again = attempts_in(bench.end_attempt(1, 0, first.backend, AttemptOutcome.CANCELLED))
+    assert again and again[0].backend != first.backend
+
+
+def test_late_events_on_ended_rpcs_are_ignored():
+    bench = DecisionBench()
+    first = attempts_in(bench.arrive())[0]
+    bench.end_attempt(1, 0, first.backend)
+    assert not bench.end_attempt(1, 0, first.backend) and not bench.tell(CounterReply(5, True, 1.0))
+
+
+def test_the_same_events_give_the_same_actions():
+    logs = []
+    for _ in range(2):
+        bench = DecisionBench()
+        for i in range(60):
+            bench.tell(
+                Arrival(
+                    rpc=i,
+                    method=i % 4,
+                    plan=0,
+                    customer=i % 3,
+                    customer_id=i % 3,
+                    wait_us=2_500_000,
+                    units=1.0,
+                    customer_gateways=3.0,
+                )
+            )
+        bench.pass_time(3_000_000, counter_total(9.0))
+        logs.append(bench.log)
+    assert logs[0] == logs[1]
+
+
+def test_an_answer_that_arrives_is_not_cancelled_and_its_end_releases_the_rpc():
+    bench = DecisionBench()
+    first = attempts_in(bench.arrive())[0]
+    bench.tell(AnswerStarted(1))
+    later = bench.pass_time(5_000_000)
+    assert not actions_of(CancelAttempt, later) and not attempts_in(later) and bench.gateway.holds(1)
+    bench.end_attempt(1, 0, first.backend)
+    assert not bench.gateway.holds(1)
--- a/tests/test_rules.py
+++ b/tests/control/test_rules.py
@@ -1,6 +1,6 @@
-"""Seeded random runs: the five rules hold after every step, whatever the outcomes."""
+"""Seeded random runs: the five rules hold after every step, whatever the outcomes of attempts."""
 
-from helpers import METHODS, Bench, plan, sent
+from decision_bench import METHODS, DecisionBench, attempts_in, plan
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -8,7 +8,7 @@
 from stoneyoke.control.events import ClientGone, Endpoint, EndpointsChanged
 from stoneyoke.control.parameters import AttemptOutcome, BackendState, DeduplicationScope, Idempotency
 
-UNRUN = (AttemptOutcome.REJECTED, AttemptOutcome.NO_CONNECTION, AttemptOutcome.NOT_SENT)
+NOT_RUN = (AttemptOutcome.REJECTED, AttemptOutcome.NO_CONNECTION, AttemptOutcome.NOT_SENT)
 STEP = st.one_of(
     st.tuples(st.just("arrive"), st.integers(0, 3), st.integers(0, 2)),
     st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(AttemptOutcome)),
@@ -19,10 +19,10 @@
 CEILING = {"ceiling_rate": 6.0, "ceiling_burst": 18.0}
 
 
-class Judge(Bench):
+class RuleChecker(DecisionBench):
     def __init__(self):
         super().__init__(plans=(plan(40.0, 120.0, **CEILING),), gateways=3)
-        self.rpcs = {}  # rpc -> method, customer, deadline, call-outs [(backend, time, outcome)], ended
+        self.rpcs = {}  # by RPC: method, customer, deadline, attempts [(backend, time, outcome)], ended
         self.state = dict.fromkeys(range(6), BackendState.READY)
         self.ceilings = {}
 
@@ -30,11 +30,11 @@
         for at, action in self.log[before:]:
             if isinstance(action, StartAttempt | Reject | Abandon):
                 rpc = self.rpcs[action.rpc]
-                assert not rpc["ended"], "more than one final answer, or a call-out after it"
+                assert not rpc["ended"], "more than one final answer, or an attempt after it"
                 method = METHODS[rpc["method"]]
-                ran = [c for c in rpc["outs"] if c[2] not in UNRUN]
+                ran = [c for c in rpc["attempts"] if c[2] not in NOT_RUN]
                 if isinstance(action, StartAttempt):
-                    assert all(c[2] for c in rpc["outs"]), "two call-outs at once"
+                    assert all(c[2] for c in rpc["attempts"]), "two attempts in flight at once"
                     assert self.state[action.backend] is BackendState.READY
                     assert at < rpc["deadline"]
                     if ran and method.idempotency is Idempotency.DEDUPLICATED:
@@ -43,12 +43,12 @@
                             method.deduplication_scope is DeduplicationScope.ALL or action.backend % 2 == ran[0][0] % 2
                         )
                     assert not (ran and method.idempotency is Idempotency.NON_IDEMPOTENT)
-                    if not rpc["outs"]:
+                    if not rpc["attempts"]:
                         level, last = self.ceilings.get(rpc["customer"], (0.0, self.log[0][0]))
                         level = min(6.0, level + 2.0 * (at - last) / 1e6) - 1
-                        assert level >= -1e-6, "ceiling passed"
+                        assert level >= -1e-6, "ceiling exceeded"
                         self.ceilings[rpc["customer"]] = level, at
-                    rpc["outs"].append([action.backend, at, None])
+                    rpc["attempts"].append([action.backend, at, None])
                 else:
                     rpc["ended"] = True
                     if isinstance(action, Reject) and ran:
@@ -59,7 +59,7 @@
                         )
         for number, rpc in self.rpcs.items():
             if not rpc["ended"]:
-                assert any(c[2] is None for c in rpc["outs"]), f"RPC {number} is held with nothing out"
+                assert any(c[2] is None for c in rpc["attempts"]), f"RPC {number} is open without an attempt in flight"
 
     def step(self, what, number, detail):
         before = len(self.log)
@@ -68,12 +68,12 @@
                 "method": number,
                 "customer": detail,
                 "deadline": self.now + 2_500_000,
-                "outs": [],
+                "attempts": [],
                 "ended": False,
             }
             self.arrive(number, detail)
         elif what == "end":
-            out = [(r, n) for r, rpc in self.rpcs.items() for n, c in enumerate(rpc["outs"]) if c[2] is None]
+            out = [(r, n) for r, rpc in self.rpcs.items() for n, c in enumerate(rpc["attempts"]) if c[2] is None]
             if out:
                 self.finish(*out[number % len(out)], detail)
         elif what == "pass":
@@ -81,7 +81,7 @@
                 self.pass_time(50_000)
                 for r, rpc in self.rpcs.items():
                     if not rpc["ended"] and self.now >= rpc["deadline"]:
-                        self.finish(r, len(rpc["outs"]) - 1, AttemptOutcome.TIMED_OUT)
+                        self.finish(r, len(rpc["attempts"]) - 1, AttemptOutcome.TIMED_OUT)
         elif what == "list":
             self.state[number] = detail
             self.tell(EndpointsChanged(False, False, [Endpoint(number, number % 2, number % 3, 0, detail)]))
@@ -91,39 +91,39 @@
             self.tell(ClientGone(rpc))
         self.check(before)
 
-    def finish(self, r, n, outcome):
-        rpc = self.rpcs[r]
-        rpc["outs"][n][2] = outcome
-        done = rpc["ended"] or outcome is AttemptOutcome.OK
-        rpc["ended"] = done
-        self.end(r, n, rpc["outs"][n][0], outcome, closed=done)
+    def finish(self, number, attempt, outcome):
+        """Ends an attempt, finally if it is a good one or nobody waits."""
+        rpc = self.rpcs[number]
+        rpc["attempts"][attempt][2] = outcome
+        rpc["ended"] = rpc["ended"] or outcome is AttemptOutcome.OK
+        self.end_attempt(number, attempt, rpc["attempts"][attempt][0], outcome, is_final=rpc["ended"])
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.lists(STEP, max_size=60))
-def test_rules_hold_after_every_step(steps):
-    judge = Judge()
+def test_the_rules_hold_after_every_step(steps):
+    checker = RuleChecker()
     for step in steps:
-        judge.step(*step)
-    for rpc in list(judge.rpcs):  # all that is still out ends, and nothing is left behind
-        while any(c[2] is None for c in judge.rpcs[rpc]["outs"]):
-            before = len(judge.log)
-            n = next(i for i, c in enumerate(judge.rpcs[rpc]["outs"]) if c[2] is None)
-            judge.finish(rpc, n, AttemptOutcome.OK)
-            judge.check(before)
-    assert not judge.gateway.rpcs.open
-    assert all(not of.attempt < 0 for _, of in judge.log if isinstance(of, CancelAttempt))
+        checker.step(*step)
+    for rpc in list(checker.rpcs):  # all that is still out ends, and nothing is left behind
+        while any(c[2] is None for c in checker.rpcs[rpc]["attempts"]):
+            before = len(checker.log)
+            n = next(i for i, c in enumerate(checker.rpcs[rpc]["attempts"]) if c[2] is None)
+            checker.finish(rpc, n, AttemptOutcome.OK)
+            checker.check(before)
+    assert not checker.gateway.rpcs.open
+    assert all(not of.attempt < 0 for _, of in checker.log if isinstance(of, CancelAttempt))
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(st.lists(st.integers(0, 400), max_size=80))
 def test_a_cold_backend_never_gets_more_than_its_budget_in_a_window(gaps):
-    bench = Bench(fleet=6, started={0: 1_000_000_000_000}, plans=(plan(9000.0, 9000.0),))
+    bench = DecisionBench(fleet=6, started={0: 1_000_000_000_000}, plans=(plan(9000.0, 9000.0),))
     times, peak = [], 1.0
     for gap in gaps:
         bench.pass_time(gap * 1000)
-        for action in sent(bench.arrive()):
-            bench.end(bench.next_rpc, 0, action.backend)
+        for action in attempts_in(bench.arrive()):
+            bench.end_attempt(bench.next_rpc, 0, action.backend)
             peak = max(peak, bench.gateway.backends.concurrency.answers_per_s)
             if action.backend == 0:
                 times.append(bench.now)
--- a/tests/helpers.py
+++ b/tests/decision_bench.py
@@ -4,8 +4,9 @@
 from typing import Any, TypeVar
 
 from stoneyoke.control import Gateway
-from stoneyoke.control.actions import Action, StartAttempt
-from stoneyoke.control.events import Arrival, AttemptEnded, Endpoint, EndpointsChanged, Event, TimerFired
+from stoneyoke.control.actions import Action, AddToCounter, Reject, StartAttempt
+from stoneyoke.control.context import TICK_US
+from stoneyoke.control.events import Arrival, AttemptEnded, CounterReply, Endpoint, EndpointsChanged, Event, TimerFired
 from stoneyoke.control.parameters import (
     AttemptOutcome,
     BackendState,
@@ -58,22 +59,24 @@
 def plan(  # noqa: PLR0913 -- a builder: each argument is one thing that a test varies
     rate: float = 4.0,
     burst: float = 12.0,
-    parallel: int = 0,
+    concurrency_max: int = 0,
     ceiling_rate: float = 0.0,
     ceiling_burst: float = 0.0,
     price: float = 1.0,
 ) -> Plan:
+    """A plan; rates in units a second."""
     return Plan(
         rate=rate,
         burst=burst,
         price=price,
-        concurrency_max=parallel,
+        concurrency_max=concurrency_max,
         ceiling_rate=ceiling_rate,
         ceiling_burst=ceiling_burst,
     )
 
 
 def parameters(plans: tuple[Plan, ...] | None = None, **changes: Any) -> GatewayParameters:
+    """Parameters of one gateway of three, with changes by name."""
     values: dict[str, Any] = {
         "seed": 7,
         "gateways": 3,
@@ -97,10 +100,11 @@
     return GatewayParameters(**(values | changes))
 
 
-class Bench:
+class DecisionBench:
     """Drives one gateway's decision logic, and keeps every action with its time."""
 
     def __init__(self, fleet: int = 6, started: dict[int, int] | None = None, **changes: Any) -> None:
+        """A gateway with `fleet` backends in two zones; `started`: start times of some; changes of its parameters."""
         self.now, self.next_rpc = START, 0
         self.log: list[tuple[int, Action]] = []
         self.gateway = Gateway(parameters(**changes), START)
@@ -112,6 +116,7 @@
         )
 
     def tell(self, event: Event) -> list[Action]:
+        """Handles an event now."""
         actions = self.gateway.handle(event, self.now)
         self.log += [(self.now, action) for action in actions]
         return actions
@@ -121,11 +126,12 @@
         method: int = 0,
         customer: int = 0,
         units: float = 1.0,
-        width: float = 3.0,
-        wait: int = 2_500_000,
+        customer_gateways: float = 3.0,
+        wait_us: int = 2_500_000,
         plan: int = 0,
-        repeat: bool | None = None,
+        is_retry: bool | None = None,
     ) -> list[Action]:
+        """An RPC arrives, with the next number."""
         self.next_rpc += 1
         return self.tell(
             Arrival(
@@ -134,32 +140,39 @@
                 plan=plan,
                 customer=customer,
                 customer_id=1000 + customer,
-                wait_us=wait,
+                wait_us=wait_us,
                 units=units,
-                customer_gateways=width,
-                is_retry=repeat,
+                customer_gateways=customer_gateways,
+                is_retry=is_retry,
             )
         )
 
-    def end(  # noqa: PLR0913 -- a builder: each argument is one thing that a test varies
+    def end_attempt(  # noqa: PLR0913 -- a builder: each argument is one thing that a test varies
         self,
         rpc: int,
-        n: int,
+        attempt: int,
         backend: int,
         outcome: AttemptOutcome = AttemptOutcome.OK,
-        closed: bool | None = None,
+        is_final: bool | None = None,
         units: float = 0.0,
     ) -> list[Action]:
-        closed = outcome is AttemptOutcome.OK if closed is None else closed
+        """An attempt ends: finally, unless told otherwise, if it is a good one."""
         return self.tell(
-            AttemptEnded(rpc=rpc, attempt=n, backend=backend, outcome=outcome, is_final=closed, settled_units=units)
+            AttemptEnded(
+                rpc=rpc,
+                attempt=attempt,
+                backend=backend,
+                outcome=outcome,
+                is_final=outcome is AttemptOutcome.OK if is_final is None else is_final,
+                settled_units=units,
+            )
         )
 
     def pass_time(self, microseconds: int, answer: Callable[[Action], Event | None] | None = None) -> list[Action]:
         """Lets time pass with a timer at each tick; answer(action) may return an event for an action."""
         until, out = self.now + microseconds, list[Action]()
         while self.now < until:
-            self.now = min(until, self.now + 50_000 - self.now % 50_000)
+            self.now = min(until, self.now + TICK_US - self.now % TICK_US)
             actions = self.tell(TimerFired(0))
             out += actions
             for action in actions:
@@ -168,9 +181,42 @@
         return out
 
 
-def of(kind: type[Kind], actions: Iterable[Any]) -> list[Kind]:
-    return [a for a in actions if isinstance(a, kind)]
+def actions_of(kind: type[Kind], actions: Iterable[Any]) -> list[Kind]:
+    """The actions of one type."""
+    return [action for action in actions if isinstance(action, kind)]
+
+
+def attempts_in(actions: Iterable[Any]) -> list[StartAttempt]:
+    """The attempts that are started."""
+    return actions_of(StartAttempt, actions)
+
+
+def exhaust_quota(bench: DecisionBench, **arrival: Any) -> Reject:
+    """RPCs that are answered at once, until the first one is rejected."""
+    while not (rejections := actions_of(Reject, bench.arrive(**arrival))):
+        bench.end_attempt(bench.next_rpc, 0, attempts_in([action for _, action in bench.log])[-1].backend)
+    return rejections[0]
+
+
+def counter_total(total: float) -> Callable[[Action], Event | None]:
+    """The counter's replies, for pass_time: always this total."""
+
+    def answer(action: Action) -> Event | None:
+        return CounterReply(action.name, True, total) if isinstance(action, AddToCounter) else None
+
+    return answer
+
+
+def query_lost(action: Action) -> Event | None:
+    """The counter's replies, for pass_time: none comes."""
+    return CounterReply(action.name, False, 0.0) if isinstance(action, AddToCounter) else None
+
+
+def gateways_of_one_fleet(gateways: int, **changes: Any) -> list[DecisionBench]:
+    """Gateways that share the backends, each with its own index and seed."""
+    return [DecisionBench(gateways=gateways, own_index=i, seed=i, **changes) for i in range(gateways)]
 
 
-def sent(actions: Iterable[Any]) -> list[StartAttempt]:
-    return of(StartAttempt, actions)
+def start_rpcs(bench: DecisionBench, number: int, **arrival: Any) -> list[StartAttempt]:
+    """As many RPCs of as many customers; the attempts that they start."""
+    return [attempts_in(bench.arrive(customer=100 + i, **arrival))[0] for i in range(number)]
--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -5,7 +5,7 @@
 from dataclasses import fields
 from typing import get_args
 
-from helpers import START, Bench, plan
+from decision_bench import START, DecisionBench, plan
 
 from stoneyoke.control.actions import Action, AddToCounter, CancelAttempt, StartAttempt
 from stoneyoke.control.events import ClientGone, CounterReply, Endpoint, EndpointsChanged, PeerEvidence, TimerFired
@@ -28,7 +28,7 @@
     """A minute of drawn events at one gateway of 60, answered as they are asked for; the digest of its
     actions."""
     random_source, digest = random.Random(18), hashlib.sha256()
-    bench = Bench(
+    bench = DecisionBench(
         fleet=12,
         gateways=60,
         own_index=7,
@@ -63,7 +63,7 @@
             if len(event) == 3:
                 note(bench.tell(CounterReply(event[1], True, event[2])))
             else:
-                note(bench.end(*event[1:5]))
+                note(bench.end_attempt(*event[1:5]))
         note(bench.tell(TimerFired(0)))
         for _ in range(random_source.randrange(3)):
             kind = random_source.randrange(3)
@@ -73,7 +73,7 @@
                     customer=kind * 10 + random_source.randrange(5),
                     plan=kind,
                     units=random_source.choice((0.2, 0.5, 1.0)),
-                    width=60.0,
+                    customer_gateways=60.0,
                 )
             )
         if random_source.random() < 0.01:
