--- a/tests/system/test_controller.py
+++ b/tests/system/test_controller.py
@@ -51,7 +51,7 @@
     return [name for name, one in cluster.controllers.items() if one.lease.is_held()]
 
 
-@test("a configuration acknowledged by one controller is read back at every other, also after all lost power")
+@test("a configuration acknowledged by one controller is read back at every other, also after a power loss of all")
 def _():
     async def play(cluster):
         await all_have_quorum(cluster)
@@ -68,7 +68,7 @@
     run(play)
 
 
-@test("before anything was put there is nothing to read, and that is said as such")
+@test("before the first replacement a read is rejected: there is no configuration")
 def _():
     async def play(cluster):
         await all_have_quorum(cluster)
@@ -89,7 +89,7 @@
     run(play)
 
 
-@test("two operators at two controllers at once: all end with the higher one")
+@test("two operators at two controllers at once: all controllers end with the higher number")
 def _():
     async def play(cluster):
         await all_have_quorum(cluster)
@@ -109,12 +109,12 @@
     async def play(cluster):
         await all_have_quorum(cluster)
         one, other = cluster.controllers["10.0.0.1"], cluster.controllers["10.0.0.2"]
-        said = await asyncio.gather(one.handle_call(put(8)), other.handle_call(put(8, other_content)))
-        assert sorted(type(answer).__name__ for answer in said) == ["Acknowledged", "Rejected"]
-        rejected = next(answer for answer in said if isinstance(answer, Rejected))
+        answers = await asyncio.gather(one.handle_call(put(8)), other.handle_call(put(8, other_content)))
+        assert sorted(type(answer).__name__ for answer in answers) == ["Acknowledged", "Rejected"]
+        rejected = next(answer for answer in answers if isinstance(answer, Rejected))
         assert rejected.status == 409
         first, second = (
-            (put(8), put(8, other_content)) if said[0] == Acknowledged() else (put(8, other_content), put(8))
+            (put(8), put(8, other_content)) if answers[0] == Acknowledged() else (put(8, other_content), put(8))
         )
         for controller in cluster.controllers.values():
             assert await controller.handle_call(first) == Acknowledged()
@@ -124,7 +124,7 @@
     run(play)
 
 
-@test("an order whose answer was lost is acknowledged when it is sent again, to any controller, also after later ones")
+@test("a replacement whose answer was lost is acknowledged when sent again, at any controller, also after later ones")
 def _():
     async def play(cluster):
         await all_have_quorum(cluster)
@@ -141,7 +141,7 @@
     run(play)
 
 
-@test("an order that its controller left half way is settled by the others, and no other content takes its number")
+@test("a replacement that its controller left unfinished is completed by others, and keeps its number for its content")
 def _():
     async def play(cluster):
         await all_have_quorum(cluster)
@@ -155,7 +155,7 @@
     run(play)
 
 
-@test("a controller that is cut off acknowledges nothing and says so at once; the others go on")
+@test("a controller without a quorum acknowledges nothing and answers at once; the others go on")
 def _():
     async def play(cluster):
         await all_have_quorum(cluster)
@@ -163,8 +163,8 @@
         alone = cluster.controllers["10.0.0.1"]
         await cluster.until(lambda: not alone.has_quorum())
         began = alone.clock()
-        for asked in (put(5), heartbeat(), heartbeat(2, "draining")):
-            assert isinstance(await alone.handle_call(asked), Unavailable)
+        for call in (put(5), heartbeat(), heartbeat(2, "draining")):
+            assert isinstance(await alone.handle_call(call), Unavailable)
         assert not alone.lease.is_held()
         assert alone.clock() - began < 0.1
         assert await cluster.controllers["10.0.0.2"].handle_call(put(5)) == Acknowledged()
@@ -174,7 +174,7 @@
     run(play)
 
 
-@test("a disk that refuses does not count; the majority does without it")
+@test("a disk that refuses writes does not count towards the majority; the others are enough")
 def _():
     async def play(cluster):
         await all_have_quorum(cluster)
@@ -187,7 +187,7 @@
     run(play)
 
 
-@test("a machine whose disk is empty is another member: what only it and one other held is still what is read")
+@test("a machine whose disk is empty is another member: what it and one other held stays what is read")
 def _():
     async def play(cluster):
         await all_have_quorum(cluster)
@@ -200,9 +200,9 @@
         await cluster.start("10.0.0.3")
         await asyncio.sleep(5)
         assert not wiped.replica.is_voter() and wiped.replica.identity.disk != FIRST_DISK
-        for asked in (ReadConfiguration(), put(4), put(9)):
-            assert isinstance(await wiped.handle_call(asked), Unavailable)
-            assert isinstance(await cluster.controllers["10.0.0.3"].handle_call(asked), Unavailable)
+        for call in (ReadConfiguration(), put(4), put(9)):
+            assert isinstance(await wiped.handle_call(call), Unavailable)
+            assert isinstance(await cluster.controllers["10.0.0.3"].handle_call(call), Unavailable)
         await cluster.start("10.0.0.2")
         await cluster.until(wiped.replica.is_voter)
         assert await wiped.handle_call(ReadConfiguration()) == Document(example(5))
@@ -251,7 +251,7 @@
     run(play)
 
 
-@test("a voter that was replaced while it was cut off decides nothing when it is back, nor with its old friends")
+@test("a voter that was replaced while cut off decides nothing when it is back, nor together with former voters")
 def _():
     async def play(cluster):
         await all_have_quorum(cluster)
@@ -264,7 +264,7 @@
         assert isinstance(await old.handle_call(put(6)), Unavailable) and isinstance(
             await old.handle_call(ReadConfiguration()), Unavailable
         )
-        cluster.cuts = [{"10.0.0.1", "10.0.0.2"}, {"10.0.0.1", "10.0.0.4"}]  # with an old friend alone
+        cluster.cuts = [{"10.0.0.1", "10.0.0.2"}, {"10.0.0.1", "10.0.0.4"}]  # with one former fellow voter alone
         await cluster.until(lambda: old.replica.version().number == 5)
         assert not old.replica.is_voter()
         assert isinstance(await old.handle_call(put(6)), Unavailable)  # it reaches one of three voters
@@ -341,7 +341,7 @@
     run(play)
 
 
-@test("five controllers that are to bear two losses: those that were no seeds are made voters")
+@test("five controllers that are to survive two losses: those that were not seeds become voters")
 def _():
     async def play(cluster):
         await cluster.until(lambda: all(len(one.replica.voters().members) == 5 for one in cluster.controllers.values()))
@@ -354,7 +354,7 @@
     run(play, count=5, losses=2)
 
 
-@test("a controller that is told to end hands its vote to one that has none, and holds nobody up where there is none")
+@test("a controller that shuts down hands its vote to a learner, and does not wait if there is none")
 def _():
     async def play(cluster):
         await all_have_quorum(cluster)
@@ -408,11 +408,11 @@
         cluster.stop("10.0.0.3")
         for number in range(1, 301):
             assert await cluster.controllers["10.0.0.1"].handle_call(put(number)) == Acknowledged()
-        asked = cluster.carried.get("ValueRequest", 0)
+        sent_before = cluster.carried["ValueRequest"]
         again = await cluster.start("10.0.0.3")
         assert again.replica.chosen is None and not again.lease.is_held()
         await cluster.until(lambda: again.replica.version().number == 300)
-        assert cluster.carried.get("ValueRequest", 0) - asked <= 4
+        assert cluster.carried["ValueRequest"] - sent_before <= 4
         assert sum(len(part) for part in cluster.disks["10.0.0.3"].records["register"].values()) < 2 * len(example(300))
 
     run(play)
@@ -435,7 +435,7 @@
     run(play)
 
 
-@test("a controller whose disk stands still acknowledges by the others' disks, and stays in touch")
+@test("a controller whose disk hangs acknowledges by the others' disks, and keeps its quorum")
 def _():
     async def play(cluster):
         await all_have_quorum(cluster)
