--- a/stoneyoke/consensus/errors.py
+++ b/stoneyoke/consensus/errors.py
@@ -6,9 +6,9 @@
 
 
 class InvalidRecord(ConsensusError):
-    """A whole record doesn't hold what its family should.
+    """A record is whole, but its fields aren't those of its family.
 
-    Its digest is right, so it was written so: by another release, or by a fault of this one.
+    Its digest matches, so it was written like this: by another release, or because of a fault in this one.
 
     Attributes:
         family: The record's family.
--- a/stoneyoke/consensus/learner.py
+++ b/stoneyoke/consensus/learner.py
@@ -1,4 +1,4 @@
-"""The learner's part: takes values for chosen, fetches them from others and tells others of them."""
+"""The learner's part: records chosen values, fetches them from other controllers and announces them."""
 
 import zlib
 
--- a/stoneyoke/consensus/majority_read.py
+++ b/stoneyoke/consensus/majority_read.py
@@ -37,7 +37,7 @@
         return voter_groups.addresses_of(self.required_groups())
 
     def on_reply(self, voter: ReplicaId, accepted: Proposal | None) -> None:
-        """A voter has told what it has accepted."""
+        """A voter has answered with what it has accepted."""
         self.replies[voter] = accepted
 
     def has_quorum(self) -> bool:
--- a/stoneyoke/consensus/record_formats.py
+++ b/stoneyoke/consensus/record_formats.py
@@ -1,7 +1,7 @@
 """The register's records: values as byte fields, both ways, read strictly. No I/O.
 
-The forms are fixed: a release reads what the one before wrote. `tests/system/compatibility` holds records of earlier
-releases.
+The forms are fixed: a release reads what the one before wrote. `tests/system/compatibility` has records of
+earlier releases.
 """
 
 import json
@@ -86,7 +86,7 @@
         version: Version of the configuration's text.
 
     Returns:
-        None if this replica had no vote, or was amid a change of the voters.
+        None if this replica had no vote, or a change of the voters was under way.
 
     Raises:
         InvalidRecord: The record of the voters can't be read.
--- a/stoneyoke/consensus/recovery.py
+++ b/stoneyoke/consensus/recovery.py
@@ -15,16 +15,16 @@
 PROPOSER = "recovery"
 
 
-def recovered_register(held: Proposal, promised: Ballot, survivor: ReplicaId) -> Proposal:
+def recovered_register(accepted: Proposal, promised: Ballot, survivor: ReplicaId) -> Proposal:
     """The survivor's register, with the survivor as its only voter.
 
     The other replicas join with empty disks as learners, and become voters two at a time.
 
     Args:
-        held: What the survivor has accepted.
+        accepted: What the survivor has accepted.
         promised: The highest ballot that it has promised.
         survivor: The replica that is left.
     """
-    counter = max(held.ballot, promised).counter + BALLOTS_SKIPPED
-    voters = VoterSet(held.value.voters.number + VOTER_SETS_SKIPPED, (survivor,))
-    return Proposal(Ballot(counter, PROPOSER), replace(held.value, voters=voters, previous=()))
+    counter = max(accepted.ballot, promised).counter + BALLOTS_SKIPPED
+    voters = VoterSet(accepted.value.voters.number + VOTER_SETS_SKIPPED, (survivor,))
+    return Proposal(Ballot(counter, PROPOSER), replace(accepted.value, voters=voters, previous=()))
--- a/stoneyoke/consensus/replica.py
+++ b/stoneyoke/consensus/replica.py
@@ -18,7 +18,7 @@
 class Replica:
     """An acceptor and learner with its disk.
 
-    What it promises or accepts is on disk before any method returns it, and so before anybody is told of it.
+    What it promises or accepts is on disk before the method returns, and so before anybody else learns of it.
 
     Attributes:
         identity: Address and disk; the disk isn't known before `load`.
--- a/stoneyoke/consensus/replica_disk.py
+++ b/stoneyoke/consensus/replica_disk.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from stoneyoke.storage.errors import StorageError
+from stoneyoke.storage.errors import StorageError, WriteQueueFull
 from stoneyoke.storage.record_file import Record
 from stoneyoke.storage.record_store import LoadedRecord
 
@@ -16,7 +16,7 @@
 """Writes that wait for a disk that hangs. Further ones fail at once."""
 
 RunBlocking = Callable[..., Awaitable[Any]]
-"""Runs a function that may wait for the disk, and returns its result; in a thread, for one."""
+"""Runs a function that may wait for the disk, and returns its result; for example in a thread."""
 
 
 class RecordStorage(Protocol):
@@ -29,10 +29,6 @@
         """The newest whole record of a family. Raises StorageError."""
 
 
-class WriteQueueFull(StorageError):
-    """The disk doesn't answer, and too many writes wait for it already."""
-
-
 class ReplicaDisk:
     """Reads and writes a replica's records without blocking the event loop."""
 
@@ -79,7 +75,7 @@
 
 
 class WriteTurn:
-    """The exclusive right to write a record, as a context."""
+    """The exclusive right to write a record, as a context manager."""
 
     def __init__(self, disk: ReplicaDisk) -> None:
         """Takes the disk to write to."""
@@ -92,7 +88,7 @@
         self.disk.waiting += 1
         try:
             await self.disk.lock.acquire()
-        except BaseException:  # cancelled, too: whoever counts must be counted out again
+        except BaseException:  # also when cancelled: this call doesn't wait any more
             self.disk.waiting -= 1
             raise
 
--- a/stoneyoke/consensus/voter_set.py
+++ b/stoneyoke/consensus/voter_set.py
@@ -22,7 +22,7 @@
 
     Attributes:
         silent_s: Seconds since each voter was last heard; 0 for the proposer itself.
-        leaving: Replicas that were told to shut down.
+        leaving: Replicas that are shutting down.
         learners: Replicas without a vote that have the newest chosen value, the one steady for longest first.
     """
 
--- a/stoneyoke/storage/errors.py
+++ b/stoneyoke/storage/errors.py
@@ -5,6 +5,10 @@
     """Base of the errors of this package: a record could not be written or read."""
 
 
+class WriteQueueFull(StorageError):
+    """The disk doesn't answer, and too many writes wait for it already."""
+
+
 class RecordError(StorageError):
     """Something failed with one record.
 
@@ -28,7 +32,7 @@
 
 
 class RecordNotRead(RecordError):
-    """The disk refused the record, or the family. Which record is the newest whole one can't be told."""
+    """The disk refused the record, or the family. Which record is the newest whole one is unknown."""
 
     FAILURE = "could not be read"
 
--- a/stoneyoke/storage/record_file.py
+++ b/stoneyoke/storage/record_file.py
@@ -1,4 +1,4 @@
-"""One record as files: a `dbm.dumb` of its fields, with a digest that tells whether it is whole."""
+"""One record as files: a `dbm.dumb` of its fields, with a digest that shows whether it is whole."""
 
 import dbm.dumb
 import errno
@@ -68,7 +68,7 @@
 
     Raises:
         TornRecord: The record isn't whole.
-        RecordNotRead: Whether it is whole can't be told, for want of descriptors or by a read error.
+        RecordNotRead: Whether it is whole is unknown: no file descriptor is left, or the disk fails to read.
     """
     name = os.path.basename(path)
     try:
--- a/stoneyoke/storage/record_store.py
+++ b/stoneyoke/storage/record_store.py
@@ -2,13 +2,13 @@
 
 Each record is a `dbm.dumb` of its own, under a name never used before. `dbm.dumb` rewrites its index in place, so a
 record that counts is never updated: a new one is written whole under the next number, its files and the folder are
-synced, and only then it counts. A torn record is told by its digest, and the one before it is read.
+synced, and only then it counts. A torn record is recognized by its digest, and the one before it is read.
 
 A loss of power keeps what was synced. Later writes to a file are there, missing or torn. Each name that was made or
 removed since the folder's last sync is kept or lost by itself (DEPLOY, Disk).
 
 What `load` returns is never older than the newest record whose `save` returned, nor than what an earlier `load`
-returned. That holds for these reasons:
+returned. The reasons:
 
 * Numbers rise within a process, and a start goes on above the highest number that it sees. A name that it doesn't see,
   because it was removed, can come back only until the next sync of the folder, and no `save` returns without one.
@@ -147,7 +147,7 @@
         """The newest whole record of a family.
 
         Raises:
-            RecordNotRead: Which record that is can't be told, or the disk doesn't confirm it. What a killed process
+            RecordNotRead: Which record that is is unknown, or the disk doesn't confirm it: what a killed process
                 wrote may not be synced yet.
         """
         torn: list[str] = []
@@ -166,7 +166,7 @@
         return LoadedRecord(None, torn)
 
     def read_record(self, family: str, number: int) -> Record:
-        """One record. Raises TornRecord if it isn't whole, RecordNotRead if that can't be told."""
+        """One record. Raises TornRecord if it isn't whole, RecordNotRead if that is unknown."""
         return read_data_and_index(self.base_path(family, number))
 
     def confirm(self, family: str, number: int) -> None:
--- a/tests/system/test_recovery.py
+++ b/tests/system/test_recovery.py
@@ -1,4 +1,4 @@
-"""A majority of the voters gone for good: what the operator's command does on the disk that is left."""
+"""A majority of the voters is lost for good: what the operator's command does on the disk that is left."""
 
 import tempfile
 
@@ -6,7 +6,7 @@
 from configurations import example
 from controller_cluster import run
 from test_controller import all_have_quorum, put, voters
-from ward import raises, test
+from ward import fixture, raises, test
 
 from stoneyoke.api.calls import Acknowledged, Document, ReadConfiguration, Unavailable
 from stoneyoke.api.configuration import read_configuration
@@ -27,9 +27,12 @@
 from stoneyoke.storage.record_store import RecordStore
 
 A, B, C = (ReplicaId(f"10.0.0.{at}", FIRST_DISK) for at in (1, 2, 3))
+VERSION = read_configuration(example(5)).version
+ACCEPTED = Proposal(Ballot(7, "10.0.0.2/ab"), RegisterValue(VoterSet(4, (A, B, C)), (), VERSION, example(5)))
+PROMISED = Ballot(9, "10.0.0.3/cd")
 
 
-@test("the one disk that is left goes on with what it held, and the others join with empty disks")
+@test("the one replica that is left goes on with its configuration, and the others join with empty disks")
 def _():
     async def play(cluster):
         await all_have_quorum(cluster)
@@ -58,24 +61,42 @@
     run(play)
 
 
-@test("the command adds one record to the folder, and only when it is confirmed; what it holds is told")
-def _():
-    version = read_configuration(example(5)).version
-    held = Proposal(Ballot(7, "10.0.0.2/ab"), RegisterValue(VoterSet(4, (A, B, C)), (), version, example(5)))
-    with tempfile.TemporaryDirectory() as folder:
-        store = RecordStore(folder)
+@fixture
+def folder():
+    """A stopped controller's data folder: it voted with two others, which are lost."""
+    with tempfile.TemporaryDirectory() as name:
+        store = RecordStore(name)
         store.save(IDENTITY, identity_record(FIRST_DISK))
-        store.save(PROMISE, promise_record(Ballot(9, "10.0.0.3/cd")))
-        store.save(REGISTER, register_record(held))
-        flags.FLAGS(["stoneyokectl", "--noconfirm"])
-        with raises(stoneyokectl.CommandError):
-            stoneyokectl.recover(folder, A.address)
-        assert read_register(RecordStore(folder).load(REGISTER).record) == held
-        flags.FLAGS(["stoneyokectl", "--confirm"])
+        store.save(PROMISE, promise_record(PROMISED))
+        store.save(REGISTER, register_record(ACCEPTED))
+        yield name
+
+
+def stored_register(folder):
+    return read_register(RecordStore(folder).load(REGISTER).record)
+
+
+@test("the recover command changes nothing unless it is confirmed")
+def _(folder=folder):
+    flags.FLAGS(["stoneyokectl", "--noconfirm"])
+    with raises(stoneyokectl.CommandError):
         stoneyokectl.recover(folder, A.address)
-        after = read_register(RecordStore(folder).load(REGISTER).record)
-        assert after.value.voters.members == (A,) and after.value.voters.number > 4 and not after.value.previous
-        assert after.ballot.counter > 9 and after.value.body == example(5)
-        stoneyokectl.records(folder)
+    assert stored_register(folder) == ACCEPTED
+
+
+@test("the recover command makes this replica the only voter, above all ballots and voter sets, with its configuration")
+def _(folder=folder):
+    flags.FLAGS(["stoneyokectl", "--confirm"])
+    stoneyokectl.recover(folder, A.address)
+    after = stored_register(folder)
+    assert after.value.voters.members == (A,) and not after.value.previous
+    assert after.value.voters.number > ACCEPTED.value.voters.number and after.ballot.counter > PROMISED.counter
+    assert after.value.body == example(5)
+    stoneyokectl.records(folder)
+
+
+@test("the recover command refuses a folder without a register")
+def _():
+    flags.FLAGS(["stoneyokectl", "--confirm"])
     with tempfile.TemporaryDirectory() as folder, raises(stoneyokectl.CommandError):
         stoneyokectl.recover(folder, A.address)
--- a/tests/system/test_replica.py
+++ b/tests/system/test_replica.py
@@ -8,7 +8,8 @@
 from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
 from stoneyoke.consensus.register_value import initial_value
 from stoneyoke.consensus.replica import Replica
-from stoneyoke.consensus.replica_disk import MAX_WAITING_WRITES, WriteQueueFull
+from stoneyoke.consensus.replica_disk import MAX_WAITING_WRITES
+from stoneyoke.storage.errors import WriteQueueFull
 
 
 @test("a stalled disk holds a bounded number of writes, refuses further ones, and takes new ones once it goes on")
