--- a/stoneyoke/lab/cli.py
+++ b/stoneyoke/lab/cli.py
@@ -1,33 +1,41 @@
 """stoneyoke lab: runs, reports, comparisons. Exit codes: 0 passed, 1 failed, void, partial, 2 unusable."""
 
 import sys
+from collections.abc import Callable
+from contextlib import AbstractContextManager
 from pathlib import Path
+from typing import TYPE_CHECKING, Any, NoReturn
 
 import click
 import msgspec
 
-from stoneyoke.lab.errors import InvalidScenario
+from stoneyoke.lab.errors import CannotRun, InvalidScenario, NotReady
 from stoneyoke.lab.scenario import Scenario
 from stoneyoke.lab.scenario_file import read_scenario
 
+if TYPE_CHECKING:
+    from stoneyoke.lab.result import Result
+
 SHIPPED = Path(__file__).parent / "scenarios"
+EXIT_NOT_PASSED, EXIT_UNUSABLE = 1, 2
+PROGRESS_STEPS_PER_S = 10
+MAX_PRINTED_VIOLATIONS = 10
 
 
-def fail(text: str) -> None:
-    """Ends with the exit code of what can't be used, and one line that says why."""
+def fail(text: str, code: int = EXIT_UNUSABLE) -> NoReturn:
+    """Ends the program with one line that says why."""
     click.echo(f"stoneyoke: {text}", err=True)
-    sys.exit(2)
+    sys.exit(code)
 
 
-def find(name: str) -> Scenario:
-    """A file, or a scenario shipped with the lab by its name."""
+def find_scenario(name: str) -> Scenario:
+    """Reads a scenario file, or one that is shipped with the laboratory by its name."""
     path = Path(name)
     shipped = SHIPPED / f"{name}.toml"
     try:
         return read_scenario(shipped if not path.exists() and shipped.exists() else path)
-    except InvalidScenario as bad:
-        fail(str(bad))
-        raise AssertionError from bad
+    except InvalidScenario as error:
+        fail(str(error))
 
 
 @click.group()
@@ -36,7 +44,7 @@
 
 
 @lab.command("list")
-def list_() -> None:
+def list_scenarios() -> None:
     """The scenarios that come with the lab."""
     for path in sorted(SHIPPED.glob("*.toml")):
         scenario = read_scenario(path)
@@ -52,7 +60,7 @@
 @click.option("--port", type=click.IntRange(1024, 60000), default=7070, help="Ports from here on.")
 @click.option("--fleet/--no-fleet", default=None, help="In place of the scenario's own: gateways know one another.")
 @click.option("--plan", "only_plan", is_flag=True, help="Print the plan's digest and end.")
-def run(
+def run(  # noqa: PLR0913 -- one parameter for each option of the command line
     file: str,
     seed: int | None,
     out: Path | None,
@@ -63,10 +71,8 @@
 ) -> None:
     """Runs a scenario: FILE, or the name of one that comes with the lab."""
     from stoneyoke.lab import plan, report
-    from stoneyoke.lab.errors import CannotRun, NotReady
-    from stoneyoke.lab.run import carry_out
 
-    scenario = find(file)
+    scenario = find_scenario(file)
     seed = scenario.seed if seed is None else seed
     if only_plan:
         click.echo(plan.draw_plan(scenario, seed).digest())
@@ -74,30 +80,48 @@
     if fleet is not None:
         scenario = msgspec.structs.replace(scenario, fleet=msgspec.structs.replace(scenario.fleet, on=fleet))
     out = out or Path("runs") / f"{scenario.name}-{seed}"
-    bar = click.progressbar(length=int(scenario.seconds * 10), label=scenario.name, file=sys.stderr)
-    with bar:
+    result = run_with_progress(scenario, seed, out, port)
+    if json_:
+        json_.write_bytes(msgspec.json.format(msgspec.json.encode(result)))
+    print_result(result, report.write(out))
+    sys.exit(0 if result.verdict == "passed" else EXIT_NOT_PASSED)
+
 
-        def progress(at_s: float) -> None:
-            if sys.stderr.isatty():
-                bar.update(max(0, int(at_s * 10) - bar.pos))
+def run_with_progress(scenario: Scenario, seed: int, out: Path, port: int) -> "Result":
+    """Runs a scenario behind a progress bar, and ends the program if that is not possible."""
+    from stoneyoke.lab.run import run_scenario
 
+    steps = int(scenario.seconds * PROGRESS_STEPS_PER_S)
+    bar: AbstractContextManager[Any] = click.progressbar(length=steps, label=scenario.name, file=sys.stderr)
+    with bar as progress_bar:
         try:
-            result = carry_out(scenario, seed, out, port, progress)
-        except CannotRun as bad:
-            click.echo(f"stoneyoke: {bad}", err=True)
-            sys.exit(1 if isinstance(bad, NotReady) else 2)
-    if json_:
-        json_.write_bytes(msgspec.json.format(msgspec.json.encode(result)))
-    page = report.write(out)
-    for key, value in result.figures.items():
-        click.echo(f"{key:28} {value:g}")
+            return run_scenario(scenario, seed, out, port, progress_on(progress_bar))
+        except NotReady as error:
+            fail(str(error), EXIT_NOT_PASSED)
+        except CannotRun as error:
+            fail(str(error))
+
+
+def progress_on(bar: Any) -> Callable[[float], None]:
+    """A callback that moves a progress bar to a time in seconds, on a terminal."""
+
+    def progress(at_s: float) -> None:
+        if sys.stderr.isatty():
+            bar.update(max(0, int(at_s * PROGRESS_STEPS_PER_S) - bar.pos))
+
+    return progress
+
+
+def print_result(result: "Result", page: Path) -> None:
+    """Prints figures, crashes, the first violations and the verdict."""
+    for name, value in result.figures.items():
+        click.echo(f"{name:28} {value:g}")
     for crash in result.crashes:
         click.echo(f"crash: {crash}")
-    for violation in result.violations[:10]:
+    for violation in result.violations[:MAX_PRINTED_VIOLATIONS]:
         click.echo(f"{violation.rule} at {violation.at_us / 1e6:.2f} s: {violation.what}")
     click.echo(f"plan {result.plan}, report {page}")
     click.echo(result.verdict + "".join(f"; {reason}" for reason in result.reasons))
-    sys.exit(0 if result.verdict == "passed" else 1)
 
 
 @lab.command()
@@ -108,13 +132,13 @@
     from stoneyoke.lab.result import RunEnd, judge
 
     try:
-        scenario, drawn, old = pages.load(folder)
+        scenario, plan, old = pages.load(folder)
         partial = "interrupted" if old.verdict == "partial" else ""
-        new = judge(folder, scenario, drawn, RunEnd(seconds=old.seconds, crashes=old.crashes, partial=partial))
+        new = judge(folder, scenario, plan, RunEnd(seconds=old.seconds, crashes=old.crashes, partial=partial))
         click.echo(f"{new.verdict}{''.join(f'; {reason}' for reason in new.reasons)}")
         click.echo(pages.write(folder))
-    except (OSError, msgspec.DecodeError) as bad:
-        fail(f"{folder}: no run: {bad}")
+    except (OSError, msgspec.DecodeError) as error:
+        fail(f"{folder}: no run: {error}")
 
 
 @lab.command()
@@ -124,15 +148,16 @@
     """The figures of two runs side by side. A folder of runs counts as repeats: mean, least and most."""
     from stoneyoke.lab import report as pages
 
-    sides = []
-    for folder in (one, other):
-        held = (
-            [folder]
-            if (folder / "result.json").exists()
-            else sorted(path.parent for path in folder.glob("*/result.json"))
-        )
-        if not held:
-            fail(f"{folder}: no run")
-        sides.append([pages.load(path)[2] for path in held])
-    for key, left, right in pages.compare(sides):
-        click.echo(f"{key:28} {left:>28} {right:>28}")
+    sides = [[pages.load(run_folder)[2] for run_folder in run_folders(folder)] for folder in (one, other)]
+    for name, left, right in pages.compare(sides):
+        click.echo(f"{name:28} {left:>28} {right:>28}")
+
+
+def run_folders(folder: Path) -> list[Path]:
+    """The folder of a run itself, or those of the runs in it."""
+    if (folder / "result.json").exists():
+        return [folder]
+    found = sorted(path.parent for path in folder.glob("*/result.json"))
+    if not found:
+        fail(f"{folder}: no run")
+    return found
--- a/stoneyoke/lab/clients.py
+++ b/stoneyoke/lab/clients.py
@@ -1,168 +1,259 @@
-"""Clients: what the plan has them ask for, with their later tries."""
+"""The clients: they send the plan's requests over connections that they keep, and retry."""
 
 import asyncio
 import random
 from collections import deque
-from typing import Any
+from collections.abc import Coroutine
+from dataclasses import dataclass, field
 
-from stoneyoke.lab.http import Asking, open_to
+import msgspec
+
+from stoneyoke.lab.http import ClientConnection, Response, open_connection
+from stoneyoke.lab.ledger_rows import CONNECTION_CLOSED, GAVE_UP, NO_ANSWER
 from stoneyoke.lab.ledger_writer import LedgerWriter
+from stoneyoke.lab.plan import Arrival
+from stoneyoke.lab.worker_messages import Begin, ChangeClientsFault, ClientsSetup, Drain, Drained, Order, Reply
+
+UNSENT = 0  # in place of a status: no connection to the gateway came up
+RETRIED_STATUSES = (429, 503, UNSENT)
+MAX_RETRIES = 2  # beside those that return after a rejection
+RETURN_RETRIES = 8  # counted for a client that returns, so that its ids differ from those before
+MAX_REJECTED_CLIENTS = 500
+MIN_RETRY_TIME_US = 50_000  # with less time left a client does not retry
+DOWN_S = 1.0  # so long a gateway that refused a connection is passed over
+MIN_TIMEOUT_S, MAX_CONNECT_S = 0.05, 1.0
+RESPONSE_SLACK_S = 0.5  # beyond the deadline
+GIVE_UP_SHARE = 0.5  # of the time, for clients that give up
+DRAIN_POLL_S = 0.2
+
+
+@dataclass(slots=True, kw_only=True)
+class ClientRequest:
+    """A request of a client, over all of its tries."""
+
+    arrival: Arrival
+    deadline_us: int  # since the run's start
+    retries: int  # tries before the next one
+    max_retries: int
+    random_source: random.Random
+
+
+@dataclass(frozen=True, slots=True)
+class TryOutcome:
+    """How a try ended: an HTTP status, or UNSENT, NO_ANSWER or CONNECTION_CLOSED."""
+
+    status: int
+    retry_after_s: float = 0.0
+
 
+@dataclass(slots=True)
+class ConnectionPool:
+    """Idle connections, by gateway."""
 
-class Front:
-    """Clients: what the plan has them ask for, over connections that they keep, with their later tries."""
+    idle: dict[int, list[ClientConnection]] = field(default_factory=dict)
 
-    def __init__(self, given: dict[str, Any], ledger: LedgerWriter) -> None:
-        self.given, self.ledger = given, ledger
-        self.clients = given["clients"]
-        self.idle: dict[int, list[Asking]] = {}
-        self.tasks: set[asyncio.Task[None]] = set()
-        # Gateways that refused a connection, until when they are passed over
-        self.down: dict[int, float] = {}
-        self.names = given["gateways"]
-        # Clients whose last try was pushed back: a return at once brings these all back together.
-        self.turned_away: deque[tuple[int, int, int, int, int]] = deque(maxlen=500)
-        self.open = True
+    def take(self, gateway: int) -> ClientConnection | None:
+        """Removes an open connection."""
+        connections = self.idle.setdefault(gateway, [])
+        while connections:
+            connection = connections.pop()
+            if not connection.closed:
+                return connection
+        return None
+
+    def put_back(self, gateway: int, connection: ClientConnection) -> None:
+        """Keeps a connection for the next request, if it is open."""
+        if not connection.closed:
+            self.idle.setdefault(gateway, []).append(connection)
+
+    def close(self) -> None:
+        """Closes all idle connections."""
+        for connections in self.idle.values():
+            while connections:
+                connections.pop().close()
+
+
+class ClientFleet:
+    """The role of all clients."""
+
+    def __init__(self, setup: ClientsSetup, ledger: LedgerWriter) -> None:
+        """Sends nothing before the run begins."""
+        self.ledger = ledger
+        self._setup = setup
+        self._settings = setup.settings
+        self._pool = ConnectionPool()
+        self._tasks: set[asyncio.Task[None]] = set()  # requests, and the one that starts them
+        self._down_until_s: dict[int, float] = {}  # loop time, by gateway that refused a connection
+        # Arrivals, with their last gateways, whose last try was rejected: a fault brings these clients back at once.
+        self._rejected: deque[Arrival] = deque(maxlen=MAX_REJECTED_CLIENTS)
+        self._sending = True
 
     async def start(self) -> None:
-        pass
-
-    def order(self, order: dict[str, Any]) -> Any:
-        if order["do"] == "go":
-            self.spawn(self.send_all())
-        if order["do"] == "front" and order["fault"]["kind"] == "return_at_once" and order["begins"]:
-            for waiting in self.idle.values():
-                while waiting:
-                    waiting.pop().close()
-            while self.turned_away:
-                self.spawn(self.client(*self.turned_away.popleft(), 8))
-        if order["do"] == "drain":
-            self.open = False
-            return self.drain()
+        """Has nothing to open."""
+
+    async def carry_out(self, order: Order) -> Reply | None:
+        """Begins, drains, or lets rejected clients return."""
+        match order:
+            case Begin():
+                self._spawn(self._send_arrivals())
+            case Drain():
+                return await self._drain()
+            case ChangeClientsFault(begins=True) if order.fault.kind == "return_at_once":
+                self._return_at_once()
         return None
 
-    async def drain(self) -> dict[str, Any]:
-        """Once all that was asked has ended."""
-        while self.tasks:
-            await asyncio.wait(self.tasks, timeout=0.2)
-        return {"drained": True}
+    async def end(self) -> None:
+        """Ends all requests and connections."""
+        for task in self._tasks:
+            task.cancel()
+        self._pool.close()
 
-    def spawn(self, work: Any) -> None:
+    async def _drain(self) -> Drained:
+        """Sends nothing new, and waits for the ends of all requests."""
+        self._sending = False
+        while self._tasks:
+            await asyncio.wait(self._tasks, timeout=DRAIN_POLL_S)
+        return Drained()
+
+    def _return_at_once(self) -> None:
+        """Lets all clients that were rejected last send again, on new connections."""
+        self._pool.close()
+        while self._rejected:
+            self._spawn(self._send_request(self._rejected.popleft(), retries=RETURN_RETRIES))
+
+    def _spawn(self, work: Coroutine[object, object, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-
-    async def send_all(self) -> None:
-        for at_us, number, customer, method, gateway, wait_us in self.given["arrivals"]:
-            wait = at_us - self.ledger.now()
-            if wait > 0:
-                await asyncio.sleep(wait / 1e6)
-            if not self.open:
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    # ---- one request ----
+
+    async def _send_arrivals(self) -> None:
+        for arrival in self._setup.arrivals:
+            wait_us = arrival.at_us - self.ledger.now_us()
+            if wait_us > 0:
+                await asyncio.sleep(wait_us / 1e6)
+            if not self._sending:
                 return
-            self.spawn(self.client(number, customer, method, gateway, wait_us))
+            self._spawn(self._send_request(arrival))
 
-    async def client(self, number: int, customer: int, method: int, gateway: int, wait_us: int, tries: int = 0) -> None:
-        """One client's RPC with its later tries: its time runs from its first."""
-        random_source = random.Random(f"{self.given['seed']} {number}")
-        until, last = self.ledger.now() + wait_us, tries + 2
+    async def _send_request(self, arrival: Arrival, retries: int = 0) -> None:
+        """Sends one request with its retries. Its time runs from its first try."""
+        request = ClientRequest(
+            arrival=arrival,
+            deadline_us=self.ledger.now_us() + arrival.wait_us,
+            retries=retries,
+            max_retries=retries + MAX_RETRIES,
+            random_source=random.Random(f"{self._setup.seed} {arrival.number}"),
+        )
+        gateway = arrival.gateway
         while True:
-            status, wait_s = await self.ask(
-                f"{number:010x}{tries:02x}", number, customer, method, gateway, until, tries, random_source
-            )
-            tries += 1
-            if status not in (429, 503, 0):
+            outcome = await self._send_try(request, self._gateway_up(gateway, arrival.customer))
+            request.retries += 1
+            if outcome.status not in RETRIED_STATUSES:
                 return
-            if tries > last or random_source.random() >= self.clients["retries"]:
-                self.turned_away.append((number, customer, method, gateway, wait_us))
+            if request.retries > request.max_retries or not self._draws(request, self._settings.retries):
+                self._rejected.append(msgspec.structs.replace(arrival, gateway=gateway))
                 return
-            pause = self.clients["backoff_ms"] / 1000 * (0.5 + random_source.random())
-            if random_source.random() < self.clients["honour"]:
-                pause = min(wait_s, self.clients["longest_wait_ms"] / 1000)
-            await asyncio.sleep(pause)
-            if until - self.ledger.now() < 50_000:
+            await asyncio.sleep(self._retry_pause_s(request, outcome))
+            if request.deadline_us - self.ledger.now_us() < MIN_RETRY_TIME_US:
                 return
-            first, width = self.given["customers"][customer][2:4]
-            gateway = (first + random_source.randrange(width)) % len(self.names)
-
-    def up(self, gateway: int, customer: int) -> int:
-        """The next gateway of the customer's set that is not known to be down."""
-        first, width = self.given["customers"][customer][2:4]
-        now = asyncio.get_running_loop().time()
-        for step in range(width):
-            there = int(first + (gateway - first + step) % width) % len(self.names)
-            if self.down.get(there, 0.0) <= now:
-                return there
+            gateway = self._random_gateway(request)
+
+    @staticmethod
+    def _draws(request: ClientRequest, share: float) -> bool:
+        return request.random_source.random() < share
+
+    def _retry_pause_s(self, request: ClientRequest, outcome: TryOutcome) -> float:
+        """The client's own backoff, or the gateway's Retry-After if it honours that."""
+        backoff_s = self._settings.backoff_ms / 1000 * (0.5 + request.random_source.random())
+        if self._draws(request, self._settings.honour):
+            return min(outcome.retry_after_s, self._settings.longest_wait_ms / 1000)
+        return backoff_s
+
+    def _random_gateway(self, request: ClientRequest) -> int:
+        customer = self._setup.customers[request.arrival.customer]
+        return (customer.first + request.random_source.randrange(customer.width)) % len(self._setup.gateways)
+
+    def _gateway_up(self, gateway: int, customer_number: int) -> int:
+        """The next of a customer's gateways that is not known to be down."""
+        customer = self._setup.customers[customer_number]
+        now_s = asyncio.get_running_loop().time()
+        for step in range(customer.width):
+            rank = (gateway - customer.first + step) % customer.width
+            candidate = (customer.first + rank) % len(self._setup.gateways)
+            if self._down_until_s.get(candidate, 0.0) <= now_s:
+                return candidate
         return gateway
 
-    async def ask(
-        self,
-        id_: str,
-        number: int,
-        customer: int,
-        method: int,
-        gateway: int,
-        until: int,
-        tries: int,
-        random_source: random.Random,
-    ) -> tuple[int, float]:
-        gateway = self.up(gateway, customer)
-        account, plan, first, width = self.given["customers"][customer]
-        row, key = self.given["methods"][method], f"{number:012x}"
-        deadline = (until - self.ledger.now()) / 1e6
-        give_up = self.clients["give_up"] and random_source.random() < self.clients["give_up"]
-        safe = row["effect"] == "idempotent"
-        head = (
-            f"{'GET' if safe else 'POST'} /{row['name']}/x HTTP/1.1\r\nHost: lab\r\nReq-Id: {id_}\r\n"
-            f"Req-Kind: {row['name']}\r\n"
-            f"X-Plan: {self.given['plans'][plan]}\r\nX-Customer: {account:016x}\r\n"
-            f"Req-Deadline: {deadline:.3f}\r\n"
-            f"X-Quota: units={row['units']:g},spread={width},first={first}\r\n"
-        )
-        if not safe:
-            head += f"Idempotency-Key: {key}\r\nContent-Length: 0\r\n"
-        if self.clients["marks"] and tries:
-            head += "Req-Retry: 1\r\n"
-        data = head.encode() + b"\r\n"
-        for fresh in (False, True):
-            try:
-                link, kept = await self.connection(gateway, fresh, deadline)
-            except OSError as bad:
-                if isinstance(bad, ConnectionRefusedError):
-                    self.down[gateway] = asyncio.get_running_loop().time() + 1.0
-                self.ledger.add("unmet", id_, number, customer, method, self.names[gateway], tries, type(bad).__name__)
-                return 0, 0.0
-            self.ledger.add("rpc", id_, number, customer, method, self.names[gateway], tries, until)
+    # ---- one try ----
+
+    async def _send_try(self, request: ClientRequest, gateway: int) -> TryOutcome:
+        """Sends one try; once more on a new connection if the kept one was closed under it."""
+        arrival = request.arrival
+        try_id = f"{arrival.number:010x}{request.retries:02x}"
+        time_left_s = (request.deadline_us - self.ledger.now_us()) / 1e6
+        gives_up = bool(self._settings.give_up) and self._draws(request, self._settings.give_up)
+        data = self._encode(request, try_id, time_left_s)
+        timeout_s = max(MIN_TIMEOUT_S, time_left_s * (GIVE_UP_SHARE if gives_up else 1.0) + RESPONSE_SLACK_S)
+        fields = (arrival.number, arrival.customer, arrival.method, self._setup.gateways[gateway], request.retries)
+        connection = self._pool.take(gateway)
+        is_kept = connection is not None
+        while True:
+            if connection is None:
+                try:
+                    connection = await self._connect(gateway, time_left_s)
+                except OSError as error:
+                    self.ledger.add("unmet", try_id, *fields, type(error).__name__)
+                    return TryOutcome(UNSENT)
+            self.ledger.add("rpc", try_id, *fields, request.deadline_us)
             try:
-                status, headers, body = await link.ask(data, max(0.05, deadline * (0.5 if give_up else 1.0) + 0.5))
+                response = await connection.request(data, timeout_s)
             except TimeoutError:
-                self.ledger.add("ans", id_, -1, "gave up" if give_up else "no answer", 0.0)
-                link.close()
-                return -1, 0.0
+                self.ledger.add("ans", try_id, NO_ANSWER, GAVE_UP if gives_up else "no answer", 0.0)
+                connection.close()
+                return TryOutcome(NO_ANSWER)
             except ConnectionError:
-                link.close()
-                self.ledger.add("ans", id_, -2, "closed", 0.0)
-                if kept and not fresh:
-                    continue  # the close may have crossed the request: once more, on a new connection
-                return -2, 0.0
-            wait_s = float(headers.get(b"retry-after", b"0"))
-            words = body.decode(errors="replace").split()
-            self.ledger.add("ans", id_, status, " ".join(words[:2]), wait_s)
-            if not link.closed:
-                self.idle.setdefault(gateway, []).append(link)
-            return status, wait_s
-        return -2, 0.0
-
-    async def connection(self, gateway: int, fresh: bool, deadline: float) -> tuple[Asking, bool]:
-        waiting = self.idle.setdefault(gateway, [])
-        while waiting and not fresh:
-            link = waiting.pop()
-            if not link.closed:
-                return link, True
-        return await open_to(tuple(self.given["entries"][gateway]), max(0.05, min(1.0, deadline))), False
+                connection.close()
+                self.ledger.add("ans", try_id, CONNECTION_CLOSED, "closed", 0.0)
+                if not is_kept:
+                    return TryOutcome(CONNECTION_CLOSED)
+                connection, is_kept = None, False  # the gateway may have closed before the request came
+                continue
+            self._pool.put_back(gateway, connection)
+            return self._note_response(try_id, response)
 
-    async def end(self) -> None:
-        for task in self.tasks:
-            task.cancel()
-        for waiting in self.idle.values():
-            for link in waiting:
-                link.close()
+    async def _connect(self, gateway: int, time_left_s: float) -> ClientConnection:
+        timeout_s = max(MIN_TIMEOUT_S, min(MAX_CONNECT_S, time_left_s))
+        try:
+            return await open_connection(self._setup.entries[gateway], timeout_s)
+        except ConnectionRefusedError:
+            self._down_until_s[gateway] = asyncio.get_running_loop().time() + DOWN_S
+            raise
+
+    def _note_response(self, try_id: str, response: Response) -> TryOutcome:
+        retry_after_s = float(response.headers.get(b"retry-after", b"0"))
+        words = response.body.decode(errors="replace").split()
+        self.ledger.add("ans", try_id, response.status, " ".join(words[:2]), retry_after_s)
+        return TryOutcome(response.status, retry_after_s)
+
+    def _encode(self, request: ClientRequest, try_id: str, time_left_s: float) -> bytes:
+        """The bytes of a try."""
+        arrival = request.arrival
+        customer, method = self._setup.customers[arrival.customer], self._setup.methods[arrival.method]
+        is_safe = method.effect == "idempotent"
+        lines = [
+            f"{'GET' if is_safe else 'POST'} /{method.name}/x HTTP/1.1",
+            "Host: lab",
+            f"Req-Id: {try_id}",
+            f"Req-Kind: {method.name}",
+            f"X-Plan: {self._setup.plans[customer.plan]}",
+            f"X-Customer: {customer.account:016x}",
+            f"Req-Deadline: {time_left_s:.3f}",
+            f"X-Quota: units={method.units:g},spread={customer.width},first={customer.first}",
+        ]
+        if not is_safe:
+            lines += [f"Idempotency-Key: {arrival.number:012x}", "Content-Length: 0"]
+        if self._settings.marks and request.retries:
+            lines.append("Req-Retry: 1")
+        return "\r\n".join([*lines, "", ""]).encode()
--- a/stoneyoke/lab/fault_orders.py
+++ b/stoneyoke/lab/fault_orders.py
@@ -1,82 +1,117 @@
-"""Faults as orders to the processes that carry them out."""
+"""Turns the fault events of a plan into orders to the workers that carry them out."""
 
 import time
-from typing import Any, Protocol
-
-import msgspec
+from pathlib import Path
+from typing import Protocol
 
 from stoneyoke.lab.addresses import Addresses
 from stoneyoke.lab.fault_kinds import FaultTarget, target_of
 from stoneyoke.lab.plan import FaultEvent
+from stoneyoke.lab.result import REPLACED_SUFFIX
+from stoneyoke.lab.worker_messages import (
+    BACKENDS,
+    CLIENTS,
+    COUNTER,
+    DISCOVERY,
+    LINKS_PREFIX,
+    SUPERVISOR,
+    ChangeBackendFault,
+    ChangeClientsFault,
+    ChangeCounterFault,
+    ChangeDiscoveryFault,
+    ChangeEndpoint,
+    ChangeFault,
+    ChangeLinkFault,
+    SignalGateway,
+)
 from stoneyoke.lab.worker_process import WorkerProcess
 
+ACTIVE, LEAVING, LEFT = "active", "leaving", "left"
+
+# The worker and the order for a fault of each service of which there is one.
+SERVICE_ORDERS: dict[FaultTarget, tuple[str, type[ChangeFault]]] = {
+    FaultTarget.COUNTER: (COUNTER, ChangeCounterFault),
+    FaultTarget.DISCOVERY: (DISCOVERY, ChangeDiscoveryFault),
+    FaultTarget.CLIENTS: (CLIENTS, ChangeClientsFault),
+}
+
 
-class Gateways(Protocol):
-    """Who starts and configures gateways."""
+class GatewayStarter(Protocol):
+    """Starts and configures gateways."""
 
-    def start_gateway(self, g: int, life: int = 0) -> None:
-        """A life of gateway g."""
+    def start_gateway(self, gateway: int, restarts: int = 0) -> None:
+        """Starts a gateway that was started so often before."""
 
-    def configure(self, g: int, life: int = 0) -> Any:
-        """Writes its files anew."""
+    def configure(self, gateway: int, restarts: int = 0) -> Path:
+        """Writes a gateway's files anew."""
 
 
 class FaultOrders:
-    """Tells each process what a strike of the plan means for it."""
-
-    def __init__(self, addresses: Addresses, workers: dict[str, WorkerProcess], gateways: Gateways) -> None:
-        self.addresses, self.workers, self.gateways = addresses, workers, gateways
-        self.lives: dict[str, int] = {}  # of gateways that were started again
-
-    def strike(self, strike: FaultEvent) -> None:
-        """Carries out one strike, or mends it."""
-        fault = msgspec.to_builtins(strike.fault)
-        order = {"number": strike.number, "fault": fault, "begins": strike.begins}
-        what = target_of(strike.kind)
-        if what == FaultTarget.LINK:
-            for name, worker in self.workers.items():
-                if name.startswith("links"):
-                    worker.say(order | {"do": "link", "from": strike.source, "to": strike.destination})
-        elif what == FaultTarget.GATEWAY:
-            for name in strike.processes:
-                self.strike_gateway(strike, name)
-        elif what == FaultTarget.BACKEND:
-            for name in strike.processes:
-                self.strike_backend(strike, name, order)
+    """Tells each worker what a fault event means for it."""
+
+    def __init__(self, addresses: Addresses, workers: dict[str, WorkerProcess], gateways: GatewayStarter) -> None:
+        """Orders nothing yet.
+
+        Args:
+            addresses: Numbers gateways and backends by name.
+            workers: By name; filled until the run begins.
+            gateways: Starts gateways again.
+        """
+        self._addresses = addresses
+        self._workers = workers
+        self._gateways = gateways
+        self._restarts: dict[str, int] = {}  # by gateway
+
+    def carry_out(self, event: FaultEvent) -> None:
+        """Begins or ends a fault."""
+        target = target_of(event.kind)
+        if target == FaultTarget.LINK:
+            self._carry_out_on_links(event)
+        elif target == FaultTarget.GATEWAY:
+            for name in event.processes:
+                self._carry_out_at_gateway(event, name)
+        elif target == FaultTarget.BACKEND:
+            for name in event.processes:
+                self._carry_out_at_backend(event, name)
         else:
-            self.workers["front" if what == FaultTarget.CLIENTS else what].say(
-                order | {"do": "front" if what == FaultTarget.CLIENTS else what}
-            )
-
-    def strike_gateway(self, strike: FaultEvent, name: str) -> None:
-        g, supervisor = self.addresses.gateway_names.index(name), self.workers["keeper"]
-        match strike.kind, strike.begins:
-            case ("kill", True):
-                supervisor.say({"do": "signal", "name": name, "signal": "SIGKILL", "ends": True})
-            case ("term", True):
-                supervisor.say({"do": "signal", "name": name, "signal": "SIGTERM", "ends": True})
-            case ("kill" | "term", False):
-                self.lives[name] = self.lives.get(name, 0) + 1
-                self.gateways.start_gateway(g, self.lives[name])
-            case ("stop", begins):
-                supervisor.say({"do": "signal", "name": name, "signal": "SIGSTOP" if begins else "SIGCONT"})
-            case ("reload", True):
-                self.gateways.configure(g)
-                supervisor.say({"do": "signal", "name": name, "signal": "SIGHUP"})
-
-    def strike_backend(self, strike: FaultEvent, name: str, order: dict[str, Any]) -> None:
-        backends, discovery = self.workers["backends"], self.workers["discovery"]
-        now_ms, b = int(time.time() * 1000), self.addresses.backend_names.index(name)
-        backends.say(order | {"do": "backend", "name": name, "new": name + "-new"})
-        match strike.kind, strike.begins:
-            case ("crash", True):
-                discovery.say({"do": "list", "name": name, "status": "left", "since_ms": 0})
-            case ("crash", False):
-                discovery.say({"do": "list", "name": name, "status": "active", "since_ms": now_ms})
-            case ("drain" | "replace", True):
-                discovery.say({"do": "list", "name": name, "status": "leaving", "since_ms": 0})
-            case ("drain", False):
-                discovery.say({"do": "list", "name": name, "status": "left", "since_ms": 0})
-            case ("replace", False):
-                discovery.say({"do": "list", "name": name, "status": "left", "since_ms": 0})
-                discovery.say({"do": "list", "name": name + "-new", "status": "active", "since_ms": now_ms, "place": b})
+            worker, order_type = SERVICE_ORDERS[target]
+            self._workers[worker].send(order_type(event.number, event.fault, event.begins))
+
+    def _carry_out_on_links(self, event: FaultEvent) -> None:
+        order = ChangeLinkFault(event.number, event.fault, event.begins, event.source, event.destination)
+        for name, worker in self._workers.items():
+            if name.startswith(LINKS_PREFIX):
+                worker.send(order)
+
+    def _carry_out_at_gateway(self, event: FaultEvent, name: str) -> None:
+        gateway, supervisor = self._addresses.gateway_names.index(name), self._workers[SUPERVISOR]
+        match event.kind, event.begins:
+            case "kill", True:
+                supervisor.send(SignalGateway(name, "SIGKILL", ends=True))
+            case "term", True:
+                supervisor.send(SignalGateway(name, "SIGTERM", ends=True))
+            case "kill" | "term", False:
+                self._restarts[name] = self._restarts.get(name, 0) + 1
+                self._gateways.start_gateway(gateway, self._restarts[name])
+            case "stop", begins:
+                supervisor.send(SignalGateway(name, "SIGSTOP" if begins else "SIGCONT"))
+            case "reload", True:
+                self._gateways.configure(gateway)
+                supervisor.send(SignalGateway(name, "SIGHUP"))
+
+    def _carry_out_at_backend(self, event: FaultEvent, name: str) -> None:
+        discovery = self._workers[DISCOVERY]
+        now_ms = int(time.time() * 1000)
+        replacement = name + REPLACED_SUFFIX
+        self._workers[BACKENDS].send(ChangeBackendFault(event.number, event.fault, event.begins, name, replacement))
+        match event.kind, event.begins:
+            case ("crash", True) | ("drain", False):
+                discovery.send(ChangeEndpoint(name, LEFT))
+            case "crash", False:
+                discovery.send(ChangeEndpoint(name, ACTIVE, now_ms))
+            case "drain" | "replace", True:
+                discovery.send(ChangeEndpoint(name, LEAVING))
+            case "replace", False:
+                number = self._addresses.backend_names.index(name)
+                discovery.send(ChangeEndpoint(name, LEFT))
+                discovery.send(ChangeEndpoint(replacement, ACTIVE, now_ms, replaces=number))
--- a/stoneyoke/lab/gateway_files.py
+++ b/stoneyoke/lab/gateway_files.py
@@ -1,4 +1,4 @@
-"""What a gateway process is given: its configuration, its own options and the key that all share."""
+"""The files that a gateway process of a run is given: its configuration, its options and the key that all share."""
 
 import json
 from pathlib import Path
@@ -7,24 +7,33 @@
 from stoneyoke.lab.addresses import Addresses, address_text
 from stoneyoke.lab.scenario import Scenario
 
+# What every gateway is told of the protocol.
+MAX_TRIES = 4
+DIAL_TIMEOUT_US = 250_000
+ANSWER_SLACK_US = 5000
+BACKEND_GROUPS = 7
+CPU_CORES = 1.0
+SEED_STRIDE_RUN, SEED_STRIDE_GATEWAY = 1_000_003, 101
 
-def gateway_settings(scenario: Scenario, addresses: Addresses, g: int) -> dict[str, Any]:
-    """The settings of gateway g, named as the simulator's first message names them."""
+
+def gateway_settings(scenario: Scenario, addresses: Addresses, gateway: int) -> dict[str, Any]:
+    """The settings of a gateway, with the keys of the protocol's first message."""
+    zones = scenario.zones()
     return {
         "balancers": scenario.gateways.count,
-        "self-index": g,
-        "zones": scenario.zones(),
-        "zone": scenario.zones().index(addresses.gateway_names[g].split("/")[0]),
+        "self-index": gateway,
+        "zones": zones,
+        "zone": zones.index(addresses.gateway_names[gateway].split("/")[0]),
         "discovery": "automatic",
         "caps": {
             "cancel": True,
-            "try-limit": 4,
-            "dial-timeout-us": 250_000,
+            "try-limit": MAX_TRIES,
+            "dial-timeout-us": DIAL_TIMEOUT_US,
             "retry-after": True,
             "conn-idle-us": int(scenario.backends.idle_s * 1e6),
         },
         "extra": {
-            "units-top": max(m.units for m in scenario.method),
+            "units-top": max(method.units for method in scenario.method),
             "has-counter": True,
             "count-limit-us": int(scenario.counter.limit_ms * 1000),
         },
@@ -32,48 +41,56 @@
             "cold-from": scenario.backends.cold_share,
             "overload-factor": scenario.backends.overload_factor,
             "ramp-time-us": int(scenario.backends.warm_up_s * 1e6),
-            "answer-slack-us": 5000,
+            "answer-slack-us": ANSWER_SLACK_US,
             "overload-for-us": int(scenario.backends.overload_window_s * 1e6),
         },
         "clients": {"marks-retry": scenario.clients.marks},
-        "classes": [
-            {
-                "name": m.name,
-                "effect": m.effect,
-                "group": m.group,
-                "aim-us": int(m.soft_ms * 1000),
-                "deadline-us": int(m.deadline_ms * 1000),
-                "memory-span-us": int(m.memory_ms * 1000),
-                "gain": m.utility,
-            }
-            for m in scenario.method
-        ],
-        "tariffs": [
-            {
-                "name": p.name,
-                "units-per-s": p.rate,
-                "depth": p.burst,
-                "worth-factor": p.price,
-                "parallel": 0,
-                "cap-rate": p.ceiling_rate,
-                "cap-depth": p.ceiling_burst,
-            }
-            for p in scenario.plan
-        ],
+        "classes": _method_settings(scenario),
+        "tariffs": _plan_settings(scenario),
     }
 
 
-def backend_entry(addresses: Addresses, b: int, name: str = "", since_ms: int = 0) -> dict[str, Any]:
-    """Backend b, as discovery lists it."""
-    zone = addresses.backend_names[b].split("/")[0]
+def _method_settings(scenario: Scenario) -> list[dict[str, Any]]:
+    return [
+        {
+            "name": method.name,
+            "effect": method.effect,
+            "group": method.group,
+            "aim-us": int(method.soft_ms * 1000),
+            "deadline-us": int(method.deadline_ms * 1000),
+            "memory-span-us": int(method.memory_ms * 1000),
+            "gain": method.utility,
+        }
+        for method in scenario.method
+    ]
+
+
+def _plan_settings(scenario: Scenario) -> list[dict[str, Any]]:
+    return [
+        {
+            "name": plan.name,
+            "units-per-s": plan.rate,
+            "depth": plan.burst,
+            "worth-factor": plan.price,
+            "parallel": 0,
+            "cap-rate": plan.ceiling_rate,
+            "cap-depth": plan.ceiling_burst,
+        }
+        for plan in scenario.plan
+    ]
+
+
+def endpoint_entry(addresses: Addresses, backend: int) -> dict[str, Any]:
+    """A backend as discovery lists it, without its address."""
+    name = addresses.backend_names[backend]
     return {
-        "name": name or addresses.backend_names[b],
-        "zone": zone,
+        "name": name,
+        "zone": name.split("/")[0],
         "type": "lab",
-        "group": b % 7,
+        "group": backend % BACKEND_GROUPS,
         "status": "active",
         "weight": 1.0,
-        "since_ms": since_ms,
+        "since_ms": 0,
     }
 
 
@@ -81,49 +98,64 @@
     """Writes the files of a run's gateways into its folder."""
 
     def __init__(self, scenario: Scenario, addresses: Addresses, seed: int, out: Path) -> None:
-        self.scenario, self.addresses, self.seed, self.out = scenario, addresses, seed, out
+        """Writes nothing yet.
+
+        Args:
+            scenario: What the run is made of.
+            addresses: Of all processes and links.
+            seed: Of the run; each gateway's seed follows from it.
+            out: The run's folder.
+        """
+        self.scenario = scenario
+        self.addresses = addresses
+        self.seed = seed
+        self.folder = out / "configs"
         self.keys = out.resolve() / "configs" / "keys"
 
     def write_keys(self) -> None:
-        """The key that all gateways share, written once, before any starts: one that starts reads it meanwhile."""
+        """Writes the key that all gateways share, once and before any starts: a starting gateway reads it."""
         if self.scenario.fleet.on:
             self.keys.write_text(f"{self.seed:032x}\n")
 
-    def write(self, g: int, life: int, settings: dict[str, Any]) -> Path:
-        """The configuration of a gateway's life, with its options beside it."""
-        addresses = self.addresses
-        path = self.out / "configs" / f"g{g:03d}.json"
-        known = [
-            backend_entry(addresses, b) | {"address": address_text(addresses.link_to_backend(g, b))}
-            for b in range(self.scenario.backends.count)
-        ]
-        path.write_text(
-            json.dumps(
-                {
-                    "name": addresses.gateway_names[g],
-                    "listen": address_text(addresses.gateway(g)),
-                    "discovery": address_text(addresses.link_to_discovery(g)),
-                    "counter": address_text(addresses.link_to_counter(g)),
-                    "seed": f"{(self.seed * 1_000_003 + g * 101 + life) % 2**63:016x}",
-                    "limits": {
-                        "cores": 1.0,
-                        "memory_mb": self.scenario.gateways.memory_mb,
-                        "sockets": self.scenario.gateways.sockets,
-                    },
-                    "known": {"index": len(known), "snapshot": True, "endpoints": known},
-                    "settings": settings,
-                }
-            )
-        )
+    def write(self, gateway: int, restarts: int, settings: dict[str, Any]) -> Path:
+        """Writes the configuration for a gateway's next start, with its options beside it.
+
+        Args:
+            gateway: Its number.
+            restarts: How often it was started before; each start has a seed of its own.
+            settings: See gateway_settings.
+
+        Returns:
+            The configuration's path.
+        """
+        path = self.folder / f"g{gateway:03d}.json"
+        path.write_text(json.dumps(self._configuration(gateway, restarts, settings)))
         if self.scenario.fleet.on:
-            (self.out / "configs" / f"g{g:03d}.toml").write_text(self.options(g))
+            path.with_suffix(".toml").write_text(self._options(gateway))
         return path
 
-    def options(self, g: int) -> str:
-        """The gateway's own options: where its datagrams come to, and over which links the others reach
-        it."""
+    def _configuration(self, gateway: int, restarts: int, settings: dict[str, Any]) -> dict[str, Any]:
+        addresses, limits = self.addresses, self.scenario.gateways
+        seed = (self.seed * SEED_STRIDE_RUN + gateway * SEED_STRIDE_GATEWAY + restarts) % 2**63
+        endpoints = [
+            endpoint_entry(addresses, backend) | {"address": address_text(addresses.link_to_backend(gateway, backend))}
+            for backend in range(self.scenario.backends.count)
+        ]
+        return {
+            "name": addresses.gateway_names[gateway],
+            "listen": address_text(addresses.gateway(gateway)),
+            "discovery": address_text(addresses.link_to_discovery(gateway)),
+            "counter": address_text(addresses.link_to_counter(gateway)),
+            "seed": f"{seed:016x}",
+            "limits": {"cores": CPU_CORES, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
+            "known": {"index": len(endpoints), "snapshot": True, "endpoints": endpoints},
+            "settings": settings,
+        }
+
+    def _options(self, gateway: int) -> str:
+        """The gateway's own options: where it receives datagrams, and over which links the others reach it."""
         addresses = self.addresses
         seed_count = min(self.scenario.fleet.seeds, self.scenario.gateways.count)
         seeds = ", ".join(f'"{address_text(addresses.link_to_peer(seed))}"' for seed in range(seed_count))
-        listen, advertise = address_text(addresses.peer(g)), address_text(addresses.link_to_peer(g))
+        listen, advertise = address_text(addresses.peer(gateway)), address_text(addresses.link_to_peer(gateway))
         return f'[fleet]\nlisten = "{listen}"\nadvertise = "{advertise}"\nseeds = [{seeds}]\nkeys = "{self.keys}"\n'
--- a/stoneyoke/lab/http.py
+++ b/stoneyoke/lab/http.py
@@ -1,134 +1,204 @@
-"""HTTP/1.1 for stand-ins: callbacks on asyncio transports, parsed by httptools."""
+"""HTTP/1.1 for the laboratory's stand-ins and clients: asyncio protocols, parsed by httptools."""
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any, cast
 
 import httptools
 
+Headers = dict[bytes, bytes]
+
 
 class Request:
-    """A request that has been read whole, and the connection to answer it on."""
+    """A complete request, and the connection to answer it on."""
 
-    __slots__ = ("body", "headers", "method", "served", "target")
+    __slots__ = ("body", "connection", "headers", "method", "target")
 
-    def __init__(self) -> None:
+    def __init__(self, connection: "ServerConnection") -> None:
+        """Starts empty; the connection's parser fills it."""
+        self.connection = connection
         self.method = self.target = self.body = b""
-        self.headers: dict[bytes, bytes] = {}
-        self.served: Served | None = None
+        self.headers: Headers = {}  # by name in lower case
+
+    def respond(self, status: int, body: bytes = b"", headers: bytes = b"") -> bool:
+        """Answers the request; false if its connection is closed. See ServerConnection.respond."""
+        return self.connection.respond(status, body, headers)
 
 
-class Served(asyncio.Protocol):
-    """A connection of a stand-in that serves; each whole request goes to its handler."""
+class ServerConnection(asyncio.Protocol):
+    """A connection of a stand-in that serves. Each complete request goes to its handler.
+
+    The methods named on_... are the parser's callbacks.
+    """
 
     def __init__(
         self,
         handler: Callable[[Request], None],
-        opened: Callable[["Served"], bool] | None = None,
-        lost: Callable[["Served"], None] | None = None,
+        accept: Callable[["ServerConnection"], bool] | None = None,
+        lost: Callable[["ServerConnection"], None] | None = None,
     ) -> None:
-        self.handler, self.opened, self.lost = handler, opened, lost
-        self.parser: Any = httptools.HttpRequestParser(self)
-        self.request = Request()
-        self.transport: asyncio.Transport | None = None
+        """Serves once it is connected.
+
+        Args:
+            handler: Called with each complete request.
+            accept: Asked when the connection opens; false aborts it.
+            lost: Called when the connection has closed.
+        """
+        self._handler, self._accept, self._lost = handler, accept, lost
+        self._parser: Any = httptools.HttpRequestParser(self)
+        self._request = Request(self)
+        self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        if self.opened and not self.opened(self):
-            self.transport.abort()
+        """Keeps or aborts the connection."""
+        self._transport = cast(asyncio.Transport, transport)
+        if self._accept and not self._accept(self):
+            self._transport.abort()
 
     def connection_lost(self, _: Exception | None) -> None:
-        self.transport = None
-        if self.lost:
-            self.lost(self)
+        """Reports the end of the connection."""
+        self._transport = None
+        if self._lost:
+            self._lost(self)
 
     def data_received(self, data: bytes) -> None:
+        """Parses data; what is no HTTP ends the connection."""
         try:
-            self.parser.feed_data(data)
+            self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.abort()
 
     def on_url(self, url: bytes) -> None:
-        self.request.target += url
+        """Takes a piece of the target."""
+        self._request.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.request.headers[name.lower()] = value
+        """Takes a header."""
+        self._request.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        self.request.body += body
+        """Takes a piece of the body."""
+        self._request.body += body
 
     def on_message_complete(self) -> None:
-        request, self.request = self.request, Request()
-        request.method, request.served = self.parser.get_method(), self
-        self.handler(request)
-
-    def answer(self, status: int, body: bytes = b"", more: bytes = b"") -> bool:
-        """Whether anybody was there to be told."""
-        if not self.transport or self.transport.is_closing():
+        """Passes the request on."""
+        request, self._request = self._request, Request(self)
+        request.method = self._parser.get_method()
+        self._handler(request)
+
+    def respond(self, status: int, body: bytes = b"", headers: bytes = b"") -> bool:
+        """Sends a response.
+
+        Args:
+            status: HTTP status.
+            body: The response's body.
+            headers: Lines of further headers, each with its line end.
+
+        Returns:
+            Whether the connection was still open.
+        """
+        if not self._transport or self._transport.is_closing():
             return False
-        self.transport.write(b"HTTP/1.1 %d x\r\nContent-Length: %d\r\n%s\r\n%s" % (status, len(body), more, body))
+        head = b"HTTP/1.1 %d x\r\nContent-Length: %d\r\n%s\r\n" % (status, len(body), headers)
+        self._transport.write(head + body)
         return True
 
     def abort(self) -> None:
-        if self.transport:
-            self.transport.abort()
+        """Closes the connection at once."""
+        if self._transport:
+            self._transport.abort()
+
 
+@dataclass(frozen=True, slots=True)
+class Response:
+    """A complete response."""
 
-class Asking(asyncio.Protocol):
-    """A client's connection: one request at a time, its answer a future."""
+    status: int
+    headers: Headers  # by name in lower case
+    body: bytes
+
+
+class ClientConnection(asyncio.Protocol):
+    """A client's connection, with one request at a time. The methods named on_... are the parser's callbacks.
+
+    Attributes:
+        closed: Whether no further request can be sent over it.
+    """
 
     def __init__(self) -> None:
-        self.parser: Any = httptools.HttpResponseParser(self)
-        self.transport: asyncio.Transport | None = None
-        self.waiter: asyncio.Future[tuple[int, dict[bytes, bytes], bytes]] | None = None
-        self.headers: dict[bytes, bytes] = {}
-        self.body = b""
+        """Can send once it is connected."""
         self.closed = False
+        self._parser: Any = httptools.HttpResponseParser(self)
+        self._transport: asyncio.Transport | None = None
+        self._waiter: asyncio.Future[Response] | None = None
+        self._headers: Headers = {}
+        self._body = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
+        """Keeps the open connection."""
+        self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, _: Exception | None) -> None:
+        """Fails the request that waits."""
         self.closed = True
-        if self.waiter and not self.waiter.done():
-            self.waiter.set_exception(ConnectionResetError("closed under a request"))
+        if self._waiter and not self._waiter.done():
+            self._waiter.set_exception(ConnectionResetError("closed under a request"))
 
     def data_received(self, data: bytes) -> None:
+        """Parses data; what is no HTTP ends the connection."""
         try:
-            self.parser.feed_data(data)
+            self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.close()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.headers[name.lower()] = value
+        """Takes a header."""
+        self._headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        self.body += body
+        """Takes a piece of the body."""
+        self._body += body
 
     def on_message_complete(self) -> None:
-        headers, body, self.headers, self.body = self.headers, self.body, {}, b""
+        """Ends the request that waits."""
+        headers, body, self._headers, self._body = self._headers, self._body, {}, b""
         if headers.get(b"connection", b"").lower() == b"close":
             self.closed = True
-        if self.waiter and not self.waiter.done():
-            self.waiter.set_result((self.parser.get_status_code(), headers, body))
+        if self._waiter and not self._waiter.done():
+            self._waiter.set_result(Response(self._parser.get_status_code(), headers, body))
 
-    async def ask(self, data: bytes, within_s: float) -> tuple[int, dict[bytes, bytes], bytes]:
-        """Raises TimeoutError or ConnectionError."""
-        if self.closed or not self.transport:
+    async def request(self, data: bytes, timeout_s: float) -> Response:
+        """Sends a request and waits for its response.
+
+        Args:
+            data: The whole request.
+            timeout_s: For the whole response.
+
+        Raises:
+            TimeoutError: The response did not come in time.
+            ConnectionError: The connection is or was closed.
+        """
+        if self.closed or not self._transport:
             raise ConnectionResetError("closed before")
-        self.waiter = asyncio.get_running_loop().create_future()
-        self.transport.write(data)
-        async with asyncio.timeout(within_s):
-            return await self.waiter
+        self._waiter = asyncio.get_running_loop().create_future()
+        self._transport.write(data)
+        async with asyncio.timeout(timeout_s):
+            return await self._waiter
 
     def close(self) -> None:
+        """Closes the connection at once."""
         self.closed = True
-        if self.transport:
-            self.transport.abort()
+        if self._transport:
+            self._transport.abort()
+
 
+async def open_connection(address: tuple[str, int], timeout_s: float) -> ClientConnection:
+    """Connects to a server.
 
-async def open_to(address: tuple[str, int], within_s: float) -> Asking:
-    """Raises OSError (a TimeoutError is one)."""
-    async with asyncio.timeout(within_s):
-        _, asking = await asyncio.get_running_loop().create_connection(Asking, *address)
-    return asking
+    Raises:
+        OSError: The connection did not come up; a TimeoutError is one, too.
+    """
+    async with asyncio.timeout(timeout_s):
+        _, connection = await asyncio.get_running_loop().create_connection(ClientConnection, *address)
+    return connection
--- a/stoneyoke/lab/ledger_writer.py
+++ b/stoneyoke/lab/ledger_writer.py
@@ -1,50 +1,71 @@
-"""One process's part of the ledger, written as it goes."""
+"""Writes one process's part of the ledger while the run goes on."""
 
 import time
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
+MAX_UNWRITTEN_ROWS = 500
+
+
+class EarlyRow(NamedTuple):
+    """A row from before the start is known, with its time on the monotonic clock."""
+
+    at_ns: int
+    kind: str
+    fields: tuple[Any, ...]
+
 
 class LedgerWriter:
-    """Writes a JSON array a line, its kind first, then us since the start."""
+    """Writes rows as JSON arrays, one a line: the kind, microseconds since the run's start, and the fields.
+
+    Rows that are added before the start is known are kept, and written with times below 0.
+    """
 
     def __init__(self, path: Path) -> None:
-        self.file = path.open("ab")
-        self.rows: list[bytes] = []
-        # What is added before the start is written down when that is known: at times under 0
-        self.held: list[tuple[int, str, tuple[Any, ...]]] | None = []
-        self.started_ns = time.monotonic_ns()
-        self.encode = msgspec.json.Encoder().encode
+        """Opens the file; rows are appended.
+
+        Args:
+            path: Of the file.
+        """
+        self._file = path.open("ab")
+        self._unwritten: list[bytes] = []
+        self._early_rows: list[EarlyRow] | None = []  # None once the start is known
+        self._started_ns = time.monotonic_ns()
+        self._encode = msgspec.json.Encoder().encode
 
-    def now(self) -> int:
-        return (time.monotonic_ns() - self.started_ns) // 1000
+    def now_us(self) -> int:
+        """Microseconds since the run's start."""
+        return (time.monotonic_ns() - self._started_ns) // 1000
 
     def begin(self, at_ns: int) -> None:
-        """The start is then, on the monotonic clock."""
-        self.started_ns = at_ns
-        held, self.held = self.held or [], None
-        self.rows += [self.encode((kind, (ns - at_ns) // 1000, *what)) for ns, kind, what in held]
+        """Sets the run's start on the monotonic clock."""
+        self._started_ns = at_ns
+        early_rows, self._early_rows = self._early_rows or [], None
+        for row in early_rows:
+            self._unwritten.append(self._encode((row.kind, (row.at_ns - at_ns) // 1000, *row.fields)))
         self.flush()
 
-    def add(self, kind: str, *what: Any) -> None:
-        if self.held is not None:
-            self.held.append((time.monotonic_ns(), kind, what))
+    def add(self, kind: str, *fields: Any) -> None:
+        """Adds a row with the time of now; see ledger_rows for the kinds."""
+        if self._early_rows is not None:
+            self._early_rows.append(EarlyRow(time.monotonic_ns(), kind, fields))
             return
-        self.rows.append(self.encode((kind, self.now(), *what)))
-        if len(self.rows) >= 500:
+        self._unwritten.append(self._encode((kind, self.now_us(), *fields)))
+        if len(self._unwritten) >= MAX_UNWRITTEN_ROWS:
             self.flush()
-        return
 
     def flush(self) -> None:
-        if self.rows:
-            self.file.write(b"\n".join(self.rows) + b"\n")
-            self.file.flush()
-            self.rows.clear()
+        """Writes the rows that are not yet in the file."""
+        if self._unwritten:
+            self._file.write(b"\n".join(self._unwritten) + b"\n")
+            self._file.flush()
+            self._unwritten.clear()
 
     def close(self) -> None:
-        if self.held is not None:  # it never began
-            self.begin(self.started_ns)
+        """Writes everything and closes the file."""
+        if self._early_rows is not None:  # the run never began
+            self.begin(self._started_ns)
         self.flush()
-        self.file.close()
+        self._file.close()
--- a/stoneyoke/lab/link_process.py
+++ b/stoneyoke/lab/link_process.py
@@ -1,77 +1,94 @@
-"""The links that one process carries, and the faults that strike them."""
+"""The role of a process that carries links."""
 
 import asyncio
 import random
 from fnmatch import fnmatchcase
 from functools import partial
-from typing import Any
 
+import msgspec
+
+from stoneyoke.lab.addresses import Address
+from stoneyoke.lab.datagram_links import DatagramLinks
 from stoneyoke.lab.ledger_writer import LedgerWriter
-from stoneyoke.lab.links import Datagrams, Link
+from stoneyoke.lab.links import Link
+from stoneyoke.lab.worker_messages import ChangeLinkFault, LinksSetup, Order, Reply
 
 
-def same(peer: Datagrams) -> Datagrams:
-    """What the event loop asks for a protocol: this one."""
-    return peer
+def existing(protocol: DatagramLinks) -> DatagramLinks:
+    """The factory that the event loop asks for a protocol: it gives this one."""
+    return protocol
 
 
-class Links:
-    """The links that one process carries."""
+class LinkProcess:
+    """TCP links, and the UDP links that lead to some of the gateways."""
 
-    def __init__(self, given: dict[str, Any], ledger: LedgerWriter) -> None:
+    def __init__(self, setup: LinksSetup, ledger: LedgerWriter) -> None:
+        """Opens nothing yet."""
         self.ledger = ledger
-        self.links = [Link(start, end, tuple(entry), tuple(to)) for start, end, entry, to in given["links"]]
-        senders = {tuple(address): name for name, address, _ in given["peers"]}
-        self.peers = [
-            (tuple(entry), Datagrams(name, tuple(address), senders))
-            for name, address, entry in given["peers"][given["at"] :: given["of"]]
+        self._links = [Link(addresses) for addresses in setup.links]
+        senders = {peer.address: peer.gateway for peer in setup.peers}
+        self._gateways = list(senders.values())
+        self._datagram_links: list[tuple[Address, DatagramLinks]] = [
+            (peer.entry, DatagramLinks(peer.gateway, peer.address, senders))
+            for peer in setup.peers[setup.index :: setup.processes]
         ]
-        self.names = list(senders.values())
 
     async def start(self) -> None:
-        for link in self.links:
+        """Listens on all links."""
+        for link in self._links:
             link.listen()
-        for entry, peer in self.peers:
-            await asyncio.get_running_loop().create_datagram_endpoint(partial(same, peer), entry)
+        loop = asyncio.get_running_loop()
+        for entry, links in self._datagram_links:
+            await loop.create_datagram_endpoint(partial(existing, links), entry)
 
-    def order(self, order: dict[str, Any]) -> Any:
-        if order["do"] == "link":
-            struck = [
-                link
-                for link in self.links
-                if fnmatchcase(link.start, order["from"])
-                and fnmatchcase(link.end, order["to"])
-                or fnmatchcase(link.end, order["from"])
-                and fnmatchcase(link.start, order["to"])
-            ]
-            if order["fault"]["part"] < 1:
-                few = max(1, round(len(struck) * order["fault"]["part"]))
-                struck = random.Random(order["number"]).sample(struck, few) if struck else []
-            for link in struck:
-                link.strike(order["number"], order["fault"], order["begins"])
-            self.strike_peers(order)
-            self.ledger.add("links", order["fault"]["kind"], order["begins"], len(struck))
+    async def carry_out(self, order: Order) -> Reply | None:
+        """Begins or ends a fault on the links that it matches."""
+        if isinstance(order, ChangeLinkFault):
+            affected = self._affected_links(order)
+            for link in affected:
+                link.change_fault(order.number, order.fault, order.begins)
+            self._change_datagram_links(order)
+            self.ledger.add("links", order.fault.kind, order.begins, len(affected))
         return None
 
-    def strike_peers(self, order: dict[str, Any]) -> None:
-        """What a fault between gateways means for their datagrams: each way is a link of its own."""
-        kind = order["fault"]["kind"]
-        for _, link in self.peers:
-            for name in self.names:
-                there = fnmatchcase(name, order["from"]) and fnmatchcase(link.end, order["to"])
-                back = fnmatchcase(link.end, order["from"]) and fnmatchcase(name, order["to"])
-                if there and kind != "cut_back" or back and kind != "cut_there":
-                    whole = order["fault"] | {"kind": "cut" if kind.startswith("cut") else kind}
-                    link.strike(order["number"], whole, order["begins"], name)
+    def _affected_links(self, order: ChangeLinkFault) -> list[Link]:
+        """The TCP links between the fault's ends, or a random part of them. A fault's end finds the same ones."""
+        links = [
+            link
+            for link in self._links
+            if matches(order, link.addresses.source, link.addresses.destination)
+            or matches(order, link.addresses.destination, link.addresses.source)
+        ]
+        if order.fault.part < 1 and links:
+            count = max(1, round(len(links) * order.fault.part))
+            return random.Random(order.number).sample(links, count)
+        return links
+
+    def _change_datagram_links(self, order: ChangeLinkFault) -> None:
+        """Changes the UDP links between the fault's ends. Each direction is a link of its own."""
+        kind = order.fault.kind
+        one_way = msgspec.structs.replace(order.fault, kind="cut" if kind.startswith("cut") else kind)
+        for _, links in self._datagram_links:
+            for sender in self._gateways:
+                forth = matches(order, sender, links.gateway) and kind != "cut_back"
+                back = matches(order, links.gateway, sender) and kind != "cut_there"
+                if forth or back:
+                    links.change_fault(order.number, one_way, order.begins, sender)
 
     async def end(self) -> None:
-        for _, peer in self.peers:
-            peer.transport.close()
-        peers = [peer for _, peer in self.peers]
-        self.ledger.add("between", sum(peer.bytes for peer in peers), sum(peer.messages for peer in peers))
-        for link in self.links:
+        """Notes what was carried, and closes everything."""
+        datagram_links = [links for _, links in self._datagram_links]
+        for links in datagram_links:
+            links.close()
+        datagram_bytes = sum(links.bytes_carried for links in datagram_links)
+        self.ledger.add("between", datagram_bytes, sum(links.datagrams_carried for links in datagram_links))
+        for link in self._links:
             link.close()
             for end in list(link.ends):
-                if end.transport:
-                    end.transport.abort()
-        self.ledger.add("carried", sum(link.bytes for link in self.links))
+                end.abort()
+        self.ledger.add("carried", sum(link.bytes_carried for link in self._links))
+
+
+def matches(order: ChangeLinkFault, source: str, destination: str) -> bool:
+    """Whether a fault's globs match the ends of a link in this order."""
+    return fnmatchcase(source, order.source) and fnmatchcase(destination, order.destination)
--- a/stoneyoke/lab/links.py
+++ b/stoneyoke/lab/links.py
@@ -1,7 +1,7 @@
-"""Links: each a listening address that leads to another one, and fails as it is told. TCP, and UDP.
+"""TCP links. Each listens at its own address, leads to another one, and fails as it is told.
 
-What comes over a silent link is kept until it heals, as a network would send it again; connections stay
-open over that, and new ones never come up.
+Data that comes while a link is silent is kept until the fault ends, as a network would retransmit it. Open connections
+stay open meanwhile, and new ones never come up.
 """
 
 import asyncio
@@ -10,233 +10,243 @@
 import socket
 import struct
 from collections import deque
-from typing import Any, cast
-
-FULL = 2  # connections of our own that fill the queue of a listener which is to answer no more
-
-
-class State:
-    """What is wrong with a link now; several faults may lie on it, by number."""
-
-    def __init__(self) -> None:
-        self.faults: dict[int, dict[str, Any]] = {}
-        self.silent = [False, False]  # there, back
-        self.delay_s = self.jitter_s = 0.0
-        self.bytes_s = 0.0
-        self.lose = 0.0
-        self.refuses = False
-
-    def renew(self) -> None:
-        kinds = [fault["kind"] for fault in self.faults.values()]
-        self.silent = ["cut" in kinds or "cut_there" in kinds, "cut" in kinds or "cut_back" in kinds]
-        self.refuses = "refuse" in kinds
-        self.delay_s = sum(f["ms"] for f in self.faults.values() if f["kind"] == "delay") / 1000
-        self.jitter_s = sum(f["jitter_ms"] for f in self.faults.values() if f["kind"] == "delay") / 1000
-        self.bytes_s = min((f["bytes_s"] for f in self.faults.values() if f["kind"] == "throttle"), default=0.0)
-        self.lose = max((f["part"] for f in self.faults.values() if f["kind"] == "lose"), default=0.0)
-
-    def plain(self) -> bool:
-        return not self.faults
-
-
-class End(asyncio.Protocol):
-    """One end of a connection over a link; what it hears the other end says."""
-
-    def __init__(self, link: "Link", back: bool) -> None:
-        self.link, self.back = link, back
-        self.other: End | None = None
-        self.transport: asyncio.Transport | None = None
-        # Not yet passed on: the link is silent or slow; None is the end
-        self.kept: deque[bytes | None] = deque()
-        self.free_at = 0.0
-        self.waking: asyncio.TimerHandle | None = None
+from collections.abc import Coroutine
+from typing import cast
+
+from stoneyoke.lab.addresses import LinkAddresses
+from stoneyoke.lab.link_conditions import Direction, LinkConditions
+from stoneyoke.lab.scenario import Fault
+
+BACKLOG = 256
+ACCEPTS_PER_TURN = 16  # of the event loop
+# Connections of our own that fill the queue of a listener. The system then answers no further ones.
+QUEUE_FILLERS = 2
+END_OF_STREAM = None  # in a queue of data
+
+
+class LinkEnd(asyncio.Protocol):
+    """One end of a connection over a link. What it receives is sent on at the other end."""
+
+    def __init__(self, link: "Link", direction: Direction) -> None:
+        """Serves once it is connected.
+
+        Args:
+            link: Opens the other end.
+            direction: Of the data that this end receives.
+        """
+        self.other: LinkEnd | None = None
+        self._link = link
+        self._direction = direction
+        self._transport: asyncio.Transport | None = None
+        self._queue: deque[bytes | None] = deque()  # received and not sent on: the link is silent or slow
+        self._queue_free_at_s = 0.0  # loop time
+
+    @property
+    def is_open(self) -> bool:
+        """Whether it is connected and not about to close."""
+        return self._transport is not None and not self._transport.is_closing()
+
+    @property
+    def _is_silent(self) -> bool:
+        return self._link.conditions.silent[self._direction]
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        self.link.ends.add(self)
-        if not self.back:
-            self.link.dial(self)
+        """Opens the other end, if this is the one that was entered."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._link.ends.add(self)
+        if self._direction == Direction.FORTH:
+            self._link.open_other_end(self)
 
     def data_received(self, data: bytes) -> None:
-        self.link.bytes += len(data)
+        """Sends data on at once, or keeps it while faults lie on the link."""
+        self._link.bytes_carried += len(data)
         other = self.other
-        if other and other.transport and not self.kept and self.link.state.plain():
-            other.transport.write(data)
+        if other and other._transport and not self._queue and self._link.conditions.faultless:
+            other._transport.write(data)
         else:
-            self.keep(data)
+            self._enqueue(data)
 
     def eof_received(self) -> bool:
-        self.keep(None)
+        """Sends the end of the stream on, after the data before it."""
+        self._enqueue(END_OF_STREAM)
         return True
 
-    def connection_lost(self, bad: Exception | None) -> None:
-        self.link.ends.discard(self)
-        if bad:
-            self.keep(None)
-        if self.other and self.other.transport and not self.link.state.silent[self.back]:
-            self.other.transport.abort() if bad else self.other.transport.close()
-
-    def keep(self, data: bytes | None) -> None:
-        loop, state = asyncio.get_running_loop(), self.link.state
-        self.kept.append(data)
-        wait = state.delay_s + (self.link.random_source.random() * state.jitter_s if state.jitter_s else 0.0)
-        if state.bytes_s and data:
-            wait += len(data) / state.bytes_s
-        self.free_at = max(self.free_at, loop.time()) + wait if state.bytes_s else max(self.free_at, loop.time() + wait)
-        loop.call_at(self.free_at, self.pass_on, 1)
-
-    def pass_on(self, most: int) -> None:
-        while self.kept and most and not self.link.state.silent[self.back]:
-            if not self.other or not self.other.transport:
+    def connection_lost(self, error: Exception | None) -> None:
+        """Ends the other end in the same way, unless the link is silent."""
+        self._link.ends.discard(self)
+        if error:
+            self._enqueue(END_OF_STREAM)
+        if self.other and self.other._transport and not self._is_silent:
+            if error:
+                self.other._transport.abort()
+            else:
+                self.other._transport.close()
+
+    def _enqueue(self, data: bytes | None) -> None:
+        loop, conditions = asyncio.get_running_loop(), self._link.conditions
+        self._queue.append(data)
+        wait_s = conditions.delay_s
+        if conditions.jitter_s:
+            wait_s += self._link.random_source.random() * conditions.jitter_s
+        if conditions.bytes_s:
+            if data:
+                wait_s += len(data) / conditions.bytes_s
+            self._queue_free_at_s = max(self._queue_free_at_s, loop.time()) + wait_s
+        else:
+            self._queue_free_at_s = max(self._queue_free_at_s, loop.time() + wait_s)
+        loop.call_at(self._queue_free_at_s, self._send_on, 1)
+
+    def send_all_on(self) -> None:
+        """Sends on what is kept, as far as the link is not silent."""
+        self._send_on(len(self._queue))
+
+    def _send_on(self, max_pieces: int) -> None:
+        while self._queue and max_pieces and not self._is_silent:
+            if not self.other or not self.other._transport:
                 return
-            data, most = self.kept.popleft(), most - 1
-            if data is None:
-                # Reset meanwhile, it can't be shut down any more, and a cut that heals must not end this
-                # process
-                with contextlib.suppress(OSError):
-                    if self.other.transport.can_write_eof() and not self.other.transport.is_closing():
-                        self.other.transport.write_eof()
+            max_pieces -= 1
+            data = self._queue.popleft()
+            if data is END_OF_STREAM:
+                self.other._write_eof()
             else:
-                self.other.transport.write(data)
+                self.other._transport.write(data)
+
+    def _write_eof(self) -> None:
+        # A connection that was reset meanwhile can't be shut down, and the end of a fault must not end this process.
+        with contextlib.suppress(OSError):
+            if self._transport and self._transport.can_write_eof() and not self._transport.is_closing():
+                self._transport.write_eof()
 
     def reset(self) -> None:
-        if self.transport:
-            sock = self.transport.get_extra_info("socket")
-            if sock:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            self.transport.abort()
+        """Ends the connection with a reset."""
+        if not self._transport:
+            return
+        sock = self._transport.get_extra_info("socket")
+        if sock:
+            no_linger = struct.pack("ii", 1, 0)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, no_linger)
+        self._transport.abort()
+
+    def abort(self) -> None:
+        """Closes the connection at once."""
+        if self._transport:
+            self._transport.abort()
 
 
 class Link:
-    """One link: where it is entered, where it leads, what is wrong with it."""
+    """One TCP link: where it is entered, where it leads, and its conditions."""
+
+    def __init__(self, addresses: LinkAddresses) -> None:
+        """Listens once it is told to."""
+        self.addresses = addresses
+        self.conditions = LinkConditions()
+        self.ends: set[LinkEnd] = set()
+        self.random_source = random.Random(f"{addresses.source} {addresses.destination}")
+        self.bytes_carried = 0
+        self._listener: socket.socket | None = None
+        self._queue_fillers: list[socket.socket] = []
+        self._tasks: set[asyncio.Task[None]] = set()  # connections that are being opened
 
-    def __init__(self, start: str, end: str, entry: tuple[str, int], to: tuple[str, int]) -> None:
-        self.start, self.end, self.entry, self.to = start, end, entry, to
-        self.state, self.ends = State(), set[End]()
-        self.random_source = random.Random(f"{start} {end}")
-        self.sock: socket.socket | None = None
-        self.fillers: list[socket.socket] = []
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.bytes = 0
+    # ---- the listener ----
 
     def listen(self) -> None:
-        self.sock = socket.create_server(self.entry, backlog=256)
-        self.sock.setblocking(False)
-        asyncio.get_running_loop().add_reader(self.sock, self.accept)
-
-    def deafen(self) -> None:
-        """New connections never come up: the queue is cut to its least and filled."""
-        if self.sock and not self.fillers:
-            asyncio.get_running_loop().remove_reader(self.sock)
-            self.sock.listen(0)
-            for _ in range(FULL):
-                filler = socket.socket()
-                filler.setblocking(False)
-                filler.connect_ex(self.entry)
-                self.fillers.append(filler)
-
-    def hear(self) -> None:
-        while self.fillers:
-            self.fillers.pop().close()
-        if self.sock:
-            self.sock.listen(256)
-            asyncio.get_running_loop().add_reader(self.sock, self.accept)
+        """Starts to accept connections."""
+        self._listener = socket.create_server(self.addresses.entry, backlog=BACKLOG)
+        self._listener.setblocking(False)
+        asyncio.get_running_loop().add_reader(self._listener, self._accept)
 
     def close(self) -> None:
-        if self.sock:
-            asyncio.get_running_loop().remove_reader(self.sock)
-            self.sock.close()
-            self.sock = None
-        while self.fillers:
-            self.fillers.pop().close()
-
-    def accept(self) -> None:
-        for _ in range(16):
+        """Refuses new connections; open ones stay."""
+        if self._listener:
+            asyncio.get_running_loop().remove_reader(self._listener)
+            self._listener.close()
+            self._listener = None
+        self._close_fillers()
+
+    def _stop_answering(self) -> None:
+        """Lets new connections never come up: the listener's queue is made as short as possible, and filled."""
+        if not self._listener or self._queue_fillers:
+            return
+        asyncio.get_running_loop().remove_reader(self._listener)
+        self._listener.listen(0)
+        for _ in range(QUEUE_FILLERS):
+            filler = socket.socket()
+            filler.setblocking(False)
+            filler.connect_ex(self.addresses.entry)
+            self._queue_fillers.append(filler)
+
+    def _answer_again(self) -> None:
+        self._close_fillers()
+        if self._listener:
+            self._listener.listen(BACKLOG)
+            asyncio.get_running_loop().add_reader(self._listener, self._accept)
+
+    def _close_fillers(self) -> None:
+        while self._queue_fillers:
+            self._queue_fillers.pop().close()
+
+    # ---- connections ----
+
+    def _accept(self) -> None:
+        for _ in range(ACCEPTS_PER_TURN):
             try:
-                sock, _ = cast(socket.socket, self.sock).accept()
+                sock, _ = cast(socket.socket, self._listener).accept()
             except OSError:
                 return
-            self.spawn(self.take(sock))
+            self._spawn(self._serve(sock))
 
-    def spawn(self, work: Any) -> None:
+    def _spawn(self, work: Coroutine[object, object, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    async def take(self, sock: socket.socket) -> None:
+    async def _serve(self, sock: socket.socket) -> None:
+        loop = asyncio.get_running_loop()
         try:
-            await asyncio.get_running_loop().connect_accepted_socket(lambda: End(self, False), sock)
+            await loop.connect_accepted_socket(lambda: LinkEnd(self, Direction.FORTH), sock)
         except OSError:
             sock.close()
 
-    def dial(self, end: End) -> None:
-        async def connect() -> None:
-            try:
-                _, other = await asyncio.get_running_loop().create_connection(lambda: End(self, True), *self.to)
-            except OSError:
-                end.reset()
-                return
-            end.other, other.other = other, end
-            if not end.transport or end.transport.is_closing():
-                other.reset()
-                return
-            end.pass_on(len(end.kept))
-
-        self.spawn(connect())
+    def open_other_end(self, end: LinkEnd) -> None:
+        """Connects an end that was entered to where the link leads."""
+        self._spawn(self._connect(end))
 
-    def strike(self, number: int, fault: dict[str, Any], begins: bool) -> None:
-        if fault["kind"] == "reset":
-            if begins:
-                for end in list(self.ends):
-                    end.reset()
+    async def _connect(self, end: LinkEnd) -> None:
+        loop = asyncio.get_running_loop()
+        try:
+            _, other = await loop.create_connection(lambda: LinkEnd(self, Direction.BACK), *self.addresses.exit)
+        except OSError:
+            end.reset()
             return
-        before = any(self.state.silent)
-        if begins:
-            self.state.faults[number] = fault
-        else:
-            self.state.faults.pop(number, None)
-        refused = self.state.refuses
-        self.state.renew()
-        if self.state.refuses != refused:
-            self.close() if self.state.refuses else self.listen()
-        silent = any(self.state.silent)
-        if silent and not before:
-            self.deafen()
-        elif before and not silent and not self.state.refuses:
-            self.hear()
-        for end in list(self.ends):
-            end.pass_on(len(end.kept))
-
-
-class Datagrams(asyncio.DatagramProtocol):
-    """The UDP links that lead to one gateway: loses, delays and so reorders datagrams, by who sends them."""
+        end.other, other.other = other, end
+        if not end.is_open:
+            other.reset()
+            return
+        end.send_all_on()
 
-    def __init__(self, end: str, to: tuple[str, int], senders: dict[tuple[str, int], str], seed: int = 0) -> None:
-        self.end, self.to, self.senders = end, to, senders
-        self.states: dict[str, State] = {}  # by sender
-        self.random_source = random.Random(f"{seed} {end}")
-        self.bytes = self.messages = 0
+    # ---- faults ----
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)
-
-    def datagram_received(self, data: bytes, source: tuple[str, int]) -> None:
-        state = self.states.setdefault(self.senders.get(source, "?"), State())
-        self.bytes += len(data)
-        self.messages += 1
-        if state.silent[0] or self.random_source.random() < state.lose:
+    def change_fault(self, number: int, fault: Fault, begins: bool) -> None:
+        """Begins or ends a fault. A reset ends all open connections at once, and has no end."""
+        if fault.kind == "reset":
+            if begins:
+                self.reset_connections()
             return
-        wait = state.delay_s + self.random_source.random() * state.jitter_s
-        if wait:
-            asyncio.get_running_loop().call_later(wait, self.transport.sendto, data, self.to)
-        else:
-            self.transport.sendto(data, self.to)
+        was_silent, refused = self.conditions.silent_in_any_direction, self.conditions.refuses
+        self.conditions.change(number, fault, begins)
+        is_silent, refuses = self.conditions.silent_in_any_direction, self.conditions.refuses
+        if refuses and not refused:
+            self.close()
+        elif refused and not refuses:
+            self.listen()
+        if is_silent and not was_silent:
+            self._stop_answering()
+        elif was_silent and not is_silent and not refuses:
+            self._answer_again()
+        for end in list(self.ends):
+            end.send_all_on()
 
-    def strike(self, number: int, fault: dict[str, Any], begins: bool, start: str) -> None:
-        """A fault on what this sender's datagrams go through; they only go one way, there."""
-        state = self.states.setdefault(start, State())
-        if begins:
-            state.faults[number] = fault
-        else:
-            state.faults.pop(number, None)
-        state.renew()
+    def reset_connections(self) -> None:
+        """Resets all open connections."""
+        for end in list(self.ends):
+            end.reset()
--- a/stoneyoke/lab/machine_limits.py
+++ b/stoneyoke/lab/machine_limits.py
@@ -1,4 +1,4 @@
-"""Whether the machine can hold a run, told before anything starts."""
+"""Whether the machine can hold a run, found out before anything starts."""
 
 import math
 import resource
@@ -9,30 +9,52 @@
 from stoneyoke.lab.errors import CannotRun
 from stoneyoke.lab.scenario import Scenario
 
-LINKS_A_PROCESS = 6000  # listening sockets; each carried connection takes two more
-SPARE = 4000  # descriptors of a process of links, for connections
-GATEWAY_MB = 22  # what a gateway process holds
+LINKS_PER_PROCESS = 6000  # listening sockets; each connection over a link takes two more
+SPARE_DESCRIPTORS = 4000  # of a process of links, for connections
+GATEWAY_MB = 22  # what a gateway process uses
+WORKER_MB = 150
+OTHER_WORKERS = 4
+LINKS_PER_MB = 50
+PROBED_LINKS = 200
 
 
-def link_processes(addresses: Addresses) -> int:
+def link_process_count(addresses: Addresses) -> int:
     """How many processes carry the links."""
-    return math.ceil(len(addresses.links()) / LINKS_A_PROCESS)
+    return math.ceil(len(addresses.links()) / LINKS_PER_PROCESS)
 
 
 def check_capacity(scenario: Scenario, addresses: Addresses) -> None:
-    """Raises CannotRun where the machine can't hold it, with what is needed."""
-    links, carriers = addresses.links(), link_processes(addresses)
-    need = math.ceil(len(links) / carriers) + SPARE
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if hard != resource.RLIM_INFINITY and hard < need:
-        raise CannotRun(f"descriptors: {need} a process are needed for {len(links)} links, the limit is {hard}")
-    resource.setrlimit(resource.RLIMIT_NOFILE, (need if hard == resource.RLIM_INFINITY else hard, hard))
-    memory = scenario.gateways.count * GATEWAY_MB + 150 * (carriers + 4) + len(links) // 50
-    free = psutil.virtual_memory().available >> 20
-    if free < memory:
-        raise CannotRun(f"memory: {memory} MB are needed for {scenario.gateways.count} gateways, {free} MB are free")
-    probes = [entry for _, _, entry, _ in links[:: max(1, len(links) // 200)]]
-    probes += [addresses.gateway(g) for g in range(scenario.gateways.count)]
+    """Checks descriptors, memory and ports, and raises this process's limit of descriptors for its children.
+
+    Raises:
+        CannotRun: Something does not suffice; the text says what is needed.
+    """
+    processes = link_process_count(addresses)
+    _provide_descriptors(len(addresses.links()), processes)
+    _check_memory(scenario, len(addresses.links()), processes)
+    _check_ports(scenario, addresses)
+
+
+def _provide_descriptors(links: int, processes: int) -> None:
+    needed = math.ceil(links / processes) + SPARE_DESCRIPTORS
+    _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if hard != resource.RLIM_INFINITY and hard < needed:
+        raise CannotRun(f"descriptors: {needed} a process are needed for {links} links, the limit is {hard}")
+    resource.setrlimit(resource.RLIMIT_NOFILE, (needed if hard == resource.RLIM_INFINITY else hard, hard))
+
+
+def _check_memory(scenario: Scenario, links: int, processes: int) -> None:
+    gateways = scenario.gateways.count
+    needed_mb = gateways * GATEWAY_MB + WORKER_MB * (processes + OTHER_WORKERS) + links // LINKS_PER_MB
+    free_mb = psutil.virtual_memory().available >> 20
+    if free_mb < needed_mb:
+        raise CannotRun(f"memory: {needed_mb} MB are needed for {gateways} gateways, {free_mb} MB are free")
+
+
+def _check_ports(scenario: Scenario, addresses: Addresses) -> None:
+    links = addresses.links()
+    probes = [link.entry for link in links[:: max(1, len(links) // PROBED_LINKS)]]
+    probes += [addresses.gateway(gateway) for gateway in range(scenario.gateways.count)]
     for address in probes:
         if not can_listen(address):
             raise CannotRun(f"port: {address_text(address)} is busy; another lab may run (take another --port)")
--- a/stoneyoke/lab/role.py
+++ b/stoneyoke/lab/role.py
@@ -1,67 +1,62 @@
-"""What every process of the laboratory does: told orders line by line, it tells back, and ends with its input.
-
-So nothing outlives whoever started it.
-"""
+"""The main loop of a worker: it carries out orders, replies, and ends with its input, so nothing outlives the run."""
 
 import asyncio
-import inspect
 import sys
 import time
-from typing import Any, Protocol
-
-import msgspec
+from typing import Protocol
 
 from stoneyoke.lab.ledger_writer import LedgerWriter
+from stoneyoke.lab.worker_messages import ORDER_DECODER, Begin, End, Order, Ready, Reply, encode_line
 
-LAG_S = 0.05  # a process measures so often how late its own event loop is
+LAG_INTERVAL_S = 0.05  # a worker measures this often how late its own event loop is
 
 
 class Role(Protocol):
-    """A stand-in, the supervisor or a set of links."""
+    """What a worker is: a set of stand-ins, of links, or the gateways' supervisor."""
 
     ledger: LedgerWriter
 
-    async def start(self) -> None: ...
+    async def start(self) -> None:
+        """Opens what it listens on."""
 
-    def order(self, order: dict[str, Any]) -> Any:
-        """Carries out what is told; may be a coroutine; what it returns is told back."""
+    async def carry_out(self, order: Order) -> Reply | None:
+        """Carries out an order and returns the reply, if there is one. Orders for other roles are ignored."""
 
-    async def end(self) -> None: ...
+    async def end(self) -> None:
+        """Closes and ends everything."""
 
 
-def say(what: dict[str, Any]) -> None:
-    """Tells the process that started this one."""
-    sys.stdout.buffer.write(msgspec.json.encode(what) + b"\n")
+def send_reply(reply: Reply) -> None:
+    """Tells the run something."""
+    sys.stdout.buffer.write(encode_line(reply))
     sys.stdout.buffer.flush()
 
 
-async def serve(role: Role, name: str, lines: asyncio.StreamReader) -> None:
-    """Carries out orders until the input or an order ends it."""
+async def measure_lag(ledger: LedgerWriter, name: str) -> None:
+    """Notes again and again how late the event loop is."""
+    while True:
+        due_s = time.monotonic() + LAG_INTERVAL_S
+        await asyncio.sleep(LAG_INTERVAL_S)
+        ledger.add("lag", name, round((time.monotonic() - due_s) * 1000, 1))
+        ledger.flush()
 
-    async def measure() -> None:
-        while True:
-            due = time.monotonic() + LAG_S
-            await asyncio.sleep(LAG_S)
-            role.ledger.add("lag", name, round((time.monotonic() - due) * 1000, 1))
-            role.ledger.flush()
 
+async def serve(role: Role, name: str, lines: asyncio.StreamReader) -> None:
+    """Carries out orders until an order or the end of the input ends it."""
     await role.start()
-    measuring = asyncio.create_task(measure())
-    say({"ready": name})
+    measuring = asyncio.create_task(measure_lag(role.ledger, name))
+    send_reply(Ready())
     try:
         while line := await lines.readline():
-            order = msgspec.json.decode(line)
-            if order["do"] == "go":
-                role.ledger.begin(order["at_ns"])
-            if order["do"] == "end":
+            order = ORDER_DECODER.decode(line)
+            if isinstance(order, End):
                 break
-            told = role.order(order)
-            if inspect.isawaitable(told):
-                told = await told
-            if told is not None:
-                say(told)
+            if isinstance(order, Begin):
+                role.ledger.begin(order.at_ns)
+            reply = await role.carry_out(order)
+            if reply is not None:
+                send_reply(reply)
     finally:
         measuring.cancel()
         await role.end()
         role.ledger.close()
-    say({"ended": name})
--- a/stoneyoke/lab/run.py
+++ b/stoneyoke/lab/run.py
@@ -1,6 +1,6 @@
-"""One run: starts everything, strikes when the plan says so, ends everything, reads the ledger.
+"""One run: starts everything, carries out the plan's faults, ends everything, and has the ledger judged.
 
-Every process here is a child of this one, or of the supervisor, and ends with its standard input.
+Every process is a child of this one or of the supervisor, and ends with its standard input.
 """
 
 import asyncio
@@ -19,15 +19,23 @@
 from stoneyoke.lab.errors import CannotRun, NotReady
 from stoneyoke.lab.fault_orders import FaultOrders
 from stoneyoke.lab.gateway_files import GatewayFiles, gateway_settings
-from stoneyoke.lab.http import open_to
+from stoneyoke.lab.http import open_connection
 from stoneyoke.lab.machine_limits import check_capacity
-from stoneyoke.lab.plan import FaultEvent, RunPlan, draw_plan
+from stoneyoke.lab.plan import FaultEvent, draw_plan
 from stoneyoke.lab.result import Result, RunEnd, judge
 from stoneyoke.lab.scenario import Scenario
+from stoneyoke.lab.worker_messages import CLIENTS, SUPERVISOR, Begin, Drain, GatewayDied, StartGateway, WorkerSetup
 from stoneyoke.lab.worker_process import WorkerProcess
-from stoneyoke.lab.worker_terms import WorkerTerms, worker_terms
+from stoneyoke.lab.worker_setup import worker_setups
 
-READY_S = 60.0
+READY_TIMEOUT_S = 60.0
+READY_POLL_S = 0.05
+READY_REQUEST = b"GET /healthz HTTP/1.1\r\nHost: lab\r\n\r\n"
+READY_REQUEST_TIMEOUT_S = 1.0
+START_DELAY_NS = 200_000_000  # from the order to begin until the run's start, so that all workers know it
+DRAIN_SLACK_S = 3  # beside the longest deadline
+STEP_S = 0.1  # the run looks at least this often whether a worker has ended
+MAX_REPLY_BYTES = 1 << 22
 
 
 class Run:
@@ -41,62 +49,100 @@
         port: int = 7070,
         progress: Callable[[float], None] = lambda _: None,
     ) -> None:
-        self.scenario, self.seed, self.out, self.progress = scenario, seed, out, progress
+        """Draws the plan; starts nothing yet.
+
+        Args:
+            scenario: What the run is made of.
+            seed: Of the plan.
+            out: Folder for everything that the run leaves.
+            port: Of all processes.
+            progress: Called now and then with the time since the start in seconds.
+        """
+        self.scenario = scenario
+        self.out = out
+        self.progress = progress
         self.addresses = Addresses(scenario, port)
-        self.drawn: RunPlan = draw_plan(scenario, seed)
+        self.plan = draw_plan(scenario, seed)
         self.workers: dict[str, WorkerProcess] = {}
-        self.crashes: list[str] = []
-        self.reasons: list[str] = []
+        self.crashes: list[str] = []  # one line for each gateway that died unexpectedly
+        self.reasons: list[str] = []  # remarks for the result
         self.faults = FaultOrders(self.addresses, self.workers, self)
         self.files = GatewayFiles(scenario, self.addresses, seed, out)
 
+    async def play(self) -> Result:
+        """Plays the run from its start to its end. A run that is cancelled is judged as partial.
+
+        Raises:
+            CannotRun: The machine can't hold it, or something did not start or stay.
+        """
+        began_s, partial = time.monotonic(), ""
+        check_capacity(self.scenario, self.addresses)
+        try:
+            await self._start()
+            await self._play_plan()
+        except asyncio.CancelledError:
+            partial = "interrupted"
+        finally:
+            await asyncio.shield(self._end())
+        end = RunEnd(seconds=time.monotonic() - began_s, crashes=self.crashes, reasons=self.reasons, partial=partial)
+        return judge(self.out, self.scenario, self.plan, end)
+
     # ---- gateways ----
 
-    def settings(self, g: int) -> dict[str, Any]:
-        """What gateway g is told of the protocol."""
-        return gateway_settings(self.scenario, self.addresses, g)
-
-    def configure(self, g: int, life: int = 0) -> Path:
-        """Writes the files of a gateway's life; the path of its configuration."""
-        return self.files.write(g, life, self.settings(g))
-
-    def start_gateway(self, g: int, life: int = 0) -> None:
-        name, path = self.addresses.gateway_names[g], self.configure(g, life)
-        self.workers["keeper"].say(
-            {
-                "do": "start",
-                "name": name,
-                "argv": [sys.executable, "-O", "-m", "stoneyoke"],
-                "env": {"NODE_CONFIG": str(path), "NODE_NAME": name}
-                | ({"STONEYOKE_OPTIONS": str(path.with_suffix(".toml"))} if self.scenario.fleet.on else {}),
-            }
-        )
-
-    async def gateways_ready(self, which: range) -> None:
-        """Raises CannotRun naming the first that never becomes ready, with its last line."""
-        ask = b"GET /healthz HTTP/1.1\r\nHost: lab\r\n\r\n"
-        until = time.monotonic() + READY_S
-        for g in which:
-            while True:
-                try:
-                    link = await open_to(self.addresses.gateway(g), 1.0)
-                    status, _, _ = await link.ask(ask, 1.0)
-                    link.close()
-                    if status == 200:
-                        break
-                except OSError:
-                    pass
-                name = self.addresses.gateway_names[g]
-                dead = next((crash for crash in self.crashes if crash.startswith(name + " ")), "")
-                if dead or time.monotonic() > until:
-                    raise NotReady(f"not ready: {dead or name}")
-                await asyncio.sleep(0.05)
+    def settings(self, gateway: int) -> dict[str, Any]:
+        """What a gateway is told of the protocol."""
+        return gateway_settings(self.scenario, self.addresses, gateway)
+
+    def configure(self, gateway: int, restarts: int = 0) -> Path:
+        """Writes a gateway's files for its next start.
+
+        Returns:
+            The configuration's path.
+        """
+        return self.files.write(gateway, restarts, self.settings(gateway))
+
+    def start_gateway(self, gateway: int, restarts: int = 0) -> None:
+        """Configures a gateway that was started so often before, and has the supervisor start it."""
+        name, path = self.addresses.gateway_names[gateway], self.configure(gateway, restarts)
+        env = {"NODE_CONFIG": str(path), "NODE_NAME": name}
+        if self.scenario.fleet.on:
+            env["STONEYOKE_OPTIONS"] = str(path.with_suffix(".toml"))
+        argv = [sys.executable, "-O", "-m", "stoneyoke"]
+        self.workers[SUPERVISOR].send(StartGateway(name, argv, env))
+
+    async def _wait_for_gateways(self, gateways: range) -> None:
+        """Waits until gateways are ready.
+
+        Raises:
+            NotReady: Names the first that is not in time, with its last line.
+        """
+        deadline_s = time.monotonic() + READY_TIMEOUT_S
+        for gateway in gateways:
+            while not await self._is_ready(gateway):
+                name = self.addresses.gateway_names[gateway]
+                crash = next((crash for crash in self.crashes if crash.startswith(name + " ")), "")
+                if crash or time.monotonic() > deadline_s:
+                    raise NotReady(f"not ready: {crash or name}")
+                await asyncio.sleep(READY_POLL_S)
+
+    async def _is_ready(self, gateway: int) -> bool:
+        try:
+            connection = await open_connection(self.addresses.gateway(gateway), READY_REQUEST_TIMEOUT_S)
+            response = await connection.request(READY_REQUEST, READY_REQUEST_TIMEOUT_S)
+            connection.close()
+        except OSError:
+            return False
+        return response.status == 200
+
+    def _gateway_died(self, reply: GatewayDied) -> None:
+        if not reply.expected:
+            last_line = reply.lines[-1] if reply.lines else "no line"
+            self.crashes.append(f"{reply.name} ended with {reply.code}: {last_line}")
 
     # ---- workers ----
 
-    async def start_worker(self, terms: WorkerTerms) -> None:
-        name = terms.name
-        with (self.out / "logs" / f"{name}.log").open("ab") as log:
+    async def _start_worker(self, setup: WorkerSetup) -> None:
+        with self._log_path(setup.name).open("ab") as log:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -105,120 +151,127 @@
                 stdout=asyncio.subprocess.PIPE,
                 stderr=log,
                 start_new_session=True,
-                limit=1 << 22,
+                limit=MAX_REPLY_BYTES,
             )
-        worker = self.workers[name] = WorkerProcess(name, process, self.told)
-        ledger = self.out / "ledger" / f"{name}.jsonl"
-        worker.say({"kind": terms.kind, "name": name, "ledger": str(ledger)} | terms.given)
+        worker = self.workers[setup.name] = WorkerProcess(setup.name, process, self._gateway_died)
+        ledger = self.out / "ledger" / f"{setup.name}.jsonl"
+        worker.send(msgspec.structs.replace(setup, ledger=str(ledger)))
 
-    async def workers_ready(self) -> None:
-        async with asyncio.timeout(READY_S):
+    def _log_path(self, worker: str) -> Path:
+        return self.out / "logs" / f"{worker}.log"
+
+    async def _wait_for_workers(self) -> None:
+        async with asyncio.timeout(READY_TIMEOUT_S):
             for worker in self.workers.values():
                 await worker.ready.wait()
                 if worker.ended.is_set():
-                    raise CannotRun(f"{worker.name} did not start: see {self.out / 'logs' / worker.name}.log")
+                    raise CannotRun(f"{worker.name} did not start: see {self._log_path(worker.name)}")
 
-    def told(self, _: str, what: dict[str, Any]) -> None:
-        if "died" in what and not what["expected"]:
-            last = what["lines"][-1] if what["lines"] else "no line"
-            self.crashes.append(f"{what['died']} ended with {what['code']}: {last}")
+    # ---- the run ----
 
-    async def start(self) -> None:
-        """Workers first, then the gateways in waves. Raises CannotRun."""
+    async def _start(self) -> None:
+        """Starts the workers, then the gateways in waves."""
         for folder in ("ledger", "logs", "configs"):
             (self.out / folder).mkdir(parents=True, exist_ok=True)
         self.files.write_keys()
         (self.out / "scenario.json").write_bytes(msgspec.json.encode(self.scenario))
-        (self.out / "plan.json").write_bytes(msgspec.json.encode(self.drawn))
-        for terms in worker_terms(self.scenario, self.addresses, self.drawn, self.seed, self.out):
-            await self.start_worker(terms)
-        await self.workers_ready()
-        for first in range(0, self.scenario.gateways.count, self.scenario.gateways.wave):
-            wave = range(first, min(self.scenario.gateways.count, first + self.scenario.gateways.wave))
-            for g in wave:
-                self.start_gateway(g)
-            await self.gateways_ready(wave)
+        (self.out / "plan.json").write_bytes(msgspec.json.encode(self.plan))
+        for setup in worker_setups(self.scenario, self.addresses, self.plan, self.out):
+            await self._start_worker(setup)
+        await self._wait_for_workers()
+        count, wave = self.scenario.gateways.count, self.scenario.gateways.wave
+        for first in range(0, count, wave):
+            gateways = range(first, min(count, first + wave))
+            for gateway in gateways:
+                self.start_gateway(gateway)
+            await self._wait_for_gateways(gateways)
 
-    # ---- the run ----
+    async def _play_plan(self) -> None:
+        """Lets the clients begin, carries out the fault events in time, and drains the clients."""
+        self._started_ns = time.monotonic_ns() + START_DELAY_NS
+        for worker in self.workers.values():
+            worker.send(Begin(self._started_ns))
+        with (self.out / "ledger" / "run.jsonl").open("ab") as self._ledger:
+            remaining = await self._carry_out_events()
+            for event in remaining:
+                if not event.begins:
+                    self._carry_out(event)  # ends the faults that still last, so that all that is pending can end
+            await self._drain_clients()
 
-    def strike(self, strike: FaultEvent) -> None:
-        """Writes a strike down and carries it out."""
-        self.book(
-            "fault", strike.number, strike.kind, strike.begins, strike.processes, strike.source, strike.destination
-        )
-        self.faults.strike(strike)
+    async def _carry_out_events(self) -> list[FaultEvent]:
+        """Carries out fault events until the run's time is over.
 
-    def book(self, kind: str, *what: Any) -> None:
-        at = (time.monotonic_ns() - self.started_ns) // 1000
-        self.ledger.write(msgspec.json.encode((kind, at, *what)) + b"\n")
-        self.ledger.flush()
+        Returns:
+            The events after that.
+        """
+        events, end_s = list(self.plan.fault_events), self.scenario.seconds
+        while (now_s := self._now_s()) < end_s:
+            while events and events[0].at_us / 1e6 <= now_s:
+                self._carry_out(events.pop(0))
+            self.progress(max(0.0, now_s))
+            self._check_workers()
+            next_s = events[0].at_us / 1e6 if events else end_s
+            await asyncio.sleep(max(0.001, min(STEP_S, next_s - now_s, end_s - now_s)))
+        return events
 
-    async def go(self) -> None:
-        self.started_ns = time.monotonic_ns() + 200_000_000
-        for worker in self.workers.values():
-            worker.say({"do": "go", "at_ns": self.started_ns})
-        with (self.out / "ledger" / "run.jsonl").open("ab") as self.ledger:
-            strikes = list(self.drawn.fault_events)
-            end = self.scenario.seconds
-            while (now := (time.monotonic_ns() - self.started_ns) / 1e9) < end:
-                while strikes and strikes[0].at_us / 1e6 <= now:
-                    self.strike(strikes.pop(0))
-                self.progress(max(0.0, now))
-                if dead := [name for name, worker in self.workers.items() if worker.ended.is_set()]:
-                    raise CannotRun(f"{dead[0]} ended during the run: see {self.out / 'logs' / dead[0]}.log")
-                following = strikes[0].at_us / 1e6 if strikes else end
-                await asyncio.sleep(max(0.001, min(0.1, following - now, end - now)))
-            for strike in [s for s in strikes if not s.begins]:
-                self.strike(strike)  # what is struck still is mended, so that all that is held can end
-            front = self.workers["front"]
-            front.say({"do": "drain"})
-            longest = max(m.deadline_ms for m in self.scenario.method) / 1000
-            try:
-                async with asyncio.timeout(longest + 3):
-                    await front.drained.wait()
-            except TimeoutError:
-                self.reasons.append("clients still waited at the end")
-
-    async def end(self) -> None:
-        """Ends every process, whatever came before."""
-        order = ["front", "keeper"]
-        for name in order + [name for name in self.workers if name not in order]:
+    def _now_s(self) -> float:
+        return (time.monotonic_ns() - self._started_ns) / 1e9
+
+    def _check_workers(self) -> None:
+        for name, worker in self.workers.items():
+            if worker.ended.is_set():
+                raise CannotRun(f"{name} ended during the run: see {self._log_path(name)}")
+
+    def _carry_out(self, event: FaultEvent) -> None:
+        """Writes a fault event into the ledger and orders it."""
+        at_us = (time.monotonic_ns() - self._started_ns) // 1000
+        fields = (event.number, event.kind, event.begins, event.processes, event.source, event.destination)
+        self._ledger.write(msgspec.json.encode(("fault", at_us, *fields)) + b"\n")
+        self._ledger.flush()
+        self.faults.carry_out(event)
+
+    async def _drain_clients(self) -> None:
+        clients = self.workers[CLIENTS]
+        clients.send(Drain())
+        longest_deadline_s = max(method.deadline_ms for method in self.scenario.method) / 1000
+        try:
+            async with asyncio.timeout(longest_deadline_s + DRAIN_SLACK_S):
+                await clients.drained.wait()
+        except TimeoutError:
+            self.reasons.append("clients still waited at the end")
+
+    async def _end(self) -> None:
+        """Ends every process: first the clients, then the gateways, then all others."""
+        first = [CLIENTS, SUPERVISOR]
+        for name in first + [name for name in self.workers if name not in first]:
             if name in self.workers:
                 await self.workers[name].end()
 
-    async def whole(self) -> Result:
-        began, partial = time.monotonic(), ""
-        check_capacity(self.scenario, self.addresses)
-        try:
-            await self.start()
-            await self.go()
-        except asyncio.CancelledError:
-            partial = "interrupted"
-        finally:
-            await asyncio.shield(self.end())
-        return self.result(partial, time.monotonic() - began)
 
-    def result(self, partial: str, seconds: float) -> Result:
-        return judge(
-            self.out,
-            self.scenario,
-            self.drawn,
-            RunEnd(seconds=seconds, crashes=self.crashes, reasons=self.reasons, partial=partial),
-        )
+def run_scenario(scenario: Scenario, seed: int, out: Path, port: int, progress: Callable[[float], None]) -> Result:
+    """Plays a run to its end, or to SIGINT or SIGTERM: then what there is is judged as partial.
 
+    Args:
+        scenario: What the run is made of.
+        seed: Of the plan.
+        out: Folder of the run; what it holds is deleted.
+        port: Of all processes.
+        progress: Called now and then with the time since the start in seconds.
 
-def carry_out(scenario: Scenario, seed: int, out: Path, port: int, progress: Callable[[float], None]) -> Result:
-    """Runs to its end, or to Ctrl-C or SIGTERM: then what there is is judged as partial. Raises CannotRun."""
+    Raises:
+        CannotRun: The machine can't hold it, or something did not start or stay.
+    """
     if out.exists():
         shutil.rmtree(out)
     run = Run(scenario, seed, out, port, progress)
 
     async def main() -> Result:
-        task = asyncio.ensure_future(run.whole())
+        task = asyncio.ensure_future(run.play())
         loop = asyncio.get_running_loop()
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.add_signal_handler(number, task.cancel)
         return await task
 
-    os.environ["PYTHONPATH"] = os.pathsep.join([str(Path(__file__).parents[2]), os.environ.get("PYTHONPATH", "")])
+    package_folder = str(Path(__file__).parents[2])
+    os.environ["PYTHONPATH"] = os.pathsep.join([package_folder, os.environ.get("PYTHONPATH", "")])
     return asyncio.run(main())
--- a/stoneyoke/lab/stand_in_backends.py
+++ b/stoneyoke/lab/stand_in_backends.py
@@ -1,184 +1,252 @@
-"""Stand-ins of backends, from the protocol as it speaks it. Many live in a process."""
+"""Stand-ins of backends, as the protocol describes them. Many live in one process."""
 
 import asyncio
 import math
 import random
 from collections import deque
-from typing import Any
+from typing import NamedTuple
 
-from stoneyoke.lab.http import Request, Served
+from stoneyoke.lab.http import Request, ServerConnection
+from stoneyoke.lab.ledger_rows import STARTED
 from stoneyoke.lab.ledger_writer import LedgerWriter
+from stoneyoke.lab.scenario import Fault, Method
+from stoneyoke.lab.worker_messages import BackendSetup, BackendsSetup, ChangeBackendFault, Order, Reply
 
+BACKLOG = 512
+STATUS_PATHS = (b"/healthz", b"/load")
+DECLINED = b"Srv-Declined: 1\r\n"  # the request has not run
+DEFAULT_WORK_MS = 50.0
+WORK_MU, WORK_SIGMA = -0.125, 0.5  # of the log-normal service times; their mean is 1
+MAX_REMEMBERED_KEYS = 10_000  # longer than any memory
 
-class Backend:
-    """A backend: slots, a queue, a cold start, and what is wrong with it now."""
+KeyMemory = dict[bytes, float]  # by idempotency key: loop time of its execution, the oldest first
+
+
+class QueuedRequest(NamedTuple):
+    """A request that waits for a slot."""
+
+    request: Request
+    attempt_id: bytes
+    deadline_s: float  # loop time
+
+
+class ActiveFault(NamedTuple):
+    """A fault that lasts, with the loop time of its begin."""
+
+    fault: Fault
+    since_s: float
+
+
+class StandInBackend:
+    """A backend with slots, a queue, a warm-up and faults.
+
+    It listens from its start until it crashes. While it drains it declines new requests. An instance that replaces it
+    has the same address and another name.
+    """
 
     def __init__(
-        self,
-        name: str,
-        address: tuple[str, int],
-        speed: float,
-        groups: dict[str, str],
-        memories: dict[str, dict[bytes, float]],
-        given: dict[str, Any],
-        ledger: LedgerWriter,
+        self, setup: BackendSetup, run: BackendsSetup, memories: dict[str, KeyMemory], ledger: LedgerWriter
     ) -> None:
-        self.name, self.address, self.speed, self.given, self.ledger = name, address, speed, given, ledger
-        # Who drops a repeat together, by a method's kind of group
-        self.groups, self.memories = groups, memories
-        self.methods = {m["name"].encode(): m for m in given["methods"]}
-        self.queue: deque[tuple[Request, bytes, float]] = deque()
-        self.working, self.life = 0, 0
-        self.open: set[Served] = set()
-        self.started_at = -math.inf  # loop time of its start; cold for warm_up_s from then on
-        self.server: asyncio.Server | None = None
-        self.faults: dict[int, dict[str, Any]] = {}
+        """Listens once it is told to.
+
+        Args:
+            setup: Of this backend.
+            run: Of all backends.
+            memories: The keys that backends remember together, by group.
+            ledger: Takes what happens to requests.
+        """
+        self.name = setup.name
+        self.faults: dict[int, ActiveFault] = {}  # by number
         self.draining = False
-
-    def fault(self, kind: str) -> dict[str, Any] | None:
-        return next((fault for fault in self.faults.values() if fault["kind"] == kind), None)
+        self._address = setup.address
+        self._speed = setup.speed
+        self._memory_groups = setup.memory_groups
+        self._memories = memories
+        self._seed = run.seed
+        self._settings = run.settings
+        self._methods: dict[bytes, Method] = {method.name.encode(): method for method in run.methods}
+        self._ledger = ledger
+        self._queue: deque[QueuedRequest] = deque()
+        self._working = 0  # requests in slots
+        self._crashes = 0  # work from before a crash is lost
+        self._connections: set[ServerConnection] = set()
+        self._started_at_s = -math.inf  # loop time; cold for warm_up_s from then on
+        self._server: asyncio.Server | None = None
+
+    def fault(self, kind: str) -> ActiveFault | None:
+        """The first fault of a kind that lasts."""
+        return next((active for active in self.faults.values() if active.fault.kind == kind), None)
+
+    # ---- start and end ----
 
     async def listen(self) -> None:
-        self.server = await asyncio.get_running_loop().create_server(
-            lambda: Served(self.take, self.opened, self.open.discard), *self.address, backlog=512
+        """Accepts connections."""
+        self._server = await asyncio.get_running_loop().create_server(
+            lambda: ServerConnection(self._receive, self._accept, self._connections.discard),
+            *self._address,
+            backlog=BACKLOG,
         )
 
-    def opened(self, served: Served) -> bool:
-        if len(self.open) >= self.given["connections"]:
+    def _accept(self, connection: ServerConnection) -> bool:
+        if len(self._connections) >= self._settings.connections:
             return False
-        self.open.add(served)
+        self._connections.add(connection)
         return True
 
-    async def crash(self) -> None:
-        self.life += 1
-        if self.server:
-            self.server.close()
-        self.queue.clear()
-        self.working = 0
-        for served in list(self.open):
-            served.abort()
-        self.ledger.add("backend", self.name, "crashed")
-
-    async def back(self, name: str = "") -> None:
+    def crash(self) -> None:
+        """Ends at once, with all that it has."""
+        self._crashes += 1
+        if self._server:
+            self._server.close()
+        self._queue.clear()
+        self._working = 0
+        for connection in list(self._connections):
+            connection.abort()
+        self._ledger.add("backend", self.name, "crashed")
+
+    async def restart(self, name: str = "") -> None:
+        """Starts again, cold.
+
+        Args:
+            name: Of the new instance; empty: the same.
+        """
         self.name = name or self.name
-        self.draining, self.started_at = False, asyncio.get_running_loop().time()
-        self.ledger.add("backend", self.name, "started")
+        self.draining = False
+        self._started_at_s = asyncio.get_running_loop().time()
+        self._ledger.add("backend", self.name, STARTED)
         await self.listen()
 
-    def warmth(self) -> float:
-        age = (asyncio.get_running_loop().time() - self.started_at) / self.given["warm_up_s"]
-        share = float(self.given["cold_share"])
-        return 1.0 if age >= 1 else share + (1 - share) * age
+    def _warmth(self) -> float:
+        """Its part of the full capacity."""
+        age = (asyncio.get_running_loop().time() - self._started_at_s) / self._settings.warm_up_s
+        cold_share = self._settings.cold_share
+        return 1.0 if age >= 1 else cold_share + (1 - cold_share) * age
+
+    # ---- requests ----
 
-    def take(self, request: Request) -> None:
-        served, id_ = request.served, request.headers.get(b"req-id", b"").decode()
-        assert served
-        if request.target in (b"/healthz", b"/load"):
-            served.answer(200, b'{"inflight":%d}' % (self.working + len(self.queue)))
+    def _in_flight(self) -> int:
+        return self._working + len(self._queue)
+
+    def _receive(self, request: Request) -> None:
+        if request.target in STATUS_PATHS:
+            request.respond(200, b'{"inflight":%d}' % self._in_flight())
             return
-        if not id_:
-            served.answer(404)
+        attempt_id = request.headers.get(b"req-id", b"")
+        if not attempt_id:
+            request.respond(404)
             return
-        self.ledger.add("call", id_, self.name, id(served))
+        self._ledger.add("call", attempt_id.decode(), self.name, id(request.connection))
         if self.fault("black_hole"):
-            self.close_call(request, "error", 500)
-        elif self.draining or len(self.queue) >= self.given["queue"]:
-            self.close_call(request, "turned away", 503, b"Srv-Declined: 1\r\n")
+            self._respond(request, "error", 500)
+        elif self.draining or len(self._queue) >= self._settings.queue:
+            self._respond(request, "turned away", 503, DECLINED)
         else:
-            wait = float(request.headers.get(b"req-deadline", b"1"))
-            self.queue.append((request, id_.encode(), asyncio.get_running_loop().time() + wait))
-            self.pump()
+            time_left_s = float(request.headers.get(b"req-deadline", b"1"))
+            self._queue.append(QueuedRequest(request, attempt_id, asyncio.get_running_loop().time() + time_left_s))
+            self._fill_slots()
 
-    def close_call(self, request: Request, what: str, status: int, more: bytes = b"", body: bytes = b"") -> None:
-        assert request.served
-        heard = request.served.answer(status, body, more)
-        self.ledger.add("end", request.headers[b"req-id"].decode(), self.name, what if heard else "unheard " + what)
+    def _respond(self, request: Request, outcome: str, status: int, headers: bytes = b"", body: bytes = b"") -> None:
+        """Answers and notes the outcome; an answer to a closed connection is noted as unheard."""
+        heard = request.respond(status, body, headers)
+        attempt_id = request.headers[b"req-id"].decode()
+        self._ledger.add("end", attempt_id, self.name, outcome if heard else "unheard " + outcome)
 
-    def pump(self) -> None:
+    def _fill_slots(self) -> None:
         loop = asyncio.get_running_loop()
-        while self.queue and self.working < self.given["slots"]:
-            request, id_, until = self.queue.popleft()
-            if loop.time() >= until:
-                self.close_call(request, "too late", 504, b"Srv-Declined: 1\r\n")
+        while self._queue and self._working < self._settings.slots:
+            queued = self._queue.popleft()
+            if loop.time() >= queued.deadline_s:
+                self._respond(queued.request, "too late", 504, DECLINED)
                 continue
-            method = self.methods.get(request.target.split(b"/")[1].split(b"?")[0])
-            key = request.headers.get(b"idempotency-key", b"")
-            memory = self.memories.setdefault(self.groups[method["group"] if method else "all"], {})
-            again = bool(key and method and loop.time() - memory.get(key, -math.inf) < method["memory_ms"] / 1000)
-            if not again:
-                if key:
-                    memory.pop(key, None)
-                    memory[key] = loop.time()
-                    while len(memory) > 10_000:  # the oldest first: longer than any memory
-                        memory.pop(next(iter(memory)))
-                self.ledger.add("ran", id_.decode(), self.name, key.decode())
+            method = self._methods.get(queued.request.target.split(b"/")[1].split(b"?")[0])
+            self._execute(queued, method)
             if self.fault("hang"):
-                continue  # it has run, and nothing is ever said; the slot is not taken, as nobody waits in it
-            random_source = random.Random(f"{self.given['seed']} {id_!r} {self.name}")
-            mean = (method["work_ms"] if method else 50.0) / 1000
-            took = mean * random_source.lognormvariate(-0.125, 0.5) / self.speed / self.warmth()
-            for kind in ("slow", "age"):
-                if fault := self.fault(kind):
-                    part = 1.0 if kind == "slow" else min(1.0, (loop.time() - fault["since"]) / max(1, fault["for_s"]))
-                    took *= 1 + (fault["factor"] - 1) * part
-            self.working += 1
-            loop.call_later(took, self.done, request, self.life)
-
-    def done(self, request: Request, life: int) -> None:
-        if life != self.life:
+                continue  # it has run and is never answered; nobody waits in its slot
+            self._working += 1
+            loop.call_later(
+                self._service_time_s(queued.attempt_id, method), self._finish, queued.request, self._crashes
+            )
+
+    def _execute(self, queued: QueuedRequest, method: Method | None) -> None:
+        """Notes the effect, unless the method remembers the idempotency key."""
+        now_s = asyncio.get_running_loop().time()
+        key = queued.request.headers.get(b"idempotency-key", b"")
+        memory = self._memories.setdefault(self._memory_groups[method.group if method else "all"], {})
+        executed_at_s = memory.get(key, -math.inf)
+        if key and method and now_s - executed_at_s < method.memory_ms / 1000:
+            return
+        if key:
+            memory.pop(key, None)  # so that the oldest stays first
+            memory[key] = now_s
+            while len(memory) > MAX_REMEMBERED_KEYS:
+                memory.pop(next(iter(memory)))
+        self._ledger.add("ran", queued.attempt_id.decode(), self.name, key.decode())
+
+    def _service_time_s(self, attempt_id: bytes, method: Method | None) -> float:
+        random_source = random.Random(f"{self._seed} {attempt_id!r} {self.name}")
+        mean_s = (method.work_ms if method else DEFAULT_WORK_MS) / 1000
+        time_s = mean_s * random_source.lognormvariate(WORK_MU, WORK_SIGMA) / self._speed / self._warmth()
+        if active := self.fault("slow"):
+            time_s *= 1 + (active.fault.factor - 1)
+        if active := self.fault("age"):
+            age_s = asyncio.get_running_loop().time() - active.since_s
+            time_s *= 1 + (active.fault.factor - 1) * min(1.0, age_s / max(1, active.fault.for_s))
+        return time_s
+
+    def _finish(self, request: Request, crashes: int) -> None:
+        if crashes != self._crashes:
             return
-        self.working -= 1
-        lose = self.fault("lose_answers")
-        if lose and random.Random(f"{self.given['seed']} {request.headers[b'req-id']!r}").random() < lose["part"]:
-            assert request.served
-            request.served.abort()
-            self.ledger.add("end", request.headers[b"req-id"].decode(), self.name, "answer lost")
+        self._working -= 1
+        attempt_id = request.headers[b"req-id"]
+        lossy = self.fault("lose_answers")
+        if lossy and random.Random(f"{self._seed} {attempt_id!r}").random() < lossy.fault.part:
+            request.connection.abort()
+            self._ledger.add("end", attempt_id.decode(), self.name, "answer lost")
         else:
-            load = b'Srv-Load: {"inflight":%d}\r\n' % (self.working + len(self.queue))
-            self.close_call(request, "ok", 200, load, request.headers[b"req-id"] + b" " + self.name.encode())
-        self.pump()
+            load = b'Srv-Load: {"inflight":%d}\r\n' % self._in_flight()
+            self._respond(request, "ok", 200, load, attempt_id + b" " + self.name.encode())
+        self._fill_slots()
 
 
-class Backends:
-    """The role that holds all backends, and strikes them as it is told."""
+class StandInBackends:
+    """The role of all backends."""
 
-    def __init__(self, given: dict[str, Any], ledger: LedgerWriter) -> None:
+    def __init__(self, setup: BackendsSetup, ledger: LedgerWriter) -> None:
+        """Listens once it is started."""
         self.ledger = ledger
-        memories: dict[str, dict[bytes, float]] = {}
-        self.all = {
-            name: Backend(name, tuple(address), speed, groups, memories, given, ledger)
-            for name, address, speed, groups in given["backends"]
-        }
+        memories: dict[str, KeyMemory] = {}
+        self._backends = {backend.name: StandInBackend(backend, setup, memories, ledger) for backend in setup.backends}
 
     async def start(self) -> None:
-        for backend in self.all.values():
+        """Starts all backends, warmed up."""
+        for backend in self._backends.values():
             await backend.listen()
 
-    async def order(self, order: dict[str, Any]) -> None:
-        backend = self.all.get(order.get("name", ""))
-        if order["do"] != "backend" or backend is None:
-            return
-        kind, begins = order["fault"]["kind"], order["begins"]
-        match kind:
-            case "crash":
-                await (backend.crash() if begins else backend.back())
-            case "drain":
-                if begins:
-                    backend.draining = True
-                else:
-                    await backend.crash()
-            case "replace":
-                if begins:
-                    backend.draining = True
-                else:
-                    await backend.crash()
-                    await backend.back(order["new"])
-            case _:
-                if begins:
-                    backend.faults[order["number"]] = order["fault"] | {"since": asyncio.get_running_loop().time()}
-                else:
-                    backend.faults.pop(order["number"], None)
+    async def carry_out(self, order: Order) -> Reply | None:
+        """Begins or ends a backend's fault."""
+        if isinstance(order, ChangeBackendFault) and order.name in self._backends:
+            await self._change_fault(self._backends[order.name], order)
+        return None
+
+    async def _change_fault(self, backend: StandInBackend, order: ChangeBackendFault) -> None:
+        match order.fault.kind, order.begins:
+            case "crash", True:
+                backend.crash()
+            case "crash", False:
+                await backend.restart()
+            case "drain" | "replace", True:
+                backend.draining = True
+            case "drain", False:
+                backend.crash()
+            case "replace", False:
+                backend.crash()
+                await backend.restart(order.replacement)
+            case _, True:
+                backend.faults[order.number] = ActiveFault(order.fault, asyncio.get_running_loop().time())
+            case _, False:
+                backend.faults.pop(order.number, None)
 
     async def end(self) -> None:
-        for backend in self.all.values():
-            await backend.crash()
+        """Ends all backends."""
+        for backend in self._backends.values():
+            backend.crash()
--- a/stoneyoke/lab/stand_in_counter.py
+++ b/stoneyoke/lab/stand_in_counter.py
@@ -1,90 +1,108 @@
-"""A stand-in of the counter service, in halves that can be split from each other."""
+"""A stand-in of the counter service, in two halves that a fault can split from each other."""
 
 import asyncio
 import random
 import re
-from typing import Any
 
-from stoneyoke.lab.http import Request, Served
+from stoneyoke.lab.http import Request, ServerConnection
 from stoneyoke.lab.ledger_writer import LedgerWriter
+from stoneyoke.lab.worker_messages import Begin, ChangeCounterFault, CounterSetup, Order, Reply
 
-NUMBER = re.compile(rb"^/counters/([0-9a-zA-Z._-]{1,64})\?by=([-+0-9.eE]+)&expire_ms=([0-9]+)$").match
+BACKLOG = 1024
+MAX_LIFE_S = 60.0  # of a counter, from its first addition
+ADD_TARGET = re.compile(rb"^/counters/([0-9a-zA-Z._-]{1,64})\?by=([-+0-9.eE]+)&expire_ms=([0-9]+)$").match
 
+CounterValues = dict[bytes, tuple[float, float]]  # by name: the value, and the loop time when it expires
 
-class Counter:
-    """Adds by name, each part in turn, so many calls a second; what is wrong with it."""
 
-    def __init__(self, given: dict[str, Any], ledger: LedgerWriter) -> None:
-        self.ledger, self.given = ledger, given
-        self.values: list[dict[bytes, tuple[float, float]]] = [{}, {}]
-        self.free = [0.0] * given["parts"]
-        self.silent = self.split = False
-        self.factor = 1.0
-        self.open = False
+class StandInCounter:
+    """Adds to counters by name. Each partition serves one call after the other, at a bounded rate."""
+
+    def __init__(self, setup: CounterSetup, ledger: LedgerWriter) -> None:
+        """Listens once it is started, and rejects calls until the run begins."""
+        self.ledger = ledger
+        self._addresses = setup.addresses
+        self._settings = setup.settings
+        self._values: list[CounterValues] = [{}, {}]  # by half; both halves use the first unless they are split
+        self._free_at_s = [0.0] * setup.settings.parts  # by partition: loop time when its queue is empty
+        self._silent = self._split = False
+        self._slowness = 1.0
+        self._serving = False
 
     async def start(self) -> None:
+        """Listens at both halves."""
+        self._servers = [await self._listen(half) for half in range(len(self._addresses))]
+
+    async def _listen(self, half: int) -> asyncio.Server:
+        def receive(request: Request) -> None:
+            self._receive(request, half)
+
         loop = asyncio.get_running_loop()
-        self.servers = [
-            await loop.create_server(
-                lambda half=half: Served(lambda request: self.take(request, half)),  # type: ignore[misc]
-                *address,
-                backlog=1024,
-            )
-            for half, address in enumerate(self.given["addresses"])
-        ]
-
-    def take(self, request: Request, half: int) -> None:
-        assert request.served
-        found = NUMBER(request.target)
-        if not found:
-            request.served.answer(400)
+        return await loop.create_server(lambda: ServerConnection(receive), *self._addresses[half], backlog=BACKLOG)
+
+    def _receive(self, request: Request, half: int) -> None:
+        matched = ADD_TARGET(request.target)
+        if not matched:
+            request.respond(400)
             return
-        if self.silent:
+        if self._silent:
             return
-        loop, name = asyncio.get_running_loop(), found[1]
-        part = int.from_bytes(name[-4:], "big") % len(self.free)
-        if not self.open or self.free[part] - loop.time() > self.given["line_ms"] / 1000:
-            request.served.answer(503)
+        loop, name = asyncio.get_running_loop(), matched[1]
+        partition = int.from_bytes(name[-4:], "big") % len(self._free_at_s)
+        wait_s = self._free_at_s[partition] - loop.time()
+        if not self._serving or wait_s > self._settings.line_ms / 1000:
+            request.respond(503)
             self.ledger.add("count", name.decode(), None)
             return
-        each = self.factor * len(self.free) / self.given["per_s"]
-        self.free[part] = max(loop.time(), self.free[part]) + each
-        loop.call_at(self.free[part], self.add, request, half, name, float(found[2]), int(found[3]) / 1000)
+        service_time_s = self._slowness * len(self._free_at_s) / self._settings.per_s
+        self._free_at_s[partition] = max(loop.time(), self._free_at_s[partition]) + service_time_s
+        amount, life_s = float(matched[2]), int(matched[3]) / 1000
+        loop.call_at(self._free_at_s[partition], self._add, request, half, name, amount, life_s)
 
-    def add(self, request: Request, half: int, name: bytes, amount: float, life_s: float) -> None:
-        if self.silent:
+    def _add(self, request: Request, half: int, name: bytes, amount: float, life_s: float) -> None:
+        if self._silent:
             return
-        now, values = asyncio.get_running_loop().time(), self.values[half if self.split else 0]
-        value, dies = values.get(name, (0.0, 0.0))
-        if dies <= now:
-            value, dies = 0.0, now + min(60.0, life_s)
-        values[name] = value + amount, dies
-        self.ledger.add("count", name.decode(), round(value + amount, 4))
-        assert request.served
-        request.served.answer(200, b"%.6f" % (value + amount))
-
-    def order(self, order: dict[str, Any]) -> None:
-        if order["do"] == "go":
-            self.open = True
-        if order["do"] != "counter":
-            return
-        fault, begins = order["fault"], order["begins"]
-        match fault["kind"]:
+        now_s, values = asyncio.get_running_loop().time(), self._values[half if self._split else 0]
+        value, expires_at_s = values.get(name, (0.0, 0.0))
+        if expires_at_s <= now_s:
+            value, expires_at_s = 0.0, now_s + min(MAX_LIFE_S, life_s)
+        value += amount
+        values[name] = value, expires_at_s
+        self.ledger.add("count", name.decode(), round(value, 4))
+        request.respond(200, b"%.6f" % value)
+
+    async def carry_out(self, order: Order) -> Reply | None:
+        """Begins to serve, and begins or ends faults."""
+        if isinstance(order, Begin):
+            self._serving = True
+        elif isinstance(order, ChangeCounterFault):
+            self._change_fault(order)
+            self.ledger.add("counter", order.fault.kind, order.begins)
+        return None
+
+    def _change_fault(self, order: ChangeCounterFault) -> None:
+        fault, begins = order.fault, order.begins
+        match fault.kind:
             case "silent":
-                self.silent = begins
+                self._silent = begins
             case "crawl":
-                self.factor = fault["factor"] if begins else 1.0
+                self._slowness = fault.factor if begins else 1.0
             case "wipe" if begins:
-                random_source = random.Random(order["number"])
-                for name in [n for n in sorted(self.values[0]) if random_source.random() < fault["part"]]:
-                    del self.values[0][name]
+                self._wipe(order.number, fault.part)
             case "empty":
-                self.silent = begins
-                self.values = [{}, {}]
+                self._silent = begins
+                self._values = [{}, {}]
             case "split":
-                self.split, self.values[1] = begins, dict(self.values[0]) if begins else {}
-        self.ledger.add("counter", fault["kind"], begins)
+                self._split = begins
+                self._values[1] = dict(self._values[0]) if begins else {}
+
+    def _wipe(self, seed: int, share: float) -> None:
+        """Deletes a random share of the counters."""
+        random_source = random.Random(seed)
+        for name in [name for name in sorted(self._values[0]) if random_source.random() < share]:
+            del self._values[0][name]
 
     async def end(self) -> None:
-        for server in self.servers:
+        """Stops to listen."""
+        for server in self._servers:
             server.close()
--- a/stoneyoke/lab/stand_in_discovery.py
+++ b/stoneyoke/lab/stand_in_discovery.py
@@ -1,130 +1,182 @@
-"""A stand-in of discovery: a list of backends, and what each gateway is told of it when."""
+"""A stand-in of discovery: the endpoints of all backends, which each gateway learns of with a delay of its own."""
 
 import asyncio
 import math
 import random
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
 import msgspec
 
-from stoneyoke.lab.http import Request, Served
+from stoneyoke.lab.http import Request, ServerConnection
 from stoneyoke.lab.ledger_writer import LedgerWriter
+from stoneyoke.lab.worker_messages import (
+    AgentSetup,
+    ChangeDiscoveryFault,
+    ChangeEndpoint,
+    DiscoverySetup,
+    Order,
+    Reply,
+)
 
+BACKLOG = 16
+PATH = "/v1/servers"
+TIMER_SLACK_S = 0.001  # so that a timer does not come due just before its time
+LEFT = "left"
 
-class Discovery:
-    """The list of backends, told to each gateway by an agent of its own, late by that one's delay."""
+Endpoint = dict[str, Any]  # as the protocol lists it, without its address
 
-    def __init__(self, given: dict[str, Any], ledger: LedgerWriter) -> None:
-        self.given, self.ledger = given, ledger
-        self.agents = [Agent(self, g, name, delay) for g, (name, _, delay) in enumerate(given["agents"])]
-        self.changes: list[tuple[float, int, dict[str, Any]]] = []  # loop time, place in the list, entry
-        self.places: dict[str, int] = {}
-        for b, entry in enumerate(given["list"]):
-            self.places[entry["name"]] = b
-            self.changes.append((-math.inf, b, entry))
-        self.down = self.reorder = False
 
-    async def start(self) -> None:
-        loop = asyncio.get_running_loop()
-        self.servers = [
-            await loop.create_server(lambda agent=agent: Served(agent.take), *address, backlog=16)  # type: ignore[misc]
-            for agent, (_, address, _) in zip(self.agents, self.given["agents"], strict=True)
+class EndpointChange(NamedTuple):
+    """An endpoint as it is from a time on."""
+
+    at_s: float  # loop time
+    backend: int  # number, for the address
+    endpoint: Endpoint
+
+
+class WaitingRequest(NamedTuple):
+    """A request that waits for changes after an index."""
+
+    request: Request
+    after: int  # an index
+    deadline_s: float  # loop time; answered then even without changes
+
+
+class StandInDiscovery:
+    """The role of discovery. Its index is the number of changes."""
+
+    def __init__(self, setup: DiscoverySetup, ledger: LedgerWriter) -> None:
+        """Listens once it is started."""
+        self.ledger = ledger
+        self.down = self.reorders = False
+        self.changes = [
+            EndpointChange(-math.inf, backend, endpoint) for backend, endpoint in enumerate(setup.endpoints)
         ]
+        self._endpoints = setup.endpoints
+        self._backends: dict[str, int] = {endpoint["name"]: n for n, endpoint in enumerate(setup.endpoints)}
+        self._agents = [DiscoveryAgent(self, agent) for agent in setup.agents]
 
-    def change(self, name: str, status: str, since_ms: int, place: int | None = None) -> None:
-        if place is not None:
-            self.places[name] = place
-        entry = dict(self.given["list"][self.places[name]], name=name, status=status, since_ms=since_ms)
-        self.changes.append((asyncio.get_running_loop().time(), self.places[name], entry))
-        self.ledger.add("list", name, status)
-        for agent in self.agents:
-            agent.stir()
-
-    def order(self, order: dict[str, Any]) -> None:
-        if order["do"] == "list":
-            self.change(order["name"], order["status"], order["since_ms"], order.get("place"))
-        if order["do"] != "discovery":
-            return
-        fault, begins = order["fault"], order["begins"]
-        if fault["kind"] == "down":
-            self.down = begins
-        elif fault["kind"] == "reorder":
-            self.reorder = begins
-        else:
-            random_source = random.Random(order["number"])
-            for agent in self.agents:
-                if random_source.random() < fault["part"]:
-                    agent.frozen_at = asyncio.get_running_loop().time() if begins else math.inf
-        for agent in self.agents:
-            agent.stir()
+    async def start(self) -> None:
+        """Listens for each gateway."""
+        for agent in self._agents:
+            await agent.listen()
+
+    async def carry_out(self, order: Order) -> Reply | None:
+        """Changes an endpoint, or begins or ends a fault."""
+        match order:
+            case ChangeEndpoint():
+                self._change_endpoint(order)
+            case ChangeDiscoveryFault():
+                self._change_fault(order)
+        return None
+
+    def _change_endpoint(self, order: ChangeEndpoint) -> None:
+        if order.replaces is not None:
+            self._backends[order.name] = order.replaces
+        backend = self._backends[order.name]
+        endpoint = dict(self._endpoints[backend], name=order.name, status=order.status, since_ms=order.since_ms)
+        self.changes.append(EndpointChange(asyncio.get_running_loop().time(), backend, endpoint))
+        self.ledger.add("list", order.name, order.status)
+        self._wake_agents()
+
+    def _change_fault(self, order: ChangeDiscoveryFault) -> None:
+        match order.fault.kind:
+            case "down":
+                self.down = order.begins
+            case "reorder":
+                self.reorders = order.begins
+            case _:  # stale
+                random_source = random.Random(order.number)
+                for agent in self._agents:
+                    if random_source.random() < order.fault.part:
+                        agent.set_frozen(order.begins)
+        self._wake_agents()
+
+    def _wake_agents(self) -> None:
+        for agent in self._agents:
+            agent.check_after_delay()
 
     async def end(self) -> None:
-        for server in self.servers:
-            server.close()
+        """Stops to listen."""
+        for agent in self._agents:
+            agent.close()
+
+
+class DiscoveryAgent:
+    """Discovery as one gateway reaches it."""
+
+    def __init__(self, discovery: StandInDiscovery, setup: AgentSetup) -> None:
+        """Listens once it is told to."""
+        self._discovery = discovery
+        self._setup = setup
+        self._frozen_at_s = math.inf  # loop time; later changes are not seen
+        self._waiting: list[WaitingRequest] = []
+        self._is_odd_answer = False
+
+    async def listen(self) -> None:
+        """Accepts connections of the gateway."""
+        self._server = await asyncio.get_running_loop().create_server(
+            lambda: ServerConnection(self._receive), *self._setup.address, backlog=BACKLOG
+        )
 
+    def close(self) -> None:
+        """Stops to listen."""
+        self._server.close()
 
-class Agent:
-    """Discovery as one gateway sees it."""
+    def set_frozen(self, frozen: bool) -> None:
+        """Lets later changes stay unseen, or be seen again."""
+        self._frozen_at_s = asyncio.get_running_loop().time() if frozen else math.inf
 
-    def __init__(self, discovery: Discovery, g: int, name: str, delay_s: float) -> None:
-        self.discovery, self.g, self.name, self.delay_s = discovery, g, name, delay_s
-        self.frozen_at = math.inf
-        self.waiting: list[tuple[Request, int, float]] = []  # watches; emptied as they are answered
-        self.odd = False
+    def check_after_delay(self) -> None:
+        """Looks for changes once the last one may be known here."""
+        asyncio.get_running_loop().call_later(self._setup.delay_s + TIMER_SLACK_S, self._check)
 
-    def visible(self) -> int:
+    def _visible_index(self) -> int:
         """How many of the changes this gateway may know by now."""
-        now = min(asyncio.get_running_loop().time(), self.frozen_at)
-        return sum(at + self.delay_s <= now for at, _, _ in self.discovery.changes)
+        now_s = min(asyncio.get_running_loop().time(), self._frozen_at_s)
+        return sum(change.at_s + self._setup.delay_s <= now_s for change in self._discovery.changes)
 
-    def take(self, request: Request) -> None:
+    def _receive(self, request: Request) -> None:
         url = urlsplit(request.target.decode())
-        if url.path != "/v1/servers":
-            assert request.served
-            request.served.answer(404)
+        if url.path != PATH:
+            request.respond(404)
             return
-        asked = parse_qs(url.query)
-        if "from" not in asked:
-            self.tell(request, None)
+        query = parse_qs(url.query)
+        if "from" not in query:
+            self._answer(request, None)
             return
-        loop = asyncio.get_running_loop()
-        self.waiting.append((request, int(asked["from"][0]), loop.time() + int(asked["hold_ms"][0]) / 1000))
-        loop.call_later(int(asked["hold_ms"][0]) / 1000 + 0.001, self.look)
-        self.look()
-        return
-
-    def stir(self) -> None:
-        asyncio.get_running_loop().call_later(self.delay_s + 0.001, self.look)
-
-    def look(self) -> None:
-        now, known, still = asyncio.get_running_loop().time(), self.visible(), []
-        for request, index, until in self.waiting:
-            if known > index or now >= until:
-                self.tell(request, index)
+        loop, hold_s = asyncio.get_running_loop(), int(query["hold_ms"][0]) / 1000
+        self._waiting.append(WaitingRequest(request, int(query["from"][0]), loop.time() + hold_s))
+        loop.call_later(hold_s + TIMER_SLACK_S, self._check)
+        self._check()
+
+    def _check(self) -> None:
+        """Answers the requests for which there are changes, or whose time is over."""
+        now_s, visible = asyncio.get_running_loop().time(), self._visible_index()
+        still_waiting = []
+        for waiting in self._waiting:
+            if visible > waiting.after or now_s >= waiting.deadline_s:
+                self._answer(waiting.request, waiting.after)
             else:
-                still.append((request, index, until))
-        self.waiting = still
+                still_waiting.append(waiting)
+        self._waiting = still_waiting
 
-    def tell(self, request: Request, since: int | None) -> None:
-        assert request.served
-        if self.discovery.down:
+    def _answer(self, request: Request, since: int | None) -> None:
+        """Sends the changes after an index, or all endpoints."""
+        if self._discovery.down:
             return
-        known = self.visible()
-        self.odd = not self.odd
-        if self.discovery.reorder and self.odd and known > 1:
-            known, since = known - 1, None  # an older whole list behind a newer one
-        rows = {entry["name"]: (place, entry) for _, place, entry in self.discovery.changes[since or 0 : known]}
-        if since is None:
-            rows = {name: row for name, row in rows.items() if row[1]["status"] != "left"}
-        addresses = self.discovery.given["addresses"][self.g]
-        entries = [entry | {"address": addresses[place]} for place, entry in rows.values()]
-        body = msgspec.json.encode({"index": known, "snapshot": since is None, "endpoints": entries})
-        if request.served.answer(200, body):
-            self.discovery.ledger.add(
-                "told",
-                self.name,
-                known,
-                since is None,
-                [(name, row[1]["status"]) for name, row in rows.items()],
-            )
+        index = self._visible_index()
+        self._is_odd_answer = not self._is_odd_answer
+        if self._discovery.reorders and self._is_odd_answer and index > 1:
+            index, since = index - 1, None  # an older complete list comes after a newer one
+        complete = since is None
+        latest = {change.endpoint["name"]: change for change in self._discovery.changes[since or 0 : index]}
+        if complete:
+            latest = {name: change for name, change in latest.items() if change.endpoint["status"] != LEFT}
+        addresses = self._setup.backend_addresses
+        endpoints = [change.endpoint | {"address": addresses[change.backend]} for change in latest.values()]
+        body = msgspec.json.encode({"index": index, "snapshot": complete, "endpoints": endpoints})
+        if request.respond(200, body):
+            statuses = [(name, change.endpoint["status"]) for name, change in latest.items()]
+            self._discovery.ledger.add("told", self._setup.gateway, index, complete, statuses)
--- a/stoneyoke/lab/supervisor.py
+++ b/stoneyoke/lab/supervisor.py
@@ -4,94 +4,110 @@
 import os
 import signal
 from pathlib import Path
-from typing import Any
 
 import psutil
 
+from stoneyoke.lab.ledger_rows import ENDED, OVER_LIMITS, STARTED
 from stoneyoke.lab.ledger_writer import LedgerWriter
-from stoneyoke.lab.role import say
+from stoneyoke.lab.role import send_reply
+from stoneyoke.lab.worker_messages import GatewayDied, Order, Reply, SignalGateway, StartGateway, SupervisorSetup
 
-WATCH_S = 1.0
-TAIL = 12  # lines of its log that are told of a process that died
+WATCH_INTERVAL_S = 1.0
+REPORTED_LOG_LINES = 12  # of a gateway that died unexpectedly
 
 
 class Supervisor:
     """The role that holds all gateway processes of a run."""
 
-    def __init__(self, given: dict[str, Any], ledger: LedgerWriter) -> None:
-        self.ledger, self.out = ledger, Path(given["out"])
-        self.processes: dict[str, asyncio.subprocess.Process] = {}
-        self.expected: set[str] = set()  # those that were told to end
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.descriptors: int = given["sockets"]
-        self.memory: int = given["memory_mb"] << 20
+    def __init__(self, setup: SupervisorSetup, ledger: LedgerWriter) -> None:
+        """Starts nothing yet."""
+        self.ledger = ledger
+        self._log_folder = Path(setup.out) / "logs"
+        self._max_descriptors = setup.max_descriptors
+        self._max_memory_bytes = setup.max_memory_bytes
+        self._processes: dict[str, asyncio.subprocess.Process] = {}
+        self._told_to_end: set[str] = set()
+        self._tasks: set[asyncio.Task[None]] = set()  # one that watches, and one that waits for each process
 
     async def start(self) -> None:
-        self.spawn(self.watch())
-
-    def spawn(self, work: Any) -> None:
-        task = asyncio.get_running_loop().create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-
-    def log(self, name: str) -> Path:
-        return self.out / "logs" / (name.replace("/", "-") + ".log")
-
-    async def order(self, order: dict[str, Any]) -> dict[str, Any] | None:
-        name = order.get("name", "")
-        if order["do"] == "start":
-            with self.log(name).open("ab") as log:
-                process = await asyncio.create_subprocess_exec(
-                    *order["argv"],
-                    env=os.environ | order["env"],
-                    stdin=asyncio.subprocess.DEVNULL,
-                    stdout=log,
-                    stderr=log,
-                    start_new_session=True,
-                )
-            self.processes[name] = process
-            self.ledger.add("process", name, "started", process.pid)
-            self.spawn(self.wait(name, process))
-        elif order["do"] == "signal" and name in self.processes:
-            process = self.processes[name]
-            number = signal.Signals[order["signal"]]
-            if order.get("ends"):
-                self.expected.add(name)
-            self.ledger.add("process", name, order["signal"], process.pid)
-            if process.returncode is None:
-                process.send_signal(number)
+        """Starts to watch."""
+        self._keep(asyncio.create_task(self._watch()))
+
+    def _keep(self, task: asyncio.Task[None]) -> None:
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    def _log_path(self, name: str) -> Path:
+        return self._log_folder / (name.replace("/", "-") + ".log")
+
+    async def carry_out(self, order: Order) -> Reply | None:
+        """Starts a gateway or sends it a signal."""
+        match order:
+            case StartGateway():
+                await self._start_gateway(order)
+            case SignalGateway() if order.name in self._processes:
+                self._signal_gateway(order)
         return None
 
-    async def wait(self, name: str, process: asyncio.subprocess.Process) -> None:
+    async def _start_gateway(self, order: StartGateway) -> None:
+        with self._log_path(order.name).open("ab") as log:
+            process = await asyncio.create_subprocess_exec(
+                *order.argv,
+                env=os.environ | order.env,
+                stdin=asyncio.subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                start_new_session=True,
+            )
+        self._processes[order.name] = process
+        self.ledger.add("process", order.name, STARTED, process.pid)
+        self._keep(asyncio.create_task(self._wait_for_end(order.name, process)))
+
+    def _signal_gateway(self, order: SignalGateway) -> None:
+        process = self._processes[order.name]
+        if order.ends:
+            self._told_to_end.add(order.name)
+        self.ledger.add("process", order.name, order.signal, process.pid)
+        if process.returncode is None:
+            process.send_signal(signal.Signals[order.signal])
+
+    async def _wait_for_end(self, name: str, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        if self.processes.get(name) is process:
-            del self.processes[name]
-        expected = name in self.expected
-        self.expected.discard(name)
-        self.ledger.add("process", name, "ended", code, expected)
-        lines = [] if expected else self.log(name).read_text(errors="replace").splitlines()[-TAIL:]
-        say({"died": name, "code": code, "expected": expected, "lines": lines})
-
-    async def watch(self) -> None:
-        """Memory, descriptors and CPU of each, once a second."""
+        if self._processes.get(name) is process:
+            del self._processes[name]
+        expected = name in self._told_to_end
+        self._told_to_end.discard(name)
+        self.ledger.add("process", name, ENDED, code, expected)
+        lines: list[str] = []
+        if not expected:
+            lines = self._log_path(name).read_text(errors="replace").splitlines()[-REPORTED_LOG_LINES:]
+        send_reply(GatewayDied(name, code, expected, lines))
+
+    async def _watch(self) -> None:
+        """Notes the memory, descriptors and CPU of each gateway, once a second."""
         while True:
-            await asyncio.sleep(WATCH_S)
-            for name, process in list(self.processes.items()):
-                try:
-                    seen = psutil.Process(process.pid)
-                    with seen.oneshot():
-                        memory, fds, cpu = seen.memory_info().rss, seen.num_fds(), sum(seen.cpu_times()[:2])
-                except psutil.Error:
-                    continue
-                self.ledger.add("use", name, memory, fds, round(cpu, 3))
-                if memory > self.memory or fds > self.descriptors:
-                    self.ledger.add("process", name, "over its limits", memory, fds)
+            await asyncio.sleep(WATCH_INTERVAL_S)
+            for name, process in list(self._processes.items()):
+                self._note_use(name, process.pid)
+
+    def _note_use(self, name: str, pid: int) -> None:
+        try:
+            process = psutil.Process(pid)
+            with process.oneshot():
+                memory_bytes, descriptors = process.memory_info().rss, process.num_fds()
+                cpu_s = sum(process.cpu_times()[:2])
+        except psutil.Error:
+            return
+        self.ledger.add("use", name, memory_bytes, descriptors, round(cpu_s, 3))
+        if memory_bytes > self._max_memory_bytes or descriptors > self._max_descriptors:
+            self.ledger.add("process", name, OVER_LIMITS, memory_bytes, descriptors)
 
     async def end(self) -> None:
-        self.expected |= set(self.processes)
-        for process in self.processes.values():
+        """Kills all gateways."""
+        self._told_to_end |= set(self._processes)
+        for process in self._processes.values():
             if process.returncode is None:
                 process.kill()
-        await asyncio.gather(*(process.wait() for process in list(self.processes.values())))
-        for task in self.tasks:
+        await asyncio.gather(*(process.wait() for process in list(self._processes.values())))
+        for task in self._tasks:
             task.cancel()
--- a/stoneyoke/lab/worker.py
+++ b/stoneyoke/lab/worker.py
@@ -1,38 +1,54 @@
-"""A process of the laboratory: told what it is on its first line of input, then what happens."""
+"""The program of a worker: the first line of its input says what it is, the following ones are orders."""
 
 import asyncio
 import sys
 from pathlib import Path
-from typing import Any
 
-import msgspec
-
-from stoneyoke.lab.clients import Front
+from stoneyoke.lab.clients import ClientFleet
 from stoneyoke.lab.ledger_writer import LedgerWriter
-from stoneyoke.lab.link_process import Links
-from stoneyoke.lab.role import serve
-from stoneyoke.lab.stand_in_backends import Backends
-from stoneyoke.lab.stand_in_counter import Counter
-from stoneyoke.lab.stand_in_discovery import Discovery
+from stoneyoke.lab.link_process import LinkProcess
+from stoneyoke.lab.role import Role, serve
+from stoneyoke.lab.stand_in_backends import StandInBackends
+from stoneyoke.lab.stand_in_counter import StandInCounter
+from stoneyoke.lab.stand_in_discovery import StandInDiscovery
 from stoneyoke.lab.supervisor import Supervisor
-
-ROLES: dict[str, Any] = {
-    "backends": Backends,
-    "counter": Counter,
-    "discovery": Discovery,
-    "front": Front,
-    "links": Links,
-    "keeper": Supervisor,  # the ledger's name for it since the first run
-}
+from stoneyoke.lab.worker_messages import (
+    SETUP_DECODER,
+    AnySetup,
+    BackendsSetup,
+    ClientsSetup,
+    CounterSetup,
+    DiscoverySetup,
+    LinksSetup,
+    SupervisorSetup,
+)
+
+MAX_LINE_BYTES = 1 << 28  # a setup holds all arrivals
+
+
+def role_of(setup: AnySetup, ledger: LedgerWriter) -> Role:
+    """The role that a setup describes."""
+    match setup:
+        case LinksSetup():
+            return LinkProcess(setup, ledger)
+        case BackendsSetup():
+            return StandInBackends(setup, ledger)
+        case CounterSetup():
+            return StandInCounter(setup, ledger)
+        case DiscoverySetup():
+            return StandInDiscovery(setup, ledger)
+        case ClientsSetup():
+            return ClientFleet(setup, ledger)
+        case SupervisorSetup():
+            return Supervisor(setup, ledger)
 
 
 async def main() -> None:
-    """Reads what it is, and is that until it ends."""
-    lines = asyncio.StreamReader(limit=1 << 28)
+    """Reads the setup, and serves in its role until the end."""
+    lines = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
-    given = msgspec.json.decode(await lines.readline())
-    role = ROLES[given["kind"]](given, LedgerWriter(Path(given["ledger"])))
-    await serve(role, given["name"], lines)
+    setup = SETUP_DECODER.decode(await lines.readline())
+    await serve(role_of(setup, LedgerWriter(Path(setup.ledger))), setup.name, lines)
 
 
 if __name__ == "__main__":
--- a/stoneyoke/lab/worker_process.py
+++ b/stoneyoke/lab/worker_process.py
@@ -1,49 +1,75 @@
-"""A worker, as the run that started it sees it."""
+"""A worker as its run sees it: a child process that takes orders and replies, line by line."""
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
 
-import msgspec
+from stoneyoke.lab.worker_messages import (
+    REPLY_DECODER,
+    Drained,
+    End,
+    GatewayDied,
+    Order,
+    Ready,
+    WorkerSetup,
+    encode_line,
+)
+
+END_TIMEOUT_S = 10
 
 
 class WorkerProcess:
-    """A role in a process of its own, told things line by line."""
+    """A worker in a process of its own.
+
+    Attributes:
+        ready: Set once it takes orders, or has ended.
+        drained: Set once the clients have drained, or it has ended.
+        ended: Set once its output has ended.
+    """
 
     def __init__(
-        self, name: str, process: asyncio.subprocess.Process, told: Callable[[str, dict[str, Any]], None]
+        self, name: str, process: asyncio.subprocess.Process, gateway_died: Callable[[GatewayDied], None]
     ) -> None:
-        self.name, self.process, self.told = name, process, told
-        self.ready, self.ended = asyncio.Event(), asyncio.Event()
-        self.drained = asyncio.Event()
-        self.reading = asyncio.create_task(self.read())
-
-    async def read(self) -> None:
-        assert self.process.stdout
-        while line := await self.process.stdout.readline():
-            what = msgspec.json.decode(line)
-            if "ready" in what:
-                self.ready.set()
-            elif "drained" in what:
-                self.drained.set()
-            else:
-                self.told(self.name, what)
+        """Reads the process's replies from now on.
+
+        Args:
+            name: The worker's name.
+            process: With pipes for its input and output.
+            gateway_died: Called for each reply that a gateway has died.
+        """
+        self.name = name
+        self.ready, self.drained, self.ended = asyncio.Event(), asyncio.Event(), asyncio.Event()
+        self._process = process
+        self._gateway_died = gateway_died
+        self._reading = asyncio.create_task(self._read_replies(), name=f"replies of {name}")
+
+    async def _read_replies(self) -> None:
+        assert self._process.stdout
+        while line := await self._process.stdout.readline():
+            match REPLY_DECODER.decode(line):
+                case Ready():
+                    self.ready.set()
+                case Drained():
+                    self.drained.set()
+                case GatewayDied() as reply:
+                    self._gateway_died(reply)
         self.ended.set()
         self.ready.set()
         self.drained.set()
 
-    def say(self, what: dict[str, Any]) -> None:
-        if self.process.stdin and not self.process.stdin.is_closing():
-            self.process.stdin.write(msgspec.json.encode(what) + b"\n")
+    def send(self, message: WorkerSetup | Order) -> None:
+        """Sends a setup or an order, unless the process's input is closed."""
+        if self._process.stdin and not self._process.stdin.is_closing():
+            self._process.stdin.write(encode_line(message))
 
     async def end(self) -> None:
-        self.say({"do": "end"})
-        if self.process.stdin:
-            self.process.stdin.close()
+        """Ends the process, and kills it if it does not end in time."""
+        self.send(End())
+        if self._process.stdin:
+            self._process.stdin.close()
         try:
-            async with asyncio.timeout(10):
-                await self.process.wait()
+            async with asyncio.timeout(END_TIMEOUT_S):
+                await self._process.wait()
         except TimeoutError:
-            self.process.kill()
-            await self.process.wait()
-        await self.reading
+            self._process.kill()
+            await self._process.wait()
+        await self._reading
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -1,21 +1,21 @@
-"""Links fail as they are told, one direction or both, and heal with nothing lost."""
+"""Links fail in one direction or both, and lose nothing of what TCP carries."""
 
 import asyncio
 import socket
 
 import pytest
 
-from stoneyoke.lab.links import Datagrams, Link
+from stoneyoke.lab.addresses import LinkAddresses
+from stoneyoke.lab.datagram_links import DatagramLinks
+from stoneyoke.lab.links import Link
 from stoneyoke.lab.scenario import Fault
 
 
 def fault(kind, **more):
-    import msgspec
+    return Fault(at_s=0, kind=kind, **more)
 
-    return msgspec.to_builtins(Fault(at_s=0, kind=kind, **more))
 
-
-class Road:
+class LinkedEchoServer:
     """An echo server behind a link, and what a caller hears over it."""
 
     async def __aenter__(self):
@@ -34,7 +34,7 @@
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             entry = probe.getsockname()
-        self.link = Link("a/x", "b/y", entry, self.server.sockets[0].getsockname())
+        self.link = Link(LinkAddresses("a/x", "b/y", entry, self.server.sockets[0].getsockname()))
         self.link.listen()
         return self
 
@@ -44,10 +44,10 @@
             end.reset()
         self.server.close()
 
-    async def call(self):
-        return await asyncio.open_connection(*self.link.entry)
+    async def connect(self):
+        return await asyncio.open_connection(*self.link.addresses.entry)
 
-    async def says(self, pair, data, within):
+    async def send_and_read(self, pair, data, within):
         pair[1].write(data)
         return await asyncio.wait_for(pair[0].readexactly(len(data)), within)
 
@@ -62,44 +62,44 @@
 
 
 @pytest.mark.parametrize("kind", ["cut", "cut_there", "cut_back"])
-def test_a_silent_link_keeps_connections_open_and_passes_all_on_when_it_heals(kind):
+def test_a_silent_link_keeps_connections_open_and_sends_everything_on_afterwards(kind):
     @on_loop
     async def run():
-        async with Road() as road:
-            pair = await road.call()
-            assert await road.says(pair, b"one", 5) == b"one"
-            road.link.strike(0, fault(kind), True)
+        async with LinkedEchoServer() as server:
+            pair = await server.connect()
+            assert await server.send_and_read(pair, b"one", 5) == b"one"
+            server.link.change_fault(0, fault(kind), True)
             with pytest.raises(TimeoutError):
-                await road.says(pair, b"two", 0.3)
-            assert road.heard == ([b"one", b"two"] if kind == "cut_back" else [b"one"])
+                await server.send_and_read(pair, b"two", 0.3)
+            assert server.heard == ([b"one", b"two"] if kind == "cut_back" else [b"one"])
             assert not pair[0].at_eof()
             with pytest.raises(TimeoutError):  # new ones never come up
                 for _ in range(3):
-                    await asyncio.wait_for(road.call(), 0.3)
-            road.link.strike(0, fault(kind), False)
+                    await asyncio.wait_for(server.connect(), 0.3)
+            server.link.change_fault(0, fault(kind), False)
             assert await asyncio.wait_for(pair[0].readexactly(3), 5) == b"two"
-            assert await road.says(await asyncio.wait_for(road.call(), 5), b"new", 5) == b"new"
+            assert await server.send_and_read(await asyncio.wait_for(server.connect(), 5), b"new", 5) == b"new"
 
     run()
 
 
-def test_a_reset_ends_what_is_open_and_a_refusal_what_is_new():
+def test_a_reset_ends_open_connections_and_a_refusal_new_ones():
     @on_loop
     async def run():
-        async with Road() as road:
-            pair = await road.call()
-            await road.says(pair, b"one", 5)
-            road.link.strike(0, fault("reset"), True)
+        async with LinkedEchoServer() as server:
+            pair = await server.connect()
+            await server.send_and_read(pair, b"one", 5)
+            server.link.change_fault(0, fault("reset"), True)
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-                await road.says(pair, b"two", 5)
-            pair = await road.call()
-            await road.says(pair, b"one", 5)
-            road.link.strike(1, fault("refuse"), True)
+                await server.send_and_read(pair, b"two", 5)
+            pair = await server.connect()
+            await server.send_and_read(pair, b"one", 5)
+            server.link.change_fault(1, fault("refuse"), True)
             with pytest.raises(ConnectionRefusedError):
-                await road.call()
-            assert await road.says(pair, b"still", 5) == b"still"
-            road.link.strike(1, fault("refuse"), False)
-            await road.says(await road.call(), b"one", 5)
+                await server.connect()
+            assert await server.send_and_read(pair, b"still", 5) == b"still"
+            server.link.change_fault(1, fault("refuse"), False)
+            await server.send_and_read(await server.connect(), b"one", 5)
 
     run()
 
@@ -107,9 +107,9 @@
 def test_delays_and_throttles_keep_the_order():
     @on_loop
     async def run():
-        async with Road() as road:
-            pair = await road.call()
-            road.link.strike(0, fault("delay", ms=100.0, jitter_ms=50.0), True)
+        async with LinkedEchoServer() as server:
+            pair = await server.connect()
+            server.link.change_fault(0, fault("delay", ms=100.0, jitter_ms=50.0), True)
             loop = asyncio.get_running_loop()
             began = loop.time()
             for n in range(20):
@@ -117,10 +117,10 @@
                 await asyncio.sleep(0.002)
             assert await pair[0].readexactly(40) == b"".join(b"%02d" % n for n in range(20))
             assert loop.time() - began >= 0.19
-            road.link.strike(0, fault("delay"), False)
-            road.link.strike(1, fault("throttle", bytes_s=2000.0), True)
+            server.link.change_fault(0, fault("delay"), False)
+            server.link.change_fault(1, fault("throttle", bytes_s=2000.0), True)
             began = loop.time()
-            await road.says(pair, b"x" * 400, 10)
+            await server.send_and_read(pair, b"x" * 400, 10)
             assert loop.time() - began >= 0.3
 
     run()
@@ -137,7 +137,7 @@
 
         sink, _ = await loop.create_datagram_endpoint(Sink, ("127.0.0.1", 0))
         source, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, ("127.0.0.1", 0))
-        link = Datagrams("a/g1", sink.get_extra_info("sockname"), {source.get_extra_info("sockname"): "a/g0"})
+        link = DatagramLinks("a/g1", sink.get_extra_info("sockname"), {source.get_extra_info("sockname"): "a/g0"})
         way, _ = await loop.create_datagram_endpoint(lambda: link, ("127.0.0.1", 0))
 
         async def send(n):
@@ -149,17 +149,17 @@
         await send(50)
         assert got == list(range(50))
         got.clear()
-        link.strike(9, fault("cut"), True, "a/g7")  # another one's
-        link.strike(0, fault("lose", part=0.3), True, "a/g0")
+        link.change_fault(9, fault("cut"), True, "a/g7")  # another one's
+        link.change_fault(0, fault("lose", part=0.3), True, "a/g0")
         await send(200)
         assert 100 <= len(got) <= 180
-        link.strike(0, fault("lose"), False, "a/g0")
-        link.strike(1, fault("delay", ms=5.0, jitter_ms=60.0), True, "a/g0")
+        link.change_fault(0, fault("lose"), False, "a/g0")
+        link.change_fault(1, fault("delay", ms=5.0, jitter_ms=60.0), True, "a/g0")
         got.clear()
         await send(100)
         assert sorted(got) == list(range(100)) != got
-        link.strike(1, fault("delay"), False, "a/g0")
-        link.strike(2, fault("cut"), True, "a/g0")
+        link.change_fault(1, fault("delay"), False, "a/g0")
+        link.change_fault(2, fault("cut"), True, "a/g0")
         got.clear()
         await send(5)
         assert got == []
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -1,4 +1,4 @@
-"""Runs of real processes: rules kept over silent links, kills, freezes and restarts; and runs gone wrong."""
+"""Runs of real processes: rules hold under faults; failed and interrupted runs leave nothing behind."""
 
 import asyncio
 import os
@@ -50,7 +50,7 @@
     ]
 
 
-def test_a_run_with_faults_keeps_the_rules_and_leaves_nothing_behind(tmp_path):
+def test_a_run_with_faults_keeps_the_rules_and_leaves_no_process(tmp_path):
     out = tmp_path / "run"
     ran = lab("run", "small", "--out", out, "--json", tmp_path / "r.json", "--port", free_port())
     result = msgspec.json.decode((tmp_path / "r.json").read_bytes())
@@ -69,14 +69,14 @@
     assert compared.returncode == 0 and "goodput" in compared.stdout
 
 
-def test_quotas_and_ceilings_hold_over_an_empty_counter_late_answers_and_killed_gateways(tmp_path):
+def test_quotas_and_rate_limits_hold_under_counter_faults_and_killed_gateways(tmp_path):
     ran = lab("run", "limits", "--out", tmp_path / "run", "--port", free_port())
     result = msgspec.json.decode((tmp_path / "run" / "result.json").read_bytes())
     assert result["verdict"] in ("passed", "void"), ran.stdout + ran.stderr
     assert result["figures"]["counter calls a try"] > 0.4
 
 
-def test_a_gateway_that_dies_is_told_as_a_crash_with_its_last_line(tmp_path):
+def test_a_gateway_that_dies_is_reported_with_its_last_line(tmp_path):
     out = tmp_path / "run"
     path = short(tmp_path, 5)
     running = subprocess.Popen(
@@ -99,18 +99,18 @@
     assert "crash: b/g001 ended with -9: " in said and "listens on" in said and "1 gateways crashed" in said
 
 
-def test_a_gateway_that_never_becomes_ready_is_told_with_its_last_line(tmp_path, monkeypatch):
+def test_a_gateway_that_never_becomes_ready_is_reported_with_its_last_line(tmp_path, monkeypatch):
     monkeypatch.setenv("PYTHONPATH", ENV["PYTHONPATH"])
     run = Run(read_scenario(short(tmp_path)), 1, tmp_path / "run", free_port())
     settings = run.settings
     run.settings = lambda g: settings(g) | ({"classes": "none"} if g == 4 else {})
     says = "not ready: b/g004 ended with 2: stoneyoke: 'classes' is missing"
     with pytest.raises(NotReady, match=says):
-        asyncio.run(run.whole())
+        asyncio.run(run.play())
     assert not children_of(tmp_path / "run")
 
 
-def test_the_gateways_key_is_whole_while_the_next_one_is_configured(tmp_path):
+def test_the_shared_key_file_is_written_once(tmp_path):
     run = Run(read_scenario(SHIPPED / "fleet.toml"), 7, tmp_path)
     (tmp_path / "configs").mkdir()
     run.files.write_keys()
@@ -121,7 +121,7 @@
     assert str(run.files.keys) in (tmp_path / "configs" / "g001.toml").read_text()
 
 
-def test_a_busy_port_is_told_before_anything_starts(tmp_path):
+def test_a_busy_port_is_reported_before_anything_starts(tmp_path):
     port = free_port("127.10.0.3")
     with socket.create_server(("127.10.0.3", port)):
         ran = lab("run", short(tmp_path), "--out", tmp_path / "busy", "--port", port)
@@ -150,7 +150,7 @@
     assert (out / "report.html").exists() and not children_of(out)
 
 
-def test_a_lab_that_is_killed_takes_all_its_processes_along(tmp_path):
+def test_all_processes_end_when_the_lab_is_killed(tmp_path):
     out = tmp_path / "run"
     running = subprocess.Popen(
         [*LAB, "run", str(short(tmp_path, 30)), "--out", str(out), "--port", str(free_port())],
@@ -178,12 +178,12 @@
         (["report", "."], 2, "no run"),
     ],
 )
-def test_the_command_line(words, code, says):
+def test_the_command_line_exits_with_code_and_reason(words, code, says):
     ran = lab(*words)
     assert ran.returncode == code and says in ran.stdout + ran.stderr
 
 
-def test_what_serves_imports_neither_the_command_line_s_library_nor_the_lab():
+def test_the_gateway_program_does_not_import_the_lab_or_its_libraries():
     code = (
         "import sys, stoneyoke.single_gateway.program; print([m for m in sys.modules if m.split('.')[0] in "
         "('click', 'msgspec', 'numpy', 'psutil', 'matplotlib') or m.startswith('stoneyoke.lab')])"
@@ -192,7 +192,7 @@
     assert ran.stdout.strip() == "[]", ran.stderr
 
 
-def test_check_tells_whether_a_configuration_can_be_used(tmp_path):
+def test_check_reports_an_unusable_configuration(tmp_path):
     file = tmp_path / "config.json"
     file.write_text("{}")
     ran = subprocess.run(
