--- a/stoneyoke/gateway/admission.py
+++ b/stoneyoke/gateway/admission.py
@@ -24,7 +24,7 @@
 LONG_AGO = 3600 * SECOND
 
 
-def parameters(seed: int) -> GatewayParameters:
+def admission_parameters(seed: int) -> GatewayParameters:
     """Of a stage that sends nothing itself: a request is a unit."""
     any_method = Method(
         idempotency=Idempotency.NON_IDEMPOTENT,
@@ -58,18 +58,18 @@
 
 class Admission(Quotas):
     def __init__(self, seed: int, now: int, bounds: ServiceBounds) -> None:
-        super().__init__(DecisionContext(parameters(seed), now))
+        super().__init__(DecisionContext(admission_parameters(seed), now))
         self.bounds, self.heard_at = bounds, now - LONG_AGO
-        self.among(ASSUMED_GATEWAYS)
+        self.set_gateway_count(ASSUMED_GATEWAYS)
         self.indices: dict[str, int] = {}  # tenants that have come; no more than the operator names
         self.local_quotas: dict[str, LocalQuota] = {}
-        self.alone_at: dict[int, int] = {}  # since when a tenant is served from its slice
+        self.cut_off_at: dict[int, int] = {}  # since when a tenant is served from its slice
 
-    def call(self, tenant: Tenant, wait_us: int) -> Arrival:
+    def arrival(self, tenant: Tenant, wait_us: int) -> Arrival:
         """A request of a tenant, in the terms of the decisions."""
         index = self.indices.setdefault(tenant.label, len(self.indices))
         plan = Plan(
-            rate=tenant.rate,
+            rate=tenant.rate_per_s,
             burst=max(1.0, tenant.burst),
             price=1.0,
             concurrency_max=0,
@@ -95,15 +95,15 @@
             customer_gateways=self.context.parameters.gateways,
         )
 
-    def among(self, gateways: int) -> None:
+    def set_gateway_count(self, gateways: int) -> None:
         """How many gateways share what is not told."""
         self.context.parameters = replace(self.context.parameters, gateways=max(1, gateways))
 
-    def heard(self, now: int) -> None:
+    def lease_holder_answered(self, now: int) -> None:
         """The keeper has answered."""
         self.heard_at = now
 
-    def knock(self, call: Arrival, local_quota: LocalQuota, now: int) -> int | None:
+    def try_admit(self, call: Arrival, local_quota: LocalQuota, now: int) -> int | None:
         """0: it passes. Else the wait that its refusal states; None: the keeper has to be asked."""
         self.context.now = now
         customer = self.customer(call)
@@ -114,23 +114,23 @@
         shut = int(local_quota.closed_until * SECOND) - now
         return self.advised_wait(customer, shut) if shut > 0 else None
 
-    def answered(self, call: Arrival, local_quota: LocalQuota, now: int) -> int:
+    def admit_after_reply(self, call: Arrival, local_quota: LocalQuota, now: int) -> int:
         """After the keeper has answered, or has not in time."""
         self.context.now = now
         customer = self.customer(call)
         if local_quota.try_take(call.units):
             return 0
         shut = int(local_quota.closed_until * SECOND) - now
-        return self.advised_wait(customer, shut) if shut > 0 else self.alone(customer, call, local_quota)
+        return self.advised_wait(customer, shut) if shut > 0 else self.admit_cut_off(customer, call, local_quota)
 
-    def alone(self, customer: Customer, call: Arrival, local_quota: LocalQuota) -> int:
+    def admit_cut_off(self, customer: Customer, call: Arrival, local_quota: LocalQuota) -> int:
         """No keeper was heard: from the part of the store that is this gateway's own."""
         now, heard_at = self.context.now / SECOND, self.heard_at / SECOND
         share, reserve_units = local_quota.isolated_allowance(heard_at, now)
         plan, gateways = customer.plan, self.context.parameters.gateways
         beyond = excess_units(plan.rate, plan.burst, self.bounds)
-        if self.alone_at.get(call.customer, -LONG_AGO) < self.heard_at:
-            self.alone_at[call.customer] = self.context.now
+        if self.cut_off_at.get(call.customer, -LONG_AGO) < self.heard_at:
+            self.cut_off_at[call.customer] = self.context.now
             # Document units, by chance: a part of one lets nothing through, and the parts sum to the same.
             first = min(2.0, float(int(ISOLATED_START_RATIO * beyond / gateways + self.context.random_source.draw())))
             customer.bucket.level, customer.bucket.filled_at = max(reserve_units, first), self.context.now
--- a/stoneyoke/gateway/config_sync.py
+++ b/stoneyoke/gateway/config_sync.py
@@ -44,22 +44,22 @@
         self.incarnation = f"{(random_source or random.SystemRandom()).getrandbits(48):012x}"
         self.version = Version()
         self.ready = False
-        self.wires: dict[str, PeerClient] = {}
+        self.peer_clients: dict[str, PeerClient] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.fetching = asyncio.Lock()
 
-    def follow_all(self) -> None:
-        for name in list(self.instance_directory.sources):
-            if name not in self.wires:
-                self.wires[name] = self.dial((name, self.port))
-                task = asyncio.get_running_loop().create_task(self.follow(name))
+    def follow_controllers(self) -> None:
+        for name in list(self.instance_directory.controllers):
+            if name not in self.peer_clients:
+                self.peer_clients[name] = self.dial((name, self.port))
+                task = asyncio.get_running_loop().create_task(self.follow_controller(name))
                 self.tasks.add(task)
 
     def close(self) -> None:
         for task in self.tasks:
             task.cancel()
 
-    async def follow(self, name: str) -> None:
+    async def follow_controller(self, name: str) -> None:
         while True:
             try:
                 await self.pull(name)
@@ -70,43 +70,43 @@
                 await asyncio.sleep(1.0)
 
     async def pull(self, name: str) -> None:
-        source = self.instance_directory.sources[name]
-        heartbeat = name in watchers(self.name, self.instance_directory.sources)
-        news = await self.wires[name].call(
+        view = self.instance_directory.controllers[name]
+        heartbeat = name in watchers(self.name, self.instance_directory.controllers)
+        news = await self.peer_clients[name].call(
             PullRequest(
                 name=self.name,
                 ip=self.ip,
                 kind=GATEWAY_KIND,
                 zone=self.zone,
-                incarnation=source.incarnation,
-                seq=source.seq,
+                incarnation=view.incarnation,
+                seq=view.seq,
                 version=VersionRow(self.version.number, self.version.digest),
                 ready=self.ready,
                 heartbeat=heartbeat,
                 wait_ms=WAIT_MS,
                 own_incarnation=self.incarnation,
-                membership_version=source.membership_version,
+                membership_version=view.membership_version,
             ),
             CALL_S + WAIT_MS / 1000,
         )
         if not isinstance(news, PullResponse):
             raise PeerUnreachable("an answer of another kind")
-        self.instance_directory.hear(name, news, self.clock())
-        self.follow_all()
+        self.instance_directory.apply_pull(name, news, self.clock())
+        self.follow_controllers()
         if Version(*news.version) > self.version:
             await self.fetch(name)
         self.told()
 
     async def fetch(self, name: str) -> None:
         async with self.fetching:
-            source = self.instance_directory.sources[name]
-            if not source.news or Version(*source.news.version) <= self.version:
+            view = self.instance_directory.controllers[name]
+            if not view.last_pull or Version(*view.last_pull.version) <= self.version:
                 return
-            near = self.instance_directory.holders(Version(*source.news.version), self.zone)[0]
+            near = self.instance_directory.controllers_holding(Version(*view.last_pull.version), self.zone)[0]
             try:
-                bill = await self.wires[near].call(FetchRequest(), CALL_S)
+                bill = await self.peer_clients[near].call(FetchRequest(), CALL_S)
             except PeerUnreachable:
-                bill = await self.wires[name].call(FetchRequest(), CALL_S + 2.0)
+                bill = await self.peer_clients[name].call(FetchRequest(), CALL_S + 2.0)
         if not isinstance(bill, FetchResponse):
             raise PeerUnreachable("an answer of another kind")
         try:
--- a/stoneyoke/gateway/control_client.py
+++ b/stoneyoke/gateway/control_client.py
@@ -16,16 +16,16 @@
 from stoneyoke.gateway.quota_client import QuotaClient
 from stoneyoke.transport.peer_client import PeerClient
 
-FORGET_S = 10.0
-YOUNG_S = 1.5  # by then the watchers have heard every gateway's beat
+FORGET_FLEET_S = 10.0
+SETTLING_S = 1.5  # by then the watchers have heard every gateway's beat
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class GatewayFleet:
     """What a gateway knows of its own kind: how many they are, and its own place among them."""
 
-    gateways: int = ASSUMED_GATEWAYS
-    own: int = 0
+    size: int = ASSUMED_GATEWAYS
+    own_index: int = 0
 
 
 class ControlClient:
@@ -51,7 +51,7 @@
         random_source = random_source or random.SystemRandom()
         self.seed = random_source.getrandbits(63)
         self.instance_directory = InstanceDirectory(seeds)
-        self.admission = Admission(self.seed, self.micros(), bounds)
+        self.admission = Admission(self.seed, self.now_us(), bounds)
         self.config_sync = ConfigSync(
             name,
             ip,
@@ -59,7 +59,7 @@
             port,
             self.instance_directory,
             take,
-            self.hear,
+            self.on_pull,
             clock=clock,
             dial=dial,
             random_source=random_source,
@@ -68,32 +68,32 @@
             name,
             self.config_sync.incarnation,
             lambda: self.instance_directory.lease_holder(clock()),
-            self.config_sync.wires.get,
+            self.config_sync.peer_clients.get,
             self.admission.local_quotas,
-            lambda: self.admission.heard(int(self.quota_client.heard_at * 1_000_000)),
+            lambda: self.admission.lease_holder_answered(int(self.quota_client.heard_at * 1_000_000)),
             clock,
         )
-        self.born = clock()
-        self.most, self.most_at = 1, self.born  # gateways that were told of, and when
-        self.fleet = Fleet()
+        self.started_at = clock()
+        self.largest_fleet, self.largest_fleet_at = 1, self.started_at  # gateways that were told of, and when
+        self.fleet = GatewayFleet()
 
-    def micros(self) -> int:
+    def now_us(self) -> int:
         return int(self.clock() * 1_000_000)
 
     def start(self) -> list[asyncio.Task[None]]:
-        self.config_sync.follow_all()
+        self.config_sync.follow_controllers()
         return [asyncio.get_running_loop().create_task(self.quota_client.run())]
 
-    def hear(self) -> None:
+    def on_pull(self) -> None:
         now = self.clock()
         gateways = self.instance_directory.gateways(now)
         if self.name in gateways:
             # A new life, or a new life of cores, may not tell of all yet: parts of what all share would be too large.
-            if len(gateways) >= self.most or now - self.most_at > FORGET_S:
-                self.most, self.most_at = len(gateways), now
-            fewest = max(self.most, ASSUMED_GATEWAYS if now - self.born < YOUNG_S else 1)
-            self.fleet = Fleet(fewest, gateways.index(self.name))
-            self.admission.among(fewest)
+            if len(gateways) >= self.largest_fleet or now - self.largest_fleet_at > FORGET_FLEET_S:
+                self.largest_fleet, self.largest_fleet_at = len(gateways), now
+            fewest = max(self.largest_fleet, ASSUMED_GATEWAYS if now - self.started_at < SETTLING_S else 1)
+            self.fleet = GatewayFleet(fewest, gateways.index(self.name))
+            self.admission.set_gateway_count(fewest)
         if not self.config_sync.ready:
             sure = self.instance_directory.caught_up(now)
             if sure is not None and sure.number > 0 and self.config_sync.version >= sure:
--- a/stoneyoke/gateway/quota_client.py
+++ b/stoneyoke/gateway/quota_client.py
@@ -9,12 +9,12 @@
 from stoneyoke.transport.errors import PeerUnreachable
 from stoneyoke.transport.peer_client import PeerClient
 
-WAIT_S = 0.1  # a request waits for the keeper no longer
-ANSWER_S = SILENCE_TIMEOUT_S / 2  # a later answer is none
-ROUND_S = 0.25  # a message at least so often: it tells demand, and that this gateway is there
+REQUEST_WAIT_S = 0.1  # a request waits for the keeper no longer
+ANSWER_TIMEOUT_S = SILENCE_TIMEOUT_S / 2  # a later answer is none
+ROUND_INTERVAL_S = 0.25  # a message at least so often: it tells demand, and that this gateway is there
 
 
-def answers(drawn: QuotaResponse, demands: list[QuotaDemand]) -> bool:
+def gives_only_what_was_asked(drawn: QuotaResponse, demands: list[QuotaDemand]) -> bool:
     """Whether each of its rows is for a tenant that was asked for, and none is there twice."""
     given = [grant.tenant for grant in drawn.grants]
     return len(set(given)) == len(given) and set(given) <= {demand.tenant for demand in demands}
@@ -42,25 +42,25 @@
         )
         self.heard, self.clock = heard, clock
         self.heard_at = -1e9
-        self.down = False  # the last message had no answer: nobody waits for the next one's
-        self.full = True  # the next message tells of every part that is held
-        self.waiting: dict[str, int] = {}  # requests that wait, by tenant
-        self.wanted = asyncio.Event()
-        self.answered = asyncio.Event()
+        self.unanswered = False  # the last message had no answer: nobody waits for the next one's
+        self.report_all = True  # the next message tells of every part that is held
+        self.waiting_requests: dict[str, int] = {}  # requests that wait, by tenant
+        self.request_due = asyncio.Event()
+        self.round_ended = asyncio.Event()
 
-    async def ask(self, tenant: str) -> None:
+    async def wait_for_units(self, tenant: str) -> None:
         """Returns once the keeper has answered for this tenant, or has not in time; at once while it is down."""
-        if self.down:
+        if self.unanswered:
             return
-        self.waiting[tenant] = self.waiting.get(tenant, 0) + 1
-        self.wanted.set()
+        self.waiting_requests[tenant] = self.waiting_requests.get(tenant, 0) + 1
+        self.request_due.set()
         try:
-            async with asyncio.timeout(WAIT_S):
+            async with asyncio.timeout(REQUEST_WAIT_S):
                 # An answer to what was asked before this request came may hold nothing for it.
                 for _ in range(2):
-                    await self.answered.wait()
+                    await self.round_ended.wait()
                     if (
-                        self.down
+                        self.unanswered
                         or self.local_quotas[tenant].level >= 1
                         or self.local_quotas[tenant].closed_until > self.clock()
                     ):
@@ -68,42 +68,42 @@
         except TimeoutError:
             pass
         finally:
-            self.waiting[tenant] -= 1
-            if not self.waiting[tenant]:
-                del self.waiting[tenant]
+            self.waiting_requests[tenant] -= 1
+            if not self.waiting_requests[tenant]:
+                del self.waiting_requests[tenant]
 
     async def run(self) -> None:
         while True:
             try:
-                async with asyncio.timeout(ROUND_S):
-                    await self.wanted.wait()
+                async with asyncio.timeout(ROUND_INTERVAL_S):
+                    await self.request_due.wait()
             except TimeoutError:
                 pass
-            self.wanted.clear()
+            self.request_due.clear()
             name = self.lease_holder()
             wire = self.wire(name) if name else None
             if wire is None:
-                self.fall()
+                self.end_round_unanswered()
                 await asyncio.sleep(0.05)
                 continue
             try:
-                await self.draw(wire)
+                await self.request_units(wire)
             except PeerUnreachable:
-                self.fall()
+                self.end_round_unanswered()
                 await asyncio.sleep(0.05)
 
-    def fall(self) -> None:
+    def end_round_unanswered(self) -> None:
         """Those that wait go on without the keeper; whoever is heard next may know nothing of this gateway."""
-        self.down = self.full = True
-        answered, self.answered = self.answered, asyncio.Event()
+        self.unanswered = self.report_all = True
+        answered, self.round_ended = self.round_ended, asyncio.Event()
         answered.set()
 
-    async def draw(self, wire: PeerClient) -> None:
+    async def request_units(self, wire: PeerClient) -> None:
         now = self.clock()
-        deaf_s, full = min(60.0, now - self.heard_at), self.full
+        deaf_s, full = min(60.0, now - self.heard_at), self.report_all
         # One that may not know that this gateway hears it gives nothing and takes nothing for told.
         demands = (
-            take_demands(self.local_quotas, self.waiting, self.heard_at, full, now)
+            take_demands(self.local_quotas, self.waiting_requests, self.heard_at, full, now)
             if deaf_s <= SILENCE_TIMEOUT_S
             else []
         )
@@ -115,24 +115,24 @@
                 complete=full,
                 demands=demands,
             ),
-            ANSWER_S,
+            ANSWER_TIMEOUT_S,
         )
-        if not isinstance(drawn, QuotaResponse) or not drawn.ok or not answers(drawn, demands):
-            self.fall()
+        if not isinstance(drawn, QuotaResponse) or not drawn.ok or not gives_only_what_was_asked(drawn, demands):
+            self.end_round_unanswered()
             await asyncio.sleep(0.02)
             return
-        self.down = False
+        self.unanswered = False
         # No later than an answer is taken: this process may have stood still between that and this line.
-        self.heard_at = min(self.clock(), now + ANSWER_S)
+        self.heard_at = min(self.clock(), now + ANSWER_TIMEOUT_S)
         self.heard()
         if deaf_s > SILENCE_TIMEOUT_S:  # now it will
-            self.wanted.set()
+            self.request_due.set()
         else:
-            self.full = False
+            self.report_all = False
             for demand in demands:
                 self.local_quotas[demand.tenant].reported_isolated_units = demand.isolated_units
         for grant in drawn.grants:
             if local_quota := self.local_quotas.get(grant.tenant):
                 local_quota.apply_grant(grant, self.heard_at)
-        answered, self.answered = self.answered, asyncio.Event()
+        answered, self.round_ended = self.round_ended, asyncio.Event()
         answered.set()
--- a/stoneyoke/gateway/request_head.py
+++ b/stoneyoke/gateway/request_head.py
@@ -5,7 +5,7 @@
 from stoneyoke.net.errors import MalformedMessage
 from stoneyoke.net.message_reader import Message
 
-HOP = frozenset(
+HOP_BY_HOP = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -20,11 +20,11 @@
     )
 )
 # Never passed on as the client sent them: the key, and what only this system says.
-OWN = frozenset((b"api-key", b"tenant", b"expect-instance", b"deadline-ms"))
-ONCE = frozenset((b"host", b"attempt-id", b"deadline-ms", b"api-key"))
-SEEN = re.compile(rb"[!-~]{1,255}").fullmatch
+NEVER_FORWARDED = frozenset((b"api-key", b"tenant", b"expect-instance", b"deadline-ms"))
+SINGLE_VALUED = frozenset((b"host", b"attempt-id", b"deadline-ms", b"api-key"))
+VISIBLE_TOKEN = re.compile(rb"[!-~]{1,255}").fullmatch
 TARGET = re.compile(rb"/[!-~]*").fullmatch
-WHOLE = re.compile(rb"[0-9]{1,12}(\.[0-9]{0,20})?").fullmatch
+DECIMAL_MS = re.compile(rb"[0-9]{1,12}(\.[0-9]{0,20})?").fullmatch
 HOST = re.compile(rb"[!-~]{1,255}").fullmatch
 METHOD = re.compile(rb"[A-Z]{1,20}").fullmatch
 
@@ -35,13 +35,13 @@
     __slots__ = ("host", "id", "key", "path", "wait_us")
 
     def __init__(self, message: Message) -> None:
-        if message.repeated and (twice := message.repeated & ONCE):
+        if message.repeated and (twice := message.repeated & SINGLE_VALUED):
             raise MalformedMessage(f"{min(twice).decode()} comes twice")
         headers = message.headers
         host, mark = headers.get(b"host", b""), headers.get(b"attempt-id", b"")
         if not HOST(host):
             raise MalformedMessage("host is missing or can not be read")
-        if not SEEN(mark):
+        if not VISIBLE_TOKEN(mark):
             raise MalformedMessage("attempt-id is missing or can not be read")
         if not TARGET(message.target) or not METHOD(message.method):
             raise MalformedMessage("a target or method that can not be read")
@@ -53,18 +53,18 @@
         self.path = message.target.partition(b"?")[0].decode("ascii")
         self.key = headers.get(b"api-key", b"").decode("latin-1")
         wait = headers.get(b"deadline-ms")
-        if wait is not None and not WHOLE(wait):
+        if wait is not None and not DECIMAL_MS(wait):
             raise MalformedMessage("deadline-ms is no number")
         self.wait_us = None if wait is None else int(float(wait) * 1000)
 
 
-def head_on(message: Message, instance: str, tenant: str, wait_us: int) -> list[bytes]:
+def upstream_request_head(message: Message, instance: str, tenant: str, wait_us: int) -> list[bytes]:
     """A call-out's head: what came, less what concerns one connection, and what this system says."""
     named = {name.strip().lower() for name in message.headers.get(b"connection", b"").split(b",")}
     lines = [message.method, b" ", message.target, b" HTTP/1.1\r\n"]
     for name, value in message.fields:
         lower = name.lower()
-        if lower not in HOP and lower not in OWN and lower not in named:
+        if lower not in HOP_BY_HOP and lower not in NEVER_FORWARDED and lower not in named:
             lines += (name, b": ", value, b"\r\n")
     lines.append(b"Deadline-Ms: %d\r\nExpect-Instance: %s\r\n" % (max(1, wait_us // 1000), instance.encode()))
     if tenant:
@@ -78,11 +78,11 @@
     return lines
 
 
-def head_back(answer: Message) -> bytes:
+def client_answer_headers(answer: Message) -> bytes:
     """The headers of a backend's answer for the client; its length is set by whoever writes it."""
     named = {name.strip().lower() for name in answer.headers.get(b"connection", b"").split(b",")}
     return b"".join(
         b"%s: %s\r\n" % (name, value)
         for name, value in answer.fields
-        if (lower := name.lower()) not in HOP and lower not in named
+        if (lower := name.lower()) not in HOP_BY_HOP and lower not in named
     )
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -18,7 +18,7 @@
 )
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.message_reader import Message
-from stoneyoke.gateway.control_client import Fleet
+from stoneyoke.gateway.control_client import GatewayFleet
 from stoneyoke.gateway.instance_directory import KnownInstance, InstanceDirectory
 from stoneyoke.gateway.routes import Route
 from stoneyoke.runtime.clock import Clock
@@ -28,9 +28,9 @@
 WARM_UP_US = 3_000_000  # backends say how much longer they are slow; all are taken to begin this long before
 # Aims here are three to four times the work; the module holds a fleet's mean time at a third of the soft deadline,
 # which would be the work itself. (Aims as they are: a third of one zone's calm day was refused, 61a76ece.)
-SOFT = 2
-RANKS = 8  # of tenants and routes; beyond, all weigh the same
-BUDGET_PART = 0.5  # of the system's slack for further tries: the rest is for lists that differ and restarts
+SOFT_DEADLINE_FACTOR = 2
+RANKS_MAX = 8  # of tenants and routes; beyond, all weigh the same
+RETRY_BUDGET_FRACTION = 0.5  # of the system's slack for further tries: the rest is for lists that differ and restarts
 
 
 class Upstream:
@@ -58,16 +58,16 @@
         self.zones, self.zone, self.seed, self.bounds = list(zones), zone, seed, bounds
         self.upstreams: dict[str, Upstream] = {}
         self.indices = IdIndex[str]()  # backends, by instance
-        self.at: dict[int, KnownInstance] = {}  # listed backends, by index
-        self.fleet, self.turn = Fleet(), -1
-        self.backends.accepts_new_work = self.takes
+        self.instances: dict[int, KnownInstance] = {}  # listed backends, by index
+        self.fleet, self.directory_revision = GatewayFleet(), -1
+        self.backends.accepts_new_work = self.accepts_work
 
-    def takes(self, backend: int) -> bool:
-        instance_known = self.at.get(backend)
+    def accepts_work(self, backend: int) -> bool:
+        instance_known = self.instances.get(backend)
         return (
             instance_known is not None
             and instance_known.row.phase != Phase.DRAINING
-            and (instance_known.row.instance not in self.instance_directory.gone)
+            and (instance_known.row.instance not in self.instance_directory.gone_at)
         )
 
     def zone_of(self, name: str) -> int:
@@ -77,16 +77,16 @@
 
     def parameters(self, methods: tuple[Method, ...]) -> GatewayParameters:
         ratio, window = self.bounds.retry_ratio, self.bounds.retry_window_s
-        slack = self.bounds.retry_slack_attempts * BUDGET_PART / self.fleet.gateways
+        slack = self.bounds.retry_slack_attempts * RETRY_BUDGET_FRACTION / self.fleet.size
         return GatewayParameters(
             seed=self.seed,
-            gateways=self.fleet.gateways,
-            own_index=self.fleet.own,
+            gateways=self.fleet.size,
+            own_index=self.fleet.own_index,
             zone=self.zone_of(self.zone),
             methods=methods,
             plans=tuple(
                 Plan(rate=0.0, burst=0.0, price=1 / (1 + rank), concurrency_max=0, ceiling_rate=0.0, ceiling_burst=0.0)
-                for rank in range(RANKS)
+                for rank in range(RANKS_MAX)
             ),
             attempts_max=1000,
             can_cancel_attempts=True,
@@ -105,7 +105,7 @@
             retry_budget_depth=max(1.0, 0.5 * slack),
         )
 
-    def upstream(self, service: str) -> Upstream:
+    def get(self, service: str) -> Upstream:
         upstream = self.upstreams.get(service)
         if upstream is None:
             first = (
@@ -120,29 +120,34 @@
                 ),
             )
             upstream = self.upstreams[service] = Upstream(service, self.parameters(first), self.clock, self.metrics)
-            self.list_one(upstream)
+            self.send_endpoints(upstream)
         return upstream
 
-    def method(self, upstream: Upstream, route: Route) -> int:
+    def method_number(self, upstream: Upstream, route: Route) -> int:
         """The number under which the module knows requests of this kind."""
-        kind = (route.pure, route.target_us, route.timeout_us, min(route.rank, RANKS) * 10_000 + route.tries)
+        kind = (
+            route.is_pure,
+            route.target_us,
+            route.timeout_us,
+            min(route.rank, RANKS_MAX) * 10_000 + route.attempts_max,
+        )
         number = upstream.methods.get(kind)
         if number is None:
             parameters = upstream.runtime.gateway.parameters
             method = Method(
-                idempotency=Idempotency.IDEMPOTENT if route.pure else Idempotency.NON_IDEMPOTENT,
+                idempotency=Idempotency.IDEMPOTENT if route.is_pure else Idempotency.NON_IDEMPOTENT,
                 deduplication_scope=DeduplicationScope.CELL,
-                soft_deadline_us=SOFT * route.target_us,
+                soft_deadline_us=SOFT_DEADLINE_FACTOR * route.target_us,
                 deadline_us=route.timeout_us,
                 deduplication_window_us=0,
-                utility=1 / (1 + min(route.rank, RANKS)),
-                attempts_max=route.tries,
+                utility=1 / (1 + min(route.rank, RANKS_MAX)),
+                attempts_max=route.attempts_max,
             )
             number = upstream.methods[kind] = len(parameters.methods)
             upstream.runtime.dispatch(ParametersChanged(self.parameters((*parameters.methods, method))))
         return number
 
-    def among(self, fleet: Fleet) -> None:
+    def set_fleet(self, fleet: GatewayFleet) -> None:
         """How many gateways there are has changed."""
         if fleet != self.fleet:
             self.fleet = fleet
@@ -151,31 +156,31 @@
                     ParametersChanged(self.parameters(upstream.runtime.gateway.parameters.methods))
                 )
 
-    def renew(self) -> None:
+    def refresh(self) -> None:
         """Tells each module of its backends, if anything has changed."""
-        if self.turn == self.instance_directory.turn:
+        if self.directory_revision == self.instance_directory.revision:
             return
-        self.turn = self.instance_directory.turn
-        self.at = {}
-        for instance_known in self.instance_directory.known.values():
+        self.directory_revision = self.instance_directory.revision
+        self.instances = {}
+        for instance_known in self.instance_directory.instances.values():
             index = self.indices.acquire(instance_known.row.instance)
-            self.at[index] = instance_known
+            self.instances[index] = instance_known
             host, _, port = instance_known.row.address.rpartition(":")
             self.backends.set_address(index, (host, int(port)))
         for index in list(self.indices.index_by_id.values()):
-            if index not in self.at:
+            if index not in self.instances:
                 self.backends.remove(index)
                 if not any(upstream.runtime.knows_backend(index) for upstream in self.upstreams.values()):
                     self.indices.release(index)
-        for service in {instance_known.row.service for instance_known in self.at.values()}:
-            self.upstream(service)
+        for service in {instance_known.row.service for instance_known in self.instances.values()}:
+            self.get(service)
         for upstream in self.upstreams.values():
-            self.list_one(upstream)
+            self.send_endpoints(upstream)
 
-    def list_one(self, upstream: Upstream) -> None:
+    def send_endpoints(self, upstream: Upstream) -> None:
         now = self.clock.now()
         entries = []
-        for index, instance_known in self.at.items():
+        for index, instance_known in self.instances.items():
             if instance_known.row.service == upstream.service:
                 left = int(instance_known.warm_at * 1_000_000 - now)
                 state = BackendState.DRAINING if instance_known.row.phase == Phase.DRAINING else BackendState.READY
@@ -189,13 +194,13 @@
                     )
                 )
         upstream.runtime.endpoints_changed(EndpointsChanged(True, False, entries))
-        doubted = self.instance_directory.doubted(upstream.service)
+        doubted = self.instance_directory.unheard_instances(upstream.service)
         upstream.runtime.dispatch(
             PeerEvidence(frozenset(self.indices.index_by_id[one] for one in doubted), frozenset())
         )
 
 
-def judge(answer: Message | None) -> AttemptOutcome:
+def classify_answer(answer: Message | None) -> AttemptOutcome:
     """What a backend's answer tells (PROTOCOL, Answers and Backends). Only Not-Run and 421 say that it has not run;
     a success without its stamp, with two, or that says that it has not run is none."""
     if answer is None:
--- a/stoneyoke/lab/capacity/hollow_fleet.py
+++ b/stoneyoke/lab/capacity/hollow_fleet.py
@@ -18,7 +18,7 @@
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.controlplane.settings import ControllerEnvironment, ControllerSettings
 from stoneyoke.gateway.control_client import ControlClient
-from stoneyoke.gateway.routes import Table, table_of
+from stoneyoke.gateway.routes import RoutingTable, build_routing_table
 from stoneyoke.lab.capacity.fleet_costs import Cost, FleetShape
 from stoneyoke.lab.capacity.metered_network import MeteredLoop, MeteredNetwork, Traffic
 from stoneyoke.lab.capacity.workloads import configuration, heartbeat, instance_name
@@ -41,7 +41,7 @@
     def __init__(self, name: str, seeds: tuple[str, ...], dial: Callable[[tuple[str, int]], Any]) -> None:
         """Creates a gateway that knows the controllers at these addresses."""
         loop = asyncio.get_running_loop()
-        self.table: Table | None = None
+        self.table: RoutingTable | None = None
         self.client = ControlClient(
             name,
             name,
@@ -58,7 +58,7 @@
 
     def take(self, new_configuration: Configuration) -> None:
         """Puts a configuration in force."""
-        self.table = table_of(new_configuration)
+        self.table = build_routing_table(new_configuration)
 
     def has(self, version: int) -> bool:
         """Returns whether a version of at least this number is in force."""
@@ -208,7 +208,7 @@
 
     def knows_drain(self, gateway: HollowGateway) -> bool:
         """Returns whether a gateway knows that the first backend drains."""
-        known = gateway.client.instance_directory.known.get(instance_name(0))
+        known = gateway.client.instance_directory.instances.get(instance_name(0))
         return known is not None and known.row.phase == Phase.DRAINING
 
     async def cost_of(self, work: Callable[[], Awaitable[None]], tail_s: float = 0.0) -> Cost:
--- a/stoneyoke/lab/capacity/hot_paths/configurations.py
+++ b/stoneyoke/lab/capacity/hot_paths/configurations.py
@@ -5,7 +5,7 @@
 from stoneyoke.api.configuration import Configuration, Version, read_configuration, read_json
 from stoneyoke.api.configuration_schema import CONFIGURATION
 from stoneyoke.api.schema import read_table
-from stoneyoke.gateway.routes import Table, table_of
+from stoneyoke.gateway.routes import RoutingTable, build_routing_table
 from stoneyoke.lab.capacity.figures import Figure
 from stoneyoke.lab.capacity.meters import heap, megabytes, processor_once_s, processor_s, sample_indexes
 from stoneyoke.lab.capacity.workloads import configuration
@@ -18,14 +18,14 @@
     body = configuration(routes=size)
     deflated = zlib.compress(body, 6)
     parsed = read_configuration(body)
-    table = table_of(parsed)
+    table = build_routing_table(parsed)
     return [
         Figure("text", "B", len(body)),
         Figure("deflated", "B", len(deflated)),
         Figure("deflate once", "s", processor_s(lambda: zlib.compress(body, 6))),
         Figure("inflate", "s", processor_s(lambda: zlib.decompress(deflated))),
         Figure("read and check", "s", processor_s(lambda: read_configuration(body))),
-        Figure("make the table", "s", processor_s(lambda: table_of(parsed))),
+        Figure("make the table", "s", processor_s(lambda: build_routing_table(parsed))),
         Figure("one look-up, 20 routes a host", "s", look_up_s(table, parsed)),
         *configuration_heap(body),
     ]
@@ -34,7 +34,7 @@
 def configuration_heap(body: bytes) -> list[Figure]:
     """Measures what a process holds of a configuration: a controller text and content, a gateway the table."""
     parsed, parsed_heap = heap(lambda: read_configuration(body))
-    _, table_heap = heap(lambda: table_of(parsed))
+    _, table_heap = heap(lambda: build_routing_table(parsed))
     return [
         Figure("chart held", "MB", megabytes(parsed_heap.held)),
         Figure("reading at the peak", "MB", megabytes(parsed_heap.peak)),
@@ -42,14 +42,14 @@
     ]
 
 
-def look_up_s(table: Table, parsed: Configuration) -> float:
+def look_up_s(table: RoutingTable, parsed: Configuration) -> float:
     """Returns the processor time of one look-up, over requests for routes drawn at random."""
     routes = list(parsed.routes())
     asked = [(routes[at][0], routes[at][1]["path_prefix"] + "x") for at in sample_indexes(len(routes), LOOK_UPS)]
 
     def find_all() -> None:
         for host, path in asked:
-            table.find(host, path)
+            table.find_route(host, path)
 
     return processor_s(find_all) / len(asked)
 
@@ -57,7 +57,7 @@
 def look_up_by_host_routes(size: int) -> list[Figure]:
     """Measures look-ups with all routes on one host, the worst that a host_map can hold."""
     parsed = read_configuration(configuration(routes=size, routes_per_host=size))
-    return [Figure("one look-up, all routes on one host", "s", look_up_s(table_of(parsed), parsed))]
+    return [Figure("one look-up, all routes on one host", "s", look_up_s(build_routing_table(parsed), parsed))]
 
 
 def configuration_by_tenants(size: int) -> list[Figure]:
@@ -78,11 +78,11 @@
         )
 
     parsed, parse_s = processor_once_s(parse)
-    table_s = processor_once_s(lambda: table_of(parsed))[1]
+    table_s = processor_once_s(lambda: build_routing_table(parsed))[1]
     del parsed
     parsed, parsed_heap = heap(parse)
-    table, table_heap = heap(lambda: table_of(parsed))
-    assert table.keys is not None
+    table, table_heap = heap(lambda: build_routing_table(parsed))
+    assert table.tenants_by_key is not None
     return [
         Figure("text", "B", len(body)),
         Figure("deflated", "B", len(deflated)),
--- a/stoneyoke/lab/capacity/hot_paths/gateway_directory.py
+++ b/stoneyoke/lab/capacity/hot_paths/gateway_directory.py
@@ -24,7 +24,7 @@
     directory = InstanceDirectory(CONTROLLERS)
     registry = InstanceRegistry(1.0)
     for name in CONTROLLERS:
-        directory.hear(name, pull_response(registry, rows, True), 0.0)
+        directory.apply_pull(name, pull_response(registry, rows, True), 0.0)
     return directory
 
 
@@ -38,7 +38,7 @@
         for name in CONTROLLERS:
             response = unpack(frame)[1]
             assert isinstance(response, PullResponse)
-            known.hear(name, response, 0.0)
+            known.apply_pull(name, response, 0.0)
         return known
 
     _, first_s = processor_once_s(first_pulls)
@@ -48,7 +48,7 @@
     def one_change() -> None:
         nonlocal seq
         seq += 1
-        known.hear(CONTROLLERS[0], pull_response(registry, [row(0, seq)], False), 0.5)
+        known.apply_pull(CONTROLLERS[0], pull_response(registry, [row(0, seq)], False), 0.5)
 
     one_change()  # frees the first answer, which is not what a change costs
     return [
@@ -73,14 +73,14 @@
 
         def renewed_elsewhere() -> Upstreams:
             other = make()
-            other.renew()
+            other.refresh()
             return other
 
         made = make()
-        (_, first_s), again_heap = processor_once_s(made.renew), heap(renewed_elsewhere)[1]
+        (_, first_s), again_heap = processor_once_s(made.refresh), heap(renewed_elsewhere)[1]
         drained = pull_response(InstanceRegistry(1.0), [row(0, 2, Phase.DRAINING)], False)
-        known.hear(CONTROLLERS[0], drained, 0.5)
-        _, again_s = processor_once_s(made.renew)
+        known.apply_pull(CONTROLLERS[0], drained, 0.5)
+        _, again_s = processor_once_s(made.refresh)
         return [
             Figure("first renewal", "s", first_s),
             Figure("renewal after one drain", "s", again_s),
--- a/stoneyoke/lab/capacity/hot_paths/quotas.py
+++ b/stoneyoke/lab/capacity/hot_paths/quotas.py
@@ -57,14 +57,14 @@
 
     def first() -> None:
         for one in tenants:
-            admission.call(one, 2 * SECOND)
+            admission.arrival(one, 2 * SECOND)
 
     (_, first_s), later = processor_once_s(first), [tenants[at] for at in sample_indexes(size, CALLS)]
 
     def decide() -> None:
         for one in later:
-            arrival = admission.call(one, 2 * SECOND)
-            admission.knock(arrival, admission.local_quotas[one.label], SECOND)
+            arrival = admission.arrival(one, 2 * SECOND)
+            admission.try_admit(arrival, admission.local_quotas[one.label], SECOND)
 
     quotas, quotas_heap = heap(lambda: {f"tenant-{at:07d}": LocalQuota() for at in range(size)})
     return [
--- a/stoneyoke/lab/simulation/defects/gateways.py
+++ b/stoneyoke/lab/simulation/defects/gateways.py
@@ -15,7 +15,7 @@
     """A gateway counts as caught up once one controller has answered."""
 
     def caught_up(self: instance_directory.InstanceDirectory, now: float) -> Any:
-        heard = [one.news for one in self.sources.values() if one.news]
+        heard = [one.last_pull for one in self.controllers.values() if one.last_pull]
         return max((Version(*news.version) for news in heard), default=None)
 
     return [Patch(instance_directory.InstanceDirectory, "caught_up", caught_up)]
@@ -25,7 +25,7 @@
     """A gateway takes whatever configuration it is given, older ones too."""
 
     async def fetch(self: config_sync.ConfigSync, name: str) -> None:
-        answer = await self.wires[name].call(FetchRequest(), 1.0)
+        answer = await self.peer_clients[name].call(FetchRequest(), 1.0)
         if isinstance(answer, FetchResponse) and answer.body:
             configuration = read_configuration(zlib.decompress(answer.body))
             self.version = configuration.version
@@ -33,7 +33,7 @@
 
     async def pull(self: config_sync.ConfigSync, name: str) -> None:
         await real(self, name)
-        news = self.instance_directory.sources[name].news
+        news = self.instance_directory.controllers[name].last_pull
         if news and news.version.number and Version(*news.version) != self.version:
             await fetch(self, name)
 
--- a/stoneyoke/lab/simulation/invariants.py
+++ b/stoneyoke/lab/simulation/invariants.py
@@ -90,7 +90,7 @@
     def check_drain(self, gateway: GatewayMachine, drain: AcknowledgedDrain, now: float) -> None:
         """Checks that a gateway sends nothing to an instance drain_s after its acknowledged drain."""
         assert gateway.client
-        known = gateway.client.instance_directory.known.get(drain.instance)
+        known = gateway.client.instance_directory.instances.get(drain.instance)
         holds = known is None or known.row.phase == Phase.DRAINING or now - drain.at < BOUNDS.drain_s
         self.checker.check(holds, now, f"DRAIN: {gateway.name} takes {drain.instance} for ready")
 
--- a/stoneyoke/lab/simulation/machines.py
+++ b/stoneyoke/lab/simulation/machines.py
@@ -9,7 +9,7 @@
 from stoneyoke.controlplane.controller import Controller
 from stoneyoke.controlplane.settings import ControllerEnvironment, ControllerSettings
 from stoneyoke.gateway.control_client import ControlClient
-from stoneyoke.gateway.routes import Table, table_of
+from stoneyoke.gateway.routes import RoutingTable, build_routing_table
 from stoneyoke.lab.simulation.bounds import BOUNDS, HEARTBEAT_S
 from stoneyoke.lab.simulation.disks import Disk
 from stoneyoke.lab.simulation.environment import Environment, simulated_loop
@@ -142,7 +142,7 @@
         """Creates a machine without a process."""
         self.environment, self.name = environment, name
         self.client: ControlClient | None = None
-        self.table: Table | None = None
+        self.table: RoutingTable | None = None
         self.tasks: list[asyncio.Task[Any]] = []
         self.incarnations = 0
         self.started_at, self.has_been_ready = 0.0, False
@@ -190,7 +190,7 @@
         checker.register.show(now, self.name, configuration)
         is_newer = self.table is None or configuration.version > self.table.version
         checker.check(is_newer, now, f"CONFIG: {self.name} goes back")
-        self.table = table_of(configuration)
+        self.table = build_routing_table(configuration)
 
     def on_update(self) -> None:
         """Checks the first moment at which the gateway serves: it has all that was shown before it started."""
--- a/stoneyoke/lab/simulation/tenants.py
+++ b/stoneyoke/lab/simulation/tenants.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from stoneyoke.gateway.control_client import ControlClient
-from stoneyoke.gateway.routes import Table
+from stoneyoke.gateway.routes import RoutingTable
 from stoneyoke.lab.simulation.bounds import CHECK_INTERVAL_S
 from stoneyoke.lab.simulation.machines import GatewayMachine
 from stoneyoke.lab.simulation.plans import Tenant
@@ -63,14 +63,14 @@
         return last + QUIET_S < self.environment.now()
 
     def request(
-        self, gateway: GatewayMachine, client: ControlClient, table: Table, tenant: Tenant, is_steady: bool
+        self, gateway: GatewayMachine, client: ControlClient, table: RoutingTable, tenant: Tenant, is_steady: bool
     ) -> None:
         """Sends one request of a tenant to a gateway that runs and has a routing table."""
         known_tenant = next(one for one in table.tenants if one.label == tenant.label)
-        call = client.admission.call(known_tenant, TIMEOUT_S * SECOND)
+        call = client.admission.arrival(known_tenant, TIMEOUT_S * SECOND)
         local_quota = client.admission.local_quotas[tenant.label]
-        decision = client.admission.knock(call, local_quota, client.micros())
-        is_large = known_tenant.rate >= LARGE_RATE and known_tenant.burst >= known_tenant.rate
+        decision = client.admission.try_admit(call, local_quota, client.now_us())
+        is_large = known_tenant.rate_per_s >= LARGE_RATE and known_tenant.burst >= known_tenant.rate_per_s
         is_below_quota = is_steady and is_large and self.is_quiet()
 
         def settle(decision: int) -> None:
@@ -78,15 +78,15 @@
             if decision == ADMITTED:
                 self.admitted += 1
                 now = self.environment.now()
-                self.environment.checker.record_admitted(tenant.label, known_tenant.rate, known_tenant.burst, now)
+                self.environment.checker.record_admitted(tenant.label, known_tenant.rate_per_s, known_tenant.burst, now)
             else:
                 self.rejected += 1
                 self.rejected_below_quota += is_below_quota
 
         async def settle_after_draw() -> None:
-            await client.quota_client.ask(tenant.label)
+            await client.quota_client.wait_for_units(tenant.label)
             if gateway.client is client:
-                settle(client.admission.answered(call, local_quota, client.micros()))
+                settle(client.admission.admit_after_reply(call, local_quota, client.now_us()))
 
         if decision is None:
             self.environment.network.run_on(gateway.name, settle_after_draw())
--- a/stoneyoke/programs/gateway.py
+++ b/stoneyoke/programs/gateway.py
@@ -14,8 +14,8 @@
 from stoneyoke.api.configuration import Configuration
 from stoneyoke.gateway.control_client import ControlClient
 from stoneyoke.gateway.request_handler import RequestHandler
-from stoneyoke.gateway.routes import table_of
-from stoneyoke.gateway.upstreams import Upstreams, judge
+from stoneyoke.gateway.routes import build_routing_table
+from stoneyoke.gateway.upstreams import Upstreams, classify_answer
 from stoneyoke.net.backends import BackendLimits, Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.net.message_reader import MessageReader
@@ -48,7 +48,7 @@
         body_most = settings.memory // ANSWER_PART
         limits = BackendLimits(connect_timeout_us=DIAL_US, idle_timeout_us=IDLE_US, response_max_bytes=body_most)
         self.backends = Backends(self.clock, self.metrics, descriptor_budget, limits)
-        self.backends.classify = judge
+        self.backends.classify = classify_answer
         self.control_client = ControlClient(
             settings.name,
             settings.ip,
@@ -85,11 +85,11 @@
     # ---- what is heard ----
 
     def take(self, chart: Configuration) -> None:
-        self.front.take(table_of(chart))
+        self.front.install(build_routing_table(chart))
 
     def told(self) -> None:
-        self.upstreams.among(self.control_client.fleet)
-        self.upstreams.renew()
+        self.upstreams.set_fleet(self.control_client.fleet)
+        self.upstreams.refresh()
 
     # ---- readiness ----
 
@@ -125,8 +125,8 @@
             logger.error("reload: {}", bad)
             return
         for seed in settings.seeds:
-            self.instance_directory.meet(seed)
-        self.control_client.config_sync.follow_all()
+            self.instance_directory.add_controller(seed)
+        self.control_client.config_sync.follow_controllers()
 
     async def sweep(self) -> None:
         looks = 0
@@ -136,7 +136,7 @@
             self.backends.close_expired()
             self.front.connections.close_expired()
             self.instance_directory.sweep(self.control_client.clock())
-            self.upstreams.renew()
+            self.upstreams.refresh()
             if looks % 4 == 0 and self.stamp() != self.seen:
                 self.reload()
 
--- a/tests/system/gateway_fixture.py
+++ b/tests/system/gateway_fixture.py
@@ -12,11 +12,11 @@
 from stoneyoke.net.backends import BackendLimits, Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.gateway.admission import Admission
-from stoneyoke.gateway.control_client import Fleet
+from stoneyoke.gateway.control_client import GatewayFleet
 from stoneyoke.gateway.request_handler import RequestHandler
-from stoneyoke.gateway.upstreams import Upstreams, judge
+from stoneyoke.gateway.upstreams import Upstreams, classify_answer
 from stoneyoke.gateway.instance_directory import InstanceDirectory
-from stoneyoke.gateway.routes import table_of
+from stoneyoke.gateway.routes import build_routing_table
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
 
@@ -72,7 +72,7 @@
     def __init__(self, local_quotas):
         self.local_quotas, self.gives, self.asked = local_quotas, (5.0, 0.0, 0.5, 0.0), 0
 
-    async def ask(self, tenant):
+    async def wait_for_units(self, tenant):
         self.asked += 1
         self.local_quotas[tenant].apply_grant(QuotaGrant(tenant, *self.gives), time.time())
 
@@ -86,13 +86,13 @@
         descriptor_budget = DescriptorBudget(200, 20)
         limits = BackendLimits(connect_timeout_us=300_000, idle_timeout_us=4_000_000, response_max_bytes=1 << 20)
         self.backends = Backends(self.clock, self.metrics, descriptor_budget, limits)
-        self.backends.classify = judge
+        self.backends.classify = classify_answer
         self.instance_directory = InstanceDirectory(("10.0.0.1",))
         self.upstreams = Upstreams(
             self.clock, self.metrics, self.backends, self.instance_directory, ("east",), "east", 7, BOUNDS
         )
         self.admission = Admission(7, self.clock.now(), BOUNDS)
-        self.admission.heard(self.clock.now() + 3_600_000_000)
+        self.admission.lease_holder_answered(self.clock.now() + 3_600_000_000)
         self.quota_client = Silent(self.admission.local_quotas)
         self.front = RequestHandler(self.clock, self.metrics, descriptor_budget, 300, self.backends)
         self.front.admission, self.front.quota_client, self.front.upstreams = (
@@ -101,12 +101,12 @@
             self.upstreams,
         )
         self.front.instance_directory, self.front.draw = self.instance_directory, lambda: 0.5
-        self.upstreams.among(Fleet(1, 0))
-        self.front.take(table_of(read_configuration(example(7, self.change))))
+        self.upstreams.set_fleet(GatewayFleet(1, 0))
+        self.front.install(build_routing_table(read_configuration(example(7, self.change))))
         for at, backend in enumerate(self.stand_ins):
             await backend.open()
             self.add(f"i-{at}", backend.port)
-        self.upstreams.renew()
+        self.upstreams.refresh()
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(self.front.make_protocol, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
@@ -114,7 +114,7 @@
         return self
 
     def add(self, instance, port, phase=0, seq=1):
-        self.instance_directory.merge(
+        self.instance_directory.merge_row(
             InstanceRow(instance, f"127.0.0.1:{port}", self.service, "east", "v1", 2, phase, seq, 0.0),
             self.clock.now() / 1_000_000,
         )
--- a/tests/system/test_api.py
+++ b/tests/system/test_api.py
@@ -13,7 +13,7 @@
 from stoneyoke.api.configuration import Version, read_configuration, weighted_targets
 from stoneyoke.api.errors import InvalidField
 from stoneyoke.api.http_mapping import read_call
-from stoneyoke.gateway.routes import table_of
+from stoneyoke.gateway.routes import build_routing_table
 
 JsonPath = tuple[str | int, ...]
 HEARTBEAT_PATH = "/instances/i-1/heartbeat"
@@ -132,26 +132,26 @@
             accepted += 1
             for _, one in configuration.routes():
                 assert all(target.service in configuration.services for target in weighted_targets(one))
-            table_of(configuration)
+            build_routing_table(configuration)
     assert accepted > 20  # an optional value may be null
 
 
 @test("the longest prefix wins, hosts match in any case, keys name their tenant")
 def _() -> None:
-    table = table_of(read_configuration(example()))
-    assert table.find("one.example", "/a/b/c").label == "r-2"
-    assert table.find("one.example", "/a/bc").label == "r-1"
-    assert table.find("one.example", "/b") is None
-    assert table.find("three.example", "/a/") is None
-    assert table.find("two.example", "/anything").public
-    assert table.keys["key-b"].label == "anna"
-    assert "key-x" not in table.keys
+    table = build_routing_table(read_configuration(example()))
+    assert table.find_route("one.example", "/a/b/c").label == "r-2"
+    assert table.find_route("one.example", "/a/bc").label == "r-1"
+    assert table.find_route("one.example", "/b") is None
+    assert table.find_route("three.example", "/a/") is None
+    assert table.find_route("two.example", "/anything").is_public
+    assert table.tenants_by_key["key-b"].label == "anna"
+    assert "key-x" not in table.tenants_by_key
 
 
 @test("the services of a route are drawn by their shares")
 def _() -> None:
-    found = table_of(read_configuration(example())).find("one.example", "/a/")
-    drawn = [found.service(at / 1000) for at in range(1000)]
+    found = build_routing_table(read_configuration(example())).find_route("one.example", "/a/")
+    drawn = [found.choose_service(at / 1000) for at in range(1000)]
     assert drawn.count("tide") == 900
     assert drawn.count("quay") == 100
 
--- a/tests/system/test_backend_at_work.py
+++ b/tests/system/test_backend_at_work.py
@@ -9,7 +9,7 @@
 from ward import test
 
 from stoneyoke.control.context import TICK_US
-from stoneyoke.gateway.upstreams import judge
+from stoneyoke.gateway.upstreams import classify_answer
 from stoneyoke.control.events import TimerFired
 from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.message_reader import Message
@@ -33,7 +33,7 @@
 async def at_a_quiet_backend(gateway, peer):
     """A repeatable request that the only backend is at work on, and the backend's end of its connection."""
     gateway.add("i-0", peer.address[1])
-    gateway.upstreams.renew()
+    gateway.upstreams.refresh()
     asked = asyncio.ensure_future(gateway.ask(method=b"GET", body=b"", wait=b"60000"))
     await until(peer.waiting)
     connection = peer.accept()
@@ -43,7 +43,7 @@
 
 def let_the_module_wait(gateway):
     """Time passes for the decisions alone, beat by beat."""
-    runtime = gateway.upstreams.upstream(gateway.service).runtime
+    runtime = gateway.upstreams.get(gateway.service).runtime
     for _ in range(BEATS):
         gateway.clock.monotonic_to_unix_us += TICK_US
         runtime.dispatch(TimerFired(0))
@@ -105,4 +105,4 @@
         message = Message()
         message.status, message.headers = 200, {b"server-stamp": b"s", **headers}
         message.repeated = set(repeated)
-        assert judge(message) is AttemptOutcome.BROKEN
+        assert classify_answer(message) is AttemptOutcome.BROKEN
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -20,8 +20,8 @@
     GatewayParameters,
 )
 from stoneyoke.api.configuration import read_configuration
-from stoneyoke.gateway.control_client import Fleet
-from stoneyoke.gateway.routes import table_of
+from stoneyoke.gateway.control_client import GatewayFleet
+from stoneyoke.gateway.routes import build_routing_table
 
 
 def on_loop(story):
@@ -68,11 +68,13 @@
 @on_loop
 async def _():
     async with Gateway([Backend()]) as gateway:
-        gateway.front.take(
-            table_of(read_configuration(example(9, lambda c: c["tenant_list"][0].update(api_keys=["key-n"]))))
+        gateway.front.install(
+            build_routing_table(
+                read_configuration(example(9, lambda c: c["tenant_list"][0].update(api_keys=["key-n"])))
+            )
         )
         assert (await gateway.ask())[0] == 401 and (await gateway.ask(key=b"key-n"))[0] == 200
-        gateway.front.take(table_of(read_configuration(example(8))))
+        gateway.front.install(build_routing_table(read_configuration(example(8))))
         assert (await gateway.ask())[0] == 401
 
 
@@ -93,7 +95,7 @@
             assert (await gateway.ask())[0] == 200
             assert [len(one.got) for one in backends] == [1, 1]
             if status == 421:
-                assert refused[0] in gateway.instance_directory.gone
+                assert refused[0] in gateway.instance_directory.gone_at
 
 
 @test("an order that may have run is sent nowhere else, and its answer makes no promise")
@@ -151,7 +153,7 @@
     backends = [Backend(refusing(503)) for _ in range(4)]
     async with Gateway(backends) as gateway:
         gateway.upstreams.bounds = replace(gateway.upstreams.bounds, retry_slack_attempts=8.0)
-        gateway.upstreams.among(Fleet(2, 0))
+        gateway.upstreams.set_fleet(GatewayFleet(2, 0))
         answers = [await gateway.ask() for _ in range(30)]
         arrivals = sum(len(one.got) for one in backends)
         assert {status for status, _, _ in answers} == {503} and all("retry-after" in more for _, more, _ in answers)
@@ -202,17 +204,17 @@
     drains, stays = Backend(), Backend()
     async with Gateway([drains, stays]) as gateway:
         gateway.add("i-0", drains.port, Phase.DRAINING, 5)
-        gateway.upstreams.renew()
+        gateway.upstreams.refresh()
         for _ in range(5):
             assert (await gateway.ask())[0] == 200
         gateway.add("i-0", drains.port, Phase.READY, 4)
         gateway.add("i-0", drains.port, Phase.GONE, 5)
         gateway.add("i-0", drains.port, Phase.READY, 9)
-        gateway.upstreams.renew()
+        gateway.upstreams.refresh()
         for _ in range(5):
             assert (await gateway.ask())[0] == 200
         assert not drains.got and len(stays.got) == 10
-        assert "i-0" not in gateway.instance_directory.known
+        assert "i-0" not in gateway.instance_directory.instances
 
 
 @test("over quota is a 429 with a time, at once and without a backend; with units it passes")
@@ -299,13 +301,13 @@
 @test("what each answer of a backend tells")
 def _():
     from stoneyoke.net.message_reader import Message
-    from stoneyoke.gateway.upstreams import judge
+    from stoneyoke.gateway.upstreams import classify_answer
 
     def told(status, **headers):
         message = Message()
         message.status = status
         message.headers = {name.replace("_", "-").encode(): value for name, value in headers.items()}
-        return judge(message)
+        return classify_answer(message)
 
     assert told(200, server_stamp=b"s") is AttemptOutcome.OK and told(200) is AttemptOutcome.BROKEN
     assert told(503, not_run=b"1") is told(421) is told(400, not_run=b"1") is AttemptOutcome.REJECTED
@@ -313,7 +315,7 @@
     assert (
         told(500) is told(504) is AttemptOutcome.ERROR
         and told(404) is AttemptOutcome.OK
-        and judge(None) is AttemptOutcome.BROKEN
+        and classify_answer(None) is AttemptOutcome.BROKEN
     )
 
 
--- a/tests/system/test_instance_directory.py
+++ b/tests/system/test_instance_directory.py
@@ -2,7 +2,7 @@
 
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.api.configuration import Version
-from stoneyoke.gateway.instance_directory import DROP_S, TOUCH_S, InstanceDirectory
+from stoneyoke.gateway.instance_directory import DROP_UNHEARD_S, IN_TOUCH_S, InstanceDirectory
 from stoneyoke.transport.messages import BallotRow, InstanceRow, MemberRow, PullResponse, ValueRow, VersionRow
 
 VOTERS = ("a", "b", "c")
@@ -57,79 +57,81 @@
 def _():
     directory = InstanceDirectory(("a", "b", "c"))
     assert directory.caught_up(0.0) is None
-    directory.hear("a", news(3), 0.0)
+    directory.apply_pull("a", news(3), 0.0)
     assert directory.caught_up(0.1) is None
-    directory.hear("b", news(5, name="b", disk="5e"), 0.1)
+    directory.apply_pull("b", news(5, name="b", disk="5e"), 0.1)
     assert directory.caught_up(0.1) is None  # it lost its disk: it is another member
-    directory.hear("b", news(5, name="b", instances_synced=False), 0.1)
+    directory.apply_pull("b", news(5, name="b", instances_synced=False), 0.1)
     assert directory.caught_up(0.1) is None  # it may lack a drain
-    directory.hear("b", news(5, name="b"), 0.1)
+    directory.apply_pull("b", news(5, name="b"), 0.1)
     assert directory.caught_up(0.1) == Version(5, b"x") and directory.newest()[1] == "b"
-    assert directory.caught_up(0.1 + TOUCH_S) is None
+    assert directory.caught_up(0.1 + IN_TOUCH_S) is None
 
 
 @test("who is not among the newest voters does not count; while a change is not settled both sets are asked")
 def _():
     directory = InstanceDirectory(("a", "d"))
-    directory.hear("a", news(3), 0.0)
-    directory.hear("d", news(3, name="d"), 0.0)
+    directory.apply_pull("a", news(3), 0.0)
+    directory.apply_pull("d", news(3, name="d"), 0.0)
     assert directory.caught_up(0.0) is None
-    directory.hear("d", news(3, name="d", voters_number=2, voters=("a", "c", "d")), 0.0)
+    directory.apply_pull("d", news(3, name="d", voters_number=2, voters=("a", "c", "d")), 0.0)
     assert directory.caught_up(0.0) == Version(3, b"x")
-    directory.hear("d", news(3, name="d", voters_number=3, voters=("a", "d", "e"), previous=("b", "c", "d")), 0.0)
+    directory.apply_pull("d", news(3, name="d", voters_number=3, voters=("a", "d", "e"), previous=("b", "c", "d")), 0.0)
     assert directory.caught_up(0.0) is None  # of the voters before only d is heard
-    directory.hear("c", news(3, name="c", voters_number=2, voters=("a", "c", "d")), 0.0)
+    directory.apply_pull("c", news(3, name="c", voters_number=2, voters=("a", "c", "d")), 0.0)
     assert directory.caught_up(0.0) == Version(3, b"x")
 
 
 @test("a drain told by one core holds against older tellings of others, and leaves hold for good")
 def _():
     directory = InstanceDirectory(("a", "b"))
-    directory.hear("a", news(rows=[row(5, Phase.DRAINING)]), 0.0)
-    directory.hear("b", news(name="b", rows=[row(4)]), 0.1)
-    directory.hear("b", news(name="b", rows=[row(6)]), 0.2)
-    assert directory.known["i-1"].row.phase == Phase.DRAINING
-    directory.hear("a", news(rows=[row(6, Phase.GONE)]), 0.3)
-    directory.hear("b", news(name="b", rows=[row(9)]), 0.4)
-    assert not directory.known
+    directory.apply_pull("a", news(rows=[row(5, Phase.DRAINING)]), 0.0)
+    directory.apply_pull("b", news(name="b", rows=[row(4)]), 0.1)
+    directory.apply_pull("b", news(name="b", rows=[row(6)]), 0.2)
+    assert directory.instances["i-1"].row.phase == Phase.DRAINING
+    directory.apply_pull("a", news(rows=[row(6, Phase.GONE)]), 0.3)
+    directory.apply_pull("b", news(name="b", rows=[row(9)]), 0.4)
+    assert not directory.instances
 
 
 @test("a backend that no core in touch hears is doubted, then dropped; not while the cores are lost themselves")
 def _():
     directory = InstanceDirectory(("a", "b", "c"))
     for name in "abc":
-        directory.hear(name, news(name=name, rows=[row(), row(instance="i-2")]), 0.0)
+        directory.apply_pull(name, news(name=name, rows=[row(), row(instance="i-2")]), 0.0)
     for name in "ab":
-        directory.hear(name, news(name=name, rows=[row(phase=Phase.SILENT)], seq=2), 1.0)
+        directory.apply_pull(name, news(name=name, rows=[row(phase=Phase.SILENT)], seq=2), 1.0)
     directory.sweep(1.0)
-    assert not directory.doubted("tide")  # c still hears it
-    directory.hear("c", news(name="c", rows=[row(phase=Phase.SILENT)], seq=2), 1.1)
+    assert not directory.unheard_instances("tide")  # c still hears it
+    directory.apply_pull("c", news(name="c", rows=[row(phase=Phase.SILENT)], seq=2), 1.1)
     directory.sweep(1.2)
-    assert directory.doubted("tide") == {"i-1"}
-    directory.sweep(1.2 + DROP_S + TOUCH_S)
-    assert set(directory.known) == {"i-2"}
+    assert directory.unheard_instances("tide") == {"i-1"}
+    directory.sweep(1.2 + DROP_UNHEARD_S + IN_TOUCH_S)
+    assert set(directory.instances) == {"i-2"}
     directory.sweep(90.0)  # no core is in touch: nobody can tell
-    assert set(directory.known) == {"i-2"}
+    assert set(directory.instances) == {"i-2"}
 
 
 @test("doubts of more than half of a service are the cores' own trouble")
 def _():
     directory = InstanceDirectory(("a",))
-    directory.hear("a", news(rows=[row(), row(instance="i-2")], voters=("a",)), 0.0)
-    directory.hear("a", news(complete=True, incarnation="new", voters=("a",)), 1.0)  # started again, knows nobody yet
+    directory.apply_pull("a", news(rows=[row(), row(instance="i-2")], voters=("a",)), 0.0)
+    directory.apply_pull(
+        "a", news(complete=True, incarnation="new", voters=("a",)), 1.0
+    )  # started again, knows nobody yet
     directory.sweep(1.0)
-    assert directory.doubted("tide") == frozenset() and len(directory.known) == 2
+    assert directory.unheard_instances("tide") == frozenset() and len(directory.instances) == 2
 
 
 @test("a core's own word on who keeps the quotas goes before what others heard; rolls are kept while not told anew")
 def _():
     directory = InstanceDirectory(("a", "b", "c"))
     for name in "ab":
-        directory.hear(name, news(name=name, lease_holder="a", gateways=["edge-1"]), 0.0)
+        directory.apply_pull(name, news(name=name, lease_holder="a", gateways=["edge-1"]), 0.0)
     assert directory.lease_holder(0.1) == "a" and directory.gateways(0.1) == ["edge-1"]
-    directory.hear("c", news(name="c", lease_holder="c", gateways=["edge-2"]), 0.2)
+    directory.apply_pull("c", news(name="c", lease_holder="c", gateways=["edge-2"]), 0.2)
     assert directory.lease_holder(0.2) == "c"
-    directory.hear("c", news(name="c", lease_holder="c"), 0.3)
+    directory.apply_pull("c", news(name="c", lease_holder="c"), 0.3)
     assert directory.gateways(0.3) == ["edge-1", "edge-2"]
-    directory.hear("c", news(name="c", lease_holder="c", membership_version=2), 0.4)
+    directory.apply_pull("c", news(name="c", lease_holder="c", membership_version=2), 0.4)
     assert directory.gateways(0.4) == ["edge-1"]
--- a/tests/system/test_instance_registry.py
+++ b/tests/system/test_instance_registry.py
@@ -142,18 +142,18 @@
 
 @test("a gateway remembers as many instances that left as a controller, the last ones, for longer")
 def _():
-    assert instance_directory.MOST_GONE >= instance_registry.MAX_ENDED_RECORDS
-    assert instance_directory.GONE_S > instance_registry.TOMBSTONE_TTL_S
+    assert instance_directory.GONE_MAX >= instance_registry.MAX_ENDED_RECORDS
+    assert instance_directory.GONE_MEMORY_S > instance_registry.TOMBSTONE_TTL_S
     directory = InstanceDirectory(())
     for at in range(10_000):
-        directory.merge(row(f"i-{at}"), at * 0.002)
-        directory.merge(row(f"i-{at}", phase=Phase.GONE), at * 0.002)
+        directory.merge_row(row(f"i-{at}"), at * 0.002)
+        directory.merge_row(row(f"i-{at}", phase=Phase.GONE), at * 0.002)
     directory.sweep(20.0)
-    assert len(directory.gone) == instance_directory.MOST_GONE
-    directory.merge(row("i-9999", 9), 20.1)
-    assert not directory.known
-    directory.sweep(21.0 + instance_directory.GONE_S)
-    assert not directory.gone
+    assert len(directory.gone_at) == instance_directory.GONE_MAX
+    directory.merge_row(row("i-9999", 9), 20.1)
+    assert not directory.instances
+    directory.sweep(21.0 + instance_directory.GONE_MEMORY_S)
+    assert not directory.gone_at
 
 
 @test("the order of heartbeats does not matter, and what is gone stays gone")
--- a/tests/system/test_quota_allocator.py
+++ b/tests/system/test_quota_allocator.py
@@ -43,7 +43,7 @@
     def new_admission(self) -> Admission:
         admission = Admission(7, int(self.now * SECOND), BOUNDS)
         if self.now > 1003:  # a new incarnation counts with many
-            admission.among(ASSUMED_GATEWAYS)
+            admission.set_gateway_count(ASSUMED_GATEWAYS)
         return admission
 
     def restart(self, at: int) -> None:
@@ -76,7 +76,7 @@
             local_quota = admission.local_quotas[grant.tenant]
             local_quota.apply_grant(grant, self.now)
             local_quota.reported_isolated_units = local_quota.isolated_units
-        admission.heard(int(self.now * SECOND))
+        admission.lease_holder_answered(int(self.now * SECOND))
         if is_late:
             self.exchange(at, waiting)
 
@@ -90,12 +90,12 @@
     def request(self, at: int) -> None:
         self.requests += 1
         admission = self.admissions[at]
-        call, now = admission.call(TENANT, SECOND), int(self.now * SECOND)
+        call, now = admission.arrival(TENANT, SECOND), int(self.now * SECOND)
         local_quota = admission.local_quotas["anna"]
-        wait_us = admission.knock(call, local_quota, now)
+        wait_us = admission.try_admit(call, local_quota, now)
         if wait_us is None:
             self.exchange(at, 1)
-            wait_us = admission.answered(call, local_quota, now)
+            wait_us = admission.admit_after_reply(call, local_quota, now)
         if wait_us == 0:
             self.sent_at.append(self.now)
         else:
@@ -306,11 +306,11 @@
 @test("early returners wait longer, and a refusal states the bucket's wait with jitter")
 def _() -> None:
     admission = Admission(7, 0, BOUNDS)
-    call = admission.call(TENANT, SECOND)
+    call = admission.arrival(TENANT, SECOND)
     local_quota = admission.local_quotas["anna"]
-    admission.heard(1 * SECOND)
+    admission.lease_holder_answered(1 * SECOND)
     local_quota.apply_grant(QuotaGrant("anna", units=0.0, wait_s=0.5, share=0.2, reserve_units=0.0), 1.0)
-    waits = [admission.knock(call, local_quota, 1 * SECOND) or 0 for _ in range(30)]
+    waits = [admission.try_admit(call, local_quota, 1 * SECOND) or 0 for _ in range(30)]
     assert 0.5 * SECOND <= waits[0] <= 1.5 * SECOND + 1
     assert min(waits[10:19]) >= 1.0 * SECOND  # doubled
     assert min(waits[20:]) >= 4.9 * SECOND  # then blocked
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -3,7 +3,7 @@
 from ward import test
 
 from stoneyoke.limits.local_quota import LocalQuota
-from stoneyoke.gateway.quota_client import ANSWER_S, QuotaClient
+from stoneyoke.gateway.quota_client import ANSWER_TIMEOUT_S, QuotaClient
 from stoneyoke.transport.messages import QuotaGrant, QuotaResponse
 from stoneyoke.transport.errors import PeerUnreachable
 
@@ -56,9 +56,9 @@
     wire = PeerClient([GREETED, given(3.0)])
 
     async def story(quota_client, heard):
-        await asyncio.gather(*(quota_client.ask("anna") for _ in range(3)))
+        await asyncio.gather(*(quota_client.wait_for_units("anna") for _ in range(3)))
         assert wire.asked[0].demands == [] and wire.asked[1].demands[0][:2] == ("anna", 3.0) and len(wire.asked) == 2
-        assert quota_client.local_quotas["anna"].level == 3 and heard and not quota_client.waiting
+        assert quota_client.local_quotas["anna"].level == 3 and heard and not quota_client.waiting_requests
 
     play(wire, story)
 
@@ -68,15 +68,15 @@
     wire = PeerClient([PeerUnreachable("cut"), QuotaResponse(ok=False, grants=[]), GREETED, given(1.0)])
 
     async def story(quota_client, heard):
-        await quota_client.ask("anna")
-        assert quota_client.down and not heard
+        await quota_client.wait_for_units("anna")
+        assert quota_client.unanswered and not heard
         for _ in range(100):
-            if not quota_client.down:
+            if not quota_client.unanswered:
                 break
-            quota_client.wanted.set()
+            quota_client.request_due.set()
             quota_client.local_quotas["anna"].demand_units = 1.0
-            await asyncio.wait_for(quota_client.answered.wait(), 2)
-        assert not quota_client.down and heard and len(wire.asked) >= 3
+            await asyncio.wait_for(quota_client.round_ended.wait(), 2)
+        assert not quota_client.unanswered and heard and len(wire.asked) >= 3
 
     play(wire, story)
 
@@ -86,10 +86,10 @@
     wire = PeerClient([GREETED, given(0.0, 5.0), given(0.0, 5.0)])
 
     async def story(quota_client, heard):
-        await quota_client.ask("anna")
+        await quota_client.wait_for_units("anna")
         assert quota_client.local_quotas["anna"].closed_until > asyncio.get_running_loop().time() + 4
         quota_client.local_quotas["anna"].demand_units = 2.0
-        await quota_client.draw(wire)
+        await quota_client.request_units(wire)
         assert wire.asked[2].demands[0][:3] == ("anna", 0.0, 2.0)
 
     play(wire, story)
@@ -105,8 +105,8 @@
 
         async def story(quota_client, heard, wire=wire):
             quota_client.local_quotas["bert"] = LocalQuota()
-            await quota_client.ask("anna")
-            assert quota_client.down and len(wire.asked) == 2 and len(heard) == 1
+            await quota_client.wait_for_units("anna")
+            assert quota_client.unanswered and len(wire.asked) == 2 and len(heard) == 1
             assert quota_client.local_quotas["anna"].level == quota_client.local_quotas["bert"].level == 0
 
         play(wire, story)
@@ -119,15 +119,18 @@
     wire = PeerClient([GREETED, given(3.0)])
 
     async def story(quota_client, heard):
-        await quota_client.ask("anna")
+        await quota_client.wait_for_units("anna")
         loop = asyncio.get_running_loop()
         asked_at, now = loop.time(), loop.time
         quota_client.clock = lambda: now() + (100.0 if len(wire.asked) > 2 else 0.0)  # from the third one's asking on
         wire.answers.append(given(1.0))
         quota_client.local_quotas["anna"].demand_units = 1.0
-        await quota_client.draw(wire)
+        await quota_client.request_units(wire)
         assert (
-            asked_at < quota_client.heard_at == quota_client.local_quotas["anna"].granted_at < asked_at + 1 + ANSWER_S
+            asked_at
+            < quota_client.heard_at
+            == quota_client.local_quotas["anna"].granted_at
+            < asked_at + 1 + ANSWER_TIMEOUT_S
         )
 
     play(wire, story)
