--- a/stoneyoke/fleet/transport.py
+++ b/stoneyoke/fleet/transport.py
@@ -11,10 +11,10 @@
 from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.fleet.agent import NO_ADVICE, TICK_INTERVAL_US, FleetAgent, FleetSettings
 from stoneyoke.fleet.messages import Address, Member, MemberState
+from stoneyoke.fleet.parameters import FleetParameters
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.runtime import Runtime
-from stoneyoke.single_gateway.options import FleetParameters
 
 SECOND_US = 1_000_000
 MAX_DATAGRAMS_PER_TICK = 100  # more are dropped unread
--- a/stoneyoke/single_gateway/configuration.py
+++ b/stoneyoke/single_gateway/configuration.py
@@ -13,7 +13,8 @@
 from stoneyoke.single_gateway.request_head import RpcVocabulary
 
 if TYPE_CHECKING:
-    from stoneyoke.single_gateway.options import FleetParameters, Options
+    from stoneyoke.fleet.parameters import FleetParameters
+    from stoneyoke.single_gateway.options import Options
 
 CONFIGURATION_VARIABLE = "NODE_CONFIG"
 OPTIONS_VARIABLE = "STONEYOKE_OPTIONS"
--- a/stoneyoke/single_gateway/options.py
+++ b/stoneyoke/single_gateway/options.py
@@ -4,14 +4,13 @@
 """
 
 from pathlib import Path
-from typing import Literal, NamedTuple
+from typing import Literal
 
 import msgspec
 
+from stoneyoke.fleet.parameters import Address, FleetParameters
 from stoneyoke.single_gateway.errors import InvalidConfiguration
 
-Address = tuple[str, int]
-
 NAME_MAX_CHARACTERS = 64
 HOST_MAX_CHARACTERS = 64
 PORT_MAX = 65_535
@@ -55,16 +54,6 @@
     fleet: FleetOptions = FleetOptions()
 
 
-class FleetParameters(NamedTuple):
-    """The fleet part's options, read and checked."""
-
-    name: str
-    listen: Address
-    advertise: Address
-    seeds: list[Address]
-    keys: list[bytes]
-
-
 def read_options_file(path: Path) -> Options:
     """Reads a file of options.
 
--- a/stoneyoke/single_gateway/program.py
+++ b/stoneyoke/single_gateway/program.py
@@ -30,8 +30,8 @@
 from stoneyoke.single_gateway.rpc_handler import RpcHandler
 
 if TYPE_CHECKING:
+    from stoneyoke.fleet.parameters import FleetParameters
     from stoneyoke.fleet.transport import FleetTransport
-    from stoneyoke.single_gateway.options import FleetParameters
 
 MAINTENANCE_S = 0.25  # the shortest time-out that it ends, 2 s, has to be kept within 3
 ACCEPT_QUEUE = 1024  # connections that may wait to be accepted; the system cuts it down to what it allows
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -13,9 +13,10 @@
 
 from stoneyoke.control.events import PeerEvidence
 from stoneyoke.fleet.messages import MemberState
+from stoneyoke.fleet.parameters import FleetParameters
 from stoneyoke.single_gateway.configuration import read_settings
 from stoneyoke.single_gateway.errors import InvalidConfiguration
-from stoneyoke.single_gateway.options import FleetOptions, FleetParameters, fleet_parameters
+from stoneyoke.single_gateway.options import FleetOptions, fleet_parameters
 from stoneyoke.single_gateway.program import SingleGatewayProgram
 
 ENV = os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)}
