--- /dev/null
+++ b/stoneyoke/gateway/forwarding.py
@@ -0,0 +1,183 @@
+"""One admitted request on its way to the backends: its attempts, and the answer that comes of them.
+
+The decision logic chooses backends and retries (see `stoneyoke/control/gateway.py`). This module carries out what it
+decides and keeps what the answer to the client depends on: whether any attempt may have run.
+"""
+
+from dataclasses import dataclass
+
+from stoneyoke.control.actions import Abandon, Reject, StartAttempt
+from stoneyoke.control.parameters import PROVEN_NOT_RUN, AttemptOutcome
+from stoneyoke.gateway.instance_directory import InstanceDirectory
+from stoneyoke.gateway.local_reply import local_reply
+from stoneyoke.gateway.request_head import Request, client_answer_headers, upstream_request_head
+from stoneyoke.gateway.routes import Route, Tenant
+from stoneyoke.gateway.upstreams import RANKS_MAX, Upstream, Upstreams
+from stoneyoke.net.attempt import OutgoingRequest
+from stoneyoke.net.backends import Backends
+from stoneyoke.net.client_connection import ClientConnection
+from stoneyoke.net.message_reader import Message
+from stoneyoke.net.reply import CLIENT_GONE, Reply
+from stoneyoke.runtime.clock import Clock
+from stoneyoke.runtime.metrics import Metrics
+from stoneyoke.runtime.pending_request import Decision, PendingRequest, RequestDescription
+
+MISDIRECTED_REQUEST = 421
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class ForwardingContext:
+    """What every forwarded request of one gateway shares.
+
+    Attributes:
+        clock: The process's clock.
+        metrics: The process's counters.
+        backends: The connections to backends.
+        upstreams: The services, each with its decision logic.
+        instance_directory: The backend instances that controllers have reported.
+    """
+
+    clock: Clock
+    metrics: Metrics
+    backends: Backends
+    upstreams: Upstreams
+    instance_directory: InstanceDirectory
+
+
+class ForwardedRequest:
+    """A request that has a route, a tenant and a deadline, until its answer is known.
+
+    Attributes:
+        deadline_us: Until when an answer must be there.
+        may_have_run: An attempt has ended without proof that the backend did not run it. From then on the client is
+            never told that the request did not run.
+        backend_error: The answer of the last attempt if that was the backend's own failure. It is passed on where
+            nothing better comes.
+    """
+
+    __slots__ = (
+        "backend_error",
+        "context",
+        "deadline_us",
+        "may_have_run",
+        "message",
+        "pending",
+        "request",
+        "route",
+        "tenant",
+    )
+
+    def __init__(
+        self, context: ForwardingContext, message: Message, request: Request, route: Route, tenant: Tenant
+    ) -> None:
+        """Takes a request that is admitted; `run` sends it."""
+        self.context, self.message, self.request = context, message, request
+        self.route, self.tenant = route, tenant
+        self.pending: PendingRequest
+        self.deadline_us = 0
+        self.may_have_run = False
+        self.backend_error: Message | None = None
+
+    async def run(self, client: ClientConnection, service: str, deadline_us: int) -> Reply:
+        """Sends the request until there is an answer.
+
+        Args:
+            client: The connection that the request came on.
+            service: The service of the route that is asked.
+            deadline_us: Until when an answer must be there.
+        """
+        self.deadline_us = deadline_us
+        upstreams = self.context.upstreams
+        upstream = upstreams.get(service)
+        description = RequestDescription(
+            method=upstreams.method_number(upstream, self.route), plan=min(self.tenant.rank, RANKS_MAX - 1)
+        )
+        self.pending = client.pending = upstream.runtime.open_request(description, deadline_us)
+        try:
+            return await self.follow_decisions(upstream)
+        finally:
+            client.pending = None
+            upstream.runtime.close_request(self.pending)
+
+    async def follow_decisions(self, upstream: Upstream) -> Reply:
+        """Carries out one decision after another until one of them, or an attempt's outcome, gives the answer."""
+        while True:
+            decision = await self.pending.next_decision(self.deadline_us)
+            if not isinstance(decision, StartAttempt):
+                return self.final_reply(decision)
+            reply = await self.make_attempt(upstream, decision.backend)
+            if reply is not None:
+                return reply
+
+    async def make_attempt(self, upstream: Upstream, backend: int) -> Reply | None:
+        """Makes one attempt and reports its outcome; None if the decision logic has to say what follows."""
+        attempt = self.pending.attempts_started
+        self.pending.attempts_started += 1
+        outcome, answer = await self.send(backend, attempt)
+        if outcome not in PROVEN_NOT_RUN:
+            self.may_have_run = True
+        self.backend_error = answer if outcome is AttemptOutcome.ERROR else None
+        upstream.runtime.attempt_ended(self.pending, attempt, backend, outcome)
+        if self.pending.client_gone:
+            return CLIENT_GONE
+        if outcome is AttemptOutcome.OK and answer:
+            return Reply(answer.status, answer.body, client_answer_headers(answer))
+        if outcome is AttemptOutcome.TIMED_OUT:
+            return self.local_reply(504, "no answer in time")
+        return None
+
+    async def send(self, backend: int, attempt: int) -> tuple[AttemptOutcome, Message | None]:
+        """Sends the request to one backend and waits for its outcome."""
+        context, now = self.context, self.context.clock.now()
+        known_instance = context.upstreams.instances.get(backend)
+        if known_instance is None:
+            return AttemptOutcome.NOT_SENT, None
+        instance = known_instance.row.instance
+        outgoing = OutgoingRequest(
+            head=upstream_request_head(self.message, instance, self.tenant.label, self.deadline_us - now),
+            body=self.message.body,
+            deadline_us=self.deadline_us,
+            is_answered_by=self.is_answered_by,
+        )
+        outcome, answer = await context.backends.send_attempt(self.pending, attempt, backend, outgoing)
+        context.metrics.add(f"call-outs: {outcome.value}")
+        if outcome is AttemptOutcome.REJECTED and answer and answer.status == MISDIRECTED_REQUEST:
+            self.note_misdirected(instance, answer)
+        return outcome, answer
+
+    def is_answered_by(self, answer: Message) -> bool:
+        """Whether a backend's answer belongs to this request. One that names two requests belongs to neither."""
+        return answer.headers.get(b"attempt-id") == self.request.id and b"attempt-id" not in answer.repeated
+
+    def note_misdirected(self, instance: str, answer: Message) -> None:
+        """Drops an instance for good if another one answers at its address."""
+        answering = answer.headers.get(b"instance-id", b"").decode("latin-1")
+        if answering != instance:
+            self.context.instance_directory.mark_gone(instance, self.context.clock.now() / 1_000_000)
+            self.context.upstreams.refresh()
+
+    def final_reply(self, decision: Decision | None) -> Reply:
+        """The answer where no attempt has given one and none follows.
+
+        A time for a retry is stated only while every attempt is proven not to have run.
+
+        Args:
+            decision: What was decided; None if the client has gone or the time is up.
+        """
+        if decision is None and self.pending.client_gone:
+            return CLIENT_GONE
+        if not self.may_have_run:
+            if decision is None:
+                return self.local_reply(503, "no backend in time", self.route.target_us)
+            if isinstance(decision, Reject):
+                self.context.metrics.add("requests: pressed")
+                return self.local_reply(503, "the service is full", decision.retry_after_us)
+        self.context.metrics.check_invariant(isinstance(decision, Abandon | Reject | None), "unknown decision")
+        if self.backend_error:
+            answer = self.backend_error
+            return Reply(answer.status, answer.body, client_answer_headers(answer))
+        return self.local_reply(502, "it may have run, and no answer came")
+
+    def local_reply(self, status: int, reason: str, retry_after_us: int = 0) -> Reply:
+        """An answer of this gateway's own to this request."""
+        return local_reply(self.context.metrics, self.request, status, reason, retry_after_us)
--- a/stoneyoke/programs/gateway.py
+++ b/stoneyoke/programs/gateway.py
@@ -13,7 +13,7 @@
 
 from stoneyoke.api.configuration import Configuration
 from stoneyoke.gateway.control_client import ControlClient
-from stoneyoke.gateway.request_handler import RequestHandler
+from stoneyoke.gateway.request_handler import RequestHandler, RequestServices
 from stoneyoke.gateway.routes import build_routing_table
 from stoneyoke.gateway.upstreams import Upstreams, classify_answer
 from stoneyoke.net.backends import BackendLimits, Backends
@@ -71,14 +71,16 @@
             seed,
             settings.bounds,
         )
-        self.front = RequestHandler(self.clock, self.metrics, descriptor_budget, free, self.backends)
-        self.front.body_most = body_most
-        self.front.admission, self.front.quota_client = self.control_client.admission, self.control_client.quota_client
-        self.front.upstreams, self.front.instance_directory, self.front.draw = (
-            self.upstreams,
-            self.instance_directory,
-            random.Random(seed).random,
+        services = RequestServices(
+            admission=self.control_client.admission,
+            quota_client=self.control_client.quota_client,
+            backends=self.backends,
+            upstreams=self.upstreams,
+            instance_directory=self.instance_directory,
+            random_point=random.Random(seed).random,
+            body_limit_bytes=body_most,
         )
+        self.front = RequestHandler(self.clock, self.metrics, descriptor_budget, free, services)
         self.leaving = False
         self.seen = self.stamp()
 
@@ -153,8 +155,8 @@
         gc.collect()
         gc.freeze()
         await ended.wait()
-        self.leaving = self.front.leaving = True
-        await self.front.leave(self.settings.bounds.grace_s, front.close)
+        self.leaving = self.front.draining = True
+        await self.front.drain(self.settings.bounds.grace_s, front.close)
         ready.close()
         for task in tasks:
             task.cancel()
--- a/tests/system/gateway_fixture.py
+++ b/tests/system/gateway_fixture.py
@@ -13,7 +13,7 @@
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.control_client import GatewayFleet
-from stoneyoke.gateway.request_handler import RequestHandler
+from stoneyoke.gateway.request_handler import RequestHandler, RequestServices
 from stoneyoke.gateway.upstreams import Upstreams, classify_answer
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 from stoneyoke.gateway.routes import build_routing_table
@@ -94,13 +94,15 @@
         self.admission = Admission(7, self.clock.now(), BOUNDS)
         self.admission.lease_holder_answered(self.clock.now() + 3_600_000_000)
         self.quota_client = Silent(self.admission.local_quotas)
-        self.front = RequestHandler(self.clock, self.metrics, descriptor_budget, 300, self.backends)
-        self.front.admission, self.front.quota_client, self.front.upstreams = (
-            self.admission,
-            self.quota_client,
-            self.upstreams,
+        services = RequestServices(
+            admission=self.admission,
+            quota_client=self.quota_client,
+            backends=self.backends,
+            upstreams=self.upstreams,
+            instance_directory=self.instance_directory,
+            random_point=lambda: 0.5,
         )
-        self.front.instance_directory, self.front.draw = self.instance_directory, lambda: 0.5
+        self.front = RequestHandler(self.clock, self.metrics, descriptor_budget, 300, services)
         self.upstreams.set_fleet(GatewayFleet(1, 0))
         self.front.install(build_routing_table(read_configuration(example(7, self.change))))
         for at, backend in enumerate(self.stand_ins):
--- a/tests/system/test_backend_at_work.py
+++ b/tests/system/test_backend_at_work.py
@@ -57,7 +57,7 @@
             async with Gateway([], change=pure) as gateway:
                 asked, connection = await at_a_quiet_backend(gateway, peer)
                 if leaving:
-                    ends = asyncio.ensure_future(gateway.front.leave(GRACE_S, lambda: None))
+                    ends = asyncio.ensure_future(gateway.front.drain(GRACE_S, lambda: None))
                     await asyncio.sleep(0)
                 let_the_module_wait(gateway)
                 if not leaving:
@@ -76,7 +76,7 @@
 async def _():
     backend = Backend()
     async with Gateway([backend]) as gateway:
-        gateway.front.leaving = True
+        gateway.front.draining = True
         request = b"POST /a/b/x HTTP/1.1\r\nHost: one.example\r\nApi-Key: key-a\r\nAttempt-Id: a-%d\r\n"
         request += b"Content-Length: 0\r\n\r\n"
         reader, writer = await asyncio.open_connection("127.0.0.1", gateway.port)
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -289,12 +289,12 @@
 async def _():
     backend = Backend()
     async with Gateway([backend]) as gateway:
-        gateway.front.leaving = True
+        gateway.front.draining = True
         status, headers, _ = await gateway.ask()
         assert status == 200 and headers["connection"] == b"close"
         ended = []
         gateway.front.IN_TRANSIT_S = 0
-        await gateway.front.leave(0.6, lambda: ended.append(1))
+        await gateway.front.drain(0.6, lambda: ended.append(1))
         assert ended and not gateway.front.connections.open
 
 
