--- /dev/null
+++ b/stoneyoke/programs/commands/running_system.py
@@ -0,0 +1,90 @@
+"""Commands on the running system: look at a controller's view of it, wait until a version is everywhere."""
+
+import json
+import time
+from typing import Any
+
+from stoneyoke.api.checks import match_version
+from stoneyoke.programs.commands.controller_client import RETRY_PAUSE_S, WITHIN, call_controllers
+from stoneyoke.programs.commands.errors import CommandError
+from stoneyoke.programs.commands.output import print_result
+
+IN_TOUCH_S = 3.0  # a gateway that is silent for longer is not waited for
+
+
+def read_status() -> dict[str, Any]:
+    """The status of the first controller that answers (controlplane/status.py)."""
+    status: dict[str, Any] = json.loads(call_controllers("GET", "/status"))
+    return status
+
+
+def look() -> None:
+    """Prints versions, voters, gateways and backends as one controller sees them."""
+    status = read_status()
+    print_result([*controller_lines(status), *gateway_lines(status), *backend_lines(status)], status)
+
+
+def controller_lines(status: dict[str, Any]) -> list[str]:
+    """The controller that answers, the voters, and the other controllers."""
+    votes = "votes" if status["votes"] else "does not vote"
+    touch = "in touch" if status["in_touch"] else "NOT in touch"
+    voters = f"voters {status['voters']['number']}: {', '.join(status['voters']['members'])}"
+    lines = [
+        f"{status['name']} at {status['address']}: {status['version']}, {votes}, {touch} with most voters",
+        f"{voters}; lease of the quotas: {status['lease_holder'] or '-'}",
+    ]
+    for name, peer in status["controllers"].items():
+        vote = "votes" if peer["votes"] else "no vote"
+        lines.append(f"controller {name}: {peer['version']}, {vote}, silent {peer['silent_s']} s")
+    return lines
+
+
+def gateway_lines(status: dict[str, Any]) -> list[str]:
+    """A line for each gateway."""
+    lines = []
+    for name, gateway in sorted(status["gateways"].items()):
+        ready = "ready" if gateway["ready"] else "not ready"
+        lines.append(f"gateway {name}: {gateway['version']}, {ready}, silent {gateway['silent_s']} s")
+    return lines
+
+
+def backend_lines(status: dict[str, Any]) -> list[str]:
+    """A line for each backend."""
+    return [
+        f"backend {name}: {backend['service']} at {backend['address']}, {backend['phase']}, "
+        f"silent {backend['silent_s']} s"
+        for name, backend in sorted(status["backends"].items())
+    ]
+
+
+def watch(version: str) -> None:
+    """Waits until all gateways in touch have a version, or a newer one.
+
+    Args:
+        version: As the control API writes it: r and a number.
+
+    Raises:
+        CommandError: The version is malformed, or some gateway does not have it within `--within`.
+    """
+    match = match_version(version)
+    if not match:
+        raise CommandError(f"{version!r} is not r and a number")
+    number, deadline = int(match[1]), time.monotonic() + WITHIN.value
+    behind = ["no gateway is known"]
+    while time.monotonic() < deadline:
+        in_touch = gateways_in_touch(read_status())
+        behind = [name for name, its_number in in_touch.items() if its_number < number]
+        if in_touch and not behind:
+            line = f"{version} is at all {len(in_touch)} gateways in touch"
+            return print_result([line], {"version": version, "gateways": len(in_touch)})
+        time.sleep(RETRY_PAUSE_S)
+    raise CommandError(f"{version} is not yet at: {', '.join(sorted(behind))}")
+
+
+def gateways_in_touch(status: dict[str, Any]) -> dict[str, int]:
+    """The number of the configuration in force at each gateway that was heard lately, by the gateway's name."""
+    return {
+        name: int(gateway["version"].removeprefix("r"))
+        for name, gateway in status["gateways"].items()
+        if gateway["silent_s"] < IN_TOUCH_S
+    }
--- a/tests/system/test_programs.py
+++ b/tests/system/test_programs.py
@@ -10,7 +10,7 @@
 from stoneyoke.storage.record_store import RecordStore
 from stoneyoke.api.configuration import read_configuration
 from stoneyoke.api.errors import InvalidField
-from stoneyoke.programs.stoneyokectl import differences
+from stoneyoke.programs.commands.configuration import differences
 from stoneyoke.programs.log_buffer import LogBuffer
 from stoneyoke.programs.settings import BadSettings, make, read_settings
 
--- a/tests/system/test_recovery.py
+++ b/tests/system/test_recovery.py
@@ -23,7 +23,8 @@
     register_record,
 )
 from stoneyoke.consensus.recovery import recovered_register
-from stoneyoke.programs import stoneyokectl
+from stoneyoke.programs.commands import data_folder
+from stoneyoke.programs.commands.errors import CommandError
 from stoneyoke.storage.record_store import RecordStore
 
 A, B, C = (ReplicaId(f"10.0.0.{at}", FIRST_DISK) for at in (1, 2, 3))
@@ -79,24 +80,24 @@
 @test("the recover command changes nothing unless it is confirmed")
 def _(folder=folder):
     flags.FLAGS(["stoneyokectl", "--noconfirm"])
-    with raises(stoneyokectl.CommandError):
-        stoneyokectl.recover(folder, A.address)
+    with raises(CommandError):
+        data_folder.recover(folder, A.address)
     assert stored_register(folder) == ACCEPTED
 
 
 @test("the recover command makes this replica the only voter, above all ballots and voter sets, with its configuration")
 def _(folder=folder):
     flags.FLAGS(["stoneyokectl", "--confirm"])
-    stoneyokectl.recover(folder, A.address)
+    data_folder.recover(folder, A.address)
     after = stored_register(folder)
     assert after.value.voters.members == (A,) and not after.value.previous
     assert after.value.voters.number > ACCEPTED.value.voters.number and after.ballot.counter > PROMISED.counter
     assert after.value.body == example(5)
-    stoneyokectl.records(folder)
+    data_folder.records(folder)
 
 
 @test("the recover command refuses a folder without a register")
 def _():
     flags.FLAGS(["stoneyokectl", "--confirm"])
-    with tempfile.TemporaryDirectory() as folder, raises(stoneyokectl.CommandError):
-        stoneyokectl.recover(folder, A.address)
+    with tempfile.TemporaryDirectory() as folder, raises(CommandError):
+        data_folder.recover(folder, A.address)
