--- a/stoneyoke/gateway/request_head.py
+++ b/stoneyoke/gateway/request_head.py
@@ -1,4 +1,7 @@
-"""What a request's head says, read strictly (PROTOCOL, Requests), and the head that goes on to a backend. No I/O."""
+"""The head of a client's request, and the heads that go on to a backend and back to the client. No I/O.
+
+Source: PROTOCOL, Requests.
+"""
 
 import re
 
@@ -19,7 +22,7 @@
         b"proxy-authenticate",
     )
 )
-# Never passed on as the client sent them: the key, and what only this system says.
+# The API key, and headers that only this system sets: never passed on as the client sent them.
 NEVER_FORWARDED = frozenset((b"api-key", b"tenant", b"expect-instance", b"deadline-ms"))
 SINGLE_VALUED = frozenset((b"host", b"attempt-id", b"deadline-ms", b"api-key"))
 VISIBLE_TOKEN = re.compile(rb"[!-~]{1,255}").fullmatch
@@ -30,24 +33,37 @@
 
 
 class Request:
-    """wait_us: how long the client waits, None if it doesn't say."""
+    """What a request's head says, read strictly.
+
+    Attributes:
+        host: The host in lower case, without its port.
+        id: The attempt id, which the answer repeats.
+        key: The API key; empty if there is none.
+        path: The path of the target, without its query.
+        wait_us: How long the client waits, in microseconds; None if it doesn't say.
+    """
 
     __slots__ = ("host", "id", "key", "path", "wait_us")
 
     def __init__(self, message: Message) -> None:
-        if message.repeated and (twice := message.repeated & SINGLE_VALUED):
-            raise MalformedMessage(f"{min(twice).decode()} comes twice")
+        """Reads a request's head.
+
+        Raises:
+            MalformedMessage: A field is missing, comes twice or can't be read.
+        """
+        if message.repeated and (repeated := message.repeated & SINGLE_VALUED):
+            raise MalformedMessage(f"{min(repeated).decode()} comes twice")
         headers = message.headers
-        host, mark = headers.get(b"host", b""), headers.get(b"attempt-id", b"")
+        host, attempt_id = headers.get(b"host", b""), headers.get(b"attempt-id", b"")
         if not HOST(host):
             raise MalformedMessage("host is missing or can not be read")
-        if not VISIBLE_TOKEN(mark):
+        if not VISIBLE_TOKEN(attempt_id):
             raise MalformedMessage("attempt-id is missing or can not be read")
         if not TARGET(message.target) or not METHOD(message.method):
             raise MalformedMessage("a target or method that can not be read")
         if message.method == b"HEAD":
             raise MalformedMessage("HEAD is not served here", 501)
-        self.id = mark
+        self.id = attempt_id
         name, _, port = host.partition(b":")
         self.host = (name if port.isdigit() or not port else host).decode("ascii").lower()
         self.path = message.target.partition(b"?")[0].decode("ascii")
@@ -59,12 +75,21 @@
 
 
 def upstream_request_head(message: Message, instance: str, tenant: str, wait_us: int) -> list[bytes]:
-    """A call-out's head: what came, less what concerns one connection, and what this system says."""
-    named = {name.strip().lower() for name in message.headers.get(b"connection", b"").split(b",")}
+    """Builds the head of an attempt at a backend, in pieces.
+
+    Headers of one connection and those that only this system sets are left out; its own are added.
+
+    Args:
+        message: The client's request.
+        instance: The instance that is meant. Another one that answers at the address refuses the request.
+        tenant: The tenant's label; empty if there is none.
+        wait_us: How long this gateway waits for the answer, in microseconds.
+    """
+    connection_headers = {name.strip().lower() for name in message.headers.get(b"connection", b"").split(b",")}
     lines = [message.method, b" ", message.target, b" HTTP/1.1\r\n"]
     for name, value in message.fields:
         lower = name.lower()
-        if lower not in HOP_BY_HOP and lower not in NEVER_FORWARDED and lower not in named:
+        if lower not in HOP_BY_HOP and lower not in NEVER_FORWARDED and lower not in connection_headers:
             lines += (name, b": ", value, b"\r\n")
     lines.append(b"Deadline-Ms: %d\r\nExpect-Instance: %s\r\n" % (max(1, wait_us // 1000), instance.encode()))
     if tenant:
@@ -79,10 +104,10 @@
 
 
 def client_answer_headers(answer: Message) -> bytes:
-    """The headers of a backend's answer for the client; its length is set by whoever writes it."""
-    named = {name.strip().lower() for name in answer.headers.get(b"connection", b"").split(b",")}
+    """The headers of a backend's answer that go to the client. Whoever writes the answer adds its length."""
+    connection_headers = {name.strip().lower() for name in answer.headers.get(b"connection", b"").split(b",")}
     return b"".join(
         b"%s: %s\r\n" % (name, value)
         for name, value in answer.fields
-        if (lower := name.lower()) not in HOP_BY_HOP and lower not in named
+        if (lower := name.lower()) not in HOP_BY_HOP and lower not in connection_headers
     )
--- a/stoneyoke/gateway/routes.py
+++ b/stoneyoke/gateway/routes.py
@@ -1,16 +1,29 @@
-"""Routes and keys of one configuration as an immutable table that is swapped whole. No I/O."""
+"""Routes and API keys of one configuration, as an immutable table that is replaced as a whole. No I/O."""
 
+from collections.abc import Sequence
 from dataclasses import dataclass
 
 from stoneyoke.api.configuration import Configuration, Version, weighted_targets
+from stoneyoke.api.configuration_schema import RouteSettings
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Times are whole microseconds. cumulative_weights: services, with the running sum of their shares up to 1."""
+    """One route of a host.
+
+    Attributes:
+        label: The operator's name for it.
+        is_idempotent: Its requests may run more than once.
+        timeout_us: The longest time for an answer, in microseconds.
+        target_us: The time that an answer should take, in microseconds.
+        rank: The operator's priority; 0 comes first.
+        attempts_max: The most attempts at backends for one request.
+        is_public: Its requests need no key.
+        cumulative_weights: Its services, each with the running sum of the weights up to it; the last sum is 1.
+    """
 
     label: str
-    is_pure: bool
+    is_idempotent: bool
     timeout_us: int
     target_us: int
     rank: int
@@ -18,28 +31,51 @@
     is_public: bool
     cumulative_weights: tuple[tuple[str, float], ...]
 
-    def choose_service(self, draw: float) -> str:
-        """draw: by chance, from 0 to 1."""
-        return next((name for name, upto in self.cumulative_weights if draw < upto), self.cumulative_weights[-1][0])
+    def choose_service(self, point: float) -> str:
+        """The service whose part of the weights holds a point from 0 to 1."""
+        last_service = self.cumulative_weights[-1][0]
+        return next((service for service, upper in self.cumulative_weights if point < upper), last_service)
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """One tenant's quota.
+
+    Attributes:
+        label: The operator's name for it.
+        rank: The operator's priority; 0 comes first.
+        rate_per_s: Requests a second; 0: not limited.
+        burst: The most requests at once.
+    """
+
     label: str
     rank: int
-    rate_per_s: float  # requests a second; 0: not limited
+    rate_per_s: float
     burst: float
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """What one version of the configuration allows. keys: None where requests carry none."""
+    """What one version of the configuration allows.
+
+    Attributes:
+        version: The configuration's version.
+        hosts: The routes of each host with their path prefixes, the longest prefix first.
+        tenants_by_key: The tenant of each API key; None where requests carry no keys.
+        tenants: All tenants.
+        max_connections: For each service, the connections that one backend takes from all callers.
+        health_paths: For each service, the path of its health check.
+        head_max_bytes: The longest head of a request.
+        body_max_bytes: The longest body of a request.
+        head_timeout_us: The time within which a head must have come, in microseconds.
+        idle_timeout_us: How long a connection may be idle, in microseconds.
+    """
 
     version: Version
-    hosts: dict[str, tuple[tuple[str, Route], ...]]  # prefixes, the longest first
+    hosts: dict[str, tuple[tuple[str, Route], ...]]
     tenants_by_key: dict[str, Tenant] | None
     tenants: tuple[Tenant, ...]
-    max_connections: dict[str, int]  # connections that each backend of it takes, from all callers
+    max_connections: dict[str, int]
     health_paths: dict[str, str]
     head_max_bytes: int
     body_max_bytes: int
@@ -47,52 +83,76 @@
     idle_timeout_us: int
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """The longest prefix among the routes of that host that begins the path."""
+        """The route with the longest prefix of the path among those of a host; None if there is none."""
         for prefix, route in self.hosts.get(host, ()):
             if path.startswith(prefix):
                 return route
         return None
 
 
-def build_routing_table(chart: Configuration) -> RoutingTable:
-    hosts: dict[str, list[tuple[str, Route]]] = {}
-    for host, given in chart.routes():
-        shares, upto = [], 0.0
-        total = sum(share for _, share in weighted_targets(given))
-        for service, share in weighted_targets(given):
-            upto += share / total
-            if share > 0:
-                shares.append((service, upto))
-        hosts.setdefault(host, []).append(
-            (
-                given["path_prefix"],
-                Route(
-                    given["label"],
-                    given["route_kind"] == "pure",
-                    microseconds(given["timeout_s"]),
-                    microseconds(given["target_s"] or given["timeout_s"]),
-                    given["rank"],
-                    given["max_tries"],
-                    given["is_public"],
-                    tuple(shares),
-                ),
-            )
-        )
-    tenants = [Tenant(one["label"], one["rank"], one["rate_per_s"], one["burst_size"]) for one in chart.tenants or ()]
-    keys = {key: tenant for tenant, one in zip(tenants, chart.tenants or (), strict=True) for key in one["api_keys"]}
+def build_routing_table(configuration: Configuration) -> RoutingTable:
+    """Builds the table of a configuration that was checked."""
+    limits, services = configuration.limits, configuration.services
+    tenants, tenants_by_key = read_tenants(configuration)
     return RoutingTable(
-        chart.version,
-        {host: tuple(sorted(rows, key=lambda row: -len(row[0]))) for host, rows in hosts.items()},
-        None if chart.tenants is None else keys,
-        tuple(tenants),
-        {name: one["max_conns"] for name, one in chart.services.items()},
-        {name: one["health_path"] for name, one in chart.services.items()},
-        chart.limits["max_header_bytes"],
-        chart.limits["max_body_bytes"],
-        microseconds(chart.limits["header_timeout_s"]),
-        microseconds(chart.limits["idle_timeout_s"]),
+        version=configuration.version,
+        hosts=read_hosts(configuration),
+        tenants_by_key=tenants_by_key,
+        tenants=tenants,
+        max_connections={label: service["max_conns"] for label, service in services.items()},
+        health_paths={label: service["health_path"] for label, service in services.items()},
+        head_max_bytes=limits["max_header_bytes"],
+        body_max_bytes=limits["max_body_bytes"],
+        head_timeout_us=microseconds(limits["header_timeout_s"]),
+        idle_timeout_us=microseconds(limits["idle_timeout_s"]),
     )
 
 
+def read_hosts(configuration: Configuration) -> dict[str, tuple[tuple[str, Route], ...]]:
+    """The routes of each host, the longest prefix first."""
+    hosts: dict[str, list[tuple[str, Route]]] = {}
+    for host, settings in configuration.routes():
+        hosts.setdefault(host, []).append((settings["path_prefix"], read_route(settings)))
+    return {host: tuple(sorted(routes, key=lambda row: -len(row[0]))) for host, routes in hosts.items()}
+
+
+def read_route(settings: RouteSettings) -> Route:
+    """One route out of its settings."""
+    return Route(
+        label=settings["label"],
+        is_idempotent=settings["route_kind"] == "pure",
+        timeout_us=microseconds(settings["timeout_s"]),
+        target_us=microseconds(settings["target_s"] or settings["timeout_s"]),
+        rank=settings["rank"],
+        attempts_max=settings["max_tries"],
+        is_public=settings["is_public"],
+        cumulative_weights=cumulative_weights(weighted_targets(settings)),
+    )
+
+
+def cumulative_weights(targets: Sequence[tuple[str, float]]) -> tuple[tuple[str, float], ...]:
+    """Services with the running sum of their weights, as parts of the whole. A service of no weight is left out."""
+    total = sum(weight for _, weight in targets)
+    cumulative, upper = [], 0.0
+    for service, weight in targets:
+        upper += weight / total
+        if weight > 0:
+            cumulative.append((service, upper))
+    return tuple(cumulative)
+
+
+def read_tenants(configuration: Configuration) -> tuple[tuple[Tenant, ...], dict[str, Tenant] | None]:
+    """All tenants, and the tenant of each key; None in place of the keys where requests carry none."""
+    if configuration.tenants is None:
+        return (), None
+    tenants, tenants_by_key = [], {}
+    for settings in configuration.tenants:
+        tenant = Tenant(settings["label"], settings["rank"], settings["rate_per_s"], settings["burst_size"])
+        tenants.append(tenant)
+        tenants_by_key.update(dict.fromkeys(settings["api_keys"], tenant))
+    return tuple(tenants), tenants_by_key
+
+
 def microseconds(seconds: float) -> int:
+    """A time in whole microseconds."""
     return int(seconds * 1_000_000)
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -126,7 +126,7 @@
     def method_number(self, upstream: Upstream, route: Route) -> int:
         """The number under which the module knows requests of this kind."""
         kind = (
-            route.is_pure,
+            route.is_idempotent,
             route.target_us,
             route.timeout_us,
             min(route.rank, RANKS_MAX) * 10_000 + route.attempts_max,
@@ -135,7 +135,7 @@
         if number is None:
             parameters = upstream.runtime.gateway.parameters
             method = Method(
-                idempotency=Idempotency.IDEMPOTENT if route.is_pure else Idempotency.NON_IDEMPOTENT,
+                idempotency=Idempotency.IDEMPOTENT if route.is_idempotent else Idempotency.NON_IDEMPOTENT,
                 deduplication_scope=DeduplicationScope.CELL,
                 soft_deadline_us=SOFT_DEADLINE_FACTOR * route.target_us,
                 deadline_us=route.timeout_us,
