--- a/tests/system/test_stored_data.py
+++ b/tests/system/compatibility/test_recorded_data_folders.py
@@ -28,7 +28,7 @@
 from stoneyoke.consensus.replica import Replica
 from stoneyoke.storage.record_store import RecordStore
 
-COMPATIBILITY = Path(__file__).parent / "compatibility"
+COMPATIBILITY = Path(__file__).parent
 REGISTER_RELEASE, EARLIER_RELEASE = "0c80eb9", "df97d06"
 
 
