--- a/stoneyoke/fleet/agent.py
+++ b/stoneyoke/fleet/agent.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetSettings:
-    """What an agent is told at its start."""
+    """What an agent needs at its start."""
 
     own: Member
     seeds: list[Address]  # to join through
@@ -64,7 +64,7 @@
         self._to_query: list[str] = []  # members in a random order, from the end; each once a round
         self._awaited_answers: dict[int, str] = {}  # by request number: the member asked; bounded by tick()
         self._queried_at_us = now_us
-        self._notified_at_us: dict[str, int] = {}  # by name: when a superseded process was told so
+        self._notified_at_us: dict[str, int] = {}  # by name: when a superseded process was last notified
 
     @property
     def own(self) -> Member:
@@ -108,7 +108,7 @@
         return self._awaited_answers.pop(message.number, "") == message.sender.name
 
     def _notify_superseded(self, earlier: Member, now_us: int) -> list[tuple[Address, bytes]]:
-        """Tells an earlier process that still runs which gateway has its name now, once a second at most."""
+        """Notifies an earlier process that still runs of the gateway that has its name now, once a second at most."""
         peer = self.membership.table.peers.get(earlier.name)
         last_us = self._notified_at_us.get(earlier.name, -SUPERSEDED_NOTICE_INTERVAL_US)
         if peer is None or now_us - last_us < SUPERSEDED_NOTICE_INTERVAL_US:
--- a/stoneyoke/fleet/datagram_codec.py
+++ b/stoneyoke/fleet/datagram_codec.py
@@ -150,7 +150,7 @@
         window.received_at_us = now_us
 
     def forget_silent_senders(self, now_us: int) -> None:
-        """Drops the windows of senders not heard for long: a replay of theirs is out of time in any case."""
+        """Drops the windows of senders that were silent for long: a replay of theirs is out of time in any case."""
         self.windows = {
             name: window
             for name, window in self.windows.items()
--- a/stoneyoke/fleet/failure_detector.py
+++ b/stoneyoke/fleet/failure_detector.py
@@ -1,7 +1,7 @@
 """The SWIM failure detector with Lifeguard's local health. No I/O; times are microseconds.
 
 Each period one member is pinged, first directly, then by way of helpers. A member that answers neither way is
-suspected and told so. It is declared dead unless it refutes the suspicion in time.
+suspected and notified. It is declared dead unless it refutes the suspicion in time.
 
 Source: Das, Gupta, Motivala: SWIM (2002); Dadgar, Phillips, Currey: Lifeguard (2018).
 """
@@ -189,7 +189,7 @@
         self._probe_order.insert(self._random_source.randint(0, len(self._probe_order)), name)
 
     def ping(self, peer: Peer, number: int) -> None:
-        """Pings a peer, and tells it of its own suspicion or death."""
+        """Pings a peer, with a notice if it is suspected or taken for dead."""
         self._outbox.add(
             OutgoingMessage(
                 to=peer.record.address, kind=MessageKind.PING, number=number, members=suspicion_notice(peer)
@@ -218,7 +218,7 @@
             self.probe.helper_reachable = True
 
     def receive_ping_request(self, message: Message, now_us: int) -> None:
-        """Pings a member in the sender's place, and tells the sender that this helper is reachable."""
+        """Pings a member in the sender's place. A NACK shows the sender that this helper is reachable."""
         peer = self._table.peers.get(message.subject)
         if not peer or len(self._relayed_pings) >= MAX_RELAYED_PINGS:
             return
--- a/stoneyoke/fleet/membership.py
+++ b/stoneyoke/fleet/membership.py
@@ -16,14 +16,14 @@
 from stoneyoke.fleet.outbox import Outbox, OutgoingMessage
 
 SWEEP_INTERVAL_US = SECOND_US // 2
-FAREWELL_COUNT = 2 * HELPER_COUNT  # members told directly that this gateway leaves
+FAREWELL_COUNT = 2 * HELPER_COUNT  # members notified directly that this gateway leaves
 
 
 class Membership:
     """This gateway's view of the fleet.
 
-    It takes part until `leave` is called or until a gateway of the same name that started later is heard of. The
-    latter is kept in `superseded_by`; from then on nothing is sent or merged.
+    It takes part until `leave` is called or until it learns of a gateway of the same name that started later. That
+    one is held in `superseded_by`; from then on nothing is sent or merged.
     """
 
     def __init__(
@@ -170,7 +170,7 @@
         self.detector.note_refutation()
 
     def leave(self) -> None:
-        """Tells some members that this gateway leaves; they pass it on."""
+        """Notifies some members that this gateway leaves; they pass it on."""
         self.table.set_own(msgspec.structs.replace(self.table.own, state=MemberState.LEFT))
         self.leaving = True
         present = self.table.present()
--- a/stoneyoke/fleet/observations.py
+++ b/stoneyoke/fleet/observations.py
@@ -59,13 +59,13 @@
 
     def decay(self, now_us: int) -> None:
         """Lets the counts fade up to now."""
-        kept = 0.5 ** ((now_us - self.decayed_at_us) / HALF_LIFE_US)
-        self.attempts *= kept
-        self.failures *= kept
+        remaining = 0.5 ** ((now_us - self.decayed_at_us) / HALF_LIFE_US)
+        self.attempts *= remaining
+        self.failures *= remaining
         self.decayed_at_us = now_us
 
     def report(self, id: int, now_us: int) -> BackendReport:
-        """What other gateways are told."""
+        """The report for other gateways."""
         self.decay(now_us)
         return BackendReport(
             backend_id=id,
--- a/stoneyoke/fleet/transport.py
+++ b/stoneyoke/fleet/transport.py
@@ -101,7 +101,7 @@
         self.agent.reload(seeds, keys)
 
     def leave(self) -> None:
-        """Tells some members that this gateway leaves, and closes the socket. The runtime's advice becomes empty."""
+        """Notifies some members that this gateway leaves, and closes the socket. The runtime's advice becomes empty."""
         if self.tick_task:
             self.tick_task.cancel()
         self._send(self.agent.leave(self.clock.now()))
--- a/stoneyoke/lab/clients.py
+++ b/stoneyoke/lab/clients.py
@@ -189,7 +189,7 @@
     # ---- one try ----
 
     async def _send_try(self, request: ClientRequest, gateway: int) -> TryOutcome:
-        """Sends one try; once more on a new connection if the kept one was closed under it."""
+        """Sends one try; once more on a new connection if the idle one had been closed."""
         arrival = request.arrival
         try_id = f"{arrival.number:010x}{request.retries:02x}"
         time_left_s = (request.deadline_us - self.ledger.now_us()) / 1e6
--- a/stoneyoke/lab/fault_kinds.py
+++ b/stoneyoke/lab/fault_kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of faults and what each of them strikes."""
+"""The kinds of faults and what each of them affects."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class FaultTarget(StrEnum):
-    """What a fault strikes. Of processes, the value starts their names within a zone."""
+    """What a fault affects. Of processes, the value starts their names within a zone."""
 
     LINK = "link"
     GATEWAY = "g"
@@ -38,7 +38,7 @@
 
 
 def target_of(kind: str) -> FaultTarget:
-    """What faults of a kind strike.
+    """What faults of a kind affect.
 
     Raises:
         UnknownFaultKind: There is no such kind.
--- a/stoneyoke/lab/fault_orders.py
+++ b/stoneyoke/lab/fault_orders.py
@@ -47,7 +47,7 @@
 
 
 class FaultOrders:
-    """Tells each worker what a fault event means for it."""
+    """Orders from each worker its part of a fault event."""
 
     def __init__(self, addresses: Addresses, workers: dict[str, WorkerProcess], gateways: GatewayStarter) -> None:
         """Orders nothing yet.
--- a/stoneyoke/lab/figures.py
+++ b/stoneyoke/lab/figures.py
@@ -48,7 +48,7 @@
     method: int
     gateway: int
     at_us: int
-    value: float  # what its answer in time is worth
+    value: float  # of its answer in time: utility, units and price
 
 
 def offered_requests(index: LedgerIndex) -> dict[int, OfferedRequest]:
--- a/stoneyoke/lab/gateway_files.py
+++ b/stoneyoke/lab/gateway_files.py
@@ -7,7 +7,7 @@
 from stoneyoke.lab.addresses import Addresses, address_text
 from stoneyoke.lab.scenario import Scenario
 
-# What every gateway is told of the protocol.
+# Settings of the protocol that are the same at every gateway.
 MAX_TRIES = 4
 DIAL_TIMEOUT_US = 250_000
 ANSWER_SLACK_US = 5000
--- a/stoneyoke/lab/ledger_index.py
+++ b/stoneyoke/lab/ledger_index.py
@@ -214,12 +214,13 @@
             self.crashes.append(row)
 
     def _extend_restarts(self) -> None:
-        """Extends the time in which a restarted gateway is unavailable until it has heard from discovery."""
+        """Extends the time in which a restarted gateway is unavailable until discovery has answered it."""
         for gateway, intervals in self.unavailable.items():
-            heard_at_us = [row.at_us for row in self.endpoints_sent.get(gateway, [])]
+            answered_at_us = [row.at_us for row in self.endpoints_sent.get(gateway, [])]
             for at, (start_us, end_us) in enumerate(intervals):
-                first_heard_us = min((heard for heard in heard_at_us if heard >= end_us - RECOVERY_US), default=end_us)
-                intervals[at] = Interval(start_us, max(end_us, first_heard_us + LISTENING_DELAY_US))
+                answers_us = (at_us for at_us in answered_at_us if at_us >= end_us - RECOVERY_US)
+                first_answer_us = min(answers_us, default=end_us)
+                intervals[at] = Interval(start_us, max(end_us, first_answer_us + LISTENING_DELAY_US))
 
     # ---- questions ----
 
--- a/stoneyoke/lab/ledger_rows.py
+++ b/stoneyoke/lab/ledger_rows.py
@@ -1,6 +1,6 @@
 """The rows of a ledger. Each is a JSON array: its kind, microseconds since the run's start, then the fields below.
 
-Processes write rows with `LedgerWriter`. Rows of other kinds than these are kept and not evaluated.
+Processes write rows with `LedgerWriter`. Rows of other kinds are not evaluated.
 """
 
 from msgspec import Struct
@@ -138,7 +138,7 @@
     gateway: str
     change: str  # STARTED, ENDED, OVER_LIMITS or the name of a signal
     detail: int = 0  # the process's id; of ENDED the exit code; of OVER_LIMITS its memory in bytes
-    expected: int | bool = False  # of ENDED: whether it was told to end; of OVER_LIMITS its descriptors
+    expected: int | bool = False  # of ENDED: whether it was ordered to end; of OVER_LIMITS its descriptors
 
 
 NO_ANSWER, CONNECTION_CLOSED = -1, -2  # in place of a status
--- a/stoneyoke/lab/ledger_writer.py
+++ b/stoneyoke/lab/ledger_writer.py
@@ -20,7 +20,7 @@
 class LedgerWriter:
     """Writes rows as JSON arrays, one a line: the kind, microseconds since the run's start, and the fields.
 
-    Rows that are added before the start is known are kept, and written with times below 0.
+    Rows that are added before the start is known are buffered, and written with times below 0.
     """
 
     def __init__(self, path: Path) -> None:
--- a/stoneyoke/lab/links.py
+++ b/stoneyoke/lab/links.py
@@ -1,7 +1,7 @@
-"""TCP links. Each listens at its own address, leads to another one, and fails as it is told.
+"""TCP links. Each listens at its own address, leads to another one, and takes on faults.
 
-Data that comes while a link is silent is kept until the fault ends, as a network would retransmit it. Open connections
-stay open meanwhile, and new ones never come up.
+Data that comes while a link is silent is queued until the fault ends, as a network would retransmit it. Open
+connections stay open meanwhile, and new ones never come up.
 """
 
 import asyncio
@@ -58,7 +58,7 @@
             self._link.open_other_end(self)
 
     def data_received(self, data: bytes) -> None:
-        """Sends data on at once, or keeps it while faults lie on the link."""
+        """Sends data on at once, or queues it while faults lie on the link."""
         self._link.bytes_carried += len(data)
         other = self.other
         if other and other._transport and not self._queue and self._link.conditions.faultless:
@@ -97,7 +97,7 @@
         loop.call_at(self._queue_free_at_s, self._send_on, 1)
 
     def send_all_on(self) -> None:
-        """Sends on what is kept, as far as the link is not silent."""
+        """Sends on what is queued, as far as the link is not silent."""
         self._send_on(len(self._queue))
 
     def _send_on(self, max_pieces: int) -> None:
@@ -137,7 +137,7 @@
     """One TCP link: where it is entered, where it leads, and its conditions."""
 
     def __init__(self, addresses: LinkAddresses) -> None:
-        """Listens once it is told to."""
+        """Opens nothing; see `listen`."""
         self.addresses = addresses
         self.conditions = LinkConditions()
         self.ends: set[LinkEnd] = set()
--- a/stoneyoke/lab/quota_bucket.py
+++ b/stoneyoke/lab/quota_bucket.py
@@ -1,4 +1,4 @@
-"""Token buckets by customer, to tell what of the load is inside a quota or a rate limit."""
+"""Token buckets by customer, that show which load is inside a quota or a rate limit."""
 
 from dataclasses import dataclass
 
--- a/stoneyoke/lab/report.py
+++ b/stoneyoke/lab/report.py
@@ -106,7 +106,7 @@
     return [
         ("Answers, by when the try was sent", plot_answers(ledger)),
         ("Load by backend", plot_backends(ledger)),
-        ("Units sent on", plot_units(ledger)),
+        ("Units forwarded", plot_units(ledger)),
         ("Memory and descriptors", plot_resources(ledger)),
     ]
 
@@ -135,16 +135,19 @@
             axis.text(at_s, top, fault.kind, color=FAULT_COLOUR, fontsize=7, rotation=60, va="bottom")
 
 
+def answer_label(status: int) -> str:
+    """The name of a try's answer in the plot."""
+    if status in REJECTED_STATUSES:
+        return "rejected"
+    return "ok" if status == 200 else "other"
+
+
 def plot_answers(ledger: Ledger) -> str:
     """Tries a second, by how they were answered."""
     bins = second_bins(ledger)
-    times_s: dict[str, list[float]] = {"ok": [], "pushed back": [], "other": []}
+    times_s: dict[str, list[float]] = {"ok": [], "rejected": [], "other": []}
     for client_try in ledger.tries.values():
-        if client_try.status == 200:
-            label = "ok"
-        else:
-            label = "pushed back" if client_try.status in REJECTED_STATUSES else "other"
-        times_s[label].append(client_try.sent_at_us / 1e6)
+        times_s[answer_label(client_try.status)].append(client_try.sent_at_us / 1e6)
     figure, axis = plt.subplots(figsize=(WIDTH_INCHES, 3.2))
     for label, times in times_s.items():
         axis.step(bins[:-1], np.histogram(times, bins)[0], where="post", label=label)
@@ -166,7 +169,7 @@
                 counts[number, second] += 1
     figure, axis = plt.subplots(figsize=(WIDTH_INCHES, 0.6 + 0.055 * len(numbers) + 2))
     shown = axis.imshow(counts, aspect="auto", interpolation="nearest", cmap="viridis", origin="lower")
-    figure.colorbar(shown, label="call-outs a second")
+    figure.colorbar(shown, label="attempts a second")
     axis.set_xlabel("s")
     axis.set_ylabel("backend")
     mark_faults(axis, ledger)
--- a/stoneyoke/lab/role.py
+++ b/stoneyoke/lab/role.py
@@ -27,7 +27,7 @@
 
 
 def send_reply(reply: Reply) -> None:
-    """Tells the run something."""
+    """Sends a reply to the run."""
     sys.stdout.buffer.write(encode_line(reply))
     sys.stdout.buffer.flush()
 
--- a/stoneyoke/lab/rules.py
+++ b/stoneyoke/lab/rules.py
@@ -15,7 +15,7 @@
 SLACK_US = 150_000
 RATE_LIMIT_SLACK_S = 0.15  # of a limit's rate, beside the slack of its burst. Source: the protocol page.
 REJECTED_STATUSES = (429, 503)
-ENDPOINT_LOOKBACK_US = 1_000_000  # a fault so long before an endpoint list may have kept it from the gateway
+ENDPOINT_LOOKBACK_US = 1_000_000  # a fault so long before an endpoint list may have withheld it from the gateway
 MAX_VIOLATION_IDS = 20
 ACTIVE, LEFT = "active", "left"
 
@@ -91,7 +91,7 @@
             detail = f"{id} ran at {[execution.backend for execution in executions]}"
             found.append(Violation(Rule.ONCE, executions[1].at_us, detail, [id]))
         if effect == "at_most_once" and executions and client_try.status in REJECTED_STATUSES:
-            found.append(Violation(Rule.ONCE, client_try.answered_at_us, f"{id} ran and was pushed back", [id]))
+            found.append(Violation(Rule.ONCE, client_try.answered_at_us, f"{id} ran and was rejected", [id]))
         found += _concurrent_attempts(client_try)
     return found
 
@@ -100,22 +100,22 @@
     found = []
     for attempt, following in zip(client_try.attempts, client_try.attempts[1:], strict=False):
         end = client_try.end_of(attempt)
-        # An attempt that the gateway gave up closed its connection, so its answer was heard by nobody.
+        # An attempt that the gateway gave up closed its connection, so nobody received its answer.
         if end and end.at_us > following.at_us and not end.outcome.startswith(("unheard", "answer lost")):
-            detail = f"{client_try.id} had two call-outs out at once"
+            detail = f"{client_try.id} had two attempts at once"
             found.append(Violation(Rule.ONCE, following.at_us, detail, [client_try.id]))
     return found
 
 
 class StatusChange(NamedTuple):
-    """A backend's status from a time on, as one gateway was told."""
+    """A backend's status from a time on, as discovery has told one gateway."""
 
     at_us: int
     status: str
 
 
 def status_changes(rows: list[EndpointsSent]) -> dict[str, list[StatusChange]]:
-    """What one gateway was told of each backend, by backend."""
+    """The statuses that discovery has sent one gateway, by backend."""
     changes: dict[str, list[StatusChange]] = defaultdict(list)
     for row in rows:
         statuses = dict(row.endpoints)
@@ -129,34 +129,37 @@
 
 
 def attempts_after_drain(index: LedgerIndex) -> list[Violation]:
-    """Attempts later than the grace after their gateway was told that the backend drains."""
+    """Attempts later than the grace after their gateway learned that the backend drains."""
     grace_us = index.scenario.backends.grace_ms * 1000
     changes = {gateway: status_changes(rows) for gateway, rows in index.endpoints_sent.items()}
     found = []
     for client_try in index.tries.values():
         for attempt in client_try.attempts:
-            told = changes.get(client_try.gateway, {}).get(attempt.backend, [])
-            last = bisect.bisect(told, (attempt.at_us, "~")) - 1
-            if last < 0 or told[last].status == ACTIVE or attempt.at_us <= told[last].at_us + grace_us + SLACK_US:
+            history = changes.get(client_try.gateway, {}).get(attempt.backend, [])
+            last = bisect.bisect(history, (attempt.at_us, "~")) - 1
+            if last < 0:
                 continue
-            if _may_not_know(index, client_try, attempt, told[last].at_us):
+            learned_us, status = history[last]
+            if status == ACTIVE or attempt.at_us <= learned_us + grace_us + SLACK_US:
+                continue
+            if _may_not_know(index, client_try, attempt, learned_us):
                 continue
             detail = (
                 f"{client_try.id} went from {client_try.gateway} to {attempt.backend}, told "
-                f"{(attempt.at_us - told[last].at_us) / 1e6:.2f} s before that it was {told[last].status}"
+                f"{(attempt.at_us - learned_us) / 1e6:.2f} s before that it was {status}"
             )
             found.append(Violation(Rule.DRAINED, attempt.at_us, detail, [client_try.id]))
     return found
 
 
-def _may_not_know(index: LedgerIndex, client_try: ClientTry, attempt: Attempt, told_us: int) -> bool:
-    """Whether the gateway has restarted since it was told, or a fault kept the change from it."""
+def _may_not_know(index: LedgerIndex, client_try: ClientTry, attempt: Attempt, learned_us: int) -> bool:
+    """Whether the gateway has restarted since, or a fault has withheld the change from it."""
     gateway = client_try.gateway
     started_us = max((start for start in index.gateway_starts.get(gateway, []) if start <= attempt.at_us), default=0)
-    if told_us < started_us or index.was_unavailable(gateway, told_us, attempt.at_us):
+    if learned_us < started_us or index.was_unavailable(gateway, learned_us, attempt.at_us):
         return True
     discovery = index.scenario.discovery_name()
-    if index.link_was_faulty(gateway, discovery, told_us - ENDPOINT_LOOKBACK_US, attempt.at_us):
+    if index.link_was_faulty(gateway, discovery, learned_us - ENDPOINT_LOOKBACK_US, attempt.at_us):
         return True
     return index.link_was_faulty(gateway, attempt.backend, client_try.sent_at_us, attempt.at_us)
 
@@ -222,7 +225,7 @@
         level = buckets.level(customer, plan.ceiling_rate, plan.ceiling_burst, at_us) - index.units(client_try)
         slack = max(0.1 * plan.ceiling_burst, most_units) + RATE_LIMIT_SLACK_S * plan.ceiling_rate
         if level < -slack:
-            detail = f"customer {customer} of {plan.name}: {client_try.id} took its store to {level:.1f}"
+            detail = f"customer {customer} of {plan.name}: {client_try.id} took its token bucket to {level:.1f}"
             found.append(Violation(Rule.LIMITED, at_us, detail, [client_try.id]))
             level = 0.0
         buckets.set_level(customer, level)
--- a/stoneyoke/lab/run.py
+++ b/stoneyoke/lab/run.py
@@ -90,7 +90,7 @@
     # ---- gateways ----
 
     def settings(self, gateway: int) -> dict[str, Any]:
-        """What a gateway is told of the protocol."""
+        """A gateway's settings, as the protocol's first message would give them."""
         return gateway_settings(self.scenario, self.addresses, gateway)
 
     def configure(self, gateway: int, restarts: int = 0) -> Path:
--- a/stoneyoke/lab/scenario.py
+++ b/stoneyoke/lab/scenario.py
@@ -126,7 +126,7 @@
     jitter_ms: NotNegative = 0.0
     factor: Positive = 1.0
     bytes_s: NotNegative = 0.0
-    over_s: Seconds = 0.0  # the processes are struck one after the other within this time
+    over_s: Seconds = 0.0  # the fault begins at each process at a random time within this one
 
 
 class RandomFaults(Struct, forbid_unknown_fields=True, frozen=True):
@@ -198,7 +198,7 @@
 
 
 def matching_processes(scenario: Scenario, fault: Fault) -> list[str]:
-    """Names of the processes that a fault may strike.
+    """Names of the processes that a fault may affect.
 
     Raises:
         UnknownFaultKind: There is no such kind of fault.
--- a/stoneyoke/lab/scenario_file.py
+++ b/stoneyoke/lab/scenario_file.py
@@ -45,7 +45,7 @@
 def _check_unique(key: str, names: list[str]) -> None:
     for name in names:
         if names.count(name) > 1:
-            raise InvalidScenario(f"{key}: {name!r} stands there twice")
+            raise InvalidScenario(f"{key}: {name!r} is given twice")
 
 
 def _check_names(scenario: Scenario) -> None:
@@ -60,7 +60,7 @@
         if half_given or 0 < plan.ceiling_rate < plan.rate:
             raise InvalidScenario(f"plan[{index}].ceiling_rate: a ceiling has a rate over the quota's, and a burst")
         if plan.burst < most_units:
-            raise InvalidScenario(f"plan[{index}].burst: holds no RPC of the dearest method")
+            raise InvalidScenario(f"plan[{index}].burst: is less than one request of the most expensive method")
 
 
 def _check_methods(scenario: Scenario) -> None:
--- a/stoneyoke/lab/stand_in_backends.py
+++ b/stoneyoke/lab/stand_in_backends.py
@@ -47,7 +47,7 @@
     def __init__(
         self, setup: BackendSetup, run: BackendsSetup, memories: dict[str, KeyMemory], ledger: LedgerWriter
     ) -> None:
-        """Listens once it is told to.
+        """Opens nothing; see `listen`.
 
         Args:
             setup: Of this backend.
--- a/stoneyoke/lab/stand_in_discovery.py
+++ b/stoneyoke/lab/stand_in_discovery.py
@@ -107,7 +107,7 @@
     """Discovery as one gateway reaches it."""
 
     def __init__(self, discovery: StandInDiscovery, setup: AgentSetup) -> None:
-        """Listens once it is told to."""
+        """Opens nothing; see `listen`."""
         self._discovery = discovery
         self._setup = setup
         self._frozen_at_s = math.inf  # loop time; later changes are not seen
--- a/stoneyoke/lab/worker_messages.py
+++ b/stoneyoke/lab/worker_messages.py
@@ -20,7 +20,7 @@
 
 
 class WorkerSetup(Struct, tag_field="kind", frozen=True, kw_only=True):
-    """What every worker is told."""
+    """What every setup holds."""
 
     name: str
     ledger: str = ""  # path; filled in by the run
@@ -107,11 +107,11 @@
 
 AnySetup = LinksSetup | BackendsSetup | CounterSetup | DiscoverySetup | ClientsSetup | SupervisorSetup
 
-# ---- orders: what a run tells a worker ----
+# ---- orders: from a run to a worker ----
 
 
 class Order(Struct, tag_field="do", frozen=True):
-    """What a run tells a worker."""
+    """A command from a run to a worker."""
 
 
 class Begin(Order, frozen=True, tag="go"):
@@ -201,11 +201,11 @@
     | ChangeClientsFault
 )
 
-# ---- replies: what a worker tells its run ----
+# ---- replies: from a worker to its run ----
 
 
 class Reply(Struct, tag_field="reply", frozen=True):
-    """What a worker tells its run."""
+    """A message from a worker to its run."""
 
 
 class Ready(Reply, frozen=True, tag="ready"):
@@ -221,7 +221,7 @@
 
     name: str
     code: int
-    expected: bool  # it was told to
+    expected: bool  # it was ordered to
     lines: list[str]  # the last ones of its log, if not
 
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -55,7 +55,7 @@
     assert len(back) >= len(knew) - 1, (knew, back)
     gone = [name for name, log in logs.items() if re.search("a gateway (is dead|has left): c/g008", log)]
     assert len(gone) >= 3, gone
-    # Who is there in the end: all have heard of all others again.
+    # In the end each takes all others for present again.
     for name, log in logs.items():
         changes = re.findall(r"a gateway (is there|is suspected|is dead|has left): (\S+)", log)
         last = {other: state for state, other in changes}
