--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -3,7 +3,7 @@
 import hashlib
 import random
 from dataclasses import fields
-from typing import get_args
+from typing import NamedTuple, get_args
 
 from decision_bench import START, DecisionBench, plan
 
@@ -15,6 +15,7 @@
 # these names were changed (0c80eb9) gives the same one. A change of decisions on purpose takes it anew: print(replay())
 # on the changed text, with the reason in its commit.
 RECORDED = "e992db8b9dadba37"
+BACKENDS, STEPS, STEP_US = 12, 1200, 50_000
 ENDS = [AttemptOutcome.OK] * 12 + list(AttemptOutcome)
 
 
@@ -24,67 +25,114 @@
     return [get_args(Action).index(type(action)), *values]
 
 
-def replay(peer_evidence=None):
-    """A minute of drawn events at one gateway of 60, answered as they are asked for; the digest of its
-    actions."""
-    random_source, digest = random.Random(18), hashlib.sha256()
-    bench = DecisionBench(
-        fleet=12,
-        gateways=60,
-        own_index=7,
-        plans=(plan(), plan(40.0, 80.0), plan(20.0, 40.0, ceiling_rate=40.0, ceiling_burst=90.0)),
-    )
-    pending, states = [], {n: (n % 2, n % 3, 0, BackendState.READY) for n in range(12)}
-
-    def note(actions):
-        digest.update(repr((bench.now, [content(action) for action in actions])).encode())
+class PendingEnd(NamedTuple):
+    """The end of an attempt, at a time to come."""
+
+    at_us: int
+    rpc: int
+    attempt: int
+    backend: int
+    outcome: AttemptOutcome
+
+
+class PendingCount(NamedTuple):
+    """The counter's reply, at a time to come."""
+
+    at_us: int
+    counter: int
+    total: float
+
+
+class Replay:
+    """Drawn events at one gateway of 60. What the gateway asks for is answered with delays that are drawn, too."""
+
+    def __init__(self):
+        self.random_source = random.Random(18)
+        self.digest = hashlib.sha256()
+        self.bench = DecisionBench(
+            fleet=BACKENDS,
+            gateways=60,
+            own_index=7,
+            plans=(plan(), plan(40.0, 80.0), plan(20.0, 40.0, ceiling_rate=40.0, ceiling_burst=90.0)),
+        )
+        self.endpoints = {n: (n % 2, n % 3, 0, BackendState.READY) for n in range(BACKENDS)}
+        self.pending = []  # of PendingEnd and PendingCount
+        self.attempts = {}  # last attempt's number, by RPC
+        self.totals = {}  # by counter
+
+    def tell(self, event):
+        self.note(self.bench.tell(event))
+
+    def note(self, actions):
+        """Adds actions to the digest, and draws what follows from them."""
+        self.digest.update(repr((self.bench.now, [content(action) for action in actions])).encode())
         for action in actions:
             if isinstance(action, StartAttempt):
-                n = sent[action.rpc] = sent.get(action.rpc, -1) + 1
-                took = int(random_source.expovariate(1 / 80_000)) if random_source.random() < 0.97 else 3_000_000
-                outcome = random_source.choice(ENDS)
-                pending.append((bench.now + took, action.rpc, n, action.backend, outcome))
+                self.draw_end(action)
             elif isinstance(action, CancelAttempt):
-                out = [p for p in pending if p[1:3] == (action.rpc, action.attempt)]
-                for p in out:
-                    pending.remove(p)
-                    pending.append((bench.now + 1, *p[1:4], AttemptOutcome.CANCELLED))
-            elif isinstance(action, AddToCounter) and random_source.random() < 0.95:
-                totals[action.name] = totals.get(action.name, 0.0) + action.amount
-                pending.append((bench.now + 6_000, action.name, totals[action.name]))
-
-    sent, totals = {}, {}
-    for step in range(1200):
-        bench.now = START + step * 50_000
-        if peer_evidence and step % 7 == 0:
-            note(bench.tell(peer_evidence))
-        for event in sorted(p for p in pending if p[0] <= bench.now):
-            pending.remove(event)
-            if len(event) == 3:
-                note(bench.tell(CounterReply(event[1], True, event[2])))
+                self.cancel(action)
+            elif isinstance(action, AddToCounter) and self.random_source.random() < 0.95:
+                self.totals[action.name] = self.totals.get(action.name, 0.0) + action.amount
+                self.pending.append(PendingCount(self.bench.now + 6_000, action.name, self.totals[action.name]))
+
+    def draw_end(self, action):
+        attempt = self.attempts[action.rpc] = self.attempts.get(action.rpc, -1) + 1
+        answers = self.random_source.random() < 0.97
+        took_us = int(self.random_source.expovariate(1 / 80_000)) if answers else 3_000_000
+        outcome = self.random_source.choice(ENDS)
+        self.pending.append(PendingEnd(self.bench.now + took_us, action.rpc, attempt, action.backend, outcome))
+
+    def cancel(self, action):
+        for end in [event for event in self.pending if event[1:3] == (action.rpc, action.attempt)]:
+            self.pending.remove(end)
+            self.pending.append(end._replace(at_us=self.bench.now + 1, outcome=AttemptOutcome.CANCELLED))
+
+    def deliver_due(self):
+        for event in sorted(event for event in self.pending if event.at_us <= self.bench.now):
+            self.pending.remove(event)
+            if isinstance(event, PendingCount):
+                self.tell(CounterReply(event.counter, True, event.total))
             else:
-                note(bench.end_attempt(*event[1:5]))
-        note(bench.tell(TimerFired(0)))
-        for _ in range(random_source.randrange(3)):
-            kind = random_source.randrange(3)
-            note(
-                bench.arrive(
-                    method=random_source.randrange(4),
-                    customer=kind * 10 + random_source.randrange(5),
-                    plan=kind,
-                    units=random_source.choice((0.2, 0.5, 1.0)),
-                    customer_gateways=60.0,
-                )
+                self.note(self.bench.end_attempt(*event[1:]))
+
+    def draw_arrivals(self):
+        for _ in range(self.random_source.randrange(3)):
+            kind = self.random_source.randrange(3)
+            actions = self.bench.arrive(
+                method=self.random_source.randrange(4),
+                customer=kind * 10 + self.random_source.randrange(5),
+                plan=kind,
+                units=self.random_source.choice((0.2, 0.5, 1.0)),
+                customer_gateways=60.0,
             )
-        if random_source.random() < 0.01:
-            note(bench.tell(ClientGone(random_source.randrange(1, bench.next_rpc + 1))))
-        if random_source.random() < 0.01:
-            backend = random_source.randrange(12)
-            zone, cell, _, _ = states[backend]
-            state = random_source.choice((BackendState.READY, BackendState.READY, BackendState.DRAINING))
-            states[backend] = (zone, cell, bench.now, state)
-            note(bench.tell(EndpointsChanged(False, False, [Endpoint(backend, *states[backend])])))
-    return digest.hexdigest()[:16]
+            self.note(actions)
+
+    def draw_endpoint_change(self):
+        backend = self.random_source.randrange(BACKENDS)
+        zone, cell, _, _ = self.endpoints[backend]
+        state = self.random_source.choice((BackendState.READY, BackendState.READY, BackendState.DRAINING))
+        self.endpoints[backend] = (zone, cell, self.bench.now, state)
+        self.tell(EndpointsChanged(False, False, [Endpoint(backend, *self.endpoints[backend])]))
+
+    def step(self):
+        self.deliver_due()
+        self.tell(TimerFired(0))
+        self.draw_arrivals()
+        if self.random_source.random() < 0.01:
+            self.tell(ClientGone(self.random_source.randrange(1, self.bench.next_rpc + 1)))
+        if self.random_source.random() < 0.01:
+            self.draw_endpoint_change()
+
+
+def replay(peer_evidence=None):
+    """Plays a minute, with peer evidence now and then if there is some; the digest of all actions."""
+    run = Replay()
+    for step in range(STEPS):
+        run.bench.now = START + step * STEP_US
+        if peer_evidence and step % 7 == 0:
+            run.tell(peer_evidence)
+        run.step()
+    return run.digest.hexdigest()[:16]
 
 
 def test_recorded_events_get_the_recorded_actions():
--- a/tests/lab/test_ledger.py
+++ b/tests/lab/test_ledger.py
@@ -11,21 +11,23 @@
 PLAN = draw_plan(SCENARIO, 1)
 READ, ORDER, SWITCH = 0, 1, 2
 GATEWAY, BACKEND, OTHER = "a/g000", "a/b000", "b/b001"
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
 def customer(plan):
     return next(n for n, c in enumerate(PLAN.customers) if c.plan == plan)
 
 
-def rpc(id_, at, method=READ, plan=0, gateway=GATEWAY, status=200, answered=None, words=None, until=None):
-    until = at + 3 * S if until is None else until
+def try_rows(  # noqa: PLR0913 -- a builder: each argument is one thing that a test varies
+    id_, at, method=READ, plan=0, gateway=GATEWAY, status=200, answered=None, words=None, until=None
+):
+    until = at + 3 * SECOND_US if until is None else until
     rows = [["rpc", at, id_, 1, customer(plan), method, gateway, 0, until]]
     if status is not None:
         rows.append(
             [
                 "ans",
-                at + S // 10 if answered is None else answered,
+                at + SECOND_US // 10 if answered is None else answered,
                 id_,
                 status,
                 f"{id_} {BACKEND}" if words is None else words,
@@ -35,9 +37,11 @@
     return rows
 
 
-def call(id_, at, backend=BACKEND, ran=True, end=None, what="ok"):
+def attempt_rows(  # noqa: PLR0913 -- a builder: each argument is one thing that a test varies
+    id_, at, backend=BACKEND, ran=True, end=None, what="ok"
+):
     rows = [["call", at, id_, backend, 7]] + ([["ran", at, id_, backend, "k"]] if ran else [])
-    return rows + [["end", at + S // 20 if end is None else end, id_, backend, what]]
+    return rows + [["end", at + SECOND_US // 20 if end is None else end, id_, backend, what]]
 
 
 def broken_rules(*parts):
@@ -47,11 +51,11 @@
 def test_a_clean_run_breaks_no_rule():
     assert (
         broken_rules(
-            rpc("r1", S),
-            call("r1", S),
-            rpc("r2", 2 * S, ORDER, status=429, words=""),
-            rpc("r3", S, SWITCH),
-            call("r3", S),
+            try_rows("r1", SECOND_US),
+            attempt_rows("r1", SECOND_US),
+            try_rows("r2", 2 * SECOND_US, ORDER, status=429, words=""),
+            try_rows("r3", SECOND_US, SWITCH),
+            attempt_rows("r3", SECOND_US),
         )
         == []
     )
@@ -60,11 +64,11 @@
 @pytest.mark.parametrize(
     "rows",
     [
-        rpc("r", S, status=None),
-        rpc("r", S, status=-1, words="no answer", answered=5 * S),
-        rpc("r", S, status=-2, words="closed"),
-        rpc("r", S, answered=4 * S + 400_000),
-        rpc("r", S, words="another a/b000"),
+        try_rows("r", SECOND_US, status=None),
+        try_rows("r", SECOND_US, status=-1, words="no answer", answered=5 * SECOND_US),
+        try_rows("r", SECOND_US, status=-2, words="closed"),
+        try_rows("r", SECOND_US, answered=4 * SECOND_US + 400_000),
+        try_rows("r", SECOND_US, words="another a/b000"),
     ],
 )
 def test_a_try_without_its_own_answer_in_time_breaks_a_rule(rows):
@@ -72,28 +76,42 @@
 
 
 def test_a_failed_gateway_or_link_and_a_client_that_gives_up_excuse_a_missing_answer():
-    kill = [["process", 2 * S, GATEWAY, "SIGKILL", 9]]
-    assert broken_rules(rpc("r", S, status=None), kill) == []
-    assert broken_rules(rpc("r", 9 * S, status=None), kill, [["process", 3 * S, GATEWAY, "started", 9]]) == ["lost"]
-    slow = [*kill, ["process", 3 * S, GATEWAY, "started", 9], ["told", 7 * S, GATEWAY, 5, True, []]]
-    assert broken_rules(rpc("r", 6 * S, status=-2, words="closed"), slow) == []  # it does not listen yet
-    assert broken_rules(rpc("r", 8 * S, status=-2, words="closed"), slow) == ["lost"]
-    cut = [["fault", S, 0, "cut", True, [], "a/clients", "*"], ["fault", 3 * S, 0, "cut", False, [], "a/clients", "*"]]
-    assert broken_rules(rpc("r", 2 * S, status=None), cut) == []
-    assert broken_rules(rpc("r", 6 * S, status=None), cut) == ["lost"]
-    assert broken_rules(rpc("r", S, status=-1, words="gave up")) == []
+    kill = [["process", 2 * SECOND_US, GATEWAY, "SIGKILL", 9]]
+    assert broken_rules(try_rows("r", SECOND_US, status=None), kill) == []
+    assert broken_rules(
+        try_rows("r", 9 * SECOND_US, status=None), kill, [["process", 3 * SECOND_US, GATEWAY, "started", 9]]
+    ) == ["lost"]
+    slow = [*kill, ["process", 3 * SECOND_US, GATEWAY, "started", 9], ["told", 7 * SECOND_US, GATEWAY, 5, True, []]]
+    assert broken_rules(try_rows("r", 6 * SECOND_US, status=-2, words="closed"), slow) == []  # it does not listen yet
+    assert broken_rules(try_rows("r", 8 * SECOND_US, status=-2, words="closed"), slow) == ["lost"]
+    cut = [
+        ["fault", SECOND_US, 0, "cut", True, [], "a/clients", "*"],
+        ["fault", 3 * SECOND_US, 0, "cut", False, [], "a/clients", "*"],
+    ]
+    assert broken_rules(try_rows("r", 2 * SECOND_US, status=None), cut) == []
+    assert broken_rules(try_rows("r", 6 * SECOND_US, status=None), cut) == ["lost"]
+    assert broken_rules(try_rows("r", SECOND_US, status=-1, words="gave up")) == []
 
 
 def test_repeated_effects_effects_despite_rejection_and_concurrent_attempts_are_found():
-    both = call("r", S), call("r", S + S // 5, OTHER)
-    assert broken_rules(rpc("r", S, READ), *both) == []
-    assert broken_rules(rpc("r", S, ORDER), *both) == ["twice"]
-    assert broken_rules(rpc("r", S, SWITCH), *both) == ["twice"]
-    assert broken_rules(rpc("r", S, SWITCH, status=503, words=""), call("r", S, what="answer lost")) == ["twice"]
-    assert broken_rules(rpc("r", S, READ), call("r", S, end=2 * S), call("r", S + S // 5, OTHER)) == ["twice"]
+    both = attempt_rows("r", SECOND_US), attempt_rows("r", SECOND_US + SECOND_US // 5, OTHER)
+    assert broken_rules(try_rows("r", SECOND_US, READ), *both) == []
+    assert broken_rules(try_rows("r", SECOND_US, ORDER), *both) == ["twice"]
+    assert broken_rules(try_rows("r", SECOND_US, SWITCH), *both) == ["twice"]
+    assert broken_rules(
+        try_rows("r", SECOND_US, SWITCH, status=503, words=""), attempt_rows("r", SECOND_US, what="answer lost")
+    ) == ["twice"]
+    assert broken_rules(
+        try_rows("r", SECOND_US, READ),
+        attempt_rows("r", SECOND_US, end=2 * SECOND_US),
+        attempt_rows("r", SECOND_US + SECOND_US // 5, OTHER),
+    ) == ["twice"]
     # One that was given up on closed its connection: its answer was heard by nobody.
-    unheard = call("r", S, end=2 * S, what="unheard ok")
-    assert broken_rules(rpc("r", S, READ), unheard, call("r", S + S // 5, OTHER)) == []
+    unheard = attempt_rows("r", SECOND_US, end=2 * SECOND_US, what="unheard ok")
+    assert (
+        broken_rules(try_rows("r", SECOND_US, READ), unheard, attempt_rows("r", SECOND_US + SECOND_US // 5, OTHER))
+        == []
+    )
 
 
 def endpoints_sent(at, status, whole=False, gateway=GATEWAY):
@@ -101,21 +119,28 @@
 
 
 def test_an_attempt_past_the_grace_of_a_drain_is_found_unless_the_gateway_may_not_know():
-    late = rpc("r", 3 * S), call("r", 3 * S)
-    assert broken_rules(endpoints_sent(0, "active", True), endpoints_sent(2 * S, "leaving"), *late) == ["drain"]
-    assert broken_rules(endpoints_sent(0, "active", True), endpoints_sent(2 * S, None, True), *late) == ["drain"]
-    assert broken_rules(endpoints_sent(0, "active", True), endpoints_sent(2 * S + 600_000, "leaving"), *late) == []
+    late = try_rows("r", 3 * SECOND_US), attempt_rows("r", 3 * SECOND_US)
+    assert broken_rules(endpoints_sent(0, "active", True), endpoints_sent(2 * SECOND_US, "leaving"), *late) == ["drain"]
+    assert broken_rules(endpoints_sent(0, "active", True), endpoints_sent(2 * SECOND_US, None, True), *late) == [
+        "drain"
+    ]
+    assert (
+        broken_rules(endpoints_sent(0, "active", True), endpoints_sent(2 * SECOND_US + 600_000, "leaving"), *late) == []
+    )
     assert (
         broken_rules(
-            endpoints_sent(0, "active", True), endpoints_sent(S, "leaving"), endpoints_sent(2 * S, "active"), *late
+            endpoints_sent(0, "active", True),
+            endpoints_sent(SECOND_US, "leaving"),
+            endpoints_sent(2 * SECOND_US, "active"),
+            *late,
         )
         == []
     )
     assert (
         broken_rules(
             endpoints_sent(0, "active", True),
-            endpoints_sent(S, "leaving"),
-            [["process", S, GATEWAY, "SIGKILL", 1], ["process", 2 * S, GATEWAY, "started", 1]],
+            endpoints_sent(SECOND_US, "leaving"),
+            [["process", SECOND_US, GATEWAY, "SIGKILL", 1], ["process", 2 * SECOND_US, GATEWAY, "started", 1]],
             *late,
         )
         == []
@@ -123,9 +148,17 @@
 
 
 def test_overload_of_a_cold_backend_is_found():
-    started = [["backend", S, BACKEND, "started"]]
-    some = [row for n in range(60) for row in rpc(f"r{n}", S + n * 10_000) + call(f"r{n}", S + n * 10_000)]
-    many = [row for n in range(500) for row in rpc(f"r{n}", S + n * 2_000) + call(f"r{n}", S + n * 2_000)]
+    started = [["backend", SECOND_US, BACKEND, "started"]]
+    some = [
+        row
+        for n in range(60)
+        for row in try_rows(f"r{n}", SECOND_US + n * 10_000) + attempt_rows(f"r{n}", SECOND_US + n * 10_000)
+    ]
+    many = [
+        row
+        for n in range(500)
+        for row in try_rows(f"r{n}", SECOND_US + n * 2_000) + attempt_rows(f"r{n}", SECOND_US + n * 2_000)
+    ]
     assert broken_rules(started, some) == []
     assert broken_rules(started, many) == ["cold"]
     assert broken_rules(many) == []
@@ -133,7 +166,11 @@
 
 def test_an_exceeded_rate_limit_is_found():
     def burst(n):
-        return [row for i in range(n) for row in rpc(f"w{i}", S + i, ORDER, 1) + call(f"w{i}", S + i)]
+        return [
+            row
+            for i in range(n)
+            for row in try_rows(f"w{i}", SECOND_US + i, ORDER, 1) + attempt_rows(f"w{i}", SECOND_US + i)
+        ]
 
     assert broken_rules(burst(22)) == []
     assert "ceiling" in broken_rules(burst(40))
@@ -154,7 +191,7 @@
         rows += [
             ["rpc", a.at_us, id_, a.number, a.customer, a.method, GATEWAY, 0, a.at_us + a.wait_us],
             ["ans", a.at_us + 50_000, id_, 200, f"{id_} x", 0.0],
-        ] + call(id_, a.at_us, OTHER)
+        ] + attempt_rows(id_, a.at_us, OTHER)
     figures = Ledger(rows, SCENARIO, PLAN).figures()
     assert 0 < figures["goodput"] < 0.2 and figures["crossed zones"] == 1.0 and figures["tries"] == 50
     assert abs(figures["ms p50"] - 50) < 1 and figures["refused"] == 0
