--- a/stoneyoke/lab/capacity/fleet_measurements.py
+++ b/stoneyoke/lab/capacity/fleet_measurements.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from stoneyoke.lab.capacity.figures import Figure
-from stoneyoke.lab.capacity.fleet_costs import FleetShape, event_figures, steady_figures
+from stoneyoke.lab.capacity.fleet_costs import Cost, FleetShape, event_figures, steady_figures
 from stoneyoke.lab.capacity.hollow_fleet import HollowFleet
 from stoneyoke.lab.capacity.metered_network import MeteredLoop
 from stoneyoke.lab.capacity.meters import rss_mb
@@ -21,24 +21,31 @@
 
 
 async def play(fleet: HollowFleet) -> list[Figure]:
-    """Measures the start of a fleet, a steady window, a change of configuration, a drain and one more gateway."""
-    shape, before_mb = fleet.shape, rss_mb()
+    """Measures the start of a fleet, a steady window and, unless its shape has no events, each event."""
+    before_mb = rss_mb()
     await fleet.start_controllers()
     await asyncio.sleep(ELECTION_S)
     await fleet.put()
     fleet.network.run_on("", fleet.send_heartbeats())
     await asyncio.sleep(HEARTBEAT_S)
     await fleet.send_heartbeat(0)
-    start = await fleet.cost_of(fleet.start_gateways, shape.settle_s)
+    start = await fleet.cost_of(fleet.start_gateways, fleet.shape.settle_s)
     fleet.network.run_on("", fleet.put_repeatedly())
-    steady = await fleet.cost_of(lambda: asyncio.sleep(shape.window_s))
+    steady = await fleet.cost_of(lambda: asyncio.sleep(fleet.shape.window_s))
     figures = [
         *event_figures("all gateways start", start, None, len(fleet.gateways)),
-        *steady_figures(steady, shape.gateways),
+        *steady_figures(steady, fleet.shape.gateways),
         Figure("all in one process: memory", "MB", rss_mb() - before_mb),
     ]
-    if not shape.events:
+    if not fleet.shape.events:
         return figures
+    figures += await measure_change(fleet, steady)
+    figures += await measure_drain(fleet, steady)
+    return figures + await measure_join(fleet, steady)
+
+
+async def measure_change(fleet: HollowFleet, steady: Cost) -> list[Figure]:
+    """Measures a new configuration, from its call until all gateways have it in force."""
     acknowledged_s = 0.0
 
     async def change() -> None:
@@ -46,21 +53,31 @@
         acknowledged_s = await fleet.put()
         await fleet.until(lambda gateway: gateway.has(fleet.version))
 
+    cost = await fleet.cost_of(change, TAIL_S)
+    figures = event_figures("a change", cost, steady, len(fleet.gateways))
+    return [*figures, Figure("a change: until acknowledged", "s", acknowledged_s)]
+
+
+async def measure_drain(fleet: HollowFleet, steady: Cost) -> list[Figure]:
+    """Measures a drain, from its call until all gateways know it."""
+
     async def drain() -> None:
         await fleet.send_heartbeat(0, "draining")
         await fleet.until(fleet.knows_drain)
 
+    cost = await fleet.cost_of(drain, TAIL_S)
+    return event_figures("a drain", cost, steady, len(fleet.gateways))
+
+
+async def measure_join(fleet: HollowFleet, steady: Cost) -> list[Figure]:
+    """Measures one more gateway, from its start until it is ready."""
+
     async def join() -> None:
-        fleet.start_gateway(shape.gateways)
+        fleet.start_gateway(fleet.shape.gateways)
         await fleet.until(lambda gateway: gateway.client.config_sync.ready)
 
-    changed = await fleet.cost_of(change, TAIL_S)
-    figures += event_figures("a change", changed, steady, len(fleet.gateways))
-    figures.append(Figure("a change: until acknowledged", "s", acknowledged_s))
-    drained = await fleet.cost_of(drain, TAIL_S)
-    figures += event_figures("a drain", drained, steady, len(fleet.gateways))
-    joined = await fleet.cost_of(join, 2 * TAIL_S)
-    return figures + event_figures("one gateway joins", joined, steady, len(fleet.gateways))
+    cost = await fleet.cost_of(join, 2 * TAIL_S)
+    return event_figures("one gateway joins", cost, steady, len(fleet.gateways))
 
 
 def fleet_figures(shape: FleetShape) -> list[Figure]:
--- a/stoneyoke/lab/capacity/hot_paths/controller_registry.py
+++ b/stoneyoke/lab/capacity/hot_paths/controller_registry.py
@@ -29,6 +29,19 @@
     return row_from_heartbeat(call)
 
 
+def read_call_s(size: int) -> float:
+    """Returns the processor time of reading the call of one heartbeat."""
+    calls = [
+        (f"/instances/{instance_name(index)}/heartbeat", heartbeat(index, 9)) for index in sample_indexes(size, CALLS)
+    ]
+
+    def read_calls() -> None:
+        for target, body in calls:
+            row_of_call(read_call("POST", target, body))
+
+    return processor_s(read_calls) / len(calls)
+
+
 def registered_heartbeats(size: int) -> list[Figure]:
     """Measures a controller that knows so many instances: heartbeats of all, a change, a drain, a sweep, pulls."""
     registry, registry_heap = heap(lambda: filled_registry(size))
@@ -40,21 +53,13 @@
         for index in range(size):
             registry.merge(row(index, seq), 1.0)
 
-    calls = [
-        (f"/instances/{instance_name(index)}/heartbeat", heartbeat(index, 9)) for index in sample_indexes(size, CALLS)
-    ]
-
-    def read_calls() -> None:
-        for target, body in calls:
-            row_of_call(read_call("POST", target, body))
-
     registry.merge(row(0, 10**6, Phase.DRAINING), 1.0)
     drained = registry.changes_since(registry.seq - 1, 1.0)
     complete = pull_response(registry, registry.changes_since(0, 1.0), True)
     rows_s = processor_s(lambda: [row(index, 1) for index in range(size)])
     return [
         Figure("registry held", "MB", megabytes(registry_heap.held)),
-        Figure("read one beat's call", "s", processor_s(read_calls) / len(calls)),
+        Figure("read one beat's call", "s", read_call_s(size)),
         Figure("all beat once, calls read already", "s", max(1e-9, processor_s(merge_all) - rows_s)),
         Figure("sweep", "s", processor_s(lambda: registry.sweep(1.0))),
         Figure(
--- a/stoneyoke/lab/capacity/report.py
+++ b/stoneyoke/lab/capacity/report.py
@@ -3,6 +3,7 @@
 import json
 from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import Any
 
 from stoneyoke.lab.capacity.figures import TARGETS, Measurement, Series, series_of
 from stoneyoke.lab.capacity.fits import Fit, Forecast, fits, forecast
@@ -99,39 +100,41 @@
 
 def document(measurements: Sequence[Measurement], wall_s: float) -> str:
     """Returns all measurements and fits as JSON."""
-    return json.dumps(
-        {
-            "wall_s": round(wall_s, 1),
-            "measurements": [
-                {
-                    "subject": one.case.subject,
-                    "axis": one.case.axis,
-                    "size": one.case.size,
-                    "figures": {figure.name: [figure.value, figure.unit] for figure in one.figures},
-                    "wall_s": round(one.wall_s, 2),
-                    "rss_mb": round(one.rss_mb, 1),
-                    "failed": one.failed,
-                }
-                for one in measurements
-            ],
-            "fits": [
-                {
-                    "subject": row.series.subject,
-                    "figure": row.series.name,
-                    "unit": row.series.unit,
-                    "shape": row.fit.shape,
-                    "slope": row.fit.slope,
-                    "base": row.fit.base,
-                    "residual": row.fit.residual,
-                    "target": row.target,
-                    "at_target": row.forecast.value,
-                    "low": row.forecast.low,
-                    "high": row.forecast.high,
-                    "extrapolated": row.extrapolated(),
-                }
-                for row in map(row_of, series_of(measurements))
-                if row.fit and row.forecast
-            ],
-        },
-        indent=1,
-    )
+    rows = [row_of(series) for series in series_of(measurements)]
+    fields = {
+        "wall_s": round(wall_s, 1),
+        "measurements": [measurement_fields(one) for one in measurements],
+        "fits": [fit_fields(row, row.fit, row.forecast) for row in rows if row.fit and row.forecast],
+    }
+    return json.dumps(fields, indent=1)
+
+
+def measurement_fields(measurement: Measurement) -> dict[str, Any]:
+    """Returns a measurement as JSON fields."""
+    return {
+        "subject": measurement.case.subject,
+        "axis": measurement.case.axis,
+        "size": measurement.case.size,
+        "figures": {figure.name: [figure.value, figure.unit] for figure in measurement.figures},
+        "wall_s": round(measurement.wall_s, 2),
+        "rss_mb": round(measurement.rss_mb, 1),
+        "failed": measurement.failed,
+    }
+
+
+def fit_fields(row: Row, fit: Fit, forecast_at_target: Forecast) -> dict[str, Any]:
+    """Returns the fit and the forecast of a row as JSON fields."""
+    return {
+        "subject": row.series.subject,
+        "figure": row.series.name,
+        "unit": row.series.unit,
+        "shape": fit.shape,
+        "slope": fit.slope,
+        "base": fit.base,
+        "residual": fit.residual,
+        "target": row.target,
+        "at_target": forecast_at_target.value,
+        "low": forecast_at_target.low,
+        "high": forecast_at_target.high,
+        "extrapolated": row.extrapolated(),
+    }
