--- a/stoneyoke/gateway/quota_client.py
+++ b/stoneyoke/gateway/quota_client.py
@@ -1,69 +1,97 @@
-"""Asks the keeper for units of tenants' stores, all that is wanted in one message, one message at a time."""
+"""Asks the lease holder for units of tenants' quotas: all that is wanted in one message, one message at a time."""
 
 import asyncio
+import contextlib
 from collections.abc import Callable
+from typing import Protocol
 
 from stoneyoke.limits.local_quota import LocalQuota, take_demands
 from stoneyoke.limits.quota_terms import SILENCE_TIMEOUT_S
-from stoneyoke.transport.messages import QuotaDemand, QuotaRequest, QuotaResponse
 from stoneyoke.transport.errors import PeerUnreachable
+from stoneyoke.transport.messages import QuotaDemand, QuotaRequest, QuotaResponse
 from stoneyoke.transport.peer_client import PeerClient
 
-REQUEST_WAIT_S = 0.1  # a request waits for the keeper no longer
-ANSWER_TIMEOUT_S = SILENCE_TIMEOUT_S / 2  # a later answer is none
-ROUND_INTERVAL_S = 0.25  # a message at least so often: it tells demand, and that this gateway is there
+REQUEST_WAIT_S = 0.1  # the longest that a client's request waits for units
+ANSWER_TIMEOUT_S = SILENCE_TIMEOUT_S / 2  # a later answer counts as none
+ROUND_INTERVAL_S = 0.25  # the longest time between two messages: they report demand, and that this gateway is there
+RETRY_DELAY_S = 0.05  # after no answer, or with no lease holder known
+REFUSED_DELAY_S = 0.02  # after an answer that can't be used: the controller holds the lease no longer, say
+SINCE_ANSWER_MAX_S = 60.0
+LONG_AGO_S = 1e9
+USABLE_UNITS = 1  # one request takes one unit
+
+
+class LeaseHolderAccess(Protocol):
+    """How the quota client reaches the lease holder."""
+
+    def lease_holder_client(self) -> PeerClient | None:
+        """The client of the lease holder; None if it is not known."""
+
+    def lease_holder_answered(self, at: float) -> None:
+        """The lease holder has answered; it counts as heard at this time, in seconds of the clock."""
 
 
-def gives_only_what_was_asked(drawn: QuotaResponse, demands: list[QuotaDemand]) -> bool:
-    """Whether each of its rows is for a tenant that was asked for, and none is there twice."""
-    given = [grant.tenant for grant in drawn.grants]
-    return len(set(given)) == len(given) and set(given) <= {demand.tenant for demand in demands}
+def grants_only_demanded(response: QuotaResponse, demands: list[QuotaDemand]) -> bool:
+    """Whether each grant is for a tenant in the demands, and none is there twice."""
+    granted = [grant.tenant for grant in response.grants]
+    return len(set(granted)) == len(granted) and set(granted) <= {demand.tenant for demand in demands}
 
 
 class QuotaClient:
-    """local_quotas: by tenant. keeper: the address of the core that holds the duty, "" if not known."""
+    """Keeps this gateway's local quotas supplied.
+
+    Attributes:
+        local_quotas: The units that this gateway holds, by tenant.
+        heard_at: When the lease holder was last heard, in seconds of the clock.
+        unanswered: The last message had no answer: requests don't wait for the next one's.
+        report_all: The next message reports every share that is held. Whoever answers next may know nothing of this
+            gateway.
+        waiting_requests: The number of requests that wait for units, by tenant.
+        request_due: Set when a message should leave before its interval is over.
+        round_ended: Set, and replaced, when a message was answered or was not in time.
+    """
 
     def __init__(
         self,
         name: str,
         incarnation: str,
-        lease_holder: Callable[[], str],
-        wire: Callable[[str], PeerClient | None],
         local_quotas: dict[str, LocalQuota],
-        heard: Callable[[], None],
+        access: LeaseHolderAccess,
         clock: Callable[[], float],
     ) -> None:
-        self.name, self.incarnation, self.lease_holder, self.wire, self.local_quotas = (
-            name,
-            incarnation,
-            lease_holder,
-            wire,
-            local_quotas,
-        )
-        self.heard, self.clock = heard, clock
-        self.heard_at = -1e9
-        self.unanswered = False  # the last message had no answer: nobody waits for the next one's
-        self.report_all = True  # the next message tells of every part that is held
-        self.waiting_requests: dict[str, int] = {}  # requests that wait, by tenant
+        """Starts as one that has heard nobody; `run` begins.
+
+        Args:
+            name: This gateway's name.
+            incarnation: Identifies this process among those of the same gateway.
+            local_quotas: The units that this gateway holds, by tenant; filled by grants.
+            access: Reaches the lease holder.
+            clock: Seconds of a steady clock.
+        """
+        self.name, self.incarnation, self.local_quotas = name, incarnation, local_quotas
+        self.access, self.clock = access, clock
+        self.heard_at = -LONG_AGO_S
+        self.unanswered = False
+        self.report_all = True
+        self.waiting_requests: dict[str, int] = {}
         self.request_due = asyncio.Event()
         self.round_ended = asyncio.Event()
 
     async def wait_for_units(self, tenant: str) -> None:
-        """Returns once the keeper has answered for this tenant, or has not in time; at once while it is down."""
+        """Waits until the lease holder has answered for a tenant, or has not in time.
+
+        Returns at once while it gives no answers.
+        """
         if self.unanswered:
             return
         self.waiting_requests[tenant] = self.waiting_requests.get(tenant, 0) + 1
         self.request_due.set()
         try:
             async with asyncio.timeout(REQUEST_WAIT_S):
-                # An answer to what was asked before this request came may hold nothing for it.
+                # The round under way may have begun before this request came, and bring nothing for it.
                 for _ in range(2):
                     await self.round_ended.wait()
-                    if (
-                        self.unanswered
-                        or self.local_quotas[tenant].level >= 1
-                        or self.local_quotas[tenant].closed_until > self.clock()
-                    ):
+                    if self.is_decided(tenant):
                         break
         except TimeoutError:
             pass
@@ -72,67 +100,79 @@
             if not self.waiting_requests[tenant]:
                 del self.waiting_requests[tenant]
 
+    def is_decided(self, tenant: str) -> bool:
+        """Whether a further round would change nothing for a request of this tenant."""
+        local_quota = self.local_quotas[tenant]
+        return self.unanswered or local_quota.level >= USABLE_UNITS or local_quota.closed_until > self.clock()
+
     async def run(self) -> None:
+        """Sends one message after another until the process ends."""
         while True:
-            try:
+            with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(ROUND_INTERVAL_S):
                     await self.request_due.wait()
-            except TimeoutError:
-                pass
             self.request_due.clear()
-            name = self.lease_holder()
-            wire = self.wire(name) if name else None
-            if wire is None:
-                self.end_round_unanswered()
-                await asyncio.sleep(0.05)
-                continue
+            lease_holder = self.access.lease_holder_client()
             try:
-                await self.request_units(wire)
+                if lease_holder is None:
+                    raise PeerUnreachable("no lease holder is known")
+                await self.request_units(lease_holder)
             except PeerUnreachable:
                 self.end_round_unanswered()
-                await asyncio.sleep(0.05)
+                await asyncio.sleep(RETRY_DELAY_S)
+
+    def end_round(self) -> None:
+        """Wakes the requests that wait for this round."""
+        ended, self.round_ended = self.round_ended, asyncio.Event()
+        ended.set()
 
     def end_round_unanswered(self) -> None:
-        """Those that wait go on without the keeper; whoever is heard next may know nothing of this gateway."""
+        """Requests that wait go on without the lease holder."""
         self.unanswered = self.report_all = True
-        answered, self.round_ended = self.round_ended, asyncio.Event()
-        answered.set()
-
-    async def request_units(self, wire: PeerClient) -> None:
-        now = self.clock()
-        deaf_s, full = min(60.0, now - self.heard_at), self.report_all
-        # One that may not know that this gateway hears it gives nothing and takes nothing for told.
-        demands = (
-            take_demands(self.local_quotas, self.waiting_requests, self.heard_at, full, now)
-            if deaf_s <= SILENCE_TIMEOUT_S
-            else []
-        )
-        drawn = await wire.call(
-            QuotaRequest(
-                name=self.name,
-                incarnation=self.incarnation,
-                since_answer_ms=int(deaf_s * 1000),
-                complete=full,
-                demands=demands,
-            ),
-            ANSWER_TIMEOUT_S,
+        self.end_round()
+
+    async def request_units(self, lease_holder: PeerClient) -> None:
+        """Sends one message and takes in its answer.
+
+        Raises:
+            PeerUnreachable: There was no answer in time.
+        """
+        sent_at = self.clock()
+        since_answer_s = min(SINCE_ANSWER_MAX_S, sent_at - self.heard_at)
+        # A lease holder that may not know that this gateway hears it grants nothing, and takes no report as made.
+        is_in_touch = since_answer_s <= SILENCE_TIMEOUT_S
+        report_all = self.report_all
+        demands: list[QuotaDemand] = []
+        if is_in_touch:
+            demands = take_demands(self.local_quotas, self.waiting_requests, self.heard_at, report_all, sent_at)
+        request = QuotaRequest(
+            name=self.name,
+            incarnation=self.incarnation,
+            since_answer_ms=int(since_answer_s * 1000),
+            complete=report_all,
+            demands=demands,
         )
-        if not isinstance(drawn, QuotaResponse) or not drawn.ok or not gives_only_what_was_asked(drawn, demands):
+        response = await lease_holder.call(request, ANSWER_TIMEOUT_S)
+        if not isinstance(response, QuotaResponse) or not response.ok or not grants_only_demanded(response, demands):
             self.end_round_unanswered()
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(REFUSED_DELAY_S)
             return
         self.unanswered = False
-        # No later than an answer is taken: this process may have stood still between that and this line.
-        self.heard_at = min(self.clock(), now + ANSWER_TIMEOUT_S)
-        self.heard()
-        if deaf_s > SILENCE_TIMEOUT_S:  # now it will
-            self.request_due.set()
-        else:
+        # This process may have been suspended between the answer and this line: the answer is no newer than its
+        # time-out allows.
+        self.heard_at = min(self.clock(), sent_at + ANSWER_TIMEOUT_S)
+        self.access.lease_holder_answered(self.heard_at)
+        self.apply(response, demands, is_in_touch)
+        self.end_round()
+
+    def apply(self, response: QuotaResponse, demands: list[QuotaDemand], is_in_touch: bool) -> None:
+        """Takes in a usable answer. After a silence the next message follows at once: that one may be granted."""
+        if is_in_touch:
             self.report_all = False
             for demand in demands:
                 self.local_quotas[demand.tenant].reported_isolated_units = demand.isolated_units
-        for grant in drawn.grants:
+        else:
+            self.request_due.set()
+        for grant in response.grants:
             if local_quota := self.local_quotas.get(grant.tenant):
                 local_quota.apply_grant(grant, self.heard_at)
-        answered, self.round_ended = self.round_ended, asyncio.Event()
-        answered.set()
--- a/stoneyoke/lab/capacity/hollow_fleet.py
+++ b/stoneyoke/lab/capacity/hollow_fleet.py
@@ -18,6 +18,7 @@
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.controlplane.settings import ControllerEnvironment, ControllerSettings
 from stoneyoke.gateway.control_client import ControlClient
+from stoneyoke.gateway.control_settings import ControlClientSettings, ControlEnvironment
 from stoneyoke.gateway.routes import RoutingTable, build_routing_table
 from stoneyoke.lab.capacity.fleet_costs import Cost, FleetShape
 from stoneyoke.lab.capacity.metered_network import MeteredLoop, MeteredNetwork, Traffic
@@ -42,19 +43,12 @@
         """Creates a gateway that knows the controllers at these addresses."""
         loop = asyncio.get_running_loop()
         self.table: RoutingTable | None = None
-        self.client = ControlClient(
-            name,
-            name,
-            ZONE,
-            PORT,
-            seeds,
-            BOUNDS,
-            clock=loop.time,
-            take=self.take,
-            told=lambda: None,
-            dial=dial,
-            random_source=random.Random(name),
-        )
+        settings = ControlClientSettings(name=name, ip=name, zone=ZONE, port=PORT, seeds=seeds, bounds=BOUNDS)
+        environment = ControlEnvironment(clock=loop.time, dial=dial, random_source=random.Random(name))
+        self.client = ControlClient(settings, self, environment)
+
+    def on_update(self) -> None:
+        """Does nothing: `has` reads what is known."""
 
     def take(self, new_configuration: Configuration) -> None:
         """Puts a configuration in force."""
--- a/stoneyoke/lab/simulation/machines.py
+++ b/stoneyoke/lab/simulation/machines.py
@@ -9,6 +9,7 @@
 from stoneyoke.controlplane.controller import Controller
 from stoneyoke.controlplane.settings import ControllerEnvironment, ControllerSettings
 from stoneyoke.gateway.control_client import ControlClient
+from stoneyoke.gateway.control_settings import ControlClientSettings, ControlEnvironment
 from stoneyoke.gateway.routes import RoutingTable, build_routing_table
 from stoneyoke.lab.simulation.bounds import BOUNDS, HEARTBEAT_S
 from stoneyoke.lab.simulation.disks import Disk
@@ -161,19 +162,13 @@
         self.incarnations += 1
         clock_offset_s = environment.random_source.uniform(-MAX_CLOCK_OFFSET_S, MAX_CLOCK_OFFSET_S)
         self.table, self.started_at, self.has_been_ready = None, loop.time(), False
-        self.client = ControlClient(
-            self.name,
-            self.name,
-            ZONE,
-            PORT,
-            seeds,
-            BOUNDS,
+        settings = ControlClientSettings(name=self.name, ip=self.name, zone=ZONE, port=PORT, seeds=seeds, bounds=BOUNDS)
+        control_environment = ControlEnvironment(
             clock=lambda: loop.time() + clock_offset_s,
-            take=self.take,
-            told=self.on_update,
             dial=environment.network.dialler(self.name),
             random_source=random.Random(f"{environment.plan.seed} {self.name} {self.incarnations}"),
         )
+        self.client = ControlClient(settings, self, control_environment)
         self.tasks = self.client.start()
         self.tasks.append(loop.create_task(self.sweep(self.client)))
 
--- a/stoneyoke/programs/gateway.py
+++ b/stoneyoke/programs/gateway.py
@@ -13,6 +13,7 @@
 
 from stoneyoke.api.configuration import Configuration
 from stoneyoke.gateway.control_client import ControlClient
+from stoneyoke.gateway.control_settings import ControlClientSettings, ControlEnvironment
 from stoneyoke.gateway.request_handler import RequestHandler, RequestServices
 from stoneyoke.gateway.routes import build_routing_table
 from stoneyoke.gateway.upstreams import Upstreams, classify_answer
@@ -49,17 +50,16 @@
         limits = BackendLimits(connect_timeout_us=DIAL_US, idle_timeout_us=IDLE_US, response_max_bytes=body_most)
         self.backends = Backends(self.clock, self.metrics, descriptor_budget, limits)
         self.backends.classify = classify_answer
-        self.control_client = ControlClient(
-            settings.name,
-            settings.ip,
-            settings.zone,
-            settings.port,
-            settings.seeds,
-            settings.bounds,
-            clock=lambda: self.clock.now() / 1_000_000,
-            take=self.take,
-            told=self.told,
+        control_settings = ControlClientSettings(
+            name=settings.name,
+            ip=settings.ip,
+            zone=settings.zone,
+            port=settings.port,
+            seeds=settings.seeds,
+            bounds=settings.bounds,
         )
+        environment = ControlEnvironment(clock=lambda: self.clock.now() / 1_000_000)
+        self.control_client = ControlClient(control_settings, self, environment)
         self.instance_directory, seed = self.control_client.instance_directory, self.control_client.seed
         self.upstreams = Upstreams(
             self.clock,
@@ -89,7 +89,7 @@
     def take(self, chart: Configuration) -> None:
         self.front.install(build_routing_table(chart))
 
-    def told(self) -> None:
+    def on_update(self) -> None:
         self.upstreams.set_fleet(self.control_client.fleet)
         self.upstreams.refresh()
 
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -23,18 +23,25 @@
         return answer
 
 
-def play(wire, story):
+class LeaseHolderAccess:
+    """Reaches one lease holder, and records when it was heard."""
+
+    def __init__(self, client, heard):
+        self.client, self.heard = client, heard
+
+    def lease_holder_client(self):
+        return self.client
+
+    def lease_holder_answered(self, at):
+        self.heard.append(at)
+
+
+def play(peer_client, story):
     async def run():
         heard = []
-        quota_client = QuotaClient(
-            "edge-1",
-            "l",
-            lambda: "core",
-            lambda _: wire,
-            {"anna": LocalQuota()},
-            lambda: heard.append(1),
-            asyncio.get_running_loop().time,
-        )
+        clock = asyncio.get_running_loop().time
+        access = LeaseHolderAccess(peer_client, heard)
+        quota_client = QuotaClient("edge-1", "l", {"anna": LocalQuota()}, access, clock)
         task = asyncio.ensure_future(quota_client.run())
         try:
             await story(quota_client, heard)
@@ -53,19 +60,23 @@
 
 @test("requests that wait are asked for together, and share what comes")
 def _():
-    wire = PeerClient([GREETED, given(3.0)])
+    peer_client = PeerClient([GREETED, given(3.0)])
 
     async def story(quota_client, heard):
         await asyncio.gather(*(quota_client.wait_for_units("anna") for _ in range(3)))
-        assert wire.asked[0].demands == [] and wire.asked[1].demands[0][:2] == ("anna", 3.0) and len(wire.asked) == 2
+        assert (
+            peer_client.asked[0].demands == []
+            and peer_client.asked[1].demands[0][:2] == ("anna", 3.0)
+            and len(peer_client.asked) == 2
+        )
         assert quota_client.local_quotas["anna"].level == 3 and heard and not quota_client.waiting_requests
 
-    play(wire, story)
+    play(peer_client, story)
 
 
 @test("a keeper that does not answer, or no longer is one, makes nobody wait; its next answer ends that")
 def _():
-    wire = PeerClient([PeerUnreachable("cut"), QuotaResponse(ok=False, grants=[]), GREETED, given(1.0)])
+    peer_client = PeerClient([PeerUnreachable("cut"), QuotaResponse(ok=False, grants=[]), GREETED, given(1.0)])
 
     async def story(quota_client, heard):
         await quota_client.wait_for_units("anna")
@@ -76,23 +87,23 @@
             quota_client.request_due.set()
             quota_client.local_quotas["anna"].demand_units = 1.0
             await asyncio.wait_for(quota_client.round_ended.wait(), 2)
-        assert not quota_client.unanswered and heard and len(wire.asked) >= 3
+        assert not quota_client.unanswered and heard and len(peer_client.asked) >= 3
 
-    play(wire, story)
+    play(peer_client, story)
 
 
 @test("a tenant that is shut is told of, but nothing is asked for it")
 def _():
-    wire = PeerClient([GREETED, given(0.0, 5.0), given(0.0, 5.0)])
+    peer_client = PeerClient([GREETED, given(0.0, 5.0), given(0.0, 5.0)])
 
     async def story(quota_client, heard):
         await quota_client.wait_for_units("anna")
         assert quota_client.local_quotas["anna"].closed_until > asyncio.get_running_loop().time() + 4
         quota_client.local_quotas["anna"].demand_units = 2.0
-        await quota_client.request_units(wire)
-        assert wire.asked[2].demands[0][:3] == ("anna", 0.0, 2.0)
+        await quota_client.request_units(peer_client)
+        assert peer_client.asked[2].demands[0][:3] == ("anna", 0.0, 2.0)
 
-    play(wire, story)
+    play(peer_client, story)
 
 
 @test("rows for a tenant that was not asked for, or twice, give nothing to anybody")
@@ -101,31 +112,33 @@
         QuotaResponse(ok=True, grants=[QuotaGrant("bert", 3.0, 0.0, 0.5, 2.0)]),
         QuotaResponse(ok=True, grants=[QuotaGrant("anna", 3.0, 0.0, 0.5, 2.0)] * 2),
     ):
-        wire = PeerClient([GREETED, wrong])
+        peer_client = PeerClient([GREETED, wrong])
 
-        async def story(quota_client, heard, wire=wire):
+        async def story(quota_client, heard, peer_client=peer_client):
             quota_client.local_quotas["bert"] = LocalQuota()
             await quota_client.wait_for_units("anna")
-            assert quota_client.unanswered and len(wire.asked) == 2 and len(heard) == 1
+            assert quota_client.unanswered and len(peer_client.asked) == 2 and len(heard) == 1
             assert quota_client.local_quotas["anna"].level == quota_client.local_quotas["bert"].level == 0
 
-        play(wire, story)
+        play(peer_client, story)
 
 
 @test(
     "the keeper counts as heard within an answer's time from when it was asked, however long this process stood still"
 )
 def _():
-    wire = PeerClient([GREETED, given(3.0)])
+    peer_client = PeerClient([GREETED, given(3.0)])
 
     async def story(quota_client, heard):
         await quota_client.wait_for_units("anna")
         loop = asyncio.get_running_loop()
         asked_at, now = loop.time(), loop.time
-        quota_client.clock = lambda: now() + (100.0 if len(wire.asked) > 2 else 0.0)  # from the third one's asking on
-        wire.answers.append(given(1.0))
+        quota_client.clock = lambda: now() + (
+            100.0 if len(peer_client.asked) > 2 else 0.0
+        )  # from the third one's asking on
+        peer_client.answers.append(given(1.0))
         quota_client.local_quotas["anna"].demand_units = 1.0
-        await quota_client.request_units(wire)
+        await quota_client.request_units(peer_client)
         assert (
             asked_at
             < quota_client.heard_at
@@ -133,4 +146,4 @@
             < asked_at + 1 + ANSWER_TIMEOUT_S
         )
 
-    play(wire, story)
+    play(peer_client, story)
