--- a/stoneyoke/consensus/reader.py
+++ b/stoneyoke/consensus/reader.py
@@ -89,7 +89,8 @@
         for held in (self.replica.acceptor.accepted, self.replica.chosen):
             if held and held.ballot == chosen.ballot:
                 return held
-        for voter, accepted in current.replies.items():
+        # A copy: replies that come in while a body is fetched add to the dictionary.
+        for voter, accepted in list(current.replies.items()):
             if not accepted or accepted.ballot != chosen.ballot:
                 continue
             if voter == self.replica.identity:
--- /dev/null
+++ b/tests/system/test_reader.py
@@ -0,0 +1,35 @@
+"""The reader of the register: how a read gets the body of what is chosen."""
+
+from types import SimpleNamespace
+
+from ward import test
+
+from stoneyoke.consensus.ballot import Ballot
+from stoneyoke.consensus.majority_read import MajorityRead
+from stoneyoke.consensus.reader import Reader
+from stoneyoke.consensus.register_value import ReplicaId, initial_value
+
+BALLOT = Ballot(1, "proposer")
+OWN, LOST, HOLDER, LATE = (ReplicaId(address, "disk") for address in ("own", "lost", "holder", "late"))
+
+
+@test("a read goes on to the next holder of the body though a reply comes in while the first one is asked")
+async def _():
+    initial = initial_value([voter.address for voter in (OWN, LOST, HOLDER, LATE)])
+    chosen = initial._replace(ballot=BALLOT)
+    read = MajorityRead(initial, 1)
+    read.on_reply(LOST, chosen)
+    read.on_reply(HOLDER, chosen)
+    asked = []
+
+    async def fetch(address, ballot):
+        asked.append((address, ballot))
+        if address == LOST.address:
+            read.on_reply(LATE, chosen)
+            return None
+        return chosen
+
+    replica = SimpleNamespace(acceptor=SimpleNamespace(accepted=initial), chosen=initial, identity=OWN)
+    learner = SimpleNamespace(replica=replica, peers=None, spawn=None, fetch=fetch)
+    assert await Reader(learner, None).with_body(chosen, read) == chosen
+    assert asked == [(LOST.address, BALLOT), (HOLDER.address, BALLOT)]
