--- a/stoneyoke/control/backend_selection.py
+++ b/stoneyoke/control/backend_selection.py
@@ -11,6 +11,8 @@
 from stoneyoke.limits.token_bucket import SECOND, TokenBucket
 from stoneyoke.spread.zone_ranking import ring_positions, rotation_size
 
+RANKING_TICKS = 5  # ticks from one look at the backends to the next: a quarter of a second
+STALL_US = 4 * TICK_US  # without an event for so long this process stood still itself, and measures nothing
 EJECTED_US = SECOND  # how long a failing backend gets no attempts
 EJECTION_MARGIN = 0.4  # ejected above the median share of failures by this
 LATENCY_BAND = 1.5  # each band of the order is this much slower than the one before
@@ -86,7 +88,7 @@
     def renew_order(self) -> None:
         """Ranks by bands of latency against the fleet's median, cold backends first, then by the place on the ring."""
         now = self.context.now
-        quarters, self.changes, self.ranked_at = (now - self.ranked_at) / (5 * TICK_US), 0, now
+        quarters, self.changes, self.ranked_at = (now - self.ranked_at) / (RANKING_TICKS * TICK_US), 0, now
         ready = self.table.ready()
         if ready:
             self.fade_measurements(ready, quarters)
@@ -126,7 +128,7 @@
     def measure(self, attempt: InFlight, method: int, outcome: AttemptOutcome) -> None:
         """Learns from an attempt that has ended."""
         self.changes += 1
-        backend, statistics = self.table.backends[attempt.backend], self.context.methods[method]
+        backend, statistics = self.table.by_index[attempt.backend], self.context.methods[method]
         latency_us = self.context.now - attempt.started_at
         if outcome in (AttemptOutcome.OK, AttemptOutcome.ERROR, AttemptOutcome.REJECTED):
             backend.silent_since = self.context.now
--- a/stoneyoke/control/backend_table.py
+++ b/stoneyoke/control/backend_table.py
@@ -57,21 +57,21 @@
 
     def __init__(self) -> None:
         """Begins empty."""
-        self.backends: dict[int, Backend] = {}
+        self.by_index: dict[int, Backend] = {}
 
     def ready(self) -> list[Backend]:
         """The backends that take new work, zone after zone. The order is the same at all gateways."""
-        ready = [backend for backend in self.backends.values() if backend.state is BackendState.READY]
+        ready = [backend for backend in self.by_index.values() if backend.state is BackendState.READY]
         return sorted(ready, key=lambda backend: (backend.zone, backend.index))
 
     def update(self, event: EndpointsChanged) -> list[Backend]:
         """Takes discovery's report. Returns the backends that have started since they were last listed."""
         if event.complete:
-            for backend in self.backends.values():
+            for backend in self.by_index.values():
                 backend.state = BackendState.GONE
         started = []
         for endpoint in event.endpoints:
-            backend = self.backends.setdefault(endpoint.backend, Backend(endpoint.backend))
+            backend = self.by_index.setdefault(endpoint.backend, Backend(endpoint.backend))
             if endpoint.started_us > backend.started_us:
                 backend.started_us = endpoint.started_us
                 started.append(backend)
@@ -80,9 +80,9 @@
 
     def drop_gone(self) -> None:
         """Forgets backends that are gone, once they have no attempts in flight."""
-        self.backends = {i: b for i, b in self.backends.items() if b.state is not BackendState.GONE or b.in_flight}
+        self.by_index = {i: b for i, b in self.by_index.items() if b.state is not BackendState.GONE or b.in_flight}
 
     def process_stalled(self, now: int) -> None:
         """This process stood still until now: the backends were not silent, it did not listen."""
-        for backend in self.backends.values():
+        for backend in self.by_index.values():
             backend.silent_since = now
--- a/stoneyoke/control/concurrency.py
+++ b/stoneyoke/control/concurrency.py
@@ -8,7 +8,7 @@
 # Latencies here are in soft deadlines of the method.
 TARGET_LATENCY = 0.35  # with this mean the fleet is full and few answers are late
 OVERLOAD_LATENCY = 0.3  # mean latency of good answers above which the fleet is overloaded
-OVERLOAD_REFUSALS = 0.4  # likewise the share of attempts rejected or timed out
+FULL_REFUSED_SHARE = 0.4  # share of attempts rejected or timed out above which the fleet is full
 
 
 class ConcurrencyLimit:
@@ -21,16 +21,16 @@
         self.in_flight, self.usual_in_flight = 0, 4.0
         self.backends = 0  # ranked ones
         self.latency = 0.1  # running mean of good answers
-        self.refusals = 0.0  # running mean: share of attempts rejected or timed out
+        self.refused_share = 0.0  # running mean: share of attempts rejected or timed out
         self.answers_per_s = 0.0  # good answers of warm backends
 
-    def is_refused(self) -> bool:
-        """Whether the backends turn so much away that the fleet is full."""
-        return self.refusals > OVERLOAD_REFUSALS
+    def is_full(self) -> bool:
+        """Whether the backends reject so many attempts, or let them time out, that the fleet is full."""
+        return self.refused_share > FULL_REFUSED_SHARE
 
     def is_overloaded(self) -> bool:
         """Attempts without an answer show an overload only while answers are slow too. Else they are lost."""
-        return self.latency > OVERLOAD_LATENCY or self.is_refused()
+        return self.latency > OVERLOAD_LATENCY or self.is_full()
 
     def smoothing(self, seconds: float) -> float:
         """The weight of an answer in a mean over so many seconds of them. (0.3 at most let overloads last a day.)"""
@@ -42,11 +42,11 @@
             self.latency += (latency - self.latency) * self.smoothing(0.4)
         refused = outcome in (AttemptOutcome.REJECTED, AttemptOutcome.TIMED_OUT)
         if outcome is AttemptOutcome.OK or refused:
-            self.refusals += (refused - self.refusals) * self.smoothing(0.4) / 2
+            self.refused_share += (refused - self.refused_share) * self.smoothing(0.4) / 2
         lost_in_overload = outcome not in PROVEN_NOT_RUN and is_typical and self.is_overloaded()
         if outcome is AttemptOutcome.OK and is_typical:
             self.adjust(latency)
-        elif (refused and self.is_refused()) or lost_in_overload:
+        elif (refused and self.is_full()) or lost_in_overload:
             self.adjust(1.0)
 
     def adjust(self, latency: float) -> None:
--- a/stoneyoke/control/gateway.py
+++ b/stoneyoke/control/gateway.py
@@ -18,7 +18,7 @@
 
 from stoneyoke.control import events
 from stoneyoke.control.actions import Action, SetTimer, Subscribe
-from stoneyoke.control.backend_selection import BackendSelector
+from stoneyoke.control.backend_selection import RANKING_TICKS, STALL_US, BackendSelector
 from stoneyoke.control.context import TICK_US, DecisionContext
 from stoneyoke.control.parameters import GatewayParameters
 from stoneyoke.control.quota_shares import QuotaShares
@@ -27,9 +27,6 @@
 from stoneyoke.control.rpc_runner import RpcRunner
 from stoneyoke.limits.token_bucket import SECOND
 
-STALL_US = 4 * TICK_US  # without a tick for so long: this process itself stood still
-RANKING_TICKS = 5  # ticks from one look at the backends to the next: a quarter of a second
-
 
 class Gateway:
     """Decides for one gateway. It has no clock and does no I/O: the host tells the time and what happened."""
@@ -50,7 +47,7 @@
             events.TimerFired: self.tick,
             events.CounterReply: self.quotas.counter_replied,
             events.EndpointsChanged: self.endpoints_changed,
-            events.PeerEvidence: self.peer_evidence,
+            events.PeerEvidence: self.peer_evidence_changed,
             events.ClientGone: self.rpcs.client_gone,
             events.AnswerStarted: self.rpcs.answer_started,
             events.ParametersChanged: self.parameters_changed,
@@ -67,7 +64,7 @@
 
     def knows(self, backend: int) -> bool:
         """Whether a backend is listed or has attempts in flight. Its index must not be used anew."""
-        return backend in self.backends.table.backends
+        return backend in self.backends.table.by_index
 
     def handle(self, event: events.Event, now: int) -> list[Action]:
         """Decides on an event.
@@ -116,7 +113,7 @@
             self.backends.mark_cold(backend, backend.started_us)
         self.backends.renew_order()
 
-    def peer_evidence(self, event: events.PeerEvidence) -> None:
+    def peer_evidence_changed(self, event: events.PeerEvidence) -> None:
         """Takes what the gateways have agreed on."""
         self.backends.peer_evidence = event
         self.backends.renew_order()
--- a/stoneyoke/control/retry_policy.py
+++ b/stoneyoke/control/retry_policy.py
@@ -176,7 +176,7 @@
         concurrency, deadline = self.backends.concurrency, rpc.arrived_at + rpc.arrival.wait_us
         too_late = self.context.now >= deadline - history.method.soft_deadline_us // 8
         feeds_overload = not history.not_run and concurrency.is_overloaded()
-        fleet_is_full = outcome is AttemptOutcome.REJECTED and concurrency.is_refused()
+        fleet_is_full = outcome is AttemptOutcome.REJECTED and concurrency.is_full()
         return not (too_late or feeds_overload or fleet_is_full)
 
     def admission_share(self, arrival: Arrival) -> float:
--- a/stoneyoke/control/rpc_runner.py
+++ b/stoneyoke/control/rpc_runner.py
@@ -2,16 +2,16 @@
 
 from functools import partial
 
-from stoneyoke.control.actions import Action, AddToCounter, CancelAttempt, StartAttempt
+from stoneyoke.control.actions import AddToCounter, CancelAttempt, StartAttempt
 from stoneyoke.control.backend_selection import BackendSelector
 from stoneyoke.control.context import DecisionContext
 from stoneyoke.control.events import AnswerStarted, Arrival, AttemptEnded, ClientGone, CounterReply
-from stoneyoke.control.open_rpc import STILL_WAITING, InFlight, OpenRpc
+from stoneyoke.control.open_rpc import STILL_WAITING, WAIT, InFlight, OpenRpc, Step
 from stoneyoke.control.quotas import Quotas
 from stoneyoke.control.retry_policy import RetryPolicy
 from stoneyoke.limits.token_bucket import SECOND
 
-STREAMING_US = 3600 * SECOND  # an RPC whose answer arrives is left alone: longer than any deadline
+STREAMING_US = 3600 * SECOND  # for so long an RPC is left alone whose answer has begun to arrive
 
 
 class RpcRunner:
@@ -42,9 +42,9 @@
         for rpc in [r for r in self.open.values() if r.resume_at_us <= self.context.now]:
             self.resume(rpc, STILL_WAITING)
 
-    def carry_out(self, rpc: OpenRpc, step: Action | None) -> None:
+    def carry_out(self, rpc: OpenRpc, step: Step) -> None:
         """Does what an RPC's policy has yielded."""
-        if step is None:
+        if step is WAIT:
             return
         if isinstance(step, AddToCounter):
             rpc.query = step
@@ -59,7 +59,7 @@
 
     def attempt_started(self, rpc: OpenRpc, step: StartAttempt) -> None:
         """Counts an attempt as in flight."""
-        self.backends.table.backends[step.backend].attempt_started(self.context.now)
+        self.backends.table.by_index[step.backend].attempt_started(self.context.now)
         self.backends.concurrency.in_flight += 1
         self.quotas.customers[rpc.arrival.customer].in_flight += 1
         rpc.in_flight[rpc.attempts_started] = InFlight(step.backend, self.context.now)
@@ -72,7 +72,7 @@
             return
         attempt = rpc.in_flight.pop(result.attempt)
         was_overdue = rpc.overdue_counted == result.attempt + 1
-        self.backends.table.backends[attempt.backend].attempt_ended(was_overdue)
+        self.backends.table.by_index[attempt.backend].attempt_ended(was_overdue)
         self.backends.concurrency.in_flight -= 1
         customer = self.quotas.customers[rpc.arrival.customer]
         customer.in_flight -= 1
--- a/tests/control/test_backend_selection.py
+++ b/tests/control/test_backend_selection.py
@@ -61,7 +61,7 @@
         if turn % 4 == 0:
             (out,) = attempts_in(bench.end_attempt(out.rpc, 0, out.backend, AttemptOutcome.CUT))
         bench.end_attempt(out.rpc, int(turn % 4 == 0), out.backend)
-    assert all(backend.is_warm and not backend.started_us for backend in bench.gateway.backends.table.backends.values())
+    assert all(backend.is_warm and not backend.started_us for backend in bench.gateway.backends.table.by_index.values())
 
 
 def test_gateways_of_a_zone_begin_at_different_backends():
@@ -80,7 +80,7 @@
                 bench.next_rpc, n, out[0].backend, AttemptOutcome.REJECTED if out[0].backend == 0 else AttemptOutcome.OK
             )
     bench.pass_time(300_000)
-    assert bench.gateway.backends.order[-1].index == 0 and bench.gateway.backends.table.backends[0].latency_band > 0
+    assert bench.gateway.backends.order[-1].index == 0 and bench.gateway.backends.table.by_index[0].latency_band > 0
 
 
 def test_one_answer_of_three_mean_latencies_does_not_lower_the_rank():
@@ -89,7 +89,7 @@
     bench.now += int(3 * bench.gateway.context.methods[0].mean_latency_us)
     bench.end_attempt(1, 0, out.backend)
     bench.gateway.backends.renew_order()
-    assert bench.gateway.backends.table.backends[out.backend].latency_band == 0
+    assert bench.gateway.backends.table.by_index[out.backend].latency_band == 0
 
 
 def test_a_backend_that_accepts_no_connection_is_ejected_at_once():
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -126,7 +126,7 @@
 async def test_advice_reaches_the_gateways_decisions():
     async with TwoGateways() as two:
         program = two.programs[0]
-        (index,) = program.runtime.gateway.backends.table.backends
+        (index,) = program.runtime.gateway.backends.table.by_index
         program.peers.apply_advice(PeerEvidence(frozenset([index]), frozenset()))
         assert program.runtime.gateway.backends.peer_evidence.left_out == {index}
         assert program.metrics.counts["fleet: backend ejected on peer evidence"] == 1
