--- a/stoneyoke/gateway/forwarding.py
+++ b/stoneyoke/gateway/forwarding.py
@@ -12,7 +12,7 @@
 from stoneyoke.gateway.local_reply import local_reply
 from stoneyoke.gateway.request_head import Request, client_answer_headers, upstream_request_head
 from stoneyoke.gateway.routes import Route, Tenant
-from stoneyoke.gateway.upstreams import RANKS_MAX, Upstream, Upstreams
+from stoneyoke.gateway.upstreams import MISDIRECTED_REQUEST, RANKS_MAX, Upstream, Upstreams
 from stoneyoke.net.attempt import OutgoingRequest
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.client_connection import ClientConnection
@@ -22,8 +22,6 @@
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.pending_request import Decision, PendingRequest, RequestDescription
 
-MISDIRECTED_REQUEST = 421
-
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ForwardingContext:
--- a/stoneyoke/gateway/instance_directory.py
+++ b/stoneyoke/gateway/instance_directory.py
@@ -1,8 +1,9 @@
-"""What a gateway makes of the cores' news: backends, cores, gateways, the newest configuration. No I/O.
+"""What a gateway knows of instances, controllers and other gateways, merged from the controllers' answers. No I/O.
 
-Each core is a view with a version of its own news; of two tellings of a backend the higher call_seq wins and gone
-wins over all, so no order of news matters. Nothing is forgotten because a core is: only what is told to be gone, or
-what every core in touch calls silent for long."""
+Each controller numbers its own changes. Of two reports of an instance the one with the higher call_seq wins, and "gone"
+wins over all, so the order of the answers does not matter. Nothing is forgotten because a controller is: only what was
+reported gone, or what every controller in touch has not heard for long.
+"""
 
 from dataclasses import dataclass, field
 
@@ -15,45 +16,74 @@
 from stoneyoke.api.configuration import Version
 from stoneyoke.transport.messages import InstanceRow, PullResponse
 
-IN_TOUCH_S = 2.2  # more than a pull may be held, and what it takes to open a connection again
-DROP_UNHEARD_S = 20.0  # silent by all cores in touch for so long, a backend is dropped
+IN_TOUCH_S = 2.2  # longer than a pull may be held, and a new connection takes
+DROP_UNHEARD_S = 20.0  # an instance that no controller in touch has heard for so long is dropped
+NEVER_S = -1e9
 GONE_MEMORY_S = 300.0  # longer than any controller remembers (instance_registry)
 GONE_MAX = 4096  # as many as a controller remembers
 
 
 @dataclass(slots=True)
 class ControllerView:
-    """One core, as it told of itself last."""
+    """One controller, as its last answer describes it.
+
+    Attributes:
+        incarnation: Identifies its process.
+        seq: The number of its newest change that is known here.
+        heard_at: When it answered last, in seconds of the clock.
+        last_pull: That answer; None before the first.
+        phases: The phase of each instance, as this controller has it.
+        membership_version: The number of the gateways and controllers that it has reported.
+        gateways: The gateways whose heartbeats it has heard.
+    """
 
     incarnation: str = ""
     seq: int = 0
-    heard_at: float = -1e9
+    heard_at: float = NEVER_S
     last_pull: PullResponse | None = None
-    phases: dict[str, int] = field(default_factory=dict)  # by instance, as this core has it
+    phases: dict[str, int] = field(default_factory=dict)
     membership_version: int = -1
     gateways: tuple[str, ...] = ()
 
 
 @dataclass(slots=True)
 class KnownInstance:
-    """A backend as it is known here."""
+    """One instance of a service.
+
+    Attributes:
+        row: The report in force.
+        warm_at: When it has warmed up, in seconds of the clock.
+        unheard_since: Since when no controller in touch hears it; None while one does.
+    """
 
     row: InstanceRow
     warm_at: float
-    unheard_since: float | None = None  # since when no core in touch hears it
+    unheard_since: float | None = None
 
 
 class InstanceDirectory:
+    """Merges what controllers report.
+
+    Attributes:
+        controllers: What is known of each controller, by its address.
+        instances: Instances that may serve, by name.
+        gone_at: Instances that never come back, and when that was learned, the oldest first.
+        revision: Rises with each change that matters for the choice of a backend.
+    """
+
     def __init__(self, seeds: tuple[str, ...]) -> None:
+        """Starts with the addresses of some controllers; others are learned from these."""
         self.controllers: dict[str, ControllerView] = {name: ControllerView() for name in seeds}
         self.instances: dict[str, KnownInstance] = {}
-        self.gone_at: dict[str, float] = {}  # instances that never come back; when that was told
-        self.revision = 0  # rises with each change that the choice of backend should hear of
+        self.gone_at: dict[str, float] = {}
+        self.revision = 0
 
     def add_controller(self, name: str) -> None:
+        """Adds a controller by its address."""
         self.controllers.setdefault(name, ControllerView())
 
     def apply_pull(self, name: str, news: PullResponse, now: float) -> None:
+        """Takes in a controller's answer."""
         view = self.controllers.setdefault(name, ControllerView())
         if news.complete or news.incarnation != view.incarnation:
             view.phases = {}
@@ -67,6 +97,7 @@
             self.merge_row(row, now)
 
     def merge_row(self, row: InstanceRow, now: float) -> None:
+        """Takes in one report of an instance, unless a newer one is known."""
         if row.instance in self.gone_at:
             return
         if row.phase == Phase.GONE:
@@ -85,43 +116,51 @@
         self.revision += 1
 
     def mark_gone(self, instance: str, now: float) -> None:
-        """It is gone for good: told so, or another one answers at its address."""
+        """Drops an instance for good: it was reported gone, or another one answers at its address."""
         self.gone_at[instance] = now
         if self.instances.pop(instance, None):
             self.revision += 1
 
     def in_touch(self, now: float) -> list[ControllerView]:
-        return [one for one in self.controllers.values() if now - one.heard_at < IN_TOUCH_S]
+        """Controllers that have answered of late."""
+        return [view for view in self.controllers.values() if now - view.heard_at < IN_TOUCH_S]
 
     def sweep(self, now: float) -> None:
-        """Doubts, and what ends them; called now and then."""
-        near = [one for one in self.in_touch(now) if one.last_pull and one.last_pull.instances_synced]
-        voters = len(self.voters().members)
-        if near and len(near) >= min(majority(voters or 1), voters or 1):
-            for name, instance_known in list(self.instances.items()):
-                heard = any(one.phases.get(name, Phase.SILENT) in (Phase.READY, Phase.DRAINING) for one in near)
-                if heard == (instance_known.unheard_since is None):
-                    continue
-                if heard:
-                    instance_known.unheard_since = None
-                    self.revision += 1
-                elif instance_known.unheard_since is None:
-                    instance_known.unheard_since = now
-                    self.revision += 1
+        """Marks instances that no controller hears and drops what is out of date; called several times a second."""
+        synced = [view for view in self.in_touch(now) if view.last_pull and view.last_pull.instances_synced]
+        voters = len(self.voters().members) or 1
+        if synced and len(synced) >= min(majority(voters), voters):
+            self.mark_unheard(synced, now)
         for name, instance_known in list(self.instances.items()):
             if instance_known.unheard_since is not None and now - instance_known.unheard_since > DROP_UNHEARD_S:
                 del self.instances[name]
                 self.revision += 1
-        over = len(self.gone_at) - GONE_MAX
-        for name in [
-            one for at, one in enumerate(self.gone_at) if at < over or now - self.gone_at[one] > GONE_MEMORY_S
-        ]:
-            del self.gone_at[name]  # in the order in which they went
+        self.forget_gone(now)
+
+    def mark_unheard(self, synced: list[ControllerView], now: float) -> None:
+        """Notes for each instance since when none of these controllers hears it."""
+        for name, instance_known in self.instances.items():
+            is_heard = any(view.phases.get(name, Phase.SILENT) in (Phase.READY, Phase.DRAINING) for view in synced)
+            was_heard = instance_known.unheard_since is None
+            if is_heard != was_heard:
+                instance_known.unheard_since = None if is_heard else now
+                self.revision += 1
+
+    def forget_gone(self, now: float) -> None:
+        """Forgets instances that left long ago, and the oldest of those that are too many."""
+        excess = len(self.gone_at) - GONE_MAX
+        outdated = [
+            name
+            for number, (name, gone_at) in enumerate(self.gone_at.items())
+            if number < excess or now - gone_at > GONE_MEMORY_S
+        ]
+        for name in outdated:
+            del self.gone_at[name]
 
-    # ---- cores and gateways ----
+    # ---- controllers and gateways ----
 
     def controllers_holding(self, version: Version, zone: str) -> list[str]:
-        """Cores that hold this version or a higher one, those of a zone first."""
+        """Controllers that hold this version or a higher one, those of a zone first."""
         held = [
             name
             for name, one in self.controllers.items()
@@ -130,46 +169,51 @@
         return sorted(held, key=lambda name: (news := self.controllers[name].last_pull) is None or news.zone != zone)
 
     def register_views(self, now: float | None = None) -> dict[ReplicaId, Proposal]:
-        """What each controller, by its disk, last told of the register; now: only of those that are in touch and have
-        settled."""
-        told = [one for one in self.controllers.values() if one.last_pull]
+        """What each replica last reported of the replicated register.
+
+        Args:
+            now: Counts only controllers that are in touch at this time and have their instances in step; None: all.
+        """
+        reporting = [one for one in self.controllers.values() if one.last_pull]
         if now is not None:
-            told = [
+            reporting = [
                 one
-                for one in told
+                for one in reporting
                 if now - one.heard_at < IN_TOUCH_S and one.last_pull and one.last_pull.instances_synced
             ]
         return {
             ReplicaId(*one.last_pull.replica): Proposal(
                 Ballot(*one.last_pull.view_ballot), value_from_row(one.last_pull.view)
             )
-            for one in told
+            for one in reporting
             if one.last_pull
         }
 
     def voters(self) -> VoterSet:
-        """Who votes, by the newest value told."""
+        """Who votes, by the newest value that was reported."""
         newest = max(self.register_views().values(), key=lambda view: view.ballot, default=None)
         return newest.value.voters if newest else VoterSet()
 
     def newest(self) -> tuple[Version, str]:
-        """The highest version that any core has told of, and who."""
-        told = [(Version(*one.last_pull.version), name) for name, one in self.controllers.items() if one.last_pull]
-        return max(told, default=(Version(), ""))
+        """The highest version that any controller has reported, and its address."""
+        reporting = [(Version(*one.last_pull.version), name) for name, one in self.controllers.items() if one.last_pull]
+        return max(reporting, default=(Version(), ""))
 
     def caught_up(self, now: float) -> Version | None:
-        """The version that is sure to be no older than what was acknowledged; None: too few voters are heard. They
-        have all instances too: a drain is acknowledged once a majority of them knows."""
+        """The version that is sure to be no older than what was acknowledged; None: too few voters are heard.
+
+        Those voters know every acknowledged drain too: it is acknowledged once a majority of them knows it.
+        """
         newest = newest_view(self.register_views(now))
         return newest.value.version if newest else None
 
     def gateways(self, now: float) -> list[str]:
-        """Gateways whose beats cores in touch have heard, sorted."""
+        """Gateways whose heartbeats the controllers in touch have heard, sorted."""
         return sorted({name for one in self.in_touch(now) for name in one.gateways})
 
     def lease_holder(self, now: float) -> str:
-        """Who holds the duty of the quotas, by most cores in touch."""
-        said = [
+        """The controller that holds the lease of the quotas, by what most in touch report; "" if none is known."""
+        reported = [
             one.last_pull.lease_holder for one in self.in_touch(now) if one.last_pull and one.last_pull.lease_holder
         ]
         own = [
@@ -177,14 +221,17 @@
             for name, one in self.controllers.items()
             if now - one.heard_at < IN_TOUCH_S and one.last_pull and one.last_pull.lease_holder == name
         ]
-        if own:  # its own word is the newest
+        if own:  # what the holder says of itself is newer than what others have heard
             return max(own, key=lambda name: self.controllers[name].heard_at)
-        return max(sorted(set(said)), key=said.count) if said else ""
+        return max(sorted(set(reported)), key=reported.count) if reported else ""
 
-    # ---- backends ----
+    # ---- instances ----
 
     def unheard_instances(self, service: str) -> frozenset[str]:
-        """Backends that no core hears. No more than half of a service: else it is the cores that don't hear."""
+        """Instances of a service that no controller hears.
+
+        None if they are more than half of the service: then it is the controllers that are cut off.
+        """
         all_of = [one for one in self.instances.values() if one.row.service == service]
         silent = frozenset(one.row.instance for one in all_of if one.unheard_since is not None)
         return silent if 2 * len(silent) <= len(all_of) else frozenset()
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -1,7 +1,9 @@
-"""One module of decisions for each service, all over one pool of connections: its terms, its fleet, its doubts."""
+"""The services behind a gateway: one decision logic for each, over one pool of connections.
 
-import time
-import zlib
+What controllers report of instances and gateways is handed on to every decision logic as its own events.
+"""
+
+from dataclasses import dataclass
 
 from stoneyoke.api.bounds import ServiceBounds
 from stoneyoke.runtime.id_index import IdIndex
@@ -25,57 +27,103 @@
 from stoneyoke.runtime.runtime import Runtime
 from stoneyoke.runtime.metrics import Metrics
 
-WARM_UP_US = 3_000_000  # backends say how much longer they are slow; all are taken to begin this long before
-# Aims here are three to four times the work; the module holds a fleet's mean time at a third of the soft deadline,
-# which would be the work itself. (Aims as they are: a third of one zone's calm day was refused, 61a76ece.)
+WARM_UP_US = 3_000_000  # an instance reports how much longer it warms up; all are taken to need this in all
+# Operators' latency targets are three to four times the work. The decisions hold a service's mean time at a third of
+# the soft deadline, so the target itself as soft deadline would leave the work alone. Run 61a76ece with factor 1:
+# a third of one zone's requests was refused on a calm day.
 SOFT_DEADLINE_FACTOR = 2
-RANKS_MAX = 8  # of tenants and routes; beyond, all weigh the same
-RETRY_BUDGET_FRACTION = 0.5  # of the system's slack for further tries: the rest is for lists that differ and restarts
+RANKS_MAX = 8  # of tenants and routes; all beyond weigh the same
+# Of the system's slack for retries. The rest covers gateways that count each other differently, and restarts.
+RETRY_BUDGET_FRACTION = 0.5
+ATTEMPTS_MAX = 1000  # each route sets its own
+MISDIRECTED_REQUEST = 421
 
 
 class Upstream:
-    """A service as this gateway serves it."""
+    """A service as this gateway serves it.
+
+    Attributes:
+        service: The operator's name for it.
+        runtime: Its decision logic.
+        methods: The number of each kind of route that was asked for. A process sees few kinds.
+    """
 
     def __init__(self, service: str, parameters: GatewayParameters, clock: Clock, metrics: Metrics) -> None:
+        """Starts the decision logic of a service, without instances."""
         self.service = service
         self.runtime = Runtime(parameters, clock, metrics)
-        self.methods: dict[tuple[bool, int, int, int], int] = {}  # numbers; a life sees few kinds of routes
+        self.methods: dict[tuple[bool, int, int, int], int] = {}
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class UpstreamSettings:
+    """What the decisions of every service share.
+
+    Attributes:
+        zones: All zones by name; their order gives their numbers.
+        zone: This gateway's zone.
+        seed: The seed of the decisions.
+        bounds: The figures of the service's rules.
+    """
+
+    zones: tuple[str, ...]
+    zone: str
+    seed: int
+    bounds: ServiceBounds
 
 
 class Upstreams:
+    """All services that were asked for or have instances.
+
+    Attributes:
+        upstreams: The services by name.
+        indices: The number of each instance, as the decisions and the connection pool have it.
+        instances: The instances that are listed, by that number.
+        fleet: How many gateways share the retry budget.
+        directory_revision: The revision of the instance directory that the services have.
+    """
+
     def __init__(
         self,
         clock: Clock,
         metrics: Metrics,
         backends: Backends,
         instance_directory: InstanceDirectory,
-        zones: tuple[str, ...],
-        zone: str,
-        seed: int,
-        bounds: ServiceBounds,
+        settings: UpstreamSettings,
     ) -> None:
+        """Starts without services.
+
+        Args:
+            clock: The process's clock.
+            metrics: The process's counters.
+            backends: The connections to backends; asks here whether a backend takes new work.
+            instance_directory: The instances that controllers have reported.
+            settings: What the decisions of every service share.
+        """
         self.clock, self.metrics, self.backends, self.instance_directory = clock, metrics, backends, instance_directory
-        self.zones, self.zone, self.seed, self.bounds = list(zones), zone, seed, bounds
+        self.zones, self.zone, self.seed = list(settings.zones), settings.zone, settings.seed
+        self.bounds = settings.bounds
         self.upstreams: dict[str, Upstream] = {}
-        self.indices = IdIndex[str]()  # backends, by instance
-        self.instances: dict[int, KnownInstance] = {}  # listed backends, by index
+        self.indices = IdIndex[str]()
+        self.instances: dict[int, KnownInstance] = {}
         self.fleet, self.directory_revision = GatewayFleet(), -1
         self.backends.accepts_new_work = self.accepts_work
 
     def accepts_work(self, backend: int) -> bool:
-        instance_known = self.instances.get(backend)
-        return (
-            instance_known is not None
-            and instance_known.row.phase != Phase.DRAINING
-            and (instance_known.row.instance not in self.instance_directory.gone_at)
-        )
+        """Whether an instance may be sent new requests, by what is known now."""
+        known = self.instances.get(backend)
+        if known is None or known.row.phase == Phase.DRAINING:
+            return False
+        return known.row.instance not in self.instance_directory.gone_at
 
     def zone_of(self, name: str) -> int:
+        """A zone's number; a new zone gets the next one."""
         if name not in self.zones:
             self.zones.append(name)
         return self.zones.index(name)
 
     def parameters(self, methods: tuple[Method, ...]) -> GatewayParameters:
+        """The parameters of a service's decisions, with this gateway's part of the retry budget."""
         ratio, window = self.bounds.retry_ratio, self.bounds.retry_window_s
         slack = self.bounds.retry_slack_attempts * RETRY_BUDGET_FRACTION / self.fleet.size
         return GatewayParameters(
@@ -88,7 +136,7 @@
                 Plan(rate=0.0, burst=0.0, price=1 / (1 + rank), concurrency_max=0, ceiling_rate=0.0, ceiling_burst=0.0)
                 for rank in range(RANKS_MAX)
             ),
-            attempts_max=1000,
+            attempts_max=ATTEMPTS_MAX,
             can_cancel_attempts=True,
             has_counter=False,
             clients_mark_retries=False,
@@ -106,6 +154,7 @@
         )
 
     def get(self, service: str) -> Upstream:
+        """The service of this name; made at its first request or instance."""
         upstream = self.upstreams.get(service)
         if upstream is None:
             first = (
@@ -124,7 +173,7 @@
         return upstream
 
     def method_number(self, upstream: Upstream, route: Route) -> int:
-        """The number under which the module knows requests of this kind."""
+        """The number by which the decisions of a service know requests of this kind of route."""
         kind = (
             route.is_idempotent,
             route.target_us,
@@ -148,7 +197,7 @@
         return number
 
     def set_fleet(self, fleet: GatewayFleet) -> None:
-        """How many gateways there are has changed."""
+        """Tells every service how many gateways there are, if that has changed."""
         if fleet != self.fleet:
             self.fleet = fleet
             for upstream in self.upstreams.values():
@@ -157,63 +206,71 @@
                 )
 
     def refresh(self) -> None:
-        """Tells each module of its backends, if anything has changed."""
+        """Tells every service of its instances, if anything has changed in the directory."""
         if self.directory_revision == self.instance_directory.revision:
             return
         self.directory_revision = self.instance_directory.revision
+        self.update_instances()
+        self.release_unlisted()
+        for service in {known.row.service for known in self.instances.values()}:
+            self.get(service)
+        for upstream in self.upstreams.values():
+            self.send_endpoints(upstream)
+
+    def update_instances(self) -> None:
+        """Numbers the instances of the directory and sets their addresses."""
         self.instances = {}
-        for instance_known in self.instance_directory.instances.values():
-            index = self.indices.acquire(instance_known.row.instance)
-            self.instances[index] = instance_known
-            host, _, port = instance_known.row.address.rpartition(":")
+        for known in self.instance_directory.instances.values():
+            index = self.indices.acquire(known.row.instance)
+            self.instances[index] = known
+            host, _, port = known.row.address.rpartition(":")
             self.backends.set_address(index, (host, int(port)))
+
+    def release_unlisted(self) -> None:
+        """Closes connections to instances that are listed no more; frees their numbers once no service uses them."""
         for index in list(self.indices.index_by_id.values()):
             if index not in self.instances:
                 self.backends.remove(index)
                 if not any(upstream.runtime.knows_backend(index) for upstream in self.upstreams.values()):
                     self.indices.release(index)
-        for service in {instance_known.row.service for instance_known in self.instances.values()}:
-            self.get(service)
-        for upstream in self.upstreams.values():
-            self.send_endpoints(upstream)
 
     def send_endpoints(self, upstream: Upstream) -> None:
+        """Tells one service of its instances, and of those that no controller hears."""
         now = self.clock.now()
-        entries = []
-        for index, instance_known in self.instances.items():
-            if instance_known.row.service == upstream.service:
-                left = int(instance_known.warm_at * 1_000_000 - now)
-                state = BackendState.DRAINING if instance_known.row.phase == Phase.DRAINING else BackendState.READY
-                entries.append(
-                    Endpoint(
-                        index,
-                        self.zone_of(instance_known.row.zone),
-                        0,
-                        now + left - WARM_UP_US if left > 0 else 0,
-                        state,
-                    )
-                )
+        entries = [
+            self.endpoint(index, known, now)
+            for index, known in self.instances.items()
+            if known.row.service == upstream.service
+        ]
         upstream.runtime.endpoints_changed(EndpointsChanged(True, False, entries))
-        doubted = self.instance_directory.unheard_instances(upstream.service)
-        upstream.runtime.dispatch(
-            PeerEvidence(frozenset(self.indices.index_by_id[one] for one in doubted), frozenset())
-        )
+        unheard = self.instance_directory.unheard_instances(upstream.service)
+        left_out = frozenset(self.indices.index_by_id[name] for name in unheard)
+        upstream.runtime.dispatch(PeerEvidence(left_out, frozenset()))
+
+    def endpoint(self, index: int, known: KnownInstance, now: int) -> Endpoint:
+        """An instance in the terms of the decisions."""
+        warm_up_left_us = int(known.warm_at * 1_000_000 - now)
+        started_us = now + warm_up_left_us - WARM_UP_US if warm_up_left_us > 0 else 0
+        state = BackendState.DRAINING if known.row.phase == Phase.DRAINING else BackendState.READY
+        return Endpoint(index, self.zone_of(known.row.zone), 0, started_us, state)
 
 
 def classify_answer(answer: Message | None) -> AttemptOutcome:
-    """What a backend's answer tells (PROTOCOL, Answers and Backends). Only Not-Run and 421 say that it has not run;
-    a success without its stamp, with two, or that says that it has not run is none."""
+    """What a backend's answer tells of its attempt; None: the connection ended without one.
+
+    Only Not-Run and 421 prove that the request has not run. A success without its stamp, with two of them, or with
+    Not-Run is none.
+
+    Source: PROTOCOL, Answers and Backends.
+    """
     if answer is None:
         return AttemptOutcome.BROKEN
+    says_not_run = b"not-run" in answer.headers
     if 200 <= answer.status < 300:
-        whole = answer.headers.get(b"server-stamp") and not answer.repeated & {b"server-stamp"}
-        return AttemptOutcome.OK if whole and b"not-run" not in answer.headers else AttemptOutcome.BROKEN
-    if b"not-run" in answer.headers or answer.status == 421:
+        has_one_stamp = bool(answer.headers.get(b"server-stamp")) and b"server-stamp" not in answer.repeated
+        return AttemptOutcome.OK if has_one_stamp and not says_not_run else AttemptOutcome.BROKEN
+    if says_not_run or answer.status == MISDIRECTED_REQUEST:
         return AttemptOutcome.REJECTED
-    if answer.status in (408, 429, 503):  # a promise that only Not-Run backs
+    if answer.status in (408, 429, 503):  # they promise that it has not run, which only Not-Run proves
         return AttemptOutcome.BROKEN
     return AttemptOutcome.ERROR if answer.status >= 500 else AttemptOutcome.OK
-
-
-def seed_of(name: str) -> int:
-    return zlib.crc32(name.encode()) + int.from_bytes(time.monotonic_ns().to_bytes(8, "big")[4:], "big")
--- a/stoneyoke/lab/capacity/hot_paths/gateway_directory.py
+++ b/stoneyoke/lab/capacity/hot_paths/gateway_directory.py
@@ -4,7 +4,7 @@
 
 from stoneyoke.controlplane.instance_registry import InstanceRegistry, Phase
 from stoneyoke.gateway.instance_directory import InstanceDirectory
-from stoneyoke.gateway.upstreams import Upstreams
+from stoneyoke.gateway.upstreams import Upstreams, UpstreamSettings
 from stoneyoke.lab.capacity.figures import Figure
 from stoneyoke.lab.capacity.hot_paths.pull_responses import pull_response
 from stoneyoke.lab.capacity.meters import heap, megabytes, processor_once_s, processor_s
@@ -69,7 +69,8 @@
         def make() -> Upstreams:
             limits = BackendLimits(connect_timeout_us=300_000, idle_timeout_us=4_000_000)
             backends = Backends(clock, metrics, DescriptorBudget(1000, 100), limits)
-            return Upstreams(clock, metrics, backends, known, (), "zone-00", 5, BOUNDS)
+            settings = UpstreamSettings(zones=(), zone="zone-00", seed=5, bounds=BOUNDS)
+            return Upstreams(clock, metrics, backends, known, settings)
 
         def renewed_elsewhere() -> Upstreams:
             other = make()
--- a/stoneyoke/programs/gateway.py
+++ b/stoneyoke/programs/gateway.py
@@ -16,7 +16,7 @@
 from stoneyoke.gateway.control_settings import ControlClientSettings, ControlEnvironment
 from stoneyoke.gateway.request_handler import RequestHandler, RequestServices
 from stoneyoke.gateway.routes import build_routing_table
-from stoneyoke.gateway.upstreams import Upstreams, classify_answer
+from stoneyoke.gateway.upstreams import Upstreams, UpstreamSettings, classify_answer
 from stoneyoke.net.backends import BackendLimits, Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.net.message_reader import MessageReader
@@ -61,16 +61,10 @@
         environment = ControlEnvironment(clock=lambda: self.clock.now() / 1_000_000)
         self.control_client = ControlClient(control_settings, self, environment)
         self.instance_directory, seed = self.control_client.instance_directory, self.control_client.seed
-        self.upstreams = Upstreams(
-            self.clock,
-            self.metrics,
-            self.backends,
-            self.instance_directory,
-            settings.zones,
-            settings.zone,
-            seed,
-            settings.bounds,
+        upstream_settings = UpstreamSettings(
+            zones=settings.zones, zone=settings.zone, seed=seed, bounds=settings.bounds
         )
+        self.upstreams = Upstreams(self.clock, self.metrics, self.backends, self.instance_directory, upstream_settings)
         services = RequestServices(
             admission=self.control_client.admission,
             quota_client=self.control_client.quota_client,
--- a/tests/system/gateway_fixture.py
+++ b/tests/system/gateway_fixture.py
@@ -14,7 +14,7 @@
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.control_client import GatewayFleet
 from stoneyoke.gateway.request_handler import RequestHandler, RequestServices
-from stoneyoke.gateway.upstreams import Upstreams, classify_answer
+from stoneyoke.gateway.upstreams import Upstreams, UpstreamSettings, classify_answer
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 from stoneyoke.gateway.routes import build_routing_table
 from stoneyoke.runtime.clock import Clock
@@ -88,9 +88,8 @@
         self.backends = Backends(self.clock, self.metrics, descriptor_budget, limits)
         self.backends.classify = classify_answer
         self.instance_directory = InstanceDirectory(("10.0.0.1",))
-        self.upstreams = Upstreams(
-            self.clock, self.metrics, self.backends, self.instance_directory, ("east",), "east", 7, BOUNDS
-        )
+        settings = UpstreamSettings(zones=("east",), zone="east", seed=7, bounds=BOUNDS)
+        self.upstreams = Upstreams(self.clock, self.metrics, self.backends, self.instance_directory, settings)
         self.admission = Admission(7, self.clock.now(), BOUNDS)
         self.admission.lease_holder_answered(self.clock.now() + 3_600_000_000)
         self.quota_client = Silent(self.admission.local_quotas)
