--- /dev/null
+++ b/stoneyoke/lab/client_try.py
@@ -0,0 +1,71 @@
+"""One try of a client, and what the rows of a ledger say of it. Times are microseconds since the run's start."""
+
+from typing import NamedTuple
+
+from stoneyoke.lab.ledger_rows import TrySent
+
+
+class Interval(NamedTuple):
+    """A time with its end excluded."""
+
+    start_us: int
+    end_us: int
+
+    def overlaps(self, start_us: int, end_us: int) -> bool:
+        """Whether any of the other time is within this one."""
+        return self.start_us < end_us and start_us < self.end_us
+
+
+class Attempt(NamedTuple):
+    """An attempt at a backend."""
+
+    at_us: int
+    backend: str
+
+
+class AttemptEnd(NamedTuple):
+    """A backend's answer to an attempt."""
+
+    at_us: int
+    backend: str
+    outcome: str
+
+
+class ClientTry:
+    """One try of a client, and all that rows say of it."""
+
+    __slots__ = (
+        "answered_at_us",
+        "attempts",
+        "customer",
+        "deadline_us",
+        "ends",
+        "executions",
+        "first_sent_at_us",
+        "gateway",
+        "id",
+        "method",
+        "number",
+        "sent_at_us",
+        "status",
+        "words",
+    )
+
+    def __init__(self, row: TrySent) -> None:
+        """Starts without an answer."""
+        self.id = row.id
+        self.first_sent_at_us = self.sent_at_us = row.at_us
+        self.number, self.customer, self.method = row.number, row.customer, row.method
+        self.gateway, self.deadline_us = row.gateway, row.deadline_us
+        self.status, self.words, self.answered_at_us = 0, "", -1
+        self.attempts: list[Attempt] = []
+        self.ends: list[AttemptEnd] = []
+        self.executions: list[Attempt] = []
+
+    def send_again(self, row: TrySent) -> None:
+        """Notes that the try is sent once more, on a new connection."""
+        self.sent_at_us, self.gateway, self.status = row.at_us, row.gateway, 0
+
+    def end_of(self, attempt: Attempt) -> AttemptEnd | None:
+        """The first answer of the attempt's backend since the attempt."""
+        return next((end for end in self.ends if end.backend == attempt.backend and end.at_us >= attempt.at_us), None)
--- a/stoneyoke/lab/clients.py
+++ b/stoneyoke/lab/clients.py
@@ -4,10 +4,11 @@
 import random
 from collections import deque
 from collections.abc import Coroutine
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 import msgspec
 
+from stoneyoke.lab.connection_pool import ConnectionPool
 from stoneyoke.lab.http import ClientConnection, Response, open_connection
 from stoneyoke.lab.ledger_rows import CONNECTION_CLOSED, GAVE_UP, NO_ANSWER
 from stoneyoke.lab.ledger_writer import LedgerWriter
@@ -46,33 +47,6 @@
     retry_after_s: float = 0.0
 
 
-@dataclass(slots=True)
-class ConnectionPool:
-    """Idle connections, by gateway."""
-
-    idle: dict[int, list[ClientConnection]] = field(default_factory=dict)
-
-    def take(self, gateway: int) -> ClientConnection | None:
-        """Removes an open connection."""
-        connections = self.idle.setdefault(gateway, [])
-        while connections:
-            connection = connections.pop()
-            if not connection.closed:
-                return connection
-        return None
-
-    def put_back(self, gateway: int, connection: ClientConnection) -> None:
-        """Keeps a connection for the next request, if it is open."""
-        if not connection.closed:
-            self.idle.setdefault(gateway, []).append(connection)
-
-    def close(self) -> None:
-        """Closes all idle connections."""
-        for connections in self.idle.values():
-            while connections:
-                connections.pop().close()
-
-
 class ClientFleet:
     """The role of all clients."""
 
--- a/stoneyoke/lab/figures.py
+++ b/stoneyoke/lab/figures.py
@@ -6,7 +6,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-from stoneyoke.lab.ledger_index import ClientTry, Interval, LedgerIndex
+from stoneyoke.lab.client_try import ClientTry, Interval
+from stoneyoke.lab.ledger_index import LedgerIndex
 from stoneyoke.lab.ledger_rows import GatewayUse
 from stoneyoke.lab.quota_bucket import CustomerBuckets
 from stoneyoke.lab.rules import REJECTED_STATUSES, SLACK_US
--- a/stoneyoke/lab/rules.py
+++ b/stoneyoke/lab/rules.py
@@ -7,7 +7,8 @@
 
 from msgspec import Struct
 
-from stoneyoke.lab.ledger_index import Attempt, ClientTry, LedgerIndex
+from stoneyoke.lab.client_try import Attempt, ClientTry
+from stoneyoke.lab.ledger_index import LedgerIndex
 from stoneyoke.lab.ledger_rows import GAVE_UP, NO_ANSWER, EndpointsSent
 from stoneyoke.lab.quota_bucket import CustomerBuckets
 
