--- a/stoneyoke/control/concurrency.py
+++ b/stoneyoke/control/concurrency.py
@@ -33,7 +33,7 @@
         return self.latency > OVERLOAD_LATENCY or self.is_full()
 
     def smoothing(self, seconds: float) -> float:
-        """The weight of an answer in a mean over so many seconds of them. (0.3 at most let overloads last a day.)"""
+        """The weight of an answer in a mean over so many seconds. With 0.3 at most an overload could last a day."""
         return min(0.6, 1 / seconds / max(1.0, self.answers_per_s))
 
     def record(self, outcome: AttemptOutcome, latency: float, is_typical: bool) -> None:
