--- a/stoneyoke/gateway/admission.py
+++ b/stoneyoke/gateway/admission.py
@@ -1,6 +1,10 @@
-"""The system's admission stage (SYSTEM, The design in the system): before routing, a tenant's request passes or is
-refused at once. Units come from the one store that a keeper holds (limits/quota_allocator.py); while that is silent,
-from the slice of it that counted demand told last, the even one for a tenant not told of."""
+"""Admission by quota: before routing, a tenant's request is admitted or rejected at once.
+
+Units come from the one bucket that the lease holder keeps (`limits/quota_allocator.py`). While no lease holder answers,
+they come from this gateway's share of it: the share that was granted last, or an even one for a tenant without a grant.
+
+Source: SYSTEM, The design in the system.
+"""
 
 from dataclasses import replace
 
@@ -21,11 +25,14 @@
 from stoneyoke.limits.token_bucket import SECOND
 from stoneyoke.gateway.routes import Tenant
 
-LONG_AGO = 3600 * SECOND
+LONG_AGO_US = 3600 * SECOND
+ADMITTED = 0  # in place of a time after which to retry
+ISOLATED_START_MAX = 2.0  # units
+UNGRANTED_LONG_RATIO = 0.25  # of the rule's excess, for tenants without a grant once a silence lasts
 
 
 def admission_parameters(seed: int) -> GatewayParameters:
-    """Of a stage that sends nothing itself: a request is a unit."""
+    """The parameters of decisions that only admit: they send nothing, and a request costs one unit."""
     any_method = Method(
         idempotency=Idempotency.NON_IDEMPOTENT,
         deduplication_scope=DeduplicationScope.CELL,
@@ -57,16 +64,37 @@
 
 
 class Admission(Quotas):
+    """Decides on each request of a tenant with a limited rate. Times are whole microseconds.
+
+    Attributes:
+        heard_at: When the lease holder was last heard.
+        indices: The number of each tenant that has come; no more than the configuration names.
+        local_quotas: The units that this gateway holds, by tenant.
+        cut_off_at: Since when a tenant, by number, is served from this gateway's share.
+    """
+
     def __init__(self, seed: int, now: int, bounds: ServiceBounds) -> None:
+        """Starts as one that has heard no lease holder.
+
+        Args:
+            seed: The seed of the decisions.
+            now: The time, in microseconds.
+            bounds: The figures of the service's rules.
+        """
         super().__init__(DecisionContext(admission_parameters(seed), now))
-        self.bounds, self.heard_at = bounds, now - LONG_AGO
+        self.bounds, self.heard_at = bounds, now - LONG_AGO_US
         self.set_gateway_count(ASSUMED_GATEWAYS)
-        self.indices: dict[str, int] = {}  # tenants that have come; no more than the operator names
+        self.indices: dict[str, int] = {}
         self.local_quotas: dict[str, LocalQuota] = {}
-        self.cut_off_at: dict[int, int] = {}  # since when a tenant is served from its slice
+        self.cut_off_at: dict[int, int] = {}
 
     def arrival(self, tenant: Tenant, wait_us: int) -> Arrival:
-        """A request of a tenant, in the terms of the decisions."""
+        """A request of a tenant, in the terms of the decisions.
+
+        Args:
+            tenant: Its quota in the configuration in force. Where that has changed, the new one holds from here on.
+            wait_us: How long its client still waits, in microseconds.
+        """
         index = self.indices.setdefault(tenant.label, len(self.indices))
         plan = Plan(
             rate=tenant.rate_per_s,
@@ -76,14 +104,12 @@
             ceiling_rate=0.0,
             ceiling_burst=0.0,
         )
+        plans = self.context.parameters.plans
         if tenant.label not in self.local_quotas:
             self.local_quotas[tenant.label] = LocalQuota()
-            self.context.parameters = replace(self.context.parameters, plans=(*self.context.parameters.plans, plan))
-        elif self.context.parameters.plans[index] != plan:  # a configuration has changed it
-            plans = (*self.context.parameters.plans[:index], plan, *self.context.parameters.plans[index + 1 :])
-            self.context.parameters = replace(self.context.parameters, plans=plans)
-            if customer := self.customers.get(index):
-                customer.plan = plan
+            self.context.parameters = replace(self.context.parameters, plans=(*plans, plan))
+        elif plans[index] != plan:
+            self.change_plan(index, plan)
         return Arrival(
             rpc=0,
             method=0,
@@ -95,59 +121,96 @@
             customer_gateways=self.context.parameters.gateways,
         )
 
+    def change_plan(self, index: int, plan: Plan) -> None:
+        """Puts a tenant's changed quota in force."""
+        plans = self.context.parameters.plans
+        self.context.parameters = replace(self.context.parameters, plans=(*plans[:index], plan, *plans[index + 1 :]))
+        if customer := self.customers.get(index):
+            customer.plan = plan
+
     def set_gateway_count(self, gateways: int) -> None:
-        """How many gateways share what is not told."""
+        """Sets how many gateways share what was granted to none."""
         self.context.parameters = replace(self.context.parameters, gateways=max(1, gateways))
 
     def lease_holder_answered(self, now: int) -> None:
-        """The keeper has answered."""
+        """The lease holder was heard at this time, in microseconds."""
         self.heard_at = now
 
     def try_admit(self, call: Arrival, local_quota: LocalQuota, now: int) -> int | None:
-        """0: it passes. Else the wait that its refusal states; None: the keeper has to be asked."""
+        """Decides by what this gateway holds.
+
+        Returns:
+            ADMITTED, or the time after which to retry, in microseconds; None: the lease holder has to be asked.
+        """
         self.context.now = now
         customer = self.customer(call)
         customer.rpcs += 1
         local_quota.record_demand(call.units, now / SECOND)
         if local_quota.try_take(call.units):
-            return 0
-        shut = int(local_quota.closed_until * SECOND) - now
-        return self.advised_wait(customer, shut) if shut > 0 else None
+            return ADMITTED
+        closed_us = int(local_quota.closed_until * SECOND) - now
+        return self.advised_wait(customer, closed_us) if closed_us > 0 else None
 
     def admit_after_reply(self, call: Arrival, local_quota: LocalQuota, now: int) -> int:
-        """After the keeper has answered, or has not in time."""
+        """Decides once the lease holder has answered, or has not in time.
+
+        Returns:
+            ADMITTED, or the time after which to retry, in microseconds.
+        """
         self.context.now = now
         customer = self.customer(call)
         if local_quota.try_take(call.units):
-            return 0
-        shut = int(local_quota.closed_until * SECOND) - now
-        return self.advised_wait(customer, shut) if shut > 0 else self.admit_cut_off(customer, call, local_quota)
+            return ADMITTED
+        closed_us = int(local_quota.closed_until * SECOND) - now
+        if closed_us > 0:
+            return self.advised_wait(customer, closed_us)
+        return self.admit_cut_off(customer, call, local_quota)
 
     def admit_cut_off(self, customer: Customer, call: Arrival, local_quota: LocalQuota) -> int:
-        """No keeper was heard: from the part of the store that is this gateway's own."""
-        now, heard_at = self.context.now / SECOND, self.heard_at / SECOND
-        share, reserve_units = local_quota.isolated_allowance(heard_at, now)
-        plan, gateways = customer.plan, self.context.parameters.gateways
-        beyond = excess_units(plan.rate, plan.burst, self.bounds)
-        if self.cut_off_at.get(call.customer, -LONG_AGO) < self.heard_at:
+        """Decides by this gateway's own share of the bucket: no lease holder was heard.
+
+        Returns:
+            ADMITTED, or the time after which to retry, in microseconds.
+        """
+        share, reserve_units = local_quota.isolated_allowance(self.heard_at / SECOND, self.context.now / SECOND)
+        if self.cut_off_at.get(call.customer, -LONG_AGO_US) < self.heard_at:
             self.cut_off_at[call.customer] = self.context.now
-            # Document units, by chance: a part of one lets nothing through, and the parts sum to the same.
-            first = min(2.0, float(int(ISOLATED_START_RATIO * beyond / gateways + self.context.random_source.draw())))
-            customer.bucket.level, customer.bucket.filled_at = max(reserve_units, first), self.context.now
-        # A new life that has heard nobody: all may have started just now. Those that were told of hardly any part
-        # share what the rule allows beyond the store: even slices for small tenants, little of a large one.
-        untold = 0.25 * beyond / (plan.rate * self.bounds.quota_window_s)
-        if now - max(heard_at, self.context.born_at / SECOND) < UNGRANTED_S:
-            untold = (
-                UNGRANTED_RATIO * beyond / (plan.rate * UNGRANTED_S)
-                if heard_at > self.context.born_at / SECOND
-                else 1.0
-            )
-        customer.share = max(share, min(1.0, untold) / gateways)
-        customer.bucket.resize(plan.rate * customer.share, max(customer.depth(), reserve_units), self.context.now)
-        wait = self.share_wait(customer, call)
-        if wait > 0:
-            return self.advised_wait(customer, wait)
+            self.start_isolated_bucket(customer, reserve_units)
+        customer.share = max(share, min(1.0, self.ungranted_share(customer.plan)) / self.context.parameters.gateways)
+        depth = max(customer.depth(), reserve_units)
+        customer.bucket.resize(customer.plan.rate * customer.share, depth, self.context.now)
+        wait_us = self.share_wait(customer, call)
+        if wait_us > 0:
+            return self.advised_wait(customer, wait_us)
         customer.bucket.level -= call.units
         local_quota.isolated_units += call.units
-        return 0
+        return ADMITTED
+
+    def start_isolated_bucket(self, customer: Customer, reserve_units: float) -> None:
+        """Fills a tenant's own bucket for a silence that has just begun.
+
+        Whole units are drawn at random: a fraction of a unit lets nothing through, and the sum over all gateways stays
+        the same.
+        """
+        start = ISOLATED_START_RATIO * self.excess_units(customer.plan) / self.context.parameters.gateways
+        drawn = min(ISOLATED_START_MAX, float(int(start + self.context.random_source.draw())))
+        customer.bucket.level, customer.bucket.filled_at = max(reserve_units, drawn), self.context.now
+
+    def ungranted_share(self, plan: Plan) -> float:
+        """The share of a tenant's rate that all gateways with no grant, or hardly any, use together.
+
+        A process that has heard nobody takes an even share: all gateways may have started just now. The others stay
+        within what the rule allows beyond the bucket, which is an even share for a small tenant and little for a
+        large one.
+        """
+        now, heard_at, born_at = self.context.now / SECOND, self.heard_at / SECOND, self.context.born_at / SECOND
+        excess = self.excess_units(plan)
+        if now - max(heard_at, born_at) >= UNGRANTED_S:
+            return UNGRANTED_LONG_RATIO * excess / (plan.rate * self.bounds.quota_window_s)
+        if heard_at > born_at:
+            return UNGRANTED_RATIO * excess / (plan.rate * UNGRANTED_S)
+        return 1.0
+
+    def excess_units(self, plan: Plan) -> float:
+        """What the rule allows a tenant beyond its bucket in a window, in units."""
+        return excess_units(plan.rate, plan.burst, self.bounds)
