--- a/stoneyoke/programs/controller.py
+++ b/stoneyoke/programs/controller.py
@@ -24,7 +24,7 @@
 
 async def serve(settings: Settings, log_buffer: LogBuffer) -> None:
     """Runs a controller until it is told to end."""
-    if settings.control is None:
+    if settings.control_address is None:
         raise BadSettings("network.binds.control_addr is missing")
     if not settings.data_dir:
         raise BadSettings("self.data_dir is missing: the configuration needs a disk")
@@ -36,12 +36,12 @@
         zone=settings.zone,
         seeds=settings.seeds,
         first_start=settings.first_start,
-        silence_timeout_s=MISSED_HEARTBEATS * settings.beat_s + SILENCE_MARGIN_S,
+        silence_timeout_s=MISSED_HEARTBEATS * settings.heartbeat_interval_s + SILENCE_MARGIN_S,
         bounds=settings.bounds,
-        losses=settings.losses,
+        losses=settings.machine_losses,
     )
     controller = Controller(controller_settings, ControllerEnvironment(store=RecordStore(settings.data_dir)))
-    http_api = HttpApi(controller.handle_call, settings.memory // BODY_MEMORY_DIVISOR)
+    http_api = HttpApi(controller.handle_call, settings.memory_bytes // BODY_MEMORY_DIVISOR)
     peer_server = PeerServer(controller.handle_message)
 
     def reload() -> None:
@@ -56,7 +56,7 @@
     loop.add_signal_handler(signal.SIGUSR1, log_buffer.dump)
     await controller.start()
     await peer_server.open((settings.ip, settings.port))
-    await http_api.open(settings.control)
+    await http_api.open(settings.control_address)
     logger.info(
         "Controller {} serves; the cluster has {} voters", settings.name, len(controller.replica.voters().members)
     )
--- a/stoneyoke/programs/gateway.py
+++ b/stoneyoke/programs/gateway.py
@@ -44,14 +44,14 @@
         Raises:
             BadSettings: An address that a gateway needs is missing.
         """
-        if settings.front is None or settings.ready is None:
+        if settings.front_address is None or settings.ready_address is None:
             raise BadSettings("network.binds.front_addr or ready_addr is missing")
-        self.settings, self.front_at, self.ready_at = settings, settings.front, settings.ready
+        self.settings, self.front_at, self.ready_at = settings, settings.front_address, settings.ready_address
         self.clock, self.metrics = Clock(), Metrics()
         free = settings.descriptors - RESERVED_DESCRIPTORS
         part = max(1, free // 8)
         descriptor_budget = DescriptorBudget(free - 2 * part, part)
-        body_max_bytes = settings.memory // BODY_MEMORY_DIVISOR
+        body_max_bytes = settings.memory_bytes // BODY_MEMORY_DIVISOR
         limits = BackendLimits(
             connect_timeout_us=CONNECT_TIMEOUT_US, idle_timeout_us=IDLE_TIMEOUT_US, response_max_bytes=body_max_bytes
         )
--- a/stoneyoke/programs/settings.py
+++ b/stoneyoke/programs/settings.py
@@ -1,4 +1,7 @@
-"""The settings file of a process (DEPLOY, What a process is told): its table of settings, read and checked."""
+"""The settings file of a process: its schema, and the typed settings read from it.
+
+Source: DEPLOY, What a process is told.
+"""
 
 import os
 import tomllib
@@ -10,19 +13,24 @@
 from stoneyoke.api.errors import InvalidField
 from stoneyoke.api.schema import REQUIRED, Setting, Table, read_table
 
-VARIABLE = "STONEYOKE_NODE_FILE"
+PATH_VARIABLE = "STONEYOKE_NODE_FILE"
 
 
 class BadSettings(Exception):
     """The file that says how to start can't be used; the text names the field."""
 
 
-def ports(value: list[int]) -> str:
-    """What is wrong with a range of ports, which is two of them, the lower first."""
+def port_range_error(value: list[int]) -> str:
+    """What is wrong with a range of ports, which is two of them, the lower first; "" if nothing is."""
     fits = len(value) == 2 and 0 < value[0] <= value[1] < 65_536
     return "" if fits else f"{value!r} is no range of ports"
 
 
+def optional_address_error(value: str) -> str:
+    """What is wrong with an address that may be left out; "" if nothing is."""
+    return address_error(value) if value else ""
+
+
 SETTINGS: Table = (
     Setting(
         "self",
@@ -47,14 +55,14 @@
     Setting(
         "network",
         (
-            Setting("port_range", [int], REQUIRED, ports),
+            Setting("port_range", [int], REQUIRED, port_range_error),
             Setting("seed_addrs", [str], REQUIRED, not_empty),
             Setting(
                 "binds",
                 (
-                    Setting("front_addr", str, "", lambda value: address_error(value) if value else ""),
-                    Setting("ready_addr", str, "", lambda value: address_error(value) if value else ""),
-                    Setting("control_addr", str, "", lambda value: address_error(value) if value else ""),
+                    Setting("front_addr", str, "", optional_address_error),
+                    Setting("ready_addr", str, "", optional_address_error),
+                    Setting("control_addr", str, "", optional_address_error),
                 ),
                 {"front_addr": "", "ready_addr": "", "control_addr": ""},
             ),
@@ -76,75 +84,104 @@
         None,
     ),
 )
-TERMS = next(one.kind for one in SETTINGS if one.name == "term_set")
+TERMS = next(setting.kind for setting in SETTINGS if setting.name == "term_set")
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
-    """Addresses are (host, port). bounds: of the operators' rules."""
+    """How a process starts. Addresses are a host and a port; None where the process has none.
+
+    Attributes:
+        name: This process's name.
+        ip: The machine's address.
+        zone: Its zone.
+        first_start: The cluster starts for the first time: there is no data to wait for.
+        data_dir: The folder on disk; "" if there is none.
+        memory_bytes: The memory that the process may use.
+        descriptors: The file descriptors that it may open.
+        port: The first port that is free for the system's own protocol.
+        seeds: Addresses of machines that run controllers, without ports.
+        front_address: Where clients connect.
+        ready_address: Where readiness is asked.
+        control_address: Where operators and backends connect.
+        zones: All zones, sorted.
+        heartbeat_interval_s: The time between two heartbeats of a backend, in seconds.
+        machine_losses: The machines that may be lost at once.
+        bounds: The figures of the service's rules.
+    """
 
     name: str
     ip: str
     zone: str
     first_start: bool
     data_dir: str
-    memory: int  # bytes
+    memory_bytes: int
     descriptors: int
-    port: int  # the first of those that are free for what gateways say to each other
-    seeds: tuple[str, ...]  # addresses of machines that serve control, without ports
-    front: tuple[str, int] | None
-    ready: tuple[str, int] | None
-    control: tuple[str, int] | None
+    port: int
+    seeds: tuple[str, ...]
+    front_address: tuple[str, int] | None
+    ready_address: tuple[str, int] | None
+    control_address: tuple[str, int] | None
     zones: tuple[str, ...]
-    beat_s: float
-    losses: int
+    heartbeat_interval_s: float
+    machine_losses: int
     bounds: ServiceBounds
 
 
-def address(text: str) -> tuple[str, int] | None:
-    """HOST:PORT as a pair; none where there is no host."""
+def parse_address(text: str) -> tuple[str, int] | None:
+    """HOST:PORT as a pair; None for an empty text."""
     host, _, port = text.rpartition(":")
     return (host, int(port)) if host else None
 
 
 def read_settings(path: str | None = None) -> Settings:
-    """Raises BadSettings."""
-    path = path or os.environ.get(VARIABLE)
+    """Reads a settings file.
+
+    Args:
+        path: The file; None: the one that the environment variable STONEYOKE_NODE_FILE names.
+
+    Raises:
+        BadSettings: There is none, or it can't be used. The text names the file, and the field if one is wrong.
+    """
+    path = path or os.environ.get(PATH_VARIABLE)
     if not path:
-        raise BadSettings(f"{VARIABLE} names no file")
+        raise BadSettings(f"{PATH_VARIABLE} names no file")
     try:
         with open(path, "rb") as file:
-            given = tomllib.load(file)
-        return make(given)
-    except (OSError, ValueError) as bad:
-        raise BadSettings(f"{path} can't be read: {bad}") from bad
-    except InvalidField as bad:
-        raise BadSettings(f"{path}: {bad}") from bad
-
-
-def make(given: dict[str, Any]) -> Settings:
-    """Settings out of a whole file's content. Raises InvalidField."""
-    found = read_table(given, SETTINGS)
-    own, network, limits = found["self"], found["network"], found["self"]["limits"]
-    terms = found["term_set"] or read_table({}, TERMS)
-    for at, seed in enumerate(network["seed_addrs"]):
-        if why := address_error(seed):
-            raise InvalidField(f"network.seed_addrs[{at}]", why)
+            return parse_settings(tomllib.load(file))
+    except (OSError, ValueError) as error:
+        raise BadSettings(f"{path} can't be read: {error}") from error
+    except InvalidField as error:
+        raise BadSettings(f"{path}: {error}") from error
+
+
+def parse_settings(content: dict[str, Any]) -> Settings:
+    """Checks a whole file's content.
+
+    Raises:
+        InvalidField: A field can't be used; it is named by its path.
+    """
+    tables = read_table(content, SETTINGS)
+    process, network, limits = tables["self"], tables["network"], tables["self"]["limits"]
+    binds, terms = network["binds"], tables["term_set"] or read_table({}, TERMS)
+    for number, seed in enumerate(network["seed_addrs"]):
+        if reason := address_error(seed):
+            raise InvalidField(f"network.seed_addrs[{number}]", reason)
     return Settings(
-        own["node_name"],
-        own["ip_addr"],
-        own["zone_name"],
-        own["first_start"],
-        own["data_dir"],
-        int(limits["memory_mb"] * (1 << 20)),
-        limits["max_fds"],
-        network["port_range"][0],
-        tuple(dict.fromkeys(seed.rpartition(":")[0] for seed in network["seed_addrs"])),
-        address(network["binds"]["front_addr"]),
-        address(network["binds"]["ready_addr"]),
-        address(network["binds"]["control_addr"]),
-        tuple(sorted(network["zones"])),
-        found["provider"]["beat_s"],
-        terms["tolerance"]["machine_losses"],
-        service_bounds(terms["bound_set"]),
+        name=process["node_name"],
+        ip=process["ip_addr"],
+        zone=process["zone_name"],
+        first_start=process["first_start"],
+        data_dir=process["data_dir"],
+        memory_bytes=int(limits["memory_mb"] * (1 << 20)),
+        descriptors=limits["max_fds"],
+        port=network["port_range"][0],
+        seeds=tuple(dict.fromkeys(seed.rpartition(":")[0] for seed in network["seed_addrs"])),
+        front_address=parse_address(binds["front_addr"]),
+        ready_address=parse_address(binds["ready_addr"]),
+        control_address=parse_address(binds["control_addr"]),
+        zones=tuple(sorted(network["zones"])),
+        heartbeat_interval_s=tables["provider"]["beat_s"],
+        machine_losses=terms["tolerance"]["machine_losses"],
+        bounds=service_bounds(terms["bound_set"]),
     )
--- a/tests/system/test_programs.py
+++ b/tests/system/test_programs.py
@@ -12,7 +12,7 @@
 from stoneyoke.api.errors import InvalidField
 from stoneyoke.programs.commands.configuration import differences
 from stoneyoke.programs.log_buffer import LogBuffer
-from stoneyoke.programs.settings import BadSettings, make, read_settings
+from stoneyoke.programs.settings import BadSettings, parse_settings, read_settings
 
 GIVEN = {
     "self": {
@@ -36,11 +36,11 @@
 
 @test("settings: what is told, defaults for the rest, fields no one knows left alone")
 def _():
-    settings = make(GIVEN)
-    assert settings.seeds == ("10.1.0.33", "10.2.0.25") and settings.port == 7340 and settings.losses == 2
-    assert settings.front == ("10.1.0.30", 8782) and settings.control is None
+    settings = parse_settings(GIVEN)
+    assert settings.seeds == ("10.1.0.33", "10.2.0.25") and settings.port == 7340 and settings.machine_losses == 2
+    assert settings.front_address == ("10.1.0.30", 8782) and settings.control_address is None
     assert settings.bounds.retry_slack_attempts == 56 and settings.bounds.quota_window_s == 5
-    assert make({"self": GIVEN["self"], "network": GIVEN["network"]}).bounds.grace_s == 6
+    assert parse_settings({"self": GIVEN["self"], "network": GIVEN["network"]}).bounds.grace_s == 6
 
 
 WRONG = each(
@@ -61,7 +61,7 @@
     given = json.loads(json.dumps(GIVEN))
     change(given)
     with raises(InvalidField) as bad:
-        make(given)
+        parse_settings(given)
     assert bad.raised.field == path
 
 
