--- a/stoneyoke/gateway/admission.py
+++ b/stoneyoke/gateway/admission.py
@@ -11,9 +11,10 @@
 from stoneyoke.api.bounds import ServiceBounds
 from stoneyoke.control.context import DecisionContext
 from stoneyoke.control.customer import Customer
-from stoneyoke.control.quotas import Quotas
 from stoneyoke.control.events import Arrival
-from stoneyoke.control.parameters import Idempotency, DeduplicationScope, Method, Plan, GatewayParameters
+from stoneyoke.control.parameters import DeduplicationScope, GatewayParameters, Idempotency, Method, Plan
+from stoneyoke.control.quotas import Quotas
+from stoneyoke.gateway.routes import Tenant
 from stoneyoke.limits.local_quota import (
     ASSUMED_GATEWAYS,
     ISOLATED_START_RATIO,
@@ -23,7 +24,6 @@
 )
 from stoneyoke.limits.quota_terms import excess_units
 from stoneyoke.limits.token_bucket import SECOND
-from stoneyoke.gateway.routes import Tenant
 
 LONG_AGO_US = 3600 * SECOND
 ADMITTED = 0  # in place of a time after which to retry
--- a/stoneyoke/gateway/config_sync.py
+++ b/stoneyoke/gateway/config_sync.py
@@ -34,7 +34,7 @@
         incarnation: Identifies this process among those of the same gateway.
         version: The version of the configuration in force here; number 0 before the first.
         ready: This gateway is sure to have all that was acknowledged before it started. Set once by the control
-            client, and told to controllers.
+            client, and reported to controllers.
         peer_clients: The client of each controller that is followed, by its address.
         tasks: One task for each of them.
     """
--- a/stoneyoke/gateway/instance_directory.py
+++ b/stoneyoke/gateway/instance_directory.py
@@ -7,13 +7,13 @@
 
 from dataclasses import dataclass, field
 
+from stoneyoke.api.configuration import Version
 from stoneyoke.consensus.ballot import Ballot
 from stoneyoke.consensus.majority_read import newest_view
-from stoneyoke.consensus.register_value import Proposal, ReplicaId, VoterSet
-from stoneyoke.consensus.quorum import majority
 from stoneyoke.consensus.message_rows import value_from_row
+from stoneyoke.consensus.quorum import majority
+from stoneyoke.consensus.register_value import Proposal, ReplicaId, VoterSet
 from stoneyoke.controlplane.instance_registry import Phase
-from stoneyoke.api.configuration import Version
 from stoneyoke.transport.messages import InstanceRow, PullResponse
 
 IN_TOUCH_S = 2.2  # longer than a pull may be held, and a new connection takes
@@ -82,17 +82,17 @@
         """Adds a controller by its address."""
         self.controllers.setdefault(name, ControllerView())
 
-    def apply_pull(self, name: str, news: PullResponse, now: float) -> None:
+    def apply_pull(self, name: str, answer: PullResponse, now: float) -> None:
         """Takes in a controller's answer."""
         view = self.controllers.setdefault(name, ControllerView())
-        if news.complete or news.incarnation != view.incarnation:
+        if answer.complete or answer.incarnation != view.incarnation:
             view.phases = {}
-        view.incarnation, view.seq, view.heard_at, view.last_pull = news.incarnation, news.seq, now, news
-        if news.complete or news.membership_version != view.membership_version:
-            view.membership_version, view.gateways = news.membership_version, tuple(news.gateways)
-        for other in news.controllers:
+        view.incarnation, view.seq, view.heard_at, view.last_pull = answer.incarnation, answer.seq, now, answer
+        if answer.complete or answer.membership_version != view.membership_version:
+            view.membership_version, view.gateways = answer.membership_version, tuple(answer.gateways)
+        for other in answer.controllers:
             self.controllers.setdefault(other, ControllerView())
-        for row in news.instances:
+        for row in answer.instances:
             view.phases[row.instance] = row.phase
             self.merge_row(row, now)
 
@@ -166,7 +166,9 @@
             for name, one in self.controllers.items()
             if one.last_pull and Version(*one.last_pull.version) >= version
         ]
-        return sorted(held, key=lambda name: (news := self.controllers[name].last_pull) is None or news.zone != zone)
+        return sorted(
+            held, key=lambda name: (answer := self.controllers[name].last_pull) is None or answer.zone != zone
+        )
 
     def register_views(self, now: float | None = None) -> dict[ReplicaId, Proposal]:
         """What each replica last reported of the replicated register.
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -6,26 +6,26 @@
 from dataclasses import dataclass
 
 from stoneyoke.api.bounds import ServiceBounds
-from stoneyoke.runtime.id_index import IdIndex
-from stoneyoke.controlplane.instance_registry import Phase
-from stoneyoke.control.events import EndpointsChanged, PeerEvidence, Endpoint, ParametersChanged
+from stoneyoke.control.events import Endpoint, EndpointsChanged, ParametersChanged, PeerEvidence
 from stoneyoke.control.parameters import (
-    Idempotency,
-    DeduplicationScope,
-    Method,
     AttemptOutcome,
-    Plan,
     BackendState,
+    DeduplicationScope,
     GatewayParameters,
+    Idempotency,
+    Method,
+    Plan,
 )
-from stoneyoke.net.backends import Backends
-from stoneyoke.net.message_reader import Message
+from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.gateway.control_client import GatewayFleet
-from stoneyoke.gateway.instance_directory import KnownInstance, InstanceDirectory
+from stoneyoke.gateway.instance_directory import InstanceDirectory, KnownInstance
 from stoneyoke.gateway.routes import Route
+from stoneyoke.net.backends import Backends
+from stoneyoke.net.message_reader import Message
 from stoneyoke.runtime.clock import Clock
-from stoneyoke.runtime.runtime import Runtime
+from stoneyoke.runtime.id_index import IdIndex
 from stoneyoke.runtime.metrics import Metrics
+from stoneyoke.runtime.runtime import Runtime
 
 WARM_UP_US = 3_000_000  # an instance reports how much longer it warms up; all are taken to need this in all
 # Operators' latency targets are three to four times the work. The decisions hold a service's mean time at a third of
--- a/stoneyoke/programs/controller.py
+++ b/stoneyoke/programs/controller.py
@@ -23,7 +23,11 @@
 
 
 async def serve(settings: Settings, log_buffer: LogBuffer) -> None:
-    """Runs a controller until it is told to end."""
+    """Runs a controller until SIGTERM or SIGINT.
+
+    Raises:
+        BadSettings: An address or the folder that a controller needs is missing.
+    """
     if settings.control_address is None:
         raise BadSettings("network.binds.control_addr is missing")
     if not settings.data_dir:
