--- a/stoneyoke/gateway/forwarding.py
+++ b/stoneyoke/gateway/forwarding.py
@@ -138,7 +138,7 @@
             is_answered_by=self.is_answered_by,
         )
         outcome, answer = await context.backends.send_attempt(self.pending, attempt, backend, outgoing)
-        context.metrics.add(f"call-outs: {outcome.value}")
+        context.metrics.add(f"attempts: {outcome.value}")
         if outcome is AttemptOutcome.REJECTED and answer and answer.status == MISDIRECTED_REQUEST:
             self.note_misdirected(instance, answer)
         return outcome, answer
@@ -168,7 +168,7 @@
             if decision is None:
                 return self.local_reply(503, "no backend in time", self.route.target_us)
             if isinstance(decision, Reject):
-                self.context.metrics.add("requests: pressed")
+                self.context.metrics.add("requests: overloaded")
                 return self.local_reply(503, "the service is full", decision.retry_after_us)
         self.context.metrics.check_invariant(isinstance(decision, Abandon | Reject | None), "unknown decision")
         if self.backend_error:
--- a/stoneyoke/runtime/metrics.py
+++ b/stoneyoke/runtime/metrics.py
@@ -15,6 +15,7 @@
     ("backend responses: ", "answers of backends: "),
     ("client connections", "connections of clients"),
     ("backend connections", "connections to backends"),
+    ("requests: overloaded", "requests: pressed"),
     ("RPCs: rejected", "RPCs: pushed back"),
     ("RPCs: abandoned", "RPCs: aborted"),
     ("RPCs: waited for the first endpoint list", "RPCs: waited for the first list"),
