--- /dev/null
+++ b/tests/system/event_loop.py
@@ -0,0 +1,16 @@
+"""Runs a test's coroutine on an event loop of its own."""
+
+import asyncio
+import functools
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+
+def on_loop(story: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
+    """Makes a plain test function of a coroutine function."""
+
+    @functools.wraps(story)
+    def run() -> None:
+        asyncio.run(story())
+
+    return run
--- a/tests/system/test_backend_at_work.py
+++ b/tests/system/test_backend_at_work.py
@@ -1,10 +1,10 @@
 """What a backend is at work on when SIGTERM comes, and answers that name another request, through a whole gateway."""
 
 import asyncio
-import functools
 
 from configurations import route
-from gateway_fixture import Backend, Gateway, ok, read_head
+from event_loop import on_loop
+from gateway_fixture import GatewayUnderTest, ScriptedBackend, ok, read_head
 from raw_backend import RawBackend, arrived, until
 from ward import test
 
@@ -18,23 +18,15 @@
 BEATS = 100  # of the module: 5 s, well beyond its patience with a quiet backend
 
 
-def on_loop(story):
-    @functools.wraps(story)
-    def run():
-        asyncio.run(story())
-
-    return run
-
-
 def pure(given):
     route(given, 0, 1).update(route_kind="pure", timeout_s=60)
 
 
 async def at_a_quiet_backend(gateway, peer):
     """A repeatable request that the only backend is at work on, and the backend's end of its connection."""
-    gateway.add("i-0", peer.address[1])
+    gateway.report_instance("i-0", peer.address[1])
     gateway.upstreams.refresh()
-    asked = asyncio.ensure_future(gateway.ask(method=b"GET", body=b"", wait=b"60000"))
+    asked = asyncio.ensure_future(gateway.send(method=b"GET", body=b"", wait_ms=b"60000"))
     await until(peer.waiting)
     connection = peer.accept()
     await until(lambda: arrived(connection))
@@ -54,10 +46,10 @@
 async def _():
     for leaving in (False, True):
         with RawBackend() as peer:
-            async with Gateway([], change=pure) as gateway:
+            async with GatewayUnderTest([], change=pure) as gateway:
                 asked, connection = await at_a_quiet_backend(gateway, peer)
                 if leaving:
-                    ends = asyncio.ensure_future(gateway.front.drain(GRACE_S, lambda: None))
+                    ends = asyncio.ensure_future(gateway.handler.drain(GRACE_S, lambda: None))
                     await asyncio.sleep(0)
                 let_the_module_wait(gateway)
                 if not leaving:
@@ -74,9 +66,9 @@
 @test("after SIGTERM a request that has been read behind another one is answered before its connection closes")
 @on_loop
 async def _():
-    backend = Backend()
-    async with Gateway([backend]) as gateway:
-        gateway.front.draining = True
+    backend = ScriptedBackend()
+    async with GatewayUnderTest([backend]) as gateway:
+        gateway.handler.draining = True
         request = b"POST /a/b/x HTTP/1.1\r\nHost: one.example\r\nApi-Key: key-a\r\nAttempt-Id: a-%d\r\n"
         request += b"Content-Length: 0\r\n\r\n"
         reader, writer = await asyncio.open_connection("127.0.0.1", gateway.port)
@@ -94,9 +86,9 @@
 @test("an answer that names two requests is taken for neither")
 @on_loop
 async def _():
-    backend = Backend(lambda request: ok(request, more=b"Attempt-Id: %s\r\n" % request["attempt-id"]))
-    async with Gateway([backend]) as gateway:
-        assert (await gateway.ask(wait=b"200"))[0] == 504 and len(backend.got) == 1
+    backend = ScriptedBackend(lambda request: ok(request, more=b"Attempt-Id: %s\r\n" % request["attempt-id"]))
+    async with GatewayUnderTest([backend]) as gateway:
+        assert (await gateway.send(wait_ms=b"200"))[0] == 504 and len(backend.requests) == 1
 
 
 @test("a success that says it has not run, or with two stamps, is neither a success nor a promise")
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -1,9 +1,8 @@
-import asyncio
-import functools
 from dataclasses import replace
 
 from configurations import example, route
-from gateway_fixture import Backend, Gateway, ok
+from event_loop import on_loop
+from gateway_fixture import GatewayUnderTest, ScriptedBackend, ok
 from ward import test
 
 from stoneyoke.api.configuration import read_configuration
@@ -24,14 +23,6 @@
 from stoneyoke.gateway.routes import build_routing_table
 
 
-def on_loop(story):
-    @functools.wraps(story)
-    def run():
-        asyncio.run(story())
-
-    return run
-
-
 def refusing(status, more=b"Not-Run: 1\r\n"):
     return lambda request: (
         b"HTTP/1.1 %d X\r\nAttempt-Id: %s\r\n%sContent-Length: 0\r\n\r\n" % (status, request["attempt-id"], more)
@@ -41,13 +32,13 @@
 @test("a request passes unchanged but for the key, with the tenant and the instance that is meant")
 @on_loop
 async def _():
-    backend = Backend()
-    async with Gateway([backend]) as gateway:
-        status, headers, body = await gateway.ask(
+    backend = ScriptedBackend()
+    async with GatewayUnderTest([backend]) as gateway:
+        status, headers, body = await gateway.send(
             more=(b"X-Odd: 1\r\nX-Odd: 2\r\nTenant: liar\r\nConnection: x-hop\r\nX-Hop: 1\r\n")
         )
         assert (status, body, headers["server-stamp"]) == (200, b"yes", b"s1")
-        (got,) = backend.got
+        (got,) = backend.requests
         assert got["line"] == b"POST /a/b/x HTTP/1.1" and got["body"] == b"order" and got["x-odd"] == b"2"
         assert got["tenant"] == b"anna" and got["expect-instance"] == b"i-0" and 2500 < int(got["deadline-ms"]) <= 3000
         assert "api-key" not in got and "x-hop" not in got and got["attempt-id"] == b"a-1"
@@ -56,26 +47,26 @@
 @test("no route is a 404, an unknown key a 401, and a public route needs none")
 @on_loop
 async def _():
-    backend = Backend()
-    async with Gateway([backend], service="mast") as gateway:
-        assert (await gateway.ask(path=b"/none/"))[0] == 404
-        assert (await gateway.ask(key=b"key-x"))[0] == 401 and (await gateway.ask(key=None))[0] == 401
-        status, _, _ = await gateway.ask(path=b"/z", host=b"Two.example:80", key=None, method=b"GET", body=b"")
-        assert status == 200 and "tenant" not in backend.got[0]
+    backend = ScriptedBackend()
+    async with GatewayUnderTest([backend], service="mast") as gateway:
+        assert (await gateway.send(path=b"/none/"))[0] == 404
+        assert (await gateway.send(key=b"key-x"))[0] == 401 and (await gateway.send(key=None))[0] == 401
+        status, _, _ = await gateway.send(path=b"/z", host=b"Two.example:80", key=None, method=b"GET", body=b"")
+        assert status == 200 and "tenant" not in backend.requests[0]
 
 
 @test("a newer table is taken whole, an older one never")
 @on_loop
 async def _():
-    async with Gateway([Backend()]) as gateway:
-        gateway.front.install(
+    async with GatewayUnderTest([ScriptedBackend()]) as gateway:
+        gateway.handler.install(
             build_routing_table(
                 read_configuration(example(9, lambda c: c["tenant_list"][0].update(api_keys=["key-n"])))
             )
         )
-        assert (await gateway.ask())[0] == 401 and (await gateway.ask(key=b"key-n"))[0] == 200
-        gateway.front.install(build_routing_table(read_configuration(example(8))))
-        assert (await gateway.ask())[0] == 401
+        assert (await gateway.send())[0] == 401 and (await gateway.send(key=b"key-n"))[0] == 200
+        gateway.handler.install(build_routing_table(read_configuration(example(8))))
+        assert (await gateway.send())[0] == 401
 
 
 @test("an order that a backend says it has not run goes on to another; 421 tells that the backend is gone")
@@ -90,10 +81,10 @@
             refused.append(request["expect-instance"].decode())
             return refusing(status, more)(request)
 
-        backends = [Backend(once), Backend(once)]
-        async with Gateway(backends) as gateway:
-            assert (await gateway.ask())[0] == 200
-            assert [len(one.got) for one in backends] == [1, 1]
+        backends = [ScriptedBackend(once), ScriptedBackend(once)]
+        async with GatewayUnderTest(backends) as gateway:
+            assert (await gateway.send())[0] == 200
+            assert [len(one.requests) for one in backends] == [1, 1]
             if status == 421:
                 assert refused[0] in gateway.instance_directory.gone_at
 
@@ -118,8 +109,8 @@
             sent.append(request)
             return data if data is not cut else data + b"\x00"
 
-        async with Gateway([Backend(answer), Backend(answer)]) as gateway:
-            status, headers, _ = await gateway.ask(wait=b"400" if data is cut else b"3000")
+        async with GatewayUnderTest([ScriptedBackend(answer), ScriptedBackend(answer)]) as gateway:
+            status, headers, _ = await gateway.send(wait_ms=b"400" if data is cut else b"3000")
             assert len(sent) == 1, repr(data)
             assert status in (502, 504) and "server-stamp" not in headers, f"{data!r} {status}"
 
@@ -135,27 +126,27 @@
         failed.append(request)
         return b""
 
-    backends = [Backend(once), Backend(once)]
-    async with Gateway(backends, change=lambda c: route(c, 0, 1).update(route_kind="pure")) as gateway:
-        assert (await gateway.ask(method=b"GET", body=b""))[0] == 200
-        assert [len(one.got) for one in backends] == [1, 1]
-    alone = Backend(lambda _: b"")
-    async with Gateway(
-        [alone, Backend(lambda _: b"")], change=lambda c: route(c, 0, 1).update(route_kind="pure", max_tries=1)
+    backends = [ScriptedBackend(once), ScriptedBackend(once)]
+    async with GatewayUnderTest(backends, change=lambda c: route(c, 0, 1).update(route_kind="pure")) as gateway:
+        assert (await gateway.send(method=b"GET", body=b""))[0] == 200
+        assert [len(one.requests) for one in backends] == [1, 1]
+    alone = ScriptedBackend(lambda _: b"")
+    async with GatewayUnderTest(
+        [alone, ScriptedBackend(lambda _: b"")], change=lambda c: route(c, 0, 1).update(route_kind="pure", max_tries=1)
     ) as gateway:
-        await gateway.ask(method=b"GET", body=b"")
-        assert sum(len(one.got) for one in gateway.stand_ins) == 1
+        await gateway.send(method=b"GET", body=b"")
+        assert sum(len(one.requests) for one in gateway.scripted_backends) == 1
 
 
 @test("further tries stay within this gateway's part of the budget, and are refused at once beyond it")
 @on_loop
 async def _():
-    backends = [Backend(refusing(503)) for _ in range(4)]
-    async with Gateway(backends) as gateway:
+    backends = [ScriptedBackend(refusing(503)) for _ in range(4)]
+    async with GatewayUnderTest(backends) as gateway:
         gateway.upstreams.bounds = replace(gateway.upstreams.bounds, retry_slack_attempts=8.0)
         gateway.upstreams.set_fleet(GatewayFleet(2, 0))
-        answers = [await gateway.ask() for _ in range(30)]
-        arrivals = sum(len(one.got) for one in backends)
+        answers = [await gateway.send() for _ in range(30)]
+        arrivals = sum(len(one.requests) for one in backends)
         assert {status for status, _, _ in answers} == {503} and all("retry-after" in more for _, more, _ in answers)
         assert 30 < arrivals <= 30 + 0.2 * 30 + 4
 
@@ -163,15 +154,15 @@
 @test("a backend's own failure is passed on as it is, for an order that ran")
 @on_loop
 async def _():
-    async with Gateway(
+    async with GatewayUnderTest(
         [
-            Backend(
+            ScriptedBackend(
                 lambda r: b"HTTP/1.1 500 Oops\r\nAttempt-Id: %s\r\nServer-Stamp: s9\r\n"
                 b"Content-Length: 4\r\n\r\noops" % r["attempt-id"]
             )
         ]
     ) as gateway:
-        status, headers, body = await gateway.ask()
+        status, headers, body = await gateway.send()
         assert (status, body, headers["server-stamp"]) == (500, b"oops", b"s9")
 
 
@@ -182,9 +173,9 @@
         other = dict(request, **{"attempt-id": b"z-9"})
         return ok(other, b"not yours") + ok(request, b"yours") + ok(request, b"again")
 
-    async with Gateway([Backend(twice)]) as gateway:
+    async with GatewayUnderTest([ScriptedBackend(twice)]) as gateway:
         for _ in range(3):
-            assert (await gateway.ask())[2] == b"yours"
+            assert (await gateway.send())[2] == b"yours"
 
 
 @test("an answer in chunks is passed on whole")
@@ -194,56 +185,56 @@
         b"HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Stamp: s\r\nTransfer-Encoding: chunked\r\n\r\n"
         b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
     )
-    async with Gateway([Backend(lambda r: chunked % r["attempt-id"])]) as gateway:
-        assert (await gateway.ask())[2] == b"abcde"
+    async with GatewayUnderTest([ScriptedBackend(lambda r: chunked % r["attempt-id"])]) as gateway:
+        assert (await gateway.send())[2] == b"abcde"
 
 
 @test("a draining backend gets nothing more, and one that is gone never comes back by older news")
 @on_loop
 async def _():
-    drains, stays = Backend(), Backend()
-    async with Gateway([drains, stays]) as gateway:
-        gateway.add("i-0", drains.port, Phase.DRAINING, 5)
+    drains, stays = ScriptedBackend(), ScriptedBackend()
+    async with GatewayUnderTest([drains, stays]) as gateway:
+        gateway.report_instance("i-0", drains.port, Phase.DRAINING, 5)
         gateway.upstreams.refresh()
         for _ in range(5):
-            assert (await gateway.ask())[0] == 200
-        gateway.add("i-0", drains.port, Phase.READY, 4)
-        gateway.add("i-0", drains.port, Phase.GONE, 5)
-        gateway.add("i-0", drains.port, Phase.READY, 9)
+            assert (await gateway.send())[0] == 200
+        gateway.report_instance("i-0", drains.port, Phase.READY, 4)
+        gateway.report_instance("i-0", drains.port, Phase.GONE, 5)
+        gateway.report_instance("i-0", drains.port, Phase.READY, 9)
         gateway.upstreams.refresh()
         for _ in range(5):
-            assert (await gateway.ask())[0] == 200
-        assert not drains.got and len(stays.got) == 10
+            assert (await gateway.send())[0] == 200
+        assert not drains.requests and len(stays.requests) == 10
         assert "i-0" not in gateway.instance_directory.instances
 
 
 @test("over quota is a 429 with a time, at once and without a backend; with units it passes")
 @on_loop
 async def _():
-    backend = Backend()
-    async with Gateway([backend]) as gateway:
-        gateway.quota_client.gives = (0.0, 0.5, 0.5, 0.0)
-        status, headers, _ = await gateway.ask()
-        assert status == 429 and 0.4 < float(headers["retry-after"]) < 2 and not backend.got
+    backend = ScriptedBackend()
+    async with GatewayUnderTest([backend]) as gateway:
+        gateway.quota_client.grant = (0.0, 0.5, 0.5, 0.0)
+        status, headers, _ = await gateway.send()
+        assert status == 429 and 0.4 < float(headers["retry-after"]) < 2 and not backend.requests
         gateway.admission.local_quotas["anna"].closed_until = 0.0
-        gateway.quota_client.gives = (2.0, 0.0, 0.5, 0.0)
-        assert [(await gateway.ask())[0] for _ in range(2)] == [200, 200]
-        assert (await gateway.ask(key=b"key-c"))[0] == 200  # bert has no limit
+        gateway.quota_client.grant = (2.0, 0.0, 0.5, 0.0)
+        assert [(await gateway.send())[0] for _ in range(2)] == [200, 200]
+        assert (await gateway.send(key=b"key-c"))[0] == 200  # bert has no limit
 
 
 @test("without backends a request is refused at once with a time to come back")
 @on_loop
 async def _():
-    async with Gateway([]) as gateway:
-        status, headers, _ = await gateway.ask()
+    async with GatewayUnderTest([]) as gateway:
+        status, headers, _ = await gateway.send()
         assert status == 503 and float(headers["retry-after"]) > 0
 
 
 @test("a silent backend: at the deadline the client gets a 504, no promise")
 @on_loop
 async def _():
-    async with Gateway([Backend(lambda _: None)]) as gateway:
-        assert (await gateway.ask(wait=b"150"))[0] == 504
+    async with GatewayUnderTest([ScriptedBackend(lambda _: None)]) as gateway:
+        assert (await gateway.send(wait_ms=b"150"))[0] == 504
 
 
 @test("no mutation of one request's head brings the gateway down or reaches a backend changed")
@@ -275,27 +266,27 @@
             (b"Host", b"Expect: 100-continue\r\nHost"),
         )
     ]
-    backend = Backend()
-    async with Gateway([backend]) as gateway:
+    backend = ScriptedBackend()
+    async with GatewayUnderTest([backend]) as gateway:
         for wrong in wrongs:
-            status, _, _ = await gateway.ask(raw=wrong)
+            status, _, _ = await gateway.send(raw=wrong)
             assert 400 <= status < 600 and status not in (408, 421, 429, 503), f"{wrong!r} {status}"
-        assert not backend.got and not gateway.metrics.violations
-        assert (await gateway.ask())[0] == 200
+        assert not backend.requests and not gateway.metrics.violations
+        assert (await gateway.send())[0] == 200
 
 
 @test("after SIGTERM answers close their connection, and what is owed is answered before the end")
 @on_loop
 async def _():
-    backend = Backend()
-    async with Gateway([backend]) as gateway:
-        gateway.front.draining = True
-        status, headers, _ = await gateway.ask()
+    backend = ScriptedBackend()
+    async with GatewayUnderTest([backend]) as gateway:
+        gateway.handler.draining = True
+        status, headers, _ = await gateway.send()
         assert status == 200 and headers["connection"] == b"close"
         ended = []
-        gateway.front.IN_TRANSIT_S = 0
-        await gateway.front.drain(0.6, lambda: ended.append(1))
-        assert ended and not gateway.front.connections.open
+        gateway.handler.IN_TRANSIT_S = 0
+        await gateway.handler.drain(0.6, lambda: ended.append(1))
+        assert ended and not gateway.handler.connections.open
 
 
 @test("what each answer of a backend tells")
--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -4,9 +4,9 @@
 
 import asyncio
 import errno
-import functools
 import socket
 
+from event_loop import on_loop
 from raw_backend import LARGE, SHORT_US, RawBackend, Sender, after_all_time, arrived, reset, seen_by_kernel, until
 from ward import test
 
@@ -23,14 +23,6 @@
     return answer.headers.get(b"attempt-id") == b"a-1"
 
 
-def on_loop(story):
-    @functools.wraps(story)
-    def run():
-        asyncio.run(story())
-
-    return run
-
-
 async def whole_request(peer, sender, **more):
     """An attempt whose request has arrived whole, and the peer's end of its connection."""
     out = sender.begin(**more)
