--- a/tests/system/raw_backend.py
+++ b/tests/system/raw_backend.py
@@ -4,55 +4,66 @@
 import select
 import socket
 import struct
+from collections.abc import Callable
+from typing import Any, Self, cast
 
+from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.attempt import OutgoingRequest
+from stoneyoke.net.backend_connection import BackendConnection, BackendPool
 from stoneyoke.net.backends import BackendLimits, Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
+from stoneyoke.net.message_reader import Message
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
-from stoneyoke.runtime.pending_request import PendingRequest
+from stoneyoke.runtime.pending_request import PendingRequest, RequestOwner
 
-BUFFER = 4096  # bytes that the peer's kernel takes of what is not read, or little more
+RECEIVE_BUFFER_BYTES = 4096  # the peer's kernel takes so much of what is not read, or little more
 LARGE = b"x" * 30_000_000  # a body of which a part stays in the sender
 SHORT_US = 20_000
 LONG_US = 5_000_000
+HOUR_S = 3600
+
+Address = tuple[str, int]
+Result = tuple[AttemptOutcome, Message | None]
 
 
 class RawBackend:
-    def __init__(self):
+    """A listening socket, and the connections that the test has accepted."""
+
+    def __init__(self) -> None:
         self.listener = socket.socket()
-        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(8)
-        self.address = self.listener.getsockname()
-        self.connections = []
+        self.address: Address = self.listener.getsockname()
+        self.connections: list[socket.socket] = []
 
-    def __enter__(self):
+    def __enter__(self) -> Self:
         return self
 
-    def __exit__(self, *_):
+    def __exit__(self, *_: object) -> None:
         self.close()
 
-    def waiting(self):
+    def waiting(self) -> bool:
         """Whether a connection waits to be accepted."""
         return bool(select.select([self.listener], [], [], 0)[0])
 
-    def accept(self):
+    def accept(self) -> socket.socket:
         self.connections.append(self.listener.accept()[0])
         return self.connections[-1]
 
-    def close(self):
+    def close(self) -> None:
         for connection in (self.listener, *self.connections):
             connection.close()
 
 
-def reset(connection):
+def reset(connection: socket.socket) -> None:
     """Ends it with an RST, whatever is unread."""
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     connection.close()
 
 
-def arrived(connection):
+def arrived(connection: socket.socket) -> bytes:
     """All that has come on the peer's side, without waiting."""
     connection.setblocking(False)
     data = b""
@@ -64,56 +75,68 @@
     return data
 
 
-def seen_by_kernel(writer):
-    """Waits, outside the event loop, until something has come on the sender's socket that the loop has not seen."""
+def wait_for_kernel_input(writer: asyncio.StreamWriter) -> None:
+    """Waits, outside the event loop, until something has come on the sender's socket that the loop has not seen.
+
+    Raises:
+        TimeoutError: Nothing came.
+    """
     poll = select.poll()
     poll.register(writer.get_extra_info("socket").fileno(), select.POLLIN)
-    assert poll.poll(1000)
+    if not poll.poll(1000):
+        raise TimeoutError("nothing has come on the socket")
 
 
-async def until(holds):
-    """Turns the event loop until it holds."""
+async def until(holds: Callable[[], object]) -> None:
+    """Turns the event loop until the condition holds."""
     async with asyncio.timeout(5):
-        while not holds():  # noqa: ASYNC110 -- what is waited for is a state of the kernel, which sets no event
+        while not holds():  # noqa: ASYNC110 -- the condition is the socket's or the loop's: nobody sets an event
             await asyncio.sleep(0)
 
 
-async def after_all_time(out):
-    """Waits for it with every timer of the loop due at once."""
-    loop = asyncio.get_running_loop()
+async def after_all_timers(task: "asyncio.Future[Any]") -> None:
+    """Waits for a task with every timer of the loop due at once."""
+    loop = cast(Any, asyncio.get_running_loop())
     now = loop.time
-    loop.time = lambda: now() + 3600
-    await asyncio.wait([out])
+    loop.time = lambda: now() + HOUR_S
+    await asyncio.wait([task])
     del loop.time
 
 
 class Sender:
-    """Upstream attempts at one backend, with no gateway around them. `links` keeps each connection made."""
-
-    def __init__(self, address, dial_us=LONG_US, most=9):
-        self.clock, self.metrics, self.links = Clock(), Metrics(), []
-        self.held = PendingRequest(1, self.clock, None)
-        limits = BackendLimits(connect_timeout_us=dial_us, idle_timeout_us=30_000_000)
-        self.backends = Backends(self.clock, self.metrics, DescriptorBudget(most, 0), limits)
+    """Attempts at one backend, with no gateway around them. `connections` keeps each connection made."""
+
+    def __init__(self, address: Address, connect_timeout_us: int = LONG_US, descriptors: int = 9) -> None:
+        self.clock, self.metrics = Clock(), Metrics()
+        self.connections: list[BackendConnection] = []
+        self.pending = PendingRequest(1, self.clock, cast(RequestOwner, None))  # no client goes here
+        limits = BackendLimits(connect_timeout_us=connect_timeout_us, idle_timeout_us=30_000_000)
+        self.backends = Backends(self.clock, self.metrics, DescriptorBudget(descriptors, 0), limits)
         self.backends.set_address(0, address)
         connect = self.backends.connect
 
-        async def connect_and_keep(site):
-            self.links.append(await connect(site))
-            return self.links[-1]
+        async def connect_and_keep(pool: BackendPool) -> BackendConnection:
+            self.connections.append(await connect(pool))
+            return self.connections[-1]
 
-        self.backends.connect = connect_and_keep
+        cast(Any, self.backends).connect = connect_and_keep
 
-    def begin(self, body=b"order", within=LONG_US, ours=None):
-        return asyncio.ensure_future(self.send(body, within, ours))
+    def begin(
+        self, body: bytes = b"order", within: int = LONG_US, is_answered_by: Callable[[Message], bool] | None = None
+    ) -> "asyncio.Task[Result]":
+        """Starts an attempt."""
+        return asyncio.ensure_future(self.send(body, within, is_answered_by))
 
-    async def send(self, body=b"order", within=LONG_US, ours=None):
-        """The outcome and the answer."""
+    async def send(
+        self, body: bytes = b"order", within: int = LONG_US, is_answered_by: Callable[[Message], bool] | None = None
+    ) -> Result:
+        """Makes an attempt; gives its outcome and the answer. `within`: in microseconds."""
         head = [b"POST /x HTTP/1.1\r\nContent-Length: %d\r\n" % len(body)]
         deadline_us = self.clock.now() + within
-        request = OutgoingRequest(head=head, body=body, deadline_us=deadline_us, is_answered_by=ours)
-        return await self.backends.send_attempt(self.held, 0, 0, request)
+        request = OutgoingRequest(head=head, body=body, deadline_us=deadline_us, is_answered_by=is_answered_by)
+        return await self.backends.send_attempt(self.pending, 0, 0, request)
 
-    def all_closed(self):
-        site = self.backends.pools[0]
-        return self.backends.descriptor_budget.used == site.busy == len(site.idle) == 0
+    def all_closed(self) -> bool:
+        """Whether no connection is open, in use or idle."""
+        pool = self.backends.pools[0]
+        return self.backends.descriptor_budget.used == pool.busy == len(pool.idle) == 0
--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -7,7 +7,17 @@
 import socket
 
 from event_loop import on_loop
-from raw_backend import LARGE, SHORT_US, RawBackend, Sender, after_all_time, arrived, reset, seen_by_kernel, until
+from raw_backend import (
+    LARGE,
+    SHORT_US,
+    RawBackend,
+    Sender,
+    after_all_timers,
+    arrived,
+    reset,
+    until,
+    wait_for_kernel_input,
+)
 from ward import test
 
 from stoneyoke.control.parameters import PROVEN_NOT_RUN, AttemptOutcome
@@ -19,7 +29,7 @@
 OTHER = OK.replace(b"a-1", b"z-9")
 
 
-def ours(answer):
+def is_own_answer(answer):
     return answer.headers.get(b"attempt-id") == b"a-1"
 
 
@@ -42,7 +52,7 @@
     out = sender.begin(body=LARGE, **more)
     await until(peer.waiting)
     connection = peer.accept()
-    await until(lambda: sender.links and sender.links[0].writer.transport.get_write_buffer_size())
+    await until(lambda: sender.connections and sender.connections[0].writer.transport.get_write_buffer_size())
     return out, connection
 
 
@@ -67,12 +77,14 @@
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         with full, socket.create_connection(full.getsockname()):  # what comes beyond that gets no answer
-            assert (await Sender(full.getsockname(), dial_us=SHORT_US).send())[0] is AttemptOutcome.NO_CONNECTION
+            assert (await Sender(full.getsockname(), connect_timeout_us=SHORT_US).send())[
+                0
+            ] is AttemptOutcome.NO_CONNECTION
             late = Sender(full.getsockname())
             assert (await late.send(within=SHORT_US))[0] is AttemptOutcome.NOT_SENT and late.all_closed()
             out = late.begin()
-            await until(lambda: late.held.cancel_attempt)
-            late.held.cancel_attempt(0)
+            await until(lambda: late.pending.cancel_attempt)
+            late.pending.cancel_attempt(0)
             assert (await out)[0] is AttemptOutcome.NOT_SENT and late.all_closed()
             out = late.begin()
             await until(lambda: late.backends.descriptor_budget.used)
@@ -109,7 +121,7 @@
 
         def takes(_):  # the connection is up, the next step is the write: the loop doesn't turn before
             reset(peer.accept())
-            seen_by_kernel(sender.links[0].writer)
+            wait_for_kernel_input(sender.connections[0].writer)
             return True
 
         sender.backends.accepts_new_work = takes
@@ -123,7 +135,7 @@
         sender = Sender(peer.address)
 
         def takes(_):
-            sender.links[0].protocol.data_received(OK)
+            sender.connections[0].protocol.data_received(OK)
             return True
 
         sender.backends.accepts_new_work = takes
@@ -196,21 +208,21 @@
     with RawBackend() as peer:
 
         def called_off(sender, *_):
-            sender.held.cancel_attempt(0)
+            sender.pending.cancel_attempt(0)
 
         for ends, outcome in (
             (lambda _, connection: reset(connection), AttemptOutcome.BROKEN),
             (lambda _, connection: connection.close(), AttemptOutcome.BROKEN),
             (None, AttemptOutcome.TIMED_OUT),
             (called_off, AttemptOutcome.CANCELLED),
-            (lambda sender, _: sender.links[0].writer.transport.abort(), AttemptOutcome.BROKEN),
+            (lambda sender, _: sender.connections[0].writer.transport.abort(), AttemptOutcome.BROKEN),
         ):
             sender = Sender(peer.address)
             out, connection = await part_of_a_request(peer, sender)
             if ends:
                 ends(sender, connection)
             else:
-                await after_all_time(out)
+                await after_all_timers(out)
             told, answer = await out
             assert (told, answer) == (outcome, None) and told not in PROVEN_NOT_RUN, (told, outcome)
             assert sender.all_closed()
@@ -227,10 +239,10 @@
     with RawBackend() as peer:
 
         def called_off(sender, *_):
-            sender.held.cancel_attempt(0)
+            sender.pending.cancel_attempt(0)
 
         def kernel_gives_up(sender, _):  # ETIMEDOUT is a TimeoutError, as the dial's is
-            sender.links[0].protocol.connection_lost(TimeoutError(errno.ETIMEDOUT, "timed out"))
+            sender.connections[0].protocol.connection_lost(TimeoutError(errno.ETIMEDOUT, "timed out"))
 
         for ends, outcome in (
             (lambda _, connection: reset(connection), AttemptOutcome.BROKEN),
@@ -246,7 +258,7 @@
             if ends:
                 ends(sender, connection)
             else:
-                await after_all_time(out)
+                await after_all_timers(out)
             told, answer = await out
             assert (told, answer) == (outcome, None), (told, outcome)
             assert sender.all_closed()
@@ -264,7 +276,7 @@
         sender = Sender(peer.address)
         out, connection = await whole_request(peer, sender)
         sender.backends.may_cancel_attempts = False
-        sender.held.cancel_attempt(0)
+        sender.pending.cancel_attempt(0)
         connection.sendall(OK)
         assert (await out)[0] is AttemptOutcome.OK
 
@@ -274,14 +286,14 @@
 
 async def served(peer, sender, connection=None, answer=OK, made=1):
     """One attempt, answered whole. Without a connection to answer on it must make a new one."""
-    out = sender.begin(ours=ours)
+    out = sender.begin(is_answered_by=is_own_answer)
     if connection is None:
         await until(peer.waiting)
         connection = peer.accept()
     await until(lambda: arrived(connection))
     connection.sendall(answer)
     told, message = await out
-    assert told is AttemptOutcome.OK and message.body == b"yes" and len(sender.links) == made
+    assert told is AttemptOutcome.OK and message.body == b"yes" and len(sender.connections) == made
     return connection
 
 
@@ -294,7 +306,7 @@
             connection = await served(peer, sender)
             assert await served(peer, sender, connection) is connection
             spoils(connection)
-            seen_by_kernel(sender.links[0].writer)  # and the loop has not turned since
+            wait_for_kernel_input(sender.connections[0].writer)  # and the loop has not turned since
             await served(peer, sender, made=2)
             assert sender.backends.descriptor_budget.used == 1
 
@@ -317,10 +329,10 @@
         sender = Sender(peer.address)
 
         def spoken_on(answer):
-            sender.links[0].protocol.data_received(OK)  # behind the answer that is being looked at
-            return ours(answer)
+            sender.connections[0].protocol.data_received(OK)  # behind the answer that is being looked at
+            return is_own_answer(answer)
 
-        out, connection = await whole_request(peer, sender, ours=spoken_on)
+        out, connection = await whole_request(peer, sender, is_answered_by=spoken_on)
         connection.sendall(OK)
         assert (await out)[0] is AttemptOutcome.OK and sender.all_closed()
 
@@ -331,13 +343,13 @@
     with RawBackend() as peer:
         for outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED):
             sender = Sender(peer.address)
-            out, connection = await whole_request(peer, sender, ours=ours)
+            out, connection = await whole_request(peer, sender, is_answered_by=is_own_answer)
             connection.sendall(OTHER)
-            await until(lambda sender=sender: sender.links[0].out_of_step)
+            await until(lambda sender=sender: sender.connections[0].out_of_step)
             if outcome is AttemptOutcome.CANCELLED:
-                sender.held.cancel_attempt(0)
+                sender.pending.cancel_attempt(0)
             else:
-                await after_all_time(out)
+                await after_all_timers(out)
             assert await out == (outcome, None) and sender.all_closed()
 
 
@@ -353,7 +365,7 @@
         wrong = 0
         for answer in mutations:
             sender = Sender(peer.address)
-            out, connection = await whole_request(peer, sender, ours=ours)
+            out, connection = await whole_request(peer, sender, is_answered_by=is_own_answer)
             connection.sendall(answer)
             connection.shutdown(socket.SHUT_WR)
             told, message = await out
