--- a/tests/system/test_backend_at_work.py
+++ b/tests/system/test_backend_at_work.py
@@ -6,7 +6,7 @@
 from event_loop import on_loop
 from gateway_fixture import GatewayUnderTest, ScriptedBackend, ok, read_head
 from raw_backend import RawBackend, arrived, until
-from ward import test
+from ward import each, test
 
 from stoneyoke.control.context import TICK_US
 from stoneyoke.control.events import TimerFired
@@ -33,7 +33,7 @@
     return asked, connection
 
 
-def let_the_module_wait(gateway):
+def let_decisions_wait(gateway):
     """Time passes for the decisions alone, beat by beat."""
     runtime = gateway.upstreams.get(gateway.service).runtime
     for _ in range(BEATS):
@@ -41,26 +41,31 @@
         runtime.dispatch(TimerFired(0))
 
 
-@test("after SIGTERM a backend at work is not called off, and its answer reaches the client; before, it may be")
+@test("before SIGTERM the only backend's attempt may be cancelled")
 @on_loop
 async def _():
-    for leaving in (False, True):
-        with RawBackend() as peer:
-            async with GatewayUnderTest([], change=pure) as gateway:
-                asked, connection = await at_a_quiet_backend(gateway, peer)
-                if leaving:
-                    ends = asyncio.ensure_future(gateway.handler.drain(GRACE_S, lambda: None))
-                    await asyncio.sleep(0)
-                let_the_module_wait(gateway)
-                if not leaving:
-                    assert (await asked)[0] == 502  # the module's own wish, which the case rests on
-                    continue
-                for _ in range(5):
-                    await asyncio.sleep(0)
-                connection.sendall(ok({"attempt-id": b"a-1"}, more=b"Connection: close\r\n"))
-                status, headers, body = await asked
-                assert (status, body, headers["server-stamp"]) == (200, b"yes", b"s1")
-                assert not ends.done()
+    with RawBackend() as peer:
+        async with GatewayUnderTest([], change=pure) as gateway:
+            asked, _ = await at_a_quiet_backend(gateway, peer)
+            let_decisions_wait(gateway)
+            assert (await asked)[0] == 502  # what the next test rests on
+
+
+@test("after SIGTERM a backend at work is not cancelled, and its answer reaches the client")
+@on_loop
+async def _():
+    with RawBackend() as peer:
+        async with GatewayUnderTest([], change=pure) as gateway:
+            asked, connection = await at_a_quiet_backend(gateway, peer)
+            draining = asyncio.ensure_future(gateway.handler.drain(GRACE_S, lambda: None))
+            await asyncio.sleep(0)
+            let_decisions_wait(gateway)
+            for _ in range(5):
+                await asyncio.sleep(0)
+            connection.sendall(ok({"attempt-id": b"a-1"}, more=b"Connection: close\r\n"))
+            status, headers, body = await asked
+            assert (status, body, headers["server-stamp"]) == (200, b"yes", b"s1")
+            assert not draining.done()
 
 
 @test("after SIGTERM a request that has been read behind another one is answered before its connection closes")
@@ -91,10 +96,10 @@
         assert (await gateway.send(wait_ms=b"200"))[0] == 504 and len(backend.requests) == 1
 
 
-@test("a success that says it has not run, or with two stamps, is neither a success nor a promise")
-def _():
-    for headers, repeated in (({b"not-run": b"1"}, ()), ({}, (b"server-stamp",))):
-        message = Message()
-        message.status, message.headers = 200, {b"server-stamp": b"s", **headers}
-        message.repeated = set(repeated)
-        assert classify_answer(message) is AttemptOutcome.BROKEN
+@test("a success with Not-Run, or with two stamps, is no success and no proof that it has not run")
+def _(case=each(({b"not-run": b"1"}, ()), ({}, (b"server-stamp",)))):
+    headers, repeated = case
+    message = Message()
+    message.status, message.headers = 200, {b"server-stamp": b"s", **headers}
+    message.repeated = set(repeated)
+    assert classify_answer(message) is AttemptOutcome.BROKEN
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -3,7 +3,7 @@
 from configurations import example, route
 from event_loop import on_loop
 from gateway_fixture import GatewayUnderTest, ScriptedBackend, ok
-from ward import test
+from ward import each, test
 
 from stoneyoke.api.configuration import read_configuration
 from stoneyoke.control import Gateway as Module
@@ -69,50 +69,55 @@
         assert (await gateway.send())[0] == 401
 
 
-@test("an order that a backend says it has not run goes on to another; 421 tells that the backend is gone")
+@test("a request that a backend proves not to have run is retried at another; 421 drops the instance for good")
 @on_loop
-async def _():
-    for status, more in ((503, b"Not-Run: 1\r\n"), (421, b"Instance-Id: i-other\r\n")):
-        refused = []
+async def _(refusal=each((503, b"Not-Run: 1\r\n"), (421, b"Instance-Id: i-other\r\n"))):
+    status, more = refusal
+    refused = []
 
-        def once(request, refused=refused, status=status, more=more):
-            if refused:
-                return ok(request)
-            refused.append(request["expect-instance"].decode())
-            return refusing(status, more)(request)
+    def refuse_once(request):
+        if refused:
+            return ok(request)
+        refused.append(request["expect-instance"].decode())
+        return refusing(status, more)(request)
 
-        backends = [ScriptedBackend(once), ScriptedBackend(once)]
-        async with GatewayUnderTest(backends) as gateway:
-            assert (await gateway.send())[0] == 200
-            assert [len(one.requests) for one in backends] == [1, 1]
-            if status == 421:
-                assert refused[0] in gateway.instance_directory.gone_at
+    backends = [ScriptedBackend(refuse_once), ScriptedBackend(refuse_once)]
+    async with GatewayUnderTest(backends) as gateway:
+        assert (await gateway.send())[0] == 200
+        assert [len(one.requests) for one in backends] == [1, 1]
+        if status == 421:
+            assert refused[0] in gateway.instance_directory.gone_at
 
 
-@test("an order that may have run is sent nowhere else, and its answer makes no promise")
+NO_STAMP = b"HTTP/1.1 200 OK\r\nAttempt-Id: a-1\r\nContent-Length: 3\r\n\r\nyes"
+CUT_SHORT = b"HTTP/1.1 200 OK\r\nAttempt-Id: a-1\r\nServer-Stamp: s\r\nContent-Length: 30\r\n\r\nyes\x00"
+BUSY = refusing(503, b"")({"attempt-id": b"a-1"})  # without Not-Run
+TOO_MANY = refusing(429, b"")({"attempt-id": b"a-1"})
+
+
+@test("a request that may have run is not retried, and its answer carries no stamp")
 @on_loop
-async def _():
-    stamped = b"HTTP/1.1 200 OK\r\nAttempt-Id: a-1\r\nContent-Length: 3\r\n\r\nyes"  # no stamp: no success
-    cut = b"HTTP/1.1 200 OK\r\nAttempt-Id: a-1\r\nServer-Stamp: s\r\nContent-Length: 30\r\n\r\nyes"
-    cases = [
+async def _(
+    data=each(
         b"",
         b"gibberish\r\n\r\n",
-        stamped,
-        cut + b"",
-        refusing(503, b"")({"attempt-id": b"a-1"}),
-        refusing(429, b"")({"attempt-id": b"a-1"}),
-    ]
-    for data in cases:
-        sent = []
-
-        def answer(request, data=data, sent=sent):
-            sent.append(request)
-            return data if data is not cut else data + b"\x00"
-
-        async with GatewayUnderTest([ScriptedBackend(answer), ScriptedBackend(answer)]) as gateway:
-            status, headers, _ = await gateway.send(wait_ms=b"400" if data is cut else b"3000")
-            assert len(sent) == 1, repr(data)
-            assert status in (502, 504) and "server-stamp" not in headers, f"{data!r} {status}"
+        NO_STAMP,
+        CUT_SHORT,
+        BUSY,
+        TOO_MANY,
+    ),
+):
+    sent = []
+
+    def answer(request):
+        sent.append(request)
+        return data
+
+    async with GatewayUnderTest([ScriptedBackend(answer), ScriptedBackend(answer)]) as gateway:
+        status, headers, _ = await gateway.send(wait_ms=b"400" if data is CUT_SHORT else b"3000")
+        assert len(sent) == 1
+        assert status in (502, 504)
+        assert "server-stamp" not in headers
 
 
 @test("a read that failed at one backend is asked of another, within the route's tries")
--- a/tests/system/test_programs.py
+++ b/tests/system/test_programs.py
@@ -72,20 +72,25 @@
         yield name
 
 
-@test("a settings file that is missing or cut short is told in one line, and ends both programs with 2")
+@test("a settings file that is missing can't be read")
 def _(folder=folder):
     with raises(BadSettings):
         read_settings(os.path.join(folder, "none.toml"))
+
+
+@test("a settings file that is cut short ends a program with 2 and one line that names the file")
+def _(folder=folder, program=each("gateway", "controller")):
     path = os.path.join(folder, "cut.toml")
     Path(path).write_text("[self]\nnode_name = ")
-    for program in ("gateway", "controller"):
-        done = subprocess.run(
-            [sys.executable, "-m", f"stoneyoke.programs.{program}", f"--settings={path}"],
-            capture_output=True,
-            text=True,
-            timeout=30,
-        )
-        assert done.returncode == 2 and done.stderr.count("\n") == 1 and path in done.stderr, done
+    done = subprocess.run(
+        [sys.executable, "-m", f"stoneyoke.programs.{program}", f"--settings={path}"],
+        capture_output=True,
+        text=True,
+        timeout=30,
+    )
+    assert done.returncode == 2
+    assert done.stderr.count("\n") == 1
+    assert path in done.stderr
 
 
 @test("stoneyokectl tells what a configuration changes, and never a key")
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -1,6 +1,6 @@
 import asyncio
 
-from ward import test
+from ward import each, test
 
 from stoneyoke.gateway.quota_client import ANSWER_TIMEOUT_S, QuotaClient
 from stoneyoke.limits.local_quota import LocalQuota
@@ -106,21 +106,23 @@
     play(peer_client, story)
 
 
-@test("rows for a tenant that was not asked for, or twice, give nothing to anybody")
-def _():
-    for wrong in (
-        QuotaResponse(ok=True, grants=[QuotaGrant("bert", 3.0, 0.0, 0.5, 2.0)]),
-        QuotaResponse(ok=True, grants=[QuotaGrant("anna", 3.0, 0.0, 0.5, 2.0)] * 2),
-    ):
-        peer_client = PeerClient([GREETED, wrong])
-
-        async def story(quota_client, heard, peer_client=peer_client):
-            quota_client.local_quotas["bert"] = LocalQuota()
-            await quota_client.wait_for_units("anna")
-            assert quota_client.unanswered and len(peer_client.asked) == 2 and len(heard) == 1
-            assert quota_client.local_quotas["anna"].level == quota_client.local_quotas["bert"].level == 0
-
-        play(peer_client, story)
+FOR_ANNA = QuotaGrant("anna", 3.0, 0.0, 0.5, 2.0)
+FOR_BERT = QuotaGrant("bert", 3.0, 0.0, 0.5, 2.0)
+
+
+@test("an answer with a tenant that was not asked for, or one twice, grants nothing to anybody")
+def _(grants=each([FOR_BERT], [FOR_ANNA, FOR_ANNA])):
+    peer_client = PeerClient([GREETED, QuotaResponse(ok=True, grants=grants)])
+
+    async def story(quota_client, heard):
+        quota_client.local_quotas["bert"] = LocalQuota()
+        await quota_client.wait_for_units("anna")
+        assert quota_client.unanswered
+        assert len(peer_client.asked) == 2
+        assert len(heard) == 1
+        assert quota_client.local_quotas["anna"].level == quota_client.local_quotas["bert"].level == 0
+
+    play(peer_client, story)
 
 
 @test(
--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -18,7 +18,7 @@
     until,
     wait_for_kernel_input,
 )
-from ward import test
+from ward import each, test
 
 from stoneyoke.control.parameters import PROVEN_NOT_RUN, AttemptOutcome
 from stoneyoke.net.attempt import Attempt
@@ -98,19 +98,19 @@
 
 @test("connected, not written: a backend that has left or moved meanwhile gets no byte")
 @on_loop
-async def _():
+async def _(leaves=each(True, False)):
     with RawBackend() as peer:
-        for leaves in (True, False):
-            sender = Sender(peer.address)
+        sender = Sender(peer.address)
 
-            def takes(_, sender=sender, leaves=leaves):
-                if not leaves:
-                    sender.backends.set_address(0, ("127.0.0.1", 1))
-                return not leaves
+        def accepts_new_work(_):
+            if not leaves:
+                sender.backends.set_address(0, ("127.0.0.1", 1))
+            return not leaves
 
-            sender.backends.accepts_new_work = takes
-            assert (await sender.send())[0] is AttemptOutcome.NOT_SENT and sender.backends.descriptor_budget.used == 0
-            assert arrived(peer.accept()) == b""
+        sender.backends.accepts_new_work = accepts_new_work
+        assert (await sender.send())[0] is AttemptOutcome.NOT_SENT
+        assert sender.backends.descriptor_budget.used == 0
+        assert arrived(peer.accept()) == b""
 
 
 @test("a write that is refused at once leaves nothing, and says so")
@@ -202,74 +202,91 @@
 # ---- once a byte can have left ----
 
 
-@test("partly written: a reset, a close, the time's end, a call-off and cancellation never prove that it has not run")
+def cancel(sender, _):
+    sender.pending.cancel_attempt(0)
+
+
+def kernel_gives_up(sender, _):
+    """ETIMEDOUT is a TimeoutError, as that of a connection's set-up is."""
+    sender.connections[0].protocol.connection_lost(TimeoutError(errno.ETIMEDOUT, "timed out"))
+
+
+async def end_attempt(task, end, sender, connection):
+    """Ends an attempt in one way, or by its deadline where `end` is None; gives its outcome and answer."""
+    if end:
+        end(sender, connection)
+    else:
+        await after_all_timers(task)
+    return await task
+
+
+@test("partly written: neither a reset, a close, the deadline nor a cancellation proves that it has not run")
 @on_loop
-async def _():
+async def _(
+    case=each(
+        (lambda _, connection: reset(connection), AttemptOutcome.BROKEN),
+        (lambda _, connection: connection.close(), AttemptOutcome.BROKEN),
+        (None, AttemptOutcome.TIMED_OUT),
+        (cancel, AttemptOutcome.CANCELLED),
+        (lambda sender, _: sender.connections[0].writer.transport.abort(), AttemptOutcome.BROKEN),
+    ),
+):
+    end, expected = case
     with RawBackend() as peer:
+        sender = Sender(peer.address)
+        task, connection = await part_of_a_request(peer, sender)
+        outcome, answer = await end_attempt(task, end, sender, connection)
+        assert (outcome, answer) == (expected, None)
+        assert outcome not in PROVEN_NOT_RUN
+        assert sender.all_closed()
 
-        def called_off(sender, *_):
-            sender.pending.cancel_attempt(0)
 
-        for ends, outcome in (
-            (lambda _, connection: reset(connection), AttemptOutcome.BROKEN),
-            (lambda _, connection: connection.close(), AttemptOutcome.BROKEN),
-            (None, AttemptOutcome.TIMED_OUT),
-            (called_off, AttemptOutcome.CANCELLED),
-            (lambda sender, _: sender.connections[0].writer.transport.abort(), AttemptOutcome.BROKEN),
-        ):
-            sender = Sender(peer.address)
-            out, connection = await part_of_a_request(peer, sender)
-            if ends:
-                ends(sender, connection)
-            else:
-                await after_all_timers(out)
-            told, answer = await out
-            assert (told, answer) == (outcome, None) and told not in PROVEN_NOT_RUN, (told, outcome)
-            assert sender.all_closed()
+@test("partly written: a cancelled task closes its connection and sends no more")
+@on_loop
+async def _():
+    with RawBackend() as peer:
         sender = Sender(peer.address)
-        out, connection = await part_of_a_request(peer, sender)
-        out.cancel()
-        await asyncio.wait([out])
-        assert sender.all_closed() and len(arrived(connection)) < len(LARGE)
+        task, connection = await part_of_a_request(peer, sender)
+        task.cancel()
+        await asyncio.wait([task])
+        assert sender.all_closed()
+        assert len(arrived(connection)) < len(LARGE)
 
 
-@test("wholly written: a reset, a close, silence, a call-off and the kernel's own time-out may all have run")
+@test("wholly written: after a reset, a close, silence, a cancellation or the kernel's time-out it may have run")
 @on_loop
-async def _():
+async def _(
+    case=each(
+        (lambda _, connection: reset(connection), AttemptOutcome.BROKEN),
+        (lambda _, connection: connection.close(), AttemptOutcome.BROKEN),
+        (lambda _, connection: connection.sendall(OK[:-1]) or connection.close(), AttemptOutcome.BROKEN),
+        (lambda _, connection: connection.sendall(b"no HTTP\r\n\r\n"), AttemptOutcome.BROKEN),
+        (None, AttemptOutcome.TIMED_OUT),
+        (cancel, AttemptOutcome.CANCELLED),
+        (kernel_gives_up, AttemptOutcome.BROKEN),
+    ),
+):
+    end, expected = case
     with RawBackend() as peer:
+        sender = Sender(peer.address)
+        task, connection = await whole_request(peer, sender)
+        assert await end_attempt(task, end, sender, connection) == (expected, None)
+        assert sender.all_closed()
 
-        def called_off(sender, *_):
-            sender.pending.cancel_attempt(0)
 
-        def kernel_gives_up(sender, _):  # ETIMEDOUT is a TimeoutError, as the dial's is
-            sender.connections[0].protocol.connection_lost(TimeoutError(errno.ETIMEDOUT, "timed out"))
-
-        for ends, outcome in (
-            (lambda _, connection: reset(connection), AttemptOutcome.BROKEN),
-            (lambda _, connection: connection.close(), AttemptOutcome.BROKEN),
-            (lambda _, connection: connection.sendall(OK[:-1]) or connection.close(), AttemptOutcome.BROKEN),
-            (lambda _, connection: connection.sendall(b"no HTTP\r\n\r\n"), AttemptOutcome.BROKEN),
-            (None, AttemptOutcome.TIMED_OUT),
-            (called_off, AttemptOutcome.CANCELLED),
-            (kernel_gives_up, AttemptOutcome.BROKEN),
-        ):
-            sender = Sender(peer.address)
-            out, connection = await whole_request(peer, sender)
-            if ends:
-                ends(sender, connection)
-            else:
-                await after_all_timers(out)
-            told, answer = await out
-            assert (told, answer) == (outcome, None), (told, outcome)
-            assert sender.all_closed()
+@test("wholly written: a cancelled task closes its connection")
+@on_loop
+async def _():
+    with RawBackend() as peer:
         sender = Sender(peer.address)
-        out, connection = await whole_request(peer, sender)
-        out.cancel()
-        await asyncio.wait([out])
-        assert out.cancelled() and sender.all_closed()
+        task, _ = await whole_request(peer, sender)
+        task.cancel()
+        await asyncio.wait([task])
+        assert task.cancelled()
+        assert sender.all_closed()
 
 
-@test("nothing is called off once the process is to end")
+@test("no attempt is cancelled once the process is to end")
 @on_loop
 async def _():
     with RawBackend() as peer:
@@ -297,29 +314,27 @@
     return connection
 
 
-@test("a connection with a whole answer is used again; reset, closed or spoken on unseen by the loop it is not")
+@test("a connection with a whole answer is reused, but not if a reset, a close or a byte has come unseen by the loop")
 @on_loop
-async def _():
+async def _(spoil=each(reset, lambda connection: connection.close(), lambda connection: connection.sendall(OK))):
     with RawBackend() as peer:
-        for spoils in (reset, lambda connection: connection.close(), lambda connection: connection.sendall(OK)):
-            sender = Sender(peer.address)
-            connection = await served(peer, sender)
-            assert await served(peer, sender, connection) is connection
-            spoils(connection)
-            wait_for_kernel_input(sender.connections[0].writer)  # and the loop has not turned since
-            await served(peer, sender, made=2)
-            assert sender.backends.descriptor_budget.used == 1
+        sender = Sender(peer.address)
+        connection = await served(peer, sender)
+        assert await served(peer, sender, connection) is connection
+        spoil(connection)
+        wait_for_kernel_input(sender.connections[0].writer)  # and the loop has not turned since
+        await served(peer, sender, made=2)
+        assert sender.backends.descriptor_budget.used == 1
 
 
-@test("extra bytes, an answer to something else, one sent twice or called off: the connection is not used again")
+@test("a connection with extra bytes, or an answer to something else, is not reused")
 @on_loop
-async def _():
+async def _(answer=each(OTHER + OK, OK + OK, OK + b"x", OTHER + OTHER + OK)):
     with RawBackend() as peer:
-        for answer in (OTHER + OK, OK + OK, OK + b"x", OTHER + OTHER + OK):
-            sender = Sender(peer.address)
-            await served(peer, sender, answer=answer)
-            assert sender.all_closed(), answer
-            await served(peer, sender, made=2)
+        sender = Sender(peer.address)
+        await served(peer, sender, answer=answer)
+        assert sender.all_closed()
+        await served(peer, sender, made=2)
 
 
 @test("bytes that came with an answer and were not parsed yet are extra bytes")
@@ -337,20 +352,20 @@
         assert (await out)[0] is AttemptOutcome.OK and sender.all_closed()
 
 
-@test("after an answer to something else and then silence, the connection is not taken for answered")
+@test("a connection with an answer to something else and then silence is closed")
 @on_loop
-async def _():
+async def _(outcome=each(AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)):
     with RawBackend() as peer:
-        for outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED):
-            sender = Sender(peer.address)
-            out, connection = await whole_request(peer, sender, is_answered_by=is_own_answer)
-            connection.sendall(OTHER)
-            await until(lambda sender=sender: sender.connections[0].out_of_step)
-            if outcome is AttemptOutcome.CANCELLED:
-                sender.pending.cancel_attempt(0)
-            else:
-                await after_all_timers(out)
-            assert await out == (outcome, None) and sender.all_closed()
+        sender = Sender(peer.address)
+        task, connection = await whole_request(peer, sender, is_answered_by=is_own_answer)
+        connection.sendall(OTHER)
+        await until(lambda: sender.connections[0].out_of_step)
+        if outcome is AttemptOutcome.CANCELLED:
+            sender.pending.cancel_attempt(0)
+        else:
+            await after_all_timers(task)
+        assert await task == (outcome, None)
+        assert sender.all_closed()
 
 
 @test("no mutation of one answer passes for another request's, or leaves anything for the next")
