--- a/tests/system/test_backend_at_work.py
+++ b/tests/system/test_backend_at_work.py
@@ -15,7 +15,7 @@
 from stoneyoke.net.message_reader import Message
 
 GRACE_S = 60.0
-BEATS = 100  # of the module: 5 s, well beyond its patience with a quiet backend
+TICKS = 100  # of the decisions: 5 s, well beyond their patience with a quiet backend
 
 
 def pure(given):
@@ -36,7 +36,7 @@
 def let_decisions_wait(gateway):
     """Time passes for the decisions alone, beat by beat."""
     runtime = gateway.upstreams.get(gateway.service).runtime
-    for _ in range(BEATS):
+    for _ in range(TICKS):
         gateway.clock.monotonic_to_unix_us += TICK_US
         runtime.dispatch(TimerFired(0))
 
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -6,7 +6,7 @@
 from ward import each, test
 
 from stoneyoke.api.configuration import read_configuration
-from stoneyoke.control import Gateway as Module
+from stoneyoke.control import Gateway as DecisionLogic
 from stoneyoke.control.actions import StartAttempt
 from stoneyoke.control.events import Arrival, AttemptEnded, Endpoint, EndpointsChanged
 from stoneyoke.control.parameters import (
@@ -194,7 +194,7 @@
         assert (await gateway.send())[2] == b"abcde"
 
 
-@test("a draining backend gets nothing more, and one that is gone never comes back by older news")
+@test("a draining instance gets no more requests, and one that is gone never comes back by a late report")
 @on_loop
 async def _():
     drains, stays = ScriptedBackend(), ScriptedBackend()
@@ -294,28 +294,28 @@
         assert ended and not gateway.handler.connections.open
 
 
-@test("what each answer of a backend tells")
+@test("the outcome of each answer of a backend")
 def _():
     from stoneyoke.gateway.upstreams import classify_answer
     from stoneyoke.net.message_reader import Message
 
-    def told(status, **headers):
+    def outcome_of(status, **headers):
         message = Message()
         message.status = status
         message.headers = {name.replace("_", "-").encode(): value for name, value in headers.items()}
         return classify_answer(message)
 
-    assert told(200, server_stamp=b"s") is AttemptOutcome.OK and told(200) is AttemptOutcome.BROKEN
-    assert told(503, not_run=b"1") is told(421) is told(400, not_run=b"1") is AttemptOutcome.REJECTED
-    assert told(503) is told(429) is told(408) is AttemptOutcome.BROKEN
+    assert outcome_of(200, server_stamp=b"s") is AttemptOutcome.OK and outcome_of(200) is AttemptOutcome.BROKEN
+    assert outcome_of(503, not_run=b"1") is outcome_of(421) is outcome_of(400, not_run=b"1") is AttemptOutcome.REJECTED
+    assert outcome_of(503) is outcome_of(429) is outcome_of(408) is AttemptOutcome.BROKEN
     assert (
-        told(500) is told(504) is AttemptOutcome.ERROR
-        and told(404) is AttemptOutcome.OK
+        outcome_of(500) is outcome_of(504) is AttemptOutcome.ERROR
+        and outcome_of(404) is AttemptOutcome.OK
         and classify_answer(None) is AttemptOutcome.BROKEN
     )
 
 
-@test("the module sends on only while its part of the budget lasts, and only what came to a backend counts")
+@test("retries stay within this gateway's part of the retry budget, and only attempts that reached a backend count")
 def _():
     def call_outs(outcome, depth):
         """Of ten requests at nine backends, each of which ends that way."""
@@ -328,7 +328,7 @@
             utility=1.0,
             attempts_max=3,
         )
-        module = Module(
+        decisions = DecisionLogic(
             GatewayParameters(
                 seed=7,
                 gateways=1,
@@ -354,11 +354,13 @@
             ),
             0,
         )
-        module.handle(EndpointsChanged(True, False, [Endpoint(at, 0, 0, 0, BackendState.READY) for at in range(9)]), 0)
+        decisions.handle(
+            EndpointsChanged(True, False, [Endpoint(at, 0, 0, 0, BackendState.READY) for at in range(9)]), 0
+        )
         count = 0
         for rpc in range(10):
-            told, sent = (
-                module.handle(
+            actions, sent = (
+                decisions.handle(
                     Arrival(
                         rpc=rpc,
                         method=0,
@@ -373,8 +375,8 @@
                 ),
                 0,
             )
-            while out := [one for one in told if isinstance(one, StartAttempt)]:
-                told = module.handle(
+            while out := [one for one in actions if isinstance(one, StartAttempt)]:
+                actions = decisions.handle(
                     AttemptEnded(
                         rpc=rpc,
                         attempt=sent,
--- a/tests/system/test_instance_directory.py
+++ b/tests/system/test_instance_directory.py
@@ -8,7 +8,7 @@
 VOTERS = ("a", "b", "c")
 
 
-def news(  # noqa: PLR0913 -- fields of a message, by keyword, each with a default
+def pull_response(  # noqa: PLR0913 -- fields of a message, by keyword, each with a default
     number=1,
     rows=(),
     complete=False,
@@ -57,13 +57,13 @@
 def _():
     directory = InstanceDirectory(("a", "b", "c"))
     assert directory.caught_up(0.0) is None
-    directory.apply_pull("a", news(3), 0.0)
+    directory.apply_pull("a", pull_response(3), 0.0)
     assert directory.caught_up(0.1) is None
-    directory.apply_pull("b", news(5, name="b", disk="5e"), 0.1)
+    directory.apply_pull("b", pull_response(5, name="b", disk="5e"), 0.1)
     assert directory.caught_up(0.1) is None  # it lost its disk: it is another member
-    directory.apply_pull("b", news(5, name="b", instances_synced=False), 0.1)
+    directory.apply_pull("b", pull_response(5, name="b", instances_synced=False), 0.1)
     assert directory.caught_up(0.1) is None  # it may lack a drain
-    directory.apply_pull("b", news(5, name="b"), 0.1)
+    directory.apply_pull("b", pull_response(5, name="b"), 0.1)
     assert directory.caught_up(0.1) == Version(5, b"x") and directory.newest()[1] == "b"
     assert directory.caught_up(0.1 + IN_TOUCH_S) is None
 
@@ -71,67 +71,69 @@
 @test("who is not among the newest voters does not count; while a change is not settled both sets are asked")
 def _():
     directory = InstanceDirectory(("a", "d"))
-    directory.apply_pull("a", news(3), 0.0)
-    directory.apply_pull("d", news(3, name="d"), 0.0)
+    directory.apply_pull("a", pull_response(3), 0.0)
+    directory.apply_pull("d", pull_response(3, name="d"), 0.0)
     assert directory.caught_up(0.0) is None
-    directory.apply_pull("d", news(3, name="d", voters_number=2, voters=("a", "c", "d")), 0.0)
+    directory.apply_pull("d", pull_response(3, name="d", voters_number=2, voters=("a", "c", "d")), 0.0)
     assert directory.caught_up(0.0) == Version(3, b"x")
-    directory.apply_pull("d", news(3, name="d", voters_number=3, voters=("a", "d", "e"), previous=("b", "c", "d")), 0.0)
+    directory.apply_pull(
+        "d", pull_response(3, name="d", voters_number=3, voters=("a", "d", "e"), previous=("b", "c", "d")), 0.0
+    )
     assert directory.caught_up(0.0) is None  # of the voters before only d is heard
-    directory.apply_pull("c", news(3, name="c", voters_number=2, voters=("a", "c", "d")), 0.0)
+    directory.apply_pull("c", pull_response(3, name="c", voters_number=2, voters=("a", "c", "d")), 0.0)
     assert directory.caught_up(0.0) == Version(3, b"x")
 
 
-@test("a drain told by one core holds against older tellings of others, and leaves hold for good")
+@test("a drain reported by one controller wins over older reports of others, and an instance that is gone stays gone")
 def _():
     directory = InstanceDirectory(("a", "b"))
-    directory.apply_pull("a", news(rows=[row(5, Phase.DRAINING)]), 0.0)
-    directory.apply_pull("b", news(name="b", rows=[row(4)]), 0.1)
-    directory.apply_pull("b", news(name="b", rows=[row(6)]), 0.2)
+    directory.apply_pull("a", pull_response(rows=[row(5, Phase.DRAINING)]), 0.0)
+    directory.apply_pull("b", pull_response(name="b", rows=[row(4)]), 0.1)
+    directory.apply_pull("b", pull_response(name="b", rows=[row(6)]), 0.2)
     assert directory.instances["i-1"].row.phase == Phase.DRAINING
-    directory.apply_pull("a", news(rows=[row(6, Phase.GONE)]), 0.3)
-    directory.apply_pull("b", news(name="b", rows=[row(9)]), 0.4)
+    directory.apply_pull("a", pull_response(rows=[row(6, Phase.GONE)]), 0.3)
+    directory.apply_pull("b", pull_response(name="b", rows=[row(9)]), 0.4)
     assert not directory.instances
 
 
-@test("a backend that no core in touch hears is doubted, then dropped; not while the cores are lost themselves")
+@test("an instance that no controller in touch hears is marked, then dropped; not while no controller is in touch")
 def _():
     directory = InstanceDirectory(("a", "b", "c"))
     for name in "abc":
-        directory.apply_pull(name, news(name=name, rows=[row(), row(instance="i-2")]), 0.0)
+        directory.apply_pull(name, pull_response(name=name, rows=[row(), row(instance="i-2")]), 0.0)
     for name in "ab":
-        directory.apply_pull(name, news(name=name, rows=[row(phase=Phase.SILENT)], seq=2), 1.0)
+        directory.apply_pull(name, pull_response(name=name, rows=[row(phase=Phase.SILENT)], seq=2), 1.0)
     directory.sweep(1.0)
     assert not directory.unheard_instances("tide")  # c still hears it
-    directory.apply_pull("c", news(name="c", rows=[row(phase=Phase.SILENT)], seq=2), 1.1)
+    directory.apply_pull("c", pull_response(name="c", rows=[row(phase=Phase.SILENT)], seq=2), 1.1)
     directory.sweep(1.2)
     assert directory.unheard_instances("tide") == {"i-1"}
     directory.sweep(1.2 + DROP_UNHEARD_S + IN_TOUCH_S)
     assert set(directory.instances) == {"i-2"}
-    directory.sweep(90.0)  # no core is in touch: nobody can tell
+    directory.sweep(90.0)  # no controller is in touch
     assert set(directory.instances) == {"i-2"}
 
 
-@test("doubts of more than half of a service are the cores' own trouble")
+@test("if more than half of a service is unheard, the controllers are cut off, and none of it is left out")
 def _():
     directory = InstanceDirectory(("a",))
-    directory.apply_pull("a", news(rows=[row(), row(instance="i-2")], voters=("a",)), 0.0)
+    directory.apply_pull("a", pull_response(rows=[row(), row(instance="i-2")], voters=("a",)), 0.0)
     directory.apply_pull(
-        "a", news(complete=True, incarnation="new", voters=("a",)), 1.0
+        "a", pull_response(complete=True, incarnation="new", voters=("a",)), 1.0
     )  # started again, knows nobody yet
     directory.sweep(1.0)
     assert directory.unheard_instances("tide") == frozenset() and len(directory.instances) == 2
 
 
-@test("a core's own word on who keeps the quotas goes before what others heard; rolls are kept while not told anew")
+@test("what the lease holder says of itself goes before what others heard; gateways stay until the membership changes")
 def _():
     directory = InstanceDirectory(("a", "b", "c"))
     for name in "ab":
-        directory.apply_pull(name, news(name=name, lease_holder="a", gateways=["edge-1"]), 0.0)
+        directory.apply_pull(name, pull_response(name=name, lease_holder="a", gateways=["edge-1"]), 0.0)
     assert directory.lease_holder(0.1) == "a" and directory.gateways(0.1) == ["edge-1"]
-    directory.apply_pull("c", news(name="c", lease_holder="c", gateways=["edge-2"]), 0.2)
+    directory.apply_pull("c", pull_response(name="c", lease_holder="c", gateways=["edge-2"]), 0.2)
     assert directory.lease_holder(0.2) == "c"
-    directory.apply_pull("c", news(name="c", lease_holder="c"), 0.3)
+    directory.apply_pull("c", pull_response(name="c", lease_holder="c"), 0.3)
     assert directory.gateways(0.3) == ["edge-1", "edge-2"]
-    directory.apply_pull("c", news(name="c", lease_holder="c", membership_version=2), 0.4)
+    directory.apply_pull("c", pull_response(name="c", lease_holder="c", membership_version=2), 0.4)
     assert directory.gateways(0.4) == ["edge-1"]
--- a/tests/system/test_programs.py
+++ b/tests/system/test_programs.py
@@ -35,7 +35,7 @@
 }
 
 
-@test("settings: what is told, defaults for the rest, fields no one knows left alone")
+@test("settings take what the file gives, defaults for the rest, and ignore unknown fields")
 def _():
     settings = parse_settings(GIVEN)
     assert settings.seeds == ("10.1.0.33", "10.2.0.25") and settings.port == 7340 and settings.machine_losses == 2
@@ -122,7 +122,7 @@
     assert done.returncode == 0 and "word-1: whole, r7" in done.stdout and "word-2 is torn" in done.stdout
 
 
-@test("the ring keeps lines in memory; an error writes out what led to it")
+@test("log lines stay in memory; an error writes out those before it")
 def _():
     class Line(str):
         level = 20
@@ -131,11 +131,11 @@
         def record(self):
             return {"level": type("Level", (), {"no": self.level})}
 
-    ring, written = LogBuffer(), []
-    ring.dump = lambda most=0: written.extend(ring.lines) or ring.lines.clear()
-    ring.sink(Line("one\n"))
+    log_buffer, written = LogBuffer(), []
+    log_buffer.dump = lambda most=0: written.extend(log_buffer.lines) or log_buffer.lines.clear()
+    log_buffer.sink(Line("one\n"))
     assert not written
     bad = Line("bad\n")
     bad.level = 40
-    ring.sink(bad)
+    log_buffer.sink(bad)
     assert written == ["one\n", "bad\n"]
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -51,7 +51,9 @@
     asyncio.run(run())
 
 
-GREETED = QuotaResponse(ok=True, grants=[])  # a first message asks for nothing: the keeper can't know that it is heard
+GREETED = QuotaResponse(
+    ok=True, grants=[]
+)  # a first message asks for nothing: the lease holder can't know that it is heard
 
 
 def given(units, wait=0.0):
@@ -74,7 +76,9 @@
     play(peer_client, story)
 
 
-@test("a keeper that does not answer, or no longer is one, makes nobody wait; its next answer ends that")
+@test(
+    "while the lease holder gives no answer, or holds the lease no longer, no request waits; its next answer ends that"
+)
 def _():
     peer_client = PeerClient([PeerUnreachable("cut"), QuotaResponse(ok=False, grants=[]), GREETED, given(1.0)])
 
@@ -92,7 +96,7 @@
     play(peer_client, story)
 
 
-@test("a tenant that is shut is told of, but nothing is asked for it")
+@test("the demand of a tenant without units is reported, but none are asked for before its time")
 def _():
     peer_client = PeerClient([GREETED, given(0.0, 5.0), given(0.0, 5.0)])
 
@@ -126,7 +130,7 @@
 
 
 @test(
-    "the keeper counts as heard within an answer's time from when it was asked, however long this process stood still"
+    "the lease holder counts as heard within an answer's time from the request, however long this process was suspended"
 )
 def _():
     peer_client = PeerClient([GREETED, given(3.0)])
--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -69,7 +69,7 @@
         assert (await sender.send())[0] is AttemptOutcome.NOT_SENT
 
 
-@test("while it connects: refused, without an answer, out of time, called off and cancelled all leave nothing")
+@test("while it connects: refusal, silence, the deadline and cancellation all leave nothing sent")
 @on_loop
 async def _():
     with RawBackend() as peer:
@@ -119,12 +119,12 @@
     with RawBackend() as peer:
         sender = Sender(peer.address)
 
-        def takes(_):  # the connection is up, the next step is the write: the loop doesn't turn before
+        def accepts_new_work(_):  # the connection is up, the next step is the write: the loop doesn't turn before
             reset(peer.accept())
             wait_for_kernel_input(sender.connections[0].writer)
             return True
 
-        sender.backends.accepts_new_work = takes
+        sender.backends.accepts_new_work = accepts_new_work
         assert (await sender.send())[0] is AttemptOutcome.CUT and sender.all_closed()
 
 
@@ -134,11 +134,11 @@
     with RawBackend() as peer:
         sender = Sender(peer.address)
 
-        def takes(_):
+        def accepts_new_work(_):
             sender.connections[0].protocol.data_received(OK)
             return True
 
-        sender.backends.accepts_new_work = takes
+        sender.backends.accepts_new_work = accepts_new_work
         assert (await sender.send())[0] is AttemptOutcome.CUT and sender.all_closed()
         assert arrived(peer.accept()) == b""
 
@@ -146,8 +146,8 @@
 class Transport:
     """A transport as RequestWrite sees it: what the first send leaves in the buffer, and whether it is closing."""
 
-    def __init__(self, closing=False, closes=False, takes=0):
-        self.closing, self.closes, self.takes, self.buffered = closing, closes, takes, 0
+    def __init__(self, closing=False, closes=False, sends_at_once=0):
+        self.closing, self.closes, self.sends_at_once, self.buffered = closing, closes, sends_at_once, 0
 
     def is_closing(self):
         return self.closing
@@ -157,7 +157,7 @@
 
     def writelines(self, parts):
         self.closing = self.closes
-        self.buffered = max(0, sum(map(len, parts)) - self.takes)
+        self.buffered = max(0, sum(map(len, parts)) - self.sends_at_once)
 
     @property
     def transport(self):
@@ -172,10 +172,10 @@
 async def _():
     for transport, refused, left in (
         (Transport(closing=True), True, False),
-        (Transport(closes=True, takes=9999), True, False),
-        (Transport(takes=0), False, False),
-        (Transport(takes=1), False, True),
-        (Transport(takes=9999), False, True),
+        (Transport(closes=True, sends_at_once=9999), True, False),
+        (Transport(sends_at_once=0), False, False),
+        (Transport(sends_at_once=1), False, True),
+        (Transport(sends_at_once=9999), False, True),
     ):
         request = RequestWrite(transport)
         try:
@@ -309,8 +309,8 @@
         connection = peer.accept()
     await until(lambda: arrived(connection))
     connection.sendall(answer)
-    told, message = await out
-    assert told is AttemptOutcome.OK and message.body == b"yes" and len(sender.connections) == made
+    outcome, message = await out
+    assert outcome is AttemptOutcome.OK and message.body == b"yes" and len(sender.connections) == made
     return connection
 
 
@@ -383,12 +383,12 @@
             out, connection = await whole_request(peer, sender, is_answered_by=is_own_answer)
             connection.sendall(answer)
             connection.shutdown(socket.SHUT_WR)
-            told, message = await out
-            assert told in (AttemptOutcome.OK, AttemptOutcome.ERROR, AttemptOutcome.BROKEN), (answer, told)
-            if told is AttemptOutcome.OK:
+            outcome, message = await out
+            assert outcome in (AttemptOutcome.OK, AttemptOutcome.ERROR, AttemptOutcome.BROKEN), (answer, outcome)
+            if outcome is AttemptOutcome.OK:
                 head, _, body = answer.partition(b"\r\n\r\n")
                 assert b"Attempt-Id: a-1\r\n" in head and len(message.body) == 3 and body.startswith(message.body)
-            wrong += told is AttemptOutcome.BROKEN
+            wrong += outcome is AttemptOutcome.BROKEN
             connection.close()
             await served(peer, sender, made=2)
         assert wrong > 150
