--- a/stoneyoke/consensus/replica_disk.py
+++ b/stoneyoke/consensus/replica_disk.py
@@ -47,7 +47,10 @@
         return WriteTurn(self)
 
     async def write(self, family: str, record: Record) -> None:
-        """Returns once the record is on disk. Raises StorageError."""
+        """Returns once the record is on disk. Raises StorageError.
+
+        A controller's `run_blocking` is `controlplane.settings.run_in_thread`, its store a `storage.RecordStore`.
+        """
         await self.run_blocking(self.store.save, family, record)
 
     async def write_until_done(self, family: str, record: Record) -> None:
--- a/stoneyoke/control/backend_selection.py
+++ b/stoneyoke/control/backend_selection.py
@@ -33,7 +33,7 @@
         self.peer_evidence = PeerEvidence(frozenset(), frozenset())
 
     def choose(self, tried: set[int], share: float, home: Backend | None, scope: DeduplicationScope) -> Backend | None:
-        """The backend for an RPC that may fill this share of the limit, in the scope of a home that may have run it."""
+        """The backend for an RPC that may fill this share of the limit; in the scope of `home` if there is one."""
         limit, order, typical_max = self.concurrency.limit, self.order, self.typical_max
         overloaded, rotation = self.concurrency.is_overloaded(), rotation_size(self.concurrency.answers_per_s)
         filled = sum(b.in_flight - (0 if overloaded else b.overdue) for b in order if b.observed_latency < typical_max)
@@ -57,7 +57,7 @@
         return best
 
     def is_usable(self, backend: Backend) -> bool:
-        """Whether it may get an attempt: not ejected, and a cold one only within this gateway's budget (rule 4)."""
+        """Whether it may get an attempt: not ejected, and a cold one only within this gateway's budget."""
         ejected = self.context.now < backend.ejected_until or backend.index in self.peer_evidence.left_out
         return not ejected and (backend.is_warm or backend.cold_budget.fill(self.context.now) >= 1.0)
 
@@ -66,7 +66,7 @@
         return backend.observed_latency < self.typical_max
 
     def grant_cold_budgets(self, ready: list[Backend]) -> None:
-        """Each gateway grants its part, be it a fraction of an attempt: the gateways' parts sum to the whole."""
+        """Sets each cold backend's slow-start budget to this gateway's part. All gateways' parts sum to the whole."""
         parameters = self.context.parameters
         share = self.concurrency.answers_per_s / max(1, sum(b.is_warm for b in ready))
         window_s = parameters.overload_window_us / SECOND
--- a/stoneyoke/control/customer.py
+++ b/stoneyoke/control/customer.py
@@ -62,6 +62,6 @@
 
 
 def empty_bucket(rate: float, depth: float, context: DecisionContext) -> TokenBucket:
-    """A ceiling's bucket: empty when this incarnation began, for an earlier one may have sent all (rule 5)."""
+    """A ceiling's bucket: empty when this incarnation began, for an earlier one may have sent all."""
     level = min(depth, rate * (context.now - context.born_at) / SECOND)
     return TokenBucket(rate, depth, level, context.now)
--- a/stoneyoke/control/parameters.py
+++ b/stoneyoke/control/parameters.py
@@ -24,7 +24,10 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended. After the first five the RPC may have run; after the last four it has not."""
+    """How an attempt ended. PROVEN_NOT_RUN has the outcomes after which the backend has not run the RPC.
+
+    The values stand in counters that operators know, so they keep their earlier words.
+    """
 
     OK = "ok"
     ERROR = "error"
--- a/stoneyoke/control/retry_policy.py
+++ b/stoneyoke/control/retry_policy.py
@@ -1,8 +1,8 @@
 """The life of one RPC: admission, attempts, retries and the final answer. Each guarantee is a function here.
 
 - Never sent again unless proven not run, or harmless: `AttemptHistory.forbids_retry`, `.window_has_passed`
-- Retry budget: `RetryPolicy.retry_budget_allows`
-- Deadline, and no retries into an overloaded fleet: `RetryPolicy.is_worth_retrying`
+- Retry budget: `RetryPolicy.retry_budget_allows` checks, `serve` credits and debits. Single gateway: none.
+- No retry too late, or into an overload: `is_worth_retrying`. The deadline itself holds in the host (runtime, net).
 - Cancelling an attempt at a silent backend: `RetryPolicy.may_cancel`
 - Rejected only if the client may safely send it again: `AttemptHistory.may_be_rejected`
 """
@@ -18,7 +18,7 @@
 from stoneyoke.limits.token_bucket import SECOND, TokenBucket
 
 CANCEL_US = SECOND  # a cancelled attempt ends within this, or is cancelled again
-HOPELESS_SHARE = 0.1  # of the concurrency limit: for RPCs that are given up before they are answered
+HOPELESS_SHARE = 0.1  # of the concurrency limit: for RPCs whose client will probably time out before the answer
 LATE_SHARE = 0.4  # for retries too late for their soft deadline (0.5 and 0.3 each lost on one kind of incident)
 
 
@@ -50,7 +50,7 @@
         return not self.not_run and self.method.is_deduplicated
 
     def home(self) -> Backend | None:
-        """The backend around which a repeat has to stay, to be recognised. None: it may go anywhere."""
+        """The backend that may have run it: only backends in its scope recognise a repeat. None: any will do."""
         return self.first_backend if self.needs_deduplication() else None
 
     def forbids_retry(self) -> bool:
@@ -58,7 +58,7 @@
         return not (self.not_run or self.method.is_idempotent or self.method.is_deduplicated)
 
     def window_has_passed(self, now: int) -> bool:
-        """A deduplicated RPC that may have run is sent again only while backends recognise repeats (rule 2)."""
+        """A deduplicated RPC that may have run is sent again only while backends recognise repeats."""
         return self.needs_deduplication() and now >= self.first_at + self.method.deduplication_window_us
 
     def may_repeat_running(self, now: int) -> bool:
@@ -67,7 +67,7 @@
         return self.method.is_idempotent or is_recognised
 
     def may_be_rejected(self) -> bool:
-        """A rejection tells the client that sending again is harmless (rule 2)."""
+        """A rejection tells the client that sending again is harmless."""
         method = self.method
         known_to_all = method.is_deduplicated and method.deduplication_scope is DeduplicationScope.ALL
         return self.not_run or method.is_idempotent or known_to_all
@@ -132,7 +132,7 @@
         return unlimited or self.retry_budget.fill(self.context.now) >= 1.0
 
     def attempt(self, rpc: OpenRpc, history: AttemptHistory, backend: Backend) -> AttemptSteps:
-        """One attempt, until it ends. Looked at when it is overdue, and then several times as often."""
+        """One attempt, until it ends. Checked once it is overdue, then every quarter of that time."""
         history.attempt_started(backend, self.context.now)
         patience_us = self.patience_us(history.method)
         rpc.resume_at_us = self.context.now + patience_us
@@ -195,7 +195,7 @@
         return self.priority(arrival, method.utility, statistics.mean_latency_us)
 
     def priority(self, arrival: Arrival, utility: float, latency_us: float) -> float:
-        """The share by value for the time taken, against the running mean: the cheaper half leaves first."""
+        """A share from 0.6 to 1.0 that rises with the RPC's value per unit of latency, relative to the mean."""
         value = utility * self.context.parameters.plans[arrival.plan].price * arrival.units / latency_us
         self.mean_value += (value - self.mean_value) * (0.02 if self.mean_value else 1.0)
         return min(1.0, 0.6 + 0.5 * value / self.mean_value) if self.mean_value > 0 else 1.0
--- a/stoneyoke/controlplane/controller.py
+++ b/stoneyoke/controlplane/controller.py
@@ -99,6 +99,7 @@
             self.tasks.spawn(work)
 
     def _make_discovery(self, is_first_start: bool) -> DiscoveryService:
+        # Every instance sends a heartbeat within the silence time-out, so all have been heard once it has passed.
         discovery = DiscoveryService(
             self.cluster,
             self.context,
--- a/stoneyoke/controlplane/discovery_service.py
+++ b/stoneyoke/controlplane/discovery_service.py
@@ -1,4 +1,4 @@
-"""The discovery service of one controller: takes heartbeats, replicates them, answers what a majority knows.
+"""The discovery service of one controller: registers instances by their heartbeats and replicates them to its peers.
 
 The decisions are in instance_registry and startup_sync; this module carries them out. Heartbeats and leaves of
 instances come in by `heartbeat` and `leave`, rows of other controllers by `handle_update`, `handle_refresh` and
@@ -6,9 +6,9 @@
 
 A drain or a leave is acknowledged once a majority of the voters has it in memory. Four races are guarded against:
 
-* A process is suspended while it counts. Answers count for ACK_WINDOW_S by the clock at the count. A voter that
-  answered and has restarted since is not synced, and becomes synced only by pulls that begin after that window (see
-  startup_sync). So its answer may be counted although its memory is lost.
+* A voter answers, then restarts and loses the row, before its answer is counted. Counting it is safe: answers count
+  for ACK_WINDOW_S at most, by the clock at the count, and a restarted voter is synced again only by pulls that begin
+  after that window (see startup_sync).
 * The voters change while answers are counted. They must be the same before and after, or nothing is acknowledged.
 * A process is suspended between its count and its answer. An instance takes an answer only within a second and then
   calls the next controller, so a later answer acknowledges nothing. An answer within that second states what was true
--- a/stoneyoke/controlplane/quota_lease.py
+++ b/stoneyoke/controlplane/quota_lease.py
@@ -1,4 +1,7 @@
-"""The quota lease: its holder allocates the tenants' quotas to gateways, and proposes changes of the voters."""
+"""The quota lease: its holder allocates the tenants' quotas to gateways.
+
+The holder also proposes changes of the voters: see `membership`.
+"""
 
 import asyncio
 from dataclasses import dataclass
@@ -76,7 +79,8 @@
         """The address of the lease holder as far as known here, "" if unknown.
 
         A grant to this controller itself counts only once a majority has granted. Gateways that believed a
-        controller which was cut off left the true holder again and again (a cut of 20 s cost 0.09 of a day's worth).
+        controller which was cut off left the true holder again and again (a cut of 20 s lowered a benchmark day's score
+        by 0.09).
         """
         grant = self.voter.current_grant(QUOTA_LEASE)
         if grant is None:
--- a/stoneyoke/gateway/control_client.py
+++ b/stoneyoke/gateway/control_client.py
@@ -86,7 +86,7 @@
         self.listener.on_update()
 
     def update_fleet(self, now: float) -> None:
-        """Counts the gateways, in doubt rather too many: each share of what all have in common is then too small."""
+        """Counts the gateways. Overestimates in doubt: quota shares are then too small, never too large."""
         gateways = self.instance_directory.gateways(now)
         if self.name not in gateways:
             return
--- a/stoneyoke/gateway/forwarding.py
+++ b/stoneyoke/gateway/forwarding.py
@@ -48,7 +48,8 @@
     Attributes:
         deadline_us: Until when an answer must be there.
         may_have_run: An attempt has ended without proof that the backend did not run it. From then on the client is
-            never told that the request did not run.
+            never told that the request did not run. The decision logic keeps the same fact for retries
+            (`AttemptHistory.not_run`); this is a second, independent guard on the answer.
         backend_error: The answer of the last attempt if that was the backend's own failure. It is passed on where
             nothing better comes.
     """
--- a/stoneyoke/gateway/instance_directory.py
+++ b/stoneyoke/gateway/instance_directory.py
@@ -1,8 +1,9 @@
 """What a gateway knows of instances, controllers and other gateways, merged from the controllers' answers. No I/O.
 
 Each controller numbers its own changes. Of two reports of an instance the one with the higher call_seq wins, and "gone"
-wins over all, so the order of the answers does not matter. Nothing is forgotten because a controller is: only what was
-reported gone, or what every controller in touch has not heard for long.
+wins over all, so the order of the answers does not matter. A drain is not undone by a later report. An instance counts
+its calls up, so its drain never comes with a lower call_seq than an earlier report. Nothing is forgotten because a
+controller is: only what was reported gone, or what every controller in touch has not heard for long.
 """
 
 from dataclasses import dataclass, field
@@ -232,7 +233,8 @@
     def unheard_instances(self, service: str) -> frozenset[str]:
         """Instances of a service that no controller hears.
 
-        None if they are more than half of the service: then it is the controllers that are cut off.
+        Empty if they are more than half of the service: then the controllers are more likely cut off than the instances
+        gone.
         """
         all_of = [one for one in self.instances.values() if one.row.service == service]
         silent = frozenset(one.row.instance for one in all_of if one.unheard_since is not None)
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -29,8 +29,8 @@
 
 WARM_UP_US = 3_000_000  # an instance reports how much longer it warms up; all are taken to need this in all
 # Operators' latency targets are three to four times the work. The decisions hold a service's mean time at a third of
-# the soft deadline, so the target itself as soft deadline would leave the work alone. Run 61a76ece with factor 1:
-# a third of one zone's requests was refused on a calm day.
+# the soft deadline, so the target itself as soft deadline would leave the work alone. With factor 1 a third of one
+# zone's requests was refused on a calm day (journal 61a76ece).
 SOFT_DEADLINE_FACTOR = 2
 RANKS_MAX = 8  # of tenants and routes; all beyond weigh the same
 # Of the system's slack for retries. The rest covers gateways that count each other differently, and restarts.
--- a/stoneyoke/transport/messages/pull.py
+++ b/stoneyoke/transport/messages/pull.py
@@ -56,7 +56,7 @@
         view: Newest value of the register that the controller knows, chosen or not, without its text.
         chosen_ballot: Ballot of the newest value that the controller knows to be chosen.
         version: Version of that value's configuration: the one that may be put in force.
-        instances_synced: Whether the controller has asked the others for instances that it knew before it restarted.
+        instances_synced: Whether the controller knows every acknowledged drain (see `controlplane/startup_sync.py`).
         lease_holder: Address of the holder of the quota lease; empty if not known.
         leaving: Whether the controller was told to end.
         zone: Its zone.
