--- a/tests/system/test_recovery.py
+++ b/tests/system/test_recovery.py
@@ -5,7 +5,7 @@
 from absl import flags
 from configurations import example
 from controller_cluster import run
-from test_controller import all_have_quorum, put, voters
+from controller_steps import all_have_quorum, put, voters
 from ward import fixture, raises, test
 
 from stoneyoke.api.calls import Acknowledged, Document, ReadConfiguration, Unavailable
