--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -21,7 +21,11 @@
     *(ROOT / "docs").glob("*.md"),
     *(ROOT / "docs/design").glob("*.md"),
 ]
-PATH = re.compile(r"`((?:stoneyoke|tests|docs|deploy)/[\w./-]+\.(?:py|md|toml|json))`")
+PATH = re.compile(r"`([\w.-]+/[\w./-]+\.(?:py|md|toml|json))`")
+CLASS_OR_MEMBER = re.compile(r"`([A-Z][a-z]+\w*(?:\.\w+)*)(?:\(\))?`")
+IDENTIFIER = re.compile(r"[A-Za-z_]\w*")
+# Pages that tell of earlier versions, and words of HTTP and other programs.
+PAGES_OF_THE_PAST = frozenset({"glossary.md", "ROADMAP.md", "standing.md", "CAPACITY.md"})
 LINK = re.compile(r"\]\(([^)#:]+)(?:#[^)]*)?\)")
 
 
@@ -77,9 +81,24 @@
         assert not top_level & IO_MODULES, path
 
 
+@cache
+def identifiers() -> frozenset[str]:
+    """Every word of the package's sources, field names of HTTP in strings included."""
+    return frozenset(word for path in modules().values() for word in IDENTIFIER.findall(path.read_text()))
+
+
+@pytest.mark.parametrize(
+    "page", [page for page in PAGES if page.name not in PAGES_OF_THE_PAST], ids=lambda page: page.name
+)
+def test_pages_name_classes_and_functions_that_exist(page: Path) -> None:
+    names = CLASS_OR_MEMBER.findall(page.read_text())
+    assert not [name for name in names if not set(name.split(".")) <= identifiers()]
+
+
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
 def test_pages_name_files_that_exist(page: Path) -> None:
     text = page.read_text()
-    missing = [name for name in PATH.findall(text) if not (ROOT / name).exists()]
+    roots = (ROOT, PACKAGE, ROOT / "tests", page.parent)
+    missing = [name for name in PATH.findall(text) if not any((root / name).exists() for root in roots)]
     missing += [link for link in LINK.findall(text) if not (page.parent / link).exists()]
     assert not missing
