--- a/tests/system/test_capacity.py
+++ b/tests/system/test_capacity.py
@@ -53,7 +53,7 @@
 
 
 @test("a figure that grows as {shape} is fitted as that, without residual")
-def _(shape=each(*GROWTH)):  # noqa: B008 -- ward's way to parametrize
+def _(shape=each(*GROWTH)):
     best = fits(points(GROWTH[shape]))[0]
     assert (best.shape, round(best.residual, 6)) == (shape, 0)
     assert math.isclose(best.at(200_000), GROWTH[shape](200_000), rel_tol=1e-6)
@@ -120,7 +120,7 @@
 
 
 @test("{subject.name}: has work, four sizes or more, and no quick size above them")
-def _(subject=each(*SUBJECTS)):  # noqa: B008 -- ward's way to parametrize
+def _(subject=each(*SUBJECTS)):
     assert subject.name in WORK and len(set(subject.sizes)) >= 4 and len(set(subject.quick)) >= 4
     assert max(subject.quick) <= max(subject.sizes)
 
@@ -154,7 +154,7 @@
 
 
 @test("hot path {path.__name__}: has all its figures, each above 0")
-def _(path=each(*LEAST_FIGURES)):  # noqa: B008 -- ward's way to parametrize
+def _(path=each(*LEAST_FIGURES)):
     figures = path(40)
     assert len(figures) >= LEAST_FIGURES[path] and all(figure.value > 0 for figure in figures)
 
--- a/tests/system/test_exhaustive.py
+++ b/tests/system/test_exhaustive.py
@@ -36,7 +36,7 @@
 
 
 @test("{name}: searched to its end without a violation")
-def _(name=each(*EXHAUSTED)):  # noqa: B008 -- ward's way to parametrize
+def _(name=each(*EXHAUSTED)):
     result = exhausted_results()[name]
     changes, configurations = EXHAUSTED[name]
     assert result.exhausted and not result.violation, result.describe()
@@ -55,7 +55,7 @@
 
 
 @test("{model.name}: the first steps have no violation")
-def _(model=each(*MODELS)):  # noqa: B008 -- ward's way to parametrize
+def _(model=each(*MODELS)):
     result = explore(model, depth=3)
     assert not result.violation and result.states > 3, result.describe()
 
@@ -66,7 +66,7 @@
 
 
 @test("the search finds the defect {name}")
-def _(name=each(*MODEL_THAT_FINDS)):  # noqa: B008 -- ward's way to parametrize
+def _(name=each(*MODEL_THAT_FINDS)):
     assert findings()[name]
 
 
--- a/tests/system/test_scripted_scenarios.py
+++ b/tests/system/test_scripted_scenarios.py
@@ -111,7 +111,7 @@
 
 
 @test("scenario {name}: breaks no promise and has its events")
-def _(name=each(*SCRIPTED_SCENARIOS)):  # noqa: B008 -- ward's way to parametrize
+def _(name=each(*SCRIPTED_SCENARIOS)):
     result = results()[name]
     assert not result.violations, str(result.violations[:3])
     for event, least in LEAST_EVENTS[name].items():
@@ -119,12 +119,12 @@
 
 
 @test("scenario {name}: the disk holds no more than the state needs at the end")
-def _(name=each(*SCRIPTED_SCENARIOS)):  # noqa: B008 -- ward's way to parametrize
+def _(name=each(*SCRIPTED_SCENARIOS)):
     assert 0 < results()[name].disk_bytes < DISK_BYTES
 
 
 @test("the seeded defect {defect} is found by its scenario")
-def _(defect=each(*SCENARIO_THAT_FINDS)):  # noqa: B008 -- ward's way to parametrize
+def _(defect=each(*SCENARIO_THAT_FINDS)):
     assert results_with_defects()[defect].violations
 
 
--- a/tests/system/test_simulation.py
+++ b/tests/system/test_simulation.py
@@ -57,7 +57,7 @@
 
 
 @test("random scenarios of the first seeds have the event: {event}")
-def _(event=each(*EVENTS)):  # noqa: B008 -- ward's way to parametrize
+def _(event=each(*EVENTS)):
     assert random_scenarios().event_counts[event] > 0
 
 
@@ -69,7 +69,7 @@
 
 
 @test("a seed gives the same trace in another process, with string hashes of seed {hash_seed}")
-def _(hash_seed=each("1", "2")):  # noqa: B008 -- ward's way to parametrize
+def _(hash_seed=each("1", "2")):
     own = [play_seed(seed).trace for seed in (3, 4)]
     code = "from stoneyoke.lab.simulation.runs import play_seed; print([play_seed(seed).trace for seed in (3, 4)])"
     other = subprocess.run(
@@ -89,7 +89,7 @@
 
 
 @test("stored case {name}: fails with its defect, and not without")
-def _(name=each(*STORED_CASES)):  # noqa: B008 -- ward's way to parametrize
+def _(name=each(*STORED_CASES)):
     assert stored_case_results()[name] == (False, True)
 
 
@@ -106,7 +106,7 @@
 
 
 @test("scripted plan {name}: is equal after it was written and read")
-def _(name=each(*SCRIPTED_SCENARIOS)):  # noqa: B008 -- ward's way to parametrize
+def _(name=each(*SCRIPTED_SCENARIOS)):
     plan = SCRIPTED_SCENARIOS[name]
     assert read_plan(plan.text()) == plan
 
