--- a/stoneyoke/lab/report.py
+++ b/stoneyoke/lab/report.py
@@ -20,7 +20,7 @@
 from stoneyoke.lab.spread import Spread
 
 matplotlib.use("Agg")
-from matplotlib import pyplot as plt  # noqa: E402 -- the backend has to be chosen first
+from matplotlib import pyplot as plt
 
 STYLE = (
     "body{font:15px sans-serif;margin:2em auto;max-width:1100px}table{border-collapse:collapse}"
