--- a/stoneyoke/lab/report.py
+++ b/stoneyoke/lab/report.py
@@ -19,7 +19,7 @@
 from stoneyoke.lab.scenario import Scenario
 from stoneyoke.lab.spread import Spread
 
-matplotlib.use("Agg")
+matplotlib.use("Agg")  # before pyplot is imported
 from matplotlib import pyplot as plt
 
 STYLE = (
