--- a/stoneyoke/control/events.py
+++ b/stoneyoke/control/events.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class AnswerStarted:
+class ResponseStarted:
     """The answer to an attempt has begun to arrive. The attempt is no longer cancelled for being slow."""
 
     rpc: int
@@ -113,7 +113,7 @@
 
 Event = (
     Arrival
-    | AnswerStarted
+    | ResponseStarted
     | AttemptEnded
     | ClientGone
     | CounterReply
--- a/stoneyoke/control/gateway.py
+++ b/stoneyoke/control/gateway.py
@@ -49,7 +49,7 @@
             events.EndpointsChanged: self.endpoints_changed,
             events.PeerEvidence: self.peer_evidence_changed,
             events.ClientGone: self.rpcs.client_gone,
-            events.AnswerStarted: self.rpcs.answer_started,
+            events.ResponseStarted: self.rpcs.response_started,
             events.ParametersChanged: self.parameters_changed,
         }
 
--- a/stoneyoke/control/rpc_runner.py
+++ b/stoneyoke/control/rpc_runner.py
@@ -5,7 +5,7 @@
 from stoneyoke.control.actions import AddToCounter, CancelAttempt, StartAttempt
 from stoneyoke.control.backend_selection import BackendSelector
 from stoneyoke.control.context import DecisionContext
-from stoneyoke.control.events import AnswerStarted, Arrival, AttemptEnded, ClientGone, CounterReply
+from stoneyoke.control.events import Arrival, AttemptEnded, ClientGone, CounterReply, ResponseStarted
 from stoneyoke.control.open_rpc import STILL_WAITING, WAIT, InFlight, OpenRpc, Step
 from stoneyoke.control.quotas import Quotas
 from stoneyoke.control.retry_policy import RetryPolicy
@@ -104,7 +104,7 @@
         only_unsent = not self.policy.ends_with_client(method)
         self.context.actions += [CancelAttempt(rpc.arrival.rpc, attempt, only_unsent) for attempt in rpc.in_flight]
 
-    def answer_started(self, event: AnswerStarted) -> None:
+    def response_started(self, event: ResponseStarted) -> None:
         """Leaves an RPC alone whose answer arrives: only the end of its attempt counts now."""
         if rpc := self.open.get(event.rpc):
             rpc.resume_at_us = self.context.now + STREAMING_US
--- a/stoneyoke/simhost/instance.py
+++ b/stoneyoke/simhost/instance.py
@@ -114,7 +114,7 @@
         """A streamed response has begun."""
         rpc = self.requests.index_by_id.get(fields[1])
         if rpc is not None:
-            self.dispatch_for_request(fields[1], events.AnswerStarted(rpc), batch, reply)
+            self.dispatch_for_request(fields[1], events.ResponseStarted(rpc), batch, reply)
 
     def wakeup(self, fields: Fields, batch: Batch, reply: Reply) -> None:
         """A timer has come due."""
--- a/tests/control/test_retry_policy.py
+++ b/tests/control/test_retry_policy.py
@@ -4,7 +4,7 @@
 from decision_bench import METHODS, DecisionBench, actions_of, attempts_in, counter_total, plan
 
 from stoneyoke.control.actions import Abandon, CancelAttempt, Reject, StartAttempt
-from stoneyoke.control.events import AnswerStarted, Arrival, ClientGone, CounterReply
+from stoneyoke.control.events import Arrival, ClientGone, CounterReply, ResponseStarted
 from stoneyoke.control.parameters import AttemptOutcome
 
 
@@ -114,7 +114,7 @@
 def test_an_answer_that_arrives_is_not_cancelled_and_its_end_releases_the_rpc():
     bench = DecisionBench()
     first = attempts_in(bench.arrive())[0]
-    bench.tell(AnswerStarted(1))
+    bench.tell(ResponseStarted(1))
     later = bench.pass_time(5_000_000)
     assert not actions_of(CancelAttempt, later) and not attempts_in(later) and bench.gateway.holds(1)
     bench.end_attempt(1, 0, first.backend)
