--- a/stoneyoke/control/actions.py
+++ b/stoneyoke/control/actions.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Abandon:
+class FailRpc:
     """Answer the RPC with an error: it may have run, so the client must not send it again. A final answer."""
 
     rpc: int
@@ -69,4 +69,4 @@
     customer: int
 
 
-Action = StartAttempt | Reject | Abandon | CancelAttempt | SetTimer | AddToCounter | Subscribe | ForgetCustomer
+Action = StartAttempt | Reject | FailRpc | CancelAttempt | SetTimer | AddToCounter | Subscribe | ForgetCustomer
--- a/stoneyoke/control/retry_policy.py
+++ b/stoneyoke/control/retry_policy.py
@@ -7,7 +7,7 @@
 - Rejected only if the client may safely send it again: `AttemptHistory.may_be_rejected`
 """
 
-from stoneyoke.control.actions import Abandon, CancelAttempt, Reject, StartAttempt
+from stoneyoke.control.actions import CancelAttempt, FailRpc, Reject, StartAttempt
 from stoneyoke.control.backend_selection import RANKING_CHANGES, BackendSelector
 from stoneyoke.control.backend_table import Backend
 from stoneyoke.control.context import DecisionContext
@@ -111,10 +111,10 @@
             self.quotas.counter.add(reservation.name, -reservation.amount)  # the RPC was never sent
         yield self.final_answer(arrival, history)
 
-    def final_answer(self, arrival: Arrival, history: AttemptHistory) -> Reject | Abandon:
+    def final_answer(self, arrival: Arrival, history: AttemptHistory) -> Reject | FailRpc:
         """The answer to an RPC that no attempt has answered, and that gets no further one."""
         if not history.may_be_rejected():
-            return Abandon(arrival.rpc)
+            return FailRpc(arrival.rpc)
         # The wait is a soft deadline, in which a full fleet empties.
         return Reject(arrival.rpc, self.quotas.jittered(history.method.soft_deadline_us), True)
 
--- a/stoneyoke/gateway/forwarding.py
+++ b/stoneyoke/gateway/forwarding.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from stoneyoke.control.actions import Abandon, Reject, StartAttempt
+from stoneyoke.control.actions import FailRpc, Reject, StartAttempt
 from stoneyoke.control.parameters import PROVEN_NOT_RUN, AttemptOutcome
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 from stoneyoke.gateway.local_reply import local_reply
@@ -171,7 +171,7 @@
             if isinstance(decision, Reject):
                 self.context.metrics.add("requests: overloaded")
                 return self.local_reply(503, "the service is full", decision.retry_after_us)
-        self.context.metrics.check_invariant(isinstance(decision, Abandon | Reject | None), "unknown decision")
+        self.context.metrics.check_invariant(isinstance(decision, FailRpc | Reject | None), "unknown decision")
         if self.backend_error:
             answer = self.backend_error
             return Reply(answer.status, answer.body, client_answer_headers(answer))
--- a/stoneyoke/runtime/pending_request.py
+++ b/stoneyoke/runtime/pending_request.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from stoneyoke.control.actions import Abandon, Reject, StartAttempt
+from stoneyoke.control.actions import FailRpc, Reject, StartAttempt
 from stoneyoke.runtime.clock import Clock
 
-Decision = StartAttempt | Reject | Abandon
+Decision = StartAttempt | Reject | FailRpc
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
--- a/stoneyoke/runtime/runtime.py
+++ b/stoneyoke/runtime/runtime.py
@@ -13,10 +13,10 @@
 
 from stoneyoke.control import Gateway
 from stoneyoke.control.actions import (
-    Abandon,
     Action,
     AddToCounter,
     CancelAttempt,
+    FailRpc,
     ForgetCustomer,
     Reject,
     SetTimer,
@@ -220,7 +220,7 @@
     def execute(self, action: Action) -> None:
         """Carries out one action of the decision logic."""
         match action:
-            case StartAttempt() | Reject() | Abandon():
+            case StartAttempt() | Reject() | FailRpc():
                 self.decide(action)
             case SetTimer(delay_us, token):
                 self.next_timer_at = self.clock.now() + delay_us
--- a/stoneyoke/simhost/instance.py
+++ b/stoneyoke/simhost/instance.py
@@ -28,7 +28,7 @@
     410: AttemptOutcome.NOT_SENT,
 }
 
-FINAL_ACTIONS = (actions.Reject, actions.Abandon)  # the decision logic may hold nothing of a request after these
+FINAL_ACTIONS = (actions.Reject, actions.FailRpc)  # the decision logic may hold nothing of a request after these
 
 
 class Instance:
@@ -169,7 +169,7 @@
                 reply.add(ActionCode.SEND, self.number, requests[rpc], to, min(limit_us, TIME_MAX_US))
             case actions.Reject(rpc, retry_after_us):
                 reply.add(ActionCode.DECLINE, self.number, requests[rpc], min(retry_after_us, TIME_MAX_US))
-            case actions.Abandon(rpc):
+            case actions.FailRpc(rpc):
                 reply.add(ActionCode.REPORT_FAILURE, self.number, requests[rpc])
             case actions.CancelAttempt(rpc, attempt, only_unsent):
                 if only_unsent:  # the simulator sends an attempt at once
--- a/stoneyoke/single_gateway/rpc_handler.py
+++ b/stoneyoke/single_gateway/rpc_handler.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from stoneyoke.control.actions import Abandon, Reject, StartAttempt
+from stoneyoke.control.actions import FailRpc, Reject, StartAttempt
 from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.attempt import OutgoingRequest
 from stoneyoke.net.backends import Backends
@@ -96,7 +96,7 @@
                 return CLIENT_GONE
             else:
                 # The decision logic decides before the deadline. None means that it has not.
-                self.metrics.check_invariant(isinstance(decision, Abandon), "unexpected decision")
+                self.metrics.check_invariant(isinstance(decision, FailRpc), "unexpected decision")
                 self.metrics.add("RPCs: abandoned")
                 return Reply(502)
 
--- a/tests/control/test_retry_policy.py
+++ b/tests/control/test_retry_policy.py
@@ -3,7 +3,7 @@
 import pytest
 from decision_bench import METHODS, DecisionBench, actions_of, attempts_in, counter_total, plan
 
-from stoneyoke.control.actions import Abandon, CancelAttempt, Reject, StartAttempt
+from stoneyoke.control.actions import CancelAttempt, FailRpc, Reject, StartAttempt
 from stoneyoke.control.events import Arrival, ClientGone, CounterReply, ResponseStarted
 from stoneyoke.control.parameters import AttemptOutcome
 
@@ -11,8 +11,8 @@
 @pytest.mark.parametrize(
     "method, outcome, answer",
     [
-        (2, AttemptOutcome.ERROR, Abandon),
-        (2, AttemptOutcome.TIMED_OUT, Abandon),
+        (2, AttemptOutcome.ERROR, FailRpc),
+        (2, AttemptOutcome.TIMED_OUT, FailRpc),
         (2, AttemptOutcome.NO_CONNECTION, StartAttempt),
         (0, AttemptOutcome.ERROR, StartAttempt),
         (1, AttemptOutcome.BROKEN, StartAttempt),
@@ -28,7 +28,7 @@
         assert after[0].backend % 2 == first.backend % 2  # its zone
 
 
-@pytest.mark.parametrize("method, answer", [(1, Abandon), (3, Reject)])
+@pytest.mark.parametrize("method, answer", [(1, FailRpc), (3, Reject)])
 def test_a_deduplicated_rpc_is_not_sent_after_its_window_and_rejected_only_if_all_recognise_repeats(method, answer):
     bench = DecisionBench()
     first = attempts_in(bench.arrive(method=method, wait_us=6_000_000))[0]
@@ -36,7 +36,7 @@
     assert isinstance(bench.end_attempt(1, 0, first.backend, AttemptOutcome.ERROR)[0], answer)
 
 
-@pytest.mark.parametrize("fleet, answer", [(2, Abandon), (3, StartAttempt)])  # zones 0 and 1; then 0, 1 and 0
+@pytest.mark.parametrize("fleet, answer", [(2, FailRpc), (3, StartAttempt)])  # zones 0 and 1; then 0, 1 and 0
 def test_a_deduplicated_rpc_that_may_have_run_stays_in_its_scope(fleet, answer):
     bench = DecisionBench(fleet=fleet)
     first = attempts_in(bench.arrive(method=1))[0]
@@ -53,7 +53,7 @@
     assert actions_of(Reject, bench.end_attempt(out.rpc, 0, out.backend, AttemptOutcome.BROKEN))
 
 
-@pytest.mark.parametrize("method, answer", [(2, Abandon), (0, Reject)])
+@pytest.mark.parametrize("method, answer", [(2, FailRpc), (0, Reject)])
 def test_an_rpc_timed_out_at_its_deadline_still_gets_an_answer(method, answer):
     bench = DecisionBench()
     first = attempts_in(bench.arrive(method=method))[0]
--- a/tests/control/test_rules.py
+++ b/tests/control/test_rules.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoneyoke.control.actions import Abandon, CancelAttempt, Reject, StartAttempt
+from stoneyoke.control.actions import CancelAttempt, FailRpc, Reject, StartAttempt
 from stoneyoke.control.events import ClientGone, Endpoint, EndpointsChanged
 from stoneyoke.control.parameters import AttemptOutcome, BackendState, DeduplicationScope, Idempotency
 
@@ -29,7 +29,7 @@
 
     def check(self, before):
         for at, action in self.log[before:]:
-            if isinstance(action, StartAttempt | Reject | Abandon):
+            if isinstance(action, StartAttempt | Reject | FailRpc):
                 rpc = self.rpcs[action.rpc]
                 assert not rpc["ended"], "more than one final answer, or an attempt after it"
                 method = METHODS[rpc["method"]]
--- a/tests/limits/simulated_gateways.py
+++ b/tests/limits/simulated_gateways.py
@@ -14,7 +14,7 @@
 from typing import Any, NamedTuple
 
 from stoneyoke.control import Gateway
-from stoneyoke.control.actions import Abandon, AddToCounter, ForgetCustomer, Reject, SetTimer, StartAttempt
+from stoneyoke.control.actions import AddToCounter, FailRpc, ForgetCustomer, Reject, SetTimer, StartAttempt
 from stoneyoke.control.events import Arrival, AttemptEnded, CounterReply, Endpoint, EndpointsChanged, Event, TimerFired
 from stoneyoke.control.parameters import (
     AttemptOutcome,
@@ -279,7 +279,7 @@
                     self.counter.call(at, incarnation, action)
                 case StartAttempt(rpc, backend, _):
                     self.forwarded(at, incarnation, rpc, backend)
-                case Reject(rpc) | Abandon(rpc):
+                case Reject(rpc) | FailRpc(rpc):
                     self.rejected(rpc)
                 case ForgetCustomer(index):
                     self.indices[at] = {a: i for a, i in self.indices[at].items() if i != index}
