--- a/stoneyoke/control/context.py
+++ b/stoneyoke/control/context.py
@@ -28,7 +28,7 @@
 
     def __init__(self, parameters: GatewayParameters, now: int) -> None:
         """Begins an incarnation of the gateway at `now` (Unix time in us)."""
-        self.parameters, self.now, self.born_at = parameters, now, now
+        self.parameters, self.now, self.start_time = parameters, now, now
         self.random_source = RandomSource(parameters.seed)
         self.methods = [MethodStatistics(method.soft_deadline_us) for method in parameters.methods]
         self.actions: list[Action] = []  # the answer to the event that is being handled
--- a/stoneyoke/control/customer.py
+++ b/stoneyoke/control/customer.py
@@ -63,5 +63,5 @@
 
 def empty_bucket(rate: float, depth: float, context: DecisionContext) -> TokenBucket:
     """A ceiling's bucket: empty when this incarnation began, for an earlier one may have sent all."""
-    level = min(depth, rate * (context.now - context.born_at) / SECOND)
+    level = min(depth, rate * (context.now - context.start_time) / SECOND)
     return TokenBucket(rate, depth, level, context.now)
--- a/stoneyoke/control/parameters.py
+++ b/stoneyoke/control/parameters.py
@@ -76,7 +76,7 @@
     attempts_max: int = 0  # 0: as GatewayParameters.attempts_max says
 
     @property
-    def patience_us(self) -> int:
+    def overdue_after_us(self) -> int:
         """The time after which an attempt without an answer is overdue."""
         return self.soft_deadline_us * 3 // 5
 
--- a/stoneyoke/control/retry_policy.py
+++ b/stoneyoke/control/retry_policy.py
@@ -134,8 +134,8 @@
     def attempt(self, rpc: OpenRpc, history: AttemptHistory, backend: Backend) -> AttemptSteps:
         """One attempt, until it ends. Checked once it is overdue, then every quarter of that time."""
         history.attempt_started(backend, self.context.now)
-        patience_us = history.method.patience_us
-        rpc.resume_at_us = self.context.now + patience_us
+        overdue_after_us = history.method.overdue_after_us
+        rpc.resume_at_us = self.context.now + overdue_after_us
         result: AttemptEnded | None = yield StartAttempt(rpc.arrival.rpc, backend.index, 0)
         while result is STILL_WAITING:
             self.count_overdue(rpc, backend)
@@ -143,7 +143,7 @@
                 rpc.resume_at_us = self.context.now + CANCEL_US
                 result = yield CancelAttempt(rpc.arrival.rpc, rpc.attempts_started - 1)
             else:
-                rpc.resume_at_us = self.context.now + patience_us // 4
+                rpc.resume_at_us = self.context.now + overdue_after_us // 4
                 result = yield WAIT
         return result
 
@@ -165,7 +165,7 @@
         if self.backends.is_typical(backend) or not self.context.parameters.can_cancel_attempts:
             return False
         silent_us = self.context.now - backend.silent_since
-        return silent_us >= history.method.patience_us and history.may_repeat_running(self.context.now)
+        return silent_us >= history.method.overdue_after_us and history.may_repeat_running(self.context.now)
 
     def ends_with_client(self, method: Method) -> bool:
         """Whether an attempt that was sent ends with its client: only if breaking its run off does no harm."""
--- a/stoneyoke/fleet/transport.py
+++ b/stoneyoke/fleet/transport.py
@@ -71,7 +71,7 @@
             own=own_member(parameters, zone),
             seeds=parameters.seeds,
             keys=parameters.keys,
-            silent_after_us=max(method.patience_us for method in runtime.parameters.methods),
+            silent_after_us=max(method.overdue_after_us for method in runtime.parameters.methods),
             seed=runtime.parameters.seed,
         )
         self.agent = FleetAgent(settings, clock.now(), metrics.add)
--- a/stoneyoke/gateway/admission.py
+++ b/stoneyoke/gateway/admission.py
@@ -203,11 +203,11 @@
         within what the rule allows beyond the bucket, which is an even share for a small tenant and little for a
         large one.
         """
-        now, heard_at, born_at = self.context.now / SECOND, self.heard_at / SECOND, self.context.born_at / SECOND
+        now, heard_at, start_time = self.context.now / SECOND, self.heard_at / SECOND, self.context.start_time / SECOND
         excess = self.excess_units(plan)
-        if now - max(heard_at, born_at) >= UNGRANTED_S:
+        if now - max(heard_at, start_time) >= UNGRANTED_S:
             return UNGRANTED_LONG_RATIO * excess / (plan.rate * self.bounds.quota_window_s)
-        if heard_at > born_at:
+        if heard_at > start_time:
             return UNGRANTED_RATIO * excess / (plan.rate * UNGRANTED_S)
         return 1.0
 
--- a/stoneyoke/runtime/runtime.py
+++ b/stoneyoke/runtime/runtime.py
@@ -76,7 +76,7 @@
         self.requests_opened = 0
         self.departures = ClientDepartures(metrics)
         self.customers = IdIndex[int]()  # released by ForgetCustomer
-        self.next_timer_at = self.gateway.context.born_at
+        self.next_timer_at = self.gateway.context.start_time
         self.stalled_from = self.stalled_until = 0
         self.send_to_counter: Callable[[AddToCounter], None] = lambda _: None
         self.attempt_observer: AttemptObserver | None = None
