--- a/stoneyoke/control/counter_calls.py
+++ b/stoneyoke/control/counter_calls.py
@@ -10,7 +10,7 @@
 from stoneyoke.control.context import DecisionContext
 from stoneyoke.control.customer_record import CustomerRecord
 from stoneyoke.control.events import CounterReply
-from stoneyoke.limits.shared_bucket import KEY_TTL_US, CounterDialogue
+from stoneyoke.limits.shared_bucket import KEY_TTL_US, CounterExchange
 
 FIRST_ADD, FIRST_READ, SLOTS = 1, 11, 8  # ticks of a second; customers are spread over the slots
 BOTH_SLOTS = 18  # over so many ticks are those spread that both add and read
@@ -64,14 +64,14 @@
             self.unanswered += 1
         return query
 
-    def run_dialogue(self, dialogue: CounterDialogue, reply: CounterReply | None = None) -> None:
-        """Makes a dialogue's next query. It is told each reply's total (NaN: there was none) and the time."""
+    def run_exchange(self, exchange: CounterExchange, reply: CounterReply | None = None) -> None:
+        """Makes an exchange's next query. It is told each reply's total (NaN: there was none) and the time."""
         total = reply.total if reply and reply.added else math.nan
         try:
-            name, amount = dialogue.send((total, self.context.now)) if reply else next(dialogue)
+            name, amount = exchange.send((total, self.context.now)) if reply else next(exchange)
         except StopIteration:
             return
-        self.add(name, amount, partial(self.run_dialogue, dialogue))
+        self.add(name, amount, partial(self.run_exchange, exchange))
 
 
 class QuerySchedule:
--- a/stoneyoke/control/events.py
+++ b/stoneyoke/control/events.py
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownBackend:
-    """A backend that takes new work, under the names that it has at every gateway. For the peers' dialogue."""
+    """A backend that takes new work, under the names shared by all gateways. Used in messages between gateways."""
 
     index: int
     name: str
--- a/stoneyoke/control/quotas.py
+++ b/stoneyoke/control/quotas.py
@@ -80,7 +80,7 @@
         if level is None or bucket.counter_key(now) != name:
             # A gateway just started does not look back: all have, when there are many names to open.
             looks_back = now - self.context.start_time > 3 * SECOND
-            self.counter.run_dialogue(bucket.open_epoch(now, looks_back))
+            self.counter.run_exchange(bucket.open_epoch(now, looks_back))
             return Verdict(self.share_wait(customer, arrival))
         level += amount
         if excess := bucket.overflow(level):
--- a/stoneyoke/limits/shared_bucket.py
+++ b/stoneyoke/limits/shared_bucket.py
@@ -30,7 +30,7 @@
 KEY_INCREMENT = 0x632BE59BD9B4E019
 
 # Counter calls, one after the other: yields the key and the amount, is sent the total (nan: none) and the time.
-CounterDialogue = Generator[tuple[int, float], tuple[float, int], None]
+CounterExchange = Generator[tuple[int, float], tuple[float, int], None]
 
 
 class CustomerLimits(Protocol):
@@ -102,7 +102,7 @@
         """The level that this epoch's total means, which may exceed the burst; None: it says nothing."""
         return self.refilled_units(now) - (total - self.marker) if self.marker_count(total) == 1 else None
 
-    def open_epoch(self, now: int, looks_back: bool) -> CounterDialogue:
+    def open_epoch(self, now: int, looks_back: bool) -> CounterExchange:
         """Opens this epoch's key, for a gateway that finds it without its marker.
 
         Of several gateways that open it at once, all but the first see the others' markers and take theirs back.
--- a/tests/limits/test_shared_bucket.py
+++ b/tests/limits/test_shared_bucket.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from stoneyoke.control.parameters import Plan
-from stoneyoke.limits.shared_bucket import EPOCH_US, CounterDialogue, SharedBucket, ceiling_share
+from stoneyoke.limits.shared_bucket import EPOCH_US, CounterExchange, SharedBucket, ceiling_share
 from stoneyoke.limits.token_bucket import SECOND
 
 PLAN = Plan(rate=4.0, burst=12.0, price=1.0, concurrency_max=0, ceiling_rate=0.0, ceiling_burst=0.0)
@@ -78,26 +78,26 @@
 
 def test_of_two_that_open_a_key_the_second_takes_its_marker_back() -> None:
     bucket, other, total = shared_bucket(), shared_bucket(), 0.0
-    dialogues = [bucket.open_epoch(NOW, True), other.open_epoch(NOW, True)]
-    for dialogue in dialogues:
-        assert next(dialogue)[1] == 0.0  # reads the last epoch's total
-    openings = [dialogue.send((math.nan, NOW)) for dialogue in dialogues]
+    exchanges = [bucket.open_epoch(NOW, True), other.open_epoch(NOW, True)]
+    for exchange in exchanges:
+        assert next(exchange)[1] == 0.0  # reads the last epoch's total
+    openings = [exchange.send((math.nan, NOW)) for exchange in exchanges]
     totals = []
     for _, amount in openings:
         total += amount
         totals.append(total)
-    assert calls_after(dialogues[0], totals[0]) == []
-    ((key, amount_back),) = calls_after(dialogues[1], totals[1])
+    assert calls_after(exchanges[0], totals[0]) == []
+    ((key, amount_back),) = calls_after(exchanges[1], totals[1])
     assert key == bucket.counter_key(NOW)
     level = bucket.level_from(total + amount_back, NOW)
     assert level is not None
     assert abs(level - 12.0) < 1e-3
 
 
-def calls_after(dialogue: CounterDialogue, total: float) -> list[tuple[int, float]]:
-    """The counter calls that a dialogue makes once it has heard a total: one or none."""
+def calls_after(exchange: CounterExchange, total: float) -> list[tuple[int, float]]:
+    """The counter calls that an exchange makes once it has heard a total: one or none."""
     try:
-        return [dialogue.send((total, NOW))]
+        return [exchange.send((total, NOW))]
     except StopIteration:
         return []
 
