--- a/stoneyoke/control/backend_selection.py
+++ b/stoneyoke/control/backend_selection.py
@@ -58,7 +58,7 @@
 
     def is_usable(self, backend: Backend) -> bool:
         """Whether it may get an attempt: not ejected, and a cold one only within this gateway's budget."""
-        ejected = self.context.now < backend.ejected_until or backend.index in self.peer_evidence.left_out
+        ejected = self.context.now < backend.ejected_until or backend.index in self.peer_evidence.ejected_backends
         return not ejected and (backend.is_warm or backend.cold_budget.fill(self.context.now) >= 1.0)
 
     def is_typical(self, backend: Backend) -> bool:
--- a/stoneyoke/control/events.py
+++ b/stoneyoke/control/events.py
@@ -100,7 +100,7 @@
 class PeerEvidence:
     """What the gateways have agreed on among each other about backends."""
 
-    left_out: frozenset[int]  # these get no attempts
+    ejected_backends: frozenset[int]  # these get no attempts
     probed: frozenset[int]  # these get the next attempt, before better ranked ones
 
 
--- a/stoneyoke/fleet/evidence.py
+++ b/stoneyoke/fleet/evidence.py
@@ -189,7 +189,7 @@
             now_us: Current time.
             members: Number of members, this gateway included.
         """
-        left_out: set[int] = set()
+        ejected_backends: set[int] = set()
         probed: set[int] = set()
         slot = now_us // PROBE_SLOT_US
         for id in self.verdicts:
@@ -200,8 +200,8 @@
             if is_prober and self._probe_slots.get(id, NO_SLOT) < slot:
                 probed.add(index)
             else:
-                left_out.add(index)
-        return PeerEvidence(frozenset(left_out), frozenset(probed))
+                ejected_backends.add(index)
+        return PeerEvidence(frozenset(ejected_backends), frozenset(probed))
 
     def _answers_here(self, id: int, now_us: int) -> bool:
         """Whether this gateway's last attempt succeeded, and not long ago."""
--- a/stoneyoke/fleet/transport.py
+++ b/stoneyoke/fleet/transport.py
@@ -171,8 +171,8 @@
         """Passes changed advice to the runtime, and logs each backend that is newly left out or used again."""
         if advice == self._applied_advice:
             return
-        before = self._applied_advice.left_out | self._applied_advice.probed
-        after = advice.left_out | advice.probed
+        before = self._applied_advice.ejected_backends | self._applied_advice.probed
+        after = advice.ejected_backends | advice.probed
         for index in sorted(after - before):
             self.metrics.report(EJECTED, self._backend_names.get(index, "?"))
             self.metrics.add(EJECTED_FORMERLY)
--- a/stoneyoke/gateway/forwarding.py
+++ b/stoneyoke/gateway/forwarding.py
@@ -136,7 +136,7 @@
             head=upstream_request_head(self.message, instance, self.tenant.label, self.deadline_us - now),
             body=self.message.body,
             deadline_us=self.deadline_us,
-            is_answered_by=self.is_answered_by,
+            matches_response=self.matches_response,
         )
         outcome, answer = await context.backends.send_attempt(self.pending, attempt, backend, outgoing)
         context.metrics.add(f"attempts: {outcome.value}")
@@ -144,7 +144,7 @@
             self.note_misdirected(instance, answer)
         return outcome, answer
 
-    def is_answered_by(self, answer: Message) -> bool:
+    def matches_response(self, answer: Message) -> bool:
         """Whether a backend's answer belongs to this request. One that names two requests belongs to neither."""
         return answer.headers.get(b"attempt-id") == self.request.id and b"attempt-id" not in answer.repeated
 
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -244,8 +244,8 @@
         ]
         upstream.runtime.endpoints_changed(EndpointsChanged(True, False, entries))
         unheard = self.instance_directory.unheard_instances(upstream.service)
-        left_out = frozenset(self.indices.index_by_id[name] for name in unheard)
-        upstream.runtime.dispatch(PeerEvidence(left_out, frozenset()))
+        ejected_backends = frozenset(self.indices.index_by_id[name] for name in unheard)
+        upstream.runtime.dispatch(PeerEvidence(ejected_backends, frozenset()))
 
     def endpoint(self, index: int, known: KnownInstance, now: int) -> Endpoint:
         """An instance in the terms of the decisions."""
@@ -255,7 +255,7 @@
         return Endpoint(index, self.zone_of(known.row.zone), 0, started_us, state)
 
 
-def classify_answer(answer: Message | None) -> AttemptOutcome:
+def classify_response(answer: Message | None) -> AttemptOutcome:
     """What a backend's answer tells of its attempt; None: the connection ended without one.
 
     Only Not-Run and 421 prove that the request has not run. A success without its stamp, with two of them, or with
--- a/stoneyoke/net/attempt.py
+++ b/stoneyoke/net/attempt.py
@@ -20,14 +20,14 @@
         head: The request line and the headers, in pieces, each line with its end.
         body: The whole body.
         deadline_us: Until when to wait for the response.
-        is_answered_by: Whether a response belongs to this request. One that does not came late or was sent twice, and
+        matches_response: Whether a response belongs to this request. One that does not came late or was sent twice, and
             the next one on the connection may belong. None: every response does.
     """
 
     head: list[bytes]
     body: bytes
     deadline_us: int
-    is_answered_by: Callable[[Message], bool] | None = None
+    matches_response: Callable[[Message], bool] | None = None
 
 
 class AttemptResult(NamedTuple):
@@ -94,7 +94,7 @@
         """
         if self.connection is None:
             return None
-        belongs = request.is_answered_by
+        belongs = request.matches_response
         while (response := await self.connection.responses.next()) and belongs and not belongs(response):
             self.connection.out_of_step = True
             metrics.add("backend responses: to another request")
--- a/stoneyoke/programs/gateway.py
+++ b/stoneyoke/programs/gateway.py
@@ -17,7 +17,7 @@
 from stoneyoke.gateway.control_settings import ControlClientSettings, ControlEnvironment
 from stoneyoke.gateway.request_handler import RequestHandler, RequestServices
 from stoneyoke.gateway.routes import build_routing_table
-from stoneyoke.gateway.upstreams import Upstreams, UpstreamSettings, classify_answer
+from stoneyoke.gateway.upstreams import Upstreams, UpstreamSettings, classify_response
 from stoneyoke.net.backends import BackendLimits, Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.net.message_reader import MessageReader
@@ -59,7 +59,7 @@
             connect_timeout_us=CONNECT_TIMEOUT_US, idle_timeout_us=IDLE_TIMEOUT_US, response_max_bytes=body_max_bytes
         )
         self.backends = Backends(self.clock, self.metrics, descriptor_budget, limits)
-        self.backends.classify = classify_answer
+        self.backends.classify = classify_response
         control_settings = ControlClientSettings(
             name=settings.name,
             ip=settings.ip,
--- a/tests/fleet/simulated_cluster.py
+++ b/tests/fleet/simulated_cluster.py
@@ -79,7 +79,7 @@
 
     def leaves_out(self, backend: int) -> bool:
         """Whether it leaves a backend out, or only probes it."""
-        return backend in self.agent.advice.left_out | self.agent.advice.probed
+        return backend in self.agent.advice.ejected_backends | self.agent.advice.probed
 
     def use_false_reports(self) -> None:
         """Makes the agent send the false reports, if there are any."""
@@ -255,7 +255,7 @@
         if gateway.frozen:
             return
         advice = gateway.agent.advice
-        usable = [backend.index for backend in self.backends if backend.index not in advice.left_out]
+        usable = [backend.index for backend in self.backends if backend.index not in advice.ejected_backends]
         backend = min(advice.probed) if advice.probed else self.random_source.choice(usable)
         rpc = next(gateway.rpcs)
         gateway.attempts.append((self.now_us, backend))
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -114,8 +114,8 @@
     cluster.backend_answer = lambda gateway, backend, now: True if backend not in (0, 7) or gateway.number % 2 else None
     odd = [n for n in cluster.gateways if n.number % 2]
     cluster.run(20)
-    assert all(not n.agent.advice.left_out for n in odd)
-    assert sum(0 in n.agent.advice.left_out for n in cluster.gateways if n.number % 2 == 0) >= 15
+    assert all(not n.agent.advice.ejected_backends for n in odd)
+    assert sum(0 in n.agent.advice.ejected_backends for n in cluster.gateways if n.number % 2 == 0) >= 15
     cluster.cut, cluster.backend_answer = never_cut, always_good
     cluster.assert_within(40, lambda: all(cluster.share_leaving_out(b) == 0 for b in range(12)))
 
--- a/tests/fleet/test_evidence.py
+++ b/tests/fleet/test_evidence.py
@@ -45,11 +45,11 @@
         evidence.receive_answer(f"w{n}", entries, now)
 
 
-def left_out(evidence, now=START_US, others=20):
+def ejected_backends(evidence, now=START_US, others=20):
     """Of a dispute that is old enough, and where nobody probes."""
     evidence.judge(now - MIN_DISPUTE_US, others)
     evidence.judge(now, others)
-    return set(evidence.advice(now, 1_000_000).left_out)
+    return set(evidence.advice(now, 1_000_000).ejected_backends)
 
 
 def test_a_backend_that_most_witnesses_find_unhealthy_is_left_out():
@@ -57,13 +57,13 @@
     receive_answers(evidence, 8, [unhealthy(3)])
     receive_answers(evidence, 4, [healthy(3)], first=8)
     receive_answers(evidence, 8, [], first=12)
-    assert left_out(evidence) == {3}
+    assert ejected_backends(evidence) == {3}
 
 
 def test_a_backend_that_is_slow_for_most_is_left_out():
     evidence = new_evidence()
     receive_answers(evidence, 8, [slow(3)])
-    assert left_out(evidence) == {3}
+    assert ejected_backends(evidence) == {3}
 
 
 @pytest.mark.parametrize(
@@ -80,14 +80,14 @@
     receive_answers(evidence, accusers, [unhealthy(3)])
     receive_answers(evidence, defenders, [healthy(3)], first=accusers)
     receive_answers(evidence, silent, [], first=accusers + defenders)
-    assert left_out(evidence, others=100 if accusers > 1 else 2) == set()
+    assert ejected_backends(evidence, others=100 if accusers > 1 else 2) == set()
 
 
 def test_the_documented_share_of_accusers_suffices():
     evidence = new_evidence()
     receive_answers(evidence, round(MIN_ACCUSER_SHARE * 300), [unhealthy(3)])
-    assert left_out(evidence, others=300) == {3}
-    assert left_out(new_evidence(), others=300) == set()
+    assert ejected_backends(evidence, others=300) == {3}
+    assert ejected_backends(new_evidence(), others=300) == set()
 
 
 def test_a_verdict_waits_for_the_least_time_of_a_dispute():
@@ -104,22 +104,22 @@
     evidence = new_evidence()
     for _ in range(50):
         evidence.receive_answer("liar", [unhealthy(3)], START_US)
-    assert left_out(evidence) == set()
+    assert ejected_backends(evidence) == set()
 
 
 def test_a_witness_that_reports_most_backends_unhealthy_does_not_count():
     evidence = new_evidence()
     receive_answers(evidence, 30, [unhealthy(b) for b in range(7)])
-    assert left_out(evidence) == set()
+    assert ejected_backends(evidence) == set()
     receive_answers(evidence, 30, [unhealthy(b) for b in range(3)])
-    assert left_out(evidence) == {0, 1, 2}
+    assert ejected_backends(evidence) == {0, 1, 2}
 
 
 def test_a_bounded_part_of_a_zone_is_left_out_the_clearest_verdicts_first():
     evidence = new_evidence()
     receive_answers(evidence, 20, [unhealthy(b) for b in range(6)])
     receive_answers(evidence, 8, [healthy(b) for b in (0, 1)], first=20)
-    out = left_out(evidence)
+    out = ejected_backends(evidence)
     assert len(out) == 12 // ZONE_EJECTION_DIVISOR and out == {2, 3, 4, 5}
 
 
@@ -127,7 +127,7 @@
     evidence = new_evidence()
     evidence.set_backends(BACKENDS[:2])
     receive_answers(evidence, 20, [unhealthy(0)])
-    assert left_out(evidence) == set()
+    assert ejected_backends(evidence) == set()
 
 
 def test_own_observations_overrule_reports():
@@ -135,50 +135,50 @@
     receive_answers(evidence, 20, [unhealthy(3)])
     evidence.attempt_started(1, 3, START_US)
     evidence.attempt_ended(1, True, START_US)
-    assert left_out(evidence) == set()
+    assert ejected_backends(evidence) == set()
     receive_answers(evidence, 20, [unhealthy(3)], START_US + OWN_SUCCESS_US)
-    assert left_out(evidence, START_US + OWN_SUCCESS_US) == {3}
+    assert ejected_backends(evidence, START_US + OWN_SUCCESS_US) == {3}
 
 
 def test_a_verdict_ends_without_new_reports():
     evidence = new_evidence()
     receive_answers(evidence, 20, [unhealthy(3)])
-    assert left_out(evidence) == {3}
-    assert left_out(evidence, START_US + REPORT_LIFETIME_US - 1) == {3}
-    assert left_out(evidence, START_US + REPORT_LIFETIME_US) == set()
+    assert ejected_backends(evidence) == {3}
+    assert ejected_backends(evidence, START_US + REPORT_LIFETIME_US - 1) == {3}
+    assert ejected_backends(evidence, START_US + REPORT_LIFETIME_US) == set()
 
 
 def test_observations_that_were_old_when_reported_do_not_count():
     evidence = new_evidence()
     receive_answers(evidence, 20, [unhealthy(3, age=MAX_REPORT_AGE_US // 100_000)])
-    assert left_out(evidence) == set()
+    assert ejected_backends(evidence) == set()
 
 
 def test_a_standing_verdict_needs_fewer_accusers_and_ends_at_its_longest_time():
     evidence = new_evidence()
     receive_answers(evidence, 100, [unhealthy(3)])
-    assert left_out(evidence, others=100) == {3}
+    assert ejected_backends(evidence, others=100) == {3}
     for second in range(5, 70, 5):
         now = START_US + second * SECOND_US
         receive_answers(evidence, 8, [unhealthy(3)], now)
         receive_answers(evidence, 92, [], now, first=8)
-        assert left_out(evidence, now, 100) == ({3} if second * SECOND_US < MAX_VERDICT_US else set())
+        assert ejected_backends(evidence, now, 100) == ({3} if second * SECOND_US < MAX_VERDICT_US else set())
 
 
 def test_no_verdict_outlives_a_restart_or_removal_of_its_backend():
     evidence = new_evidence()
     receive_answers(evidence, 20, [unhealthy(3), unhealthy(4)])
-    assert left_out(evidence) == {3, 4}
+    assert ejected_backends(evidence) == {3, 4}
     again = [KnownBackend(3, "b3", "a", 9) if k.index == 3 else k for k in BACKENDS if k.index != 4]
     evidence.set_backends(again)
-    assert left_out(evidence) == set()
+    assert ejected_backends(evidence) == set()
 
 
 def test_gateways_take_turns_to_probe_with_one_attempt_each():
     gateways = [new_evidence(f"g{n}") for n in range(60)]
     for evidence in gateways:
         receive_answers(evidence, 20, [unhealthy(3)])
-        left_out(evidence)
+        ejected_backends(evidence)
     probers = []
     for slot in range(40):
         now = START_US + slot * PROBE_SLOT_US
@@ -187,7 +187,7 @@
         for evidence in gateways:
             if evidence.advice(now, 60).probed:
                 evidence.attempt_started(1, 3, now)
-                assert evidence.advice(now, 60).probed == set() and 3 in evidence.advice(now, 60).left_out
+                assert evidence.advice(now, 60).probed == set() and 3 in evidence.advice(now, 60).ejected_backends
     assert 20 * PROBERS_PER_SLOT < len(probers) < 60 * PROBERS_PER_SLOT and len(set(probers)) > 40
 
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -128,11 +128,11 @@
         program = two.programs[0]
         (index,) = program.runtime.gateway.backends.table.by_index
         program.peers.apply_advice(PeerEvidence(frozenset([index]), frozenset()))
-        assert program.runtime.gateway.backends.peer_evidence.left_out == {index}
+        assert program.runtime.gateway.backends.peer_evidence.ejected_backends == {index}
         assert program.metrics.counts["fleet: backend ejected on peer evidence"] == 1
         assert program.metrics.counts["fleet: left out on hearsay"] == 1  # the name before, for one release
         program.peers.leave()
-        assert program.runtime.gateway.backends.peer_evidence.left_out == frozenset()
+        assert program.runtime.gateway.backends.peer_evidence.ejected_backends == frozenset()
 
 
 @pytest.mark.parametrize(
--- a/tests/system/gateway_fixture.py
+++ b/tests/system/gateway_fixture.py
@@ -16,7 +16,7 @@
 from stoneyoke.gateway.quota_client import QuotaClient
 from stoneyoke.gateway.request_handler import RequestHandler, RequestServices
 from stoneyoke.gateway.routes import build_routing_table
-from stoneyoke.gateway.upstreams import Upstreams, UpstreamSettings, classify_answer
+from stoneyoke.gateway.upstreams import Upstreams, UpstreamSettings, classify_response
 from stoneyoke.limits.local_quota import LocalQuota
 from stoneyoke.net.backends import BackendLimits, Backends
 from stoneyoke.net.descriptor_budget import DescriptorBudget
@@ -119,7 +119,7 @@
         descriptor_budget = DescriptorBudget(200, 20)
         limits = BackendLimits(connect_timeout_us=300_000, idle_timeout_us=4_000_000, response_max_bytes=1 << 20)
         self.backends = Backends(self.clock, self.metrics, descriptor_budget, limits)
-        self.backends.classify = classify_answer
+        self.backends.classify = classify_response
         self.instance_directory = InstanceDirectory(("10.0.0.1",))
         settings = UpstreamSettings(zones=("east",), zone="east", seed=7, bounds=BOUNDS)
         self.upstreams = Upstreams(self.clock, self.metrics, self.backends, self.instance_directory, settings)
--- a/tests/system/raw_backend.py
+++ b/tests/system/raw_backend.py
@@ -122,18 +122,18 @@
         cast(Any, self.backends).connect = connect_and_keep
 
     def begin(
-        self, body: bytes = b"order", within: int = LONG_US, is_answered_by: Callable[[Message], bool] | None = None
+        self, body: bytes = b"order", within: int = LONG_US, matches_response: Callable[[Message], bool] | None = None
     ) -> "asyncio.Task[Result]":
         """Starts an attempt."""
-        return asyncio.ensure_future(self.send(body, within, is_answered_by))
+        return asyncio.ensure_future(self.send(body, within, matches_response))
 
     async def send(
-        self, body: bytes = b"order", within: int = LONG_US, is_answered_by: Callable[[Message], bool] | None = None
+        self, body: bytes = b"order", within: int = LONG_US, matches_response: Callable[[Message], bool] | None = None
     ) -> Result:
         """Makes an attempt; gives its outcome and the answer. `within`: in microseconds."""
         head = [b"POST /x HTTP/1.1\r\nContent-Length: %d\r\n" % len(body)]
         deadline_us = self.clock.now() + within
-        request = OutgoingRequest(head=head, body=body, deadline_us=deadline_us, is_answered_by=is_answered_by)
+        request = OutgoingRequest(head=head, body=body, deadline_us=deadline_us, matches_response=matches_response)
         return await self.backends.send_attempt(self.pending, 0, 0, request)
 
     def all_closed(self) -> bool:
--- a/tests/system/test_backend_at_work.py
+++ b/tests/system/test_backend_at_work.py
@@ -11,7 +11,7 @@
 from stoneyoke.control.context import TICK_US
 from stoneyoke.control.events import TimerFired
 from stoneyoke.control.parameters import AttemptOutcome
-from stoneyoke.gateway.upstreams import classify_answer
+from stoneyoke.gateway.upstreams import classify_response
 from stoneyoke.net.message_reader import Message
 
 GRACE_S = 60.0
@@ -102,4 +102,4 @@
     message = Message()
     message.status, message.headers = 200, {b"server-stamp": b"s", **headers}
     message.repeated = set(repeated)
-    assert classify_answer(message) is AttemptOutcome.BROKEN
+    assert classify_response(message) is AttemptOutcome.BROKEN
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -296,14 +296,14 @@
 
 @test("the outcome of each answer of a backend")
 def _():
-    from stoneyoke.gateway.upstreams import classify_answer
+    from stoneyoke.gateway.upstreams import classify_response
     from stoneyoke.net.message_reader import Message
 
     def outcome_of(status, **headers):
         message = Message()
         message.status = status
         message.headers = {name.replace("_", "-").encode(): value for name, value in headers.items()}
-        return classify_answer(message)
+        return classify_response(message)
 
     assert outcome_of(200, server_stamp=b"s") is AttemptOutcome.OK and outcome_of(200) is AttemptOutcome.BROKEN
     assert outcome_of(503, not_run=b"1") is outcome_of(421) is outcome_of(400, not_run=b"1") is AttemptOutcome.REJECTED
@@ -311,7 +311,7 @@
     assert (
         outcome_of(500) is outcome_of(504) is AttemptOutcome.ERROR
         and outcome_of(404) is AttemptOutcome.OK
-        and classify_answer(None) is AttemptOutcome.BROKEN
+        and classify_response(None) is AttemptOutcome.BROKEN
     )
 
 
--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -303,7 +303,7 @@
 
 async def served(peer, sender, connection=None, answer=OK, made=1):
     """One attempt, answered whole. Without a connection to answer on it must make a new one."""
-    out = sender.begin(is_answered_by=is_own_answer)
+    out = sender.begin(matches_response=is_own_answer)
     if connection is None:
         await until(peer.waiting)
         connection = peer.accept()
@@ -347,7 +347,7 @@
             sender.connections[0].protocol.data_received(OK)  # behind the answer that is being looked at
             return is_own_answer(answer)
 
-        out, connection = await whole_request(peer, sender, is_answered_by=spoken_on)
+        out, connection = await whole_request(peer, sender, matches_response=spoken_on)
         connection.sendall(OK)
         assert (await out)[0] is AttemptOutcome.OK and sender.all_closed()
 
@@ -357,7 +357,7 @@
 async def _(outcome=each(AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)):
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        task, connection = await whole_request(peer, sender, is_answered_by=is_own_answer)
+        task, connection = await whole_request(peer, sender, matches_response=is_own_answer)
         connection.sendall(OTHER)
         await until(lambda: sender.connections[0].out_of_step)
         if outcome is AttemptOutcome.CANCELLED:
@@ -380,7 +380,7 @@
         wrong = 0
         for answer in mutations:
             sender = Sender(peer.address)
-            out, connection = await whole_request(peer, sender, is_answered_by=is_own_answer)
+            out, connection = await whole_request(peer, sender, matches_response=is_own_answer)
             connection.sendall(answer)
             connection.shutdown(socket.SHUT_WR)
             outcome, message = await out
