--- a/stoneyoke/control/parameters.py
+++ b/stoneyoke/control/parameters.py
@@ -117,7 +117,7 @@
     can_cancel_attempts: bool
     has_counter: bool  # a shared counter exists
     clients_mark_retries: bool
-    advises_wait: bool  # a rejection may state when to come back
+    sends_retry_after: bool  # a rejection may state when to come back
     settles_units: bool  # an RPC's true cost is told with its answer
     must_subscribe: bool  # discovery reports changes only after a Subscribe
     units_max: float  # the largest cost of an RPC
--- a/stoneyoke/control/quotas.py
+++ b/stoneyoke/control/quotas.py
@@ -79,8 +79,8 @@
         level = bucket.level_from(reply.total, now)
         if level is None or bucket.counter_key(now) != name:
             # A gateway just started does not look back: all have, when there are many names to open.
-            looks_back = now - self.context.start_time > 3 * SECOND
-            self.counter.run_exchange(bucket.open_epoch(now, looks_back))
+            reads_last_epoch = now - self.context.start_time > 3 * SECOND
+            self.counter.run_exchange(bucket.open_epoch(now, reads_last_epoch))
             return Verdict(self.share_wait(customer, arrival))
         level += amount
         if excess := bucket.overflow(level):
@@ -120,7 +120,7 @@
             wait_us = max(wait_us, customer.ceiling.wait_us(arrival.units, now))
         return wait_us
 
-    def advised_wait(self, customer: Customer, wait_us: int) -> int:
+    def compute_retry_after(self, customer: Customer, wait_us: int) -> int:
         """The wait in us that a rejection states: jittered, and longer for customers that keep coming too early."""
         customer.early_rpcs += self.context.now < customer.advised_until
         if customer.rpcs >= REVIEWED_RPCS:
--- a/stoneyoke/control/retry_policy.py
+++ b/stoneyoke/control/retry_policy.py
@@ -90,7 +90,7 @@
         customer.demand_units += arrival.units
         wait_us, reservation = yield from self.quotas.admit(rpc, customer)
         if wait_us > 0:
-            yield Reject(arrival.rpc, self.quotas.advised_wait(customer, wait_us))
+            yield Reject(arrival.rpc, self.quotas.compute_retry_after(customer, wait_us))
             return
         history, admission_share = AttemptHistory(method), self.admission_share(arrival)
         self.retry_budget.level += self.context.parameters.retry_budget_ratio
--- a/stoneyoke/gateway/admission.py
+++ b/stoneyoke/gateway/admission.py
@@ -52,7 +52,7 @@
         can_cancel_attempts=False,
         has_counter=False,
         clients_mark_retries=False,
-        advises_wait=True,
+        sends_retry_after=True,
         settles_units=False,
         must_subscribe=False,
         units_max=1.0,
@@ -149,7 +149,7 @@
         if local_quota.try_take(call.units):
             return ADMITTED
         closed_us = int(local_quota.closed_until * SECOND) - now
-        return self.advised_wait(customer, closed_us) if closed_us > 0 else None
+        return self.compute_retry_after(customer, closed_us) if closed_us > 0 else None
 
     def admit_after_reply(self, call: Arrival, local_quota: LocalQuota, now: int) -> int:
         """Decides once the lease holder has answered, or has not in time.
@@ -163,7 +163,7 @@
             return ADMITTED
         closed_us = int(local_quota.closed_until * SECOND) - now
         if closed_us > 0:
-            return self.advised_wait(customer, closed_us)
+            return self.compute_retry_after(customer, closed_us)
         return self.admit_cut_off(customer, call, local_quota)
 
     def admit_cut_off(self, customer: Customer, call: Arrival, local_quota: LocalQuota) -> int:
@@ -181,7 +181,7 @@
         customer.bucket.resize(customer.plan.rate * customer.share, depth, self.context.now)
         wait_us = self.share_wait(customer, call)
         if wait_us > 0:
-            return self.advised_wait(customer, wait_us)
+            return self.compute_retry_after(customer, wait_us)
         customer.bucket.level -= call.units
         local_quota.isolated_units += call.units
         return ADMITTED
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -140,7 +140,7 @@
             can_cancel_attempts=True,
             has_counter=False,
             clients_mark_retries=False,
-            advises_wait=True,
+            sends_retry_after=True,
             settles_units=False,
             must_subscribe=False,
             units_max=1.0,
--- a/stoneyoke/limits/shared_bucket.py
+++ b/stoneyoke/limits/shared_bucket.py
@@ -102,14 +102,14 @@
         """The level that this epoch's total means, which may exceed the burst; None: it says nothing."""
         return self.refilled_units(now) - (total - self.marker) if self.marker_count(total) == 1 else None
 
-    def open_epoch(self, now: int, looks_back: bool) -> CounterExchange:
+    def open_epoch(self, now: int, reads_last_epoch: bool) -> CounterExchange:
         """Opens this epoch's key, for a gateway that finds it without its marker.
 
         Of several gateways that open it at once, all but the first see the others' markers and take theirs back.
 
         Args:
             now: In microseconds.
-            looks_back: Whether it asks for the last epoch's total first, and takes the level over from there.
+            reads_last_epoch: Whether it asks for the last epoch's total first, and takes the level over from there.
 
         Yields:
             A key and the amount to add to it.
@@ -117,7 +117,7 @@
         if now - self.opened_at < SECOND:
             return
         self.opened_at, key, last_total = now, self.counter_key(now), math.nan
-        if looks_back:
+        if reads_last_epoch:
             last_total, now = yield self.counter_key(now, 1), 0.0
         if self.counter_key(now) == key:
             amount = self.opening_amount(last_total, now)
--- a/stoneyoke/single_gateway/parameters.py
+++ b/stoneyoke/single_gateway/parameters.py
@@ -92,7 +92,7 @@
         can_cancel_attempts=bool(capabilities.get("cancel", False)),
         has_counter=bool(extra.get("has-counter", False)),
         clients_mark_retries=required({"clients": {}} | settings, "clients", dict).get("marks-retry") is True,
-        advises_wait=capabilities.get("retry-after") is not False,
+        sends_retry_after=capabilities.get("retry-after") is not False,
         settles_units=bool(extra.get("settles", False)),
         must_subscribe=settings.get("discovery") == "subscribe",
         units_max=required(extra, "units-top", float),
--- a/stoneyoke/single_gateway/rpc_handler.py
+++ b/stoneyoke/single_gateway/rpc_handler.py
@@ -124,7 +124,7 @@
         """The reply to an RPC over quota or over capacity; it advises when to retry if the settings say so."""
         self.metrics.add("RPCs: rejected")
         retry_after = b"Retry-After: %.3f\r\n" % (decision.retry_after_us / 1_000_000)
-        return Reply(429, headers=retry_after if self.runtime.parameters.advises_wait else b"")
+        return Reply(429, headers=retry_after if self.runtime.parameters.sends_retry_after else b"")
 
     async def drain(self) -> None:
         """After SIGTERM: serves as before while clients still come, then closes what is idle."""
--- a/tests/decision_bench.py
+++ b/tests/decision_bench.py
@@ -88,7 +88,7 @@
         "can_cancel_attempts": True,
         "has_counter": True,
         "clients_mark_retries": False,
-        "advises_wait": True,
+        "sends_retry_after": True,
         "settles_units": False,
         "must_subscribe": False,
         "units_max": 0.5,
--- a/tests/limits/simulated_gateways.py
+++ b/tests/limits/simulated_gateways.py
@@ -248,7 +248,7 @@
             "attempts_max": 5,
             "can_cancel_attempts": True,
             "clients_mark_retries": True,
-            "advises_wait": True,
+            "sends_retry_after": True,
             "settles_units": False,
             "must_subscribe": False,
             "cold_share": 0.25,
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -340,7 +340,7 @@
                 can_cancel_attempts=False,
                 has_counter=False,
                 clients_mark_retries=False,
-                advises_wait=True,
+                sends_retry_after=True,
                 settles_units=False,
                 must_subscribe=False,
                 units_max=1.0,
