--- a/stoneyoke/consensus/learner.py
+++ b/stoneyoke/consensus/learner.py
@@ -6,7 +6,7 @@
 
 from stoneyoke.consensus.ballot import Ballot
 from stoneyoke.consensus.message_rows import ballot_row, value_from_row
-from stoneyoke.consensus.peer_calls import CALL_TIMEOUT_S, PeerDirectory, Spawn, ask
+from stoneyoke.consensus.peer_calls import CALL_TIMEOUT_S, PeerDirectory, Spawn, call_peer
 from stoneyoke.consensus.register_value import Proposal
 from stoneyoke.consensus.replica import Replica
 from stoneyoke.transport.messages import ChosenNotice, ValueRequest, ValueResponse
@@ -33,7 +33,7 @@
         """
         notice = ChosenNotice(address=self.peers.own_address, ballot=ballot_row(ballot))
         for address in list(self.peers):
-            self.spawn(ask(self.peers, address, notice, CALL_TIMEOUT_S))
+            self.spawn(call_peer(self.peers, address, notice, CALL_TIMEOUT_S))
 
     async def catch_up(self, address: str, ballot: Ballot) -> None:
         """Learns the proposal under a ballot that the controller at this address knows to be chosen.
@@ -48,7 +48,7 @@
     async def fetch(self, address: str, ballot: Ballot) -> Proposal | None:
         """The proposal under this ballot, or a newer one that is chosen, with its body; None if it can't be had."""
         request = ValueRequest(ballot=ballot_row(ballot))
-        answer = await ask(self.peers, address, request, FETCH_TIMEOUT_S)
+        answer = await call_peer(self.peers, address, request, FETCH_TIMEOUT_S)
         if not isinstance(answer, ValueResponse) or not answer.found:
             return None
         found = Ballot(*answer.ballot)
--- a/stoneyoke/consensus/peer_calls.py
+++ b/stoneyoke/consensus/peer_calls.py
@@ -19,7 +19,7 @@
 class Link(Protocol):
     """A connection to another controller."""
 
-    async def call(self, message: Message, within_s: float) -> Message:
+    async def call(self, message: Message, timeout_s: float) -> Message:
         """The answer. Raises PeerUnreachable."""
 
 
@@ -46,13 +46,13 @@
         """Addresses of all of them."""
 
 
-async def ask(peers: PeerDirectory, address: str, message: Message, within_s: float) -> Message | None:
+async def call_peer(peers: PeerDirectory, address: str, message: Message, timeout_s: float) -> Message | None:
     """The answer of the controller at an address, None if there was none in time.
 
     A voter that isn't known yet is added: a value may name voters that this process has never heard of.
     """
     peers.add_peers(address)
     try:
-        return await peers[address].link.call(message, within_s)
+        return await peers[address].link.call(message, timeout_s)
     except PeerUnreachable:
         return None
--- a/stoneyoke/consensus/proposer.py
+++ b/stoneyoke/consensus/proposer.py
@@ -6,7 +6,7 @@
 from stoneyoke.consensus.ballot import Ballot
 from stoneyoke.consensus.learner import Learner
 from stoneyoke.consensus.message_rows import ballot_row, proposal_from_rows, value_row
-from stoneyoke.consensus.peer_calls import CALL_TIMEOUT_S, TRANSFER_S_PER_BYTE, ask
+from stoneyoke.consensus.peer_calls import CALL_TIMEOUT_S, TRANSFER_S_PER_BYTE, call_peer
 from stoneyoke.consensus.proposal_round import Phase, ProposalRound
 from stoneyoke.consensus.register_value import Change, Proposal, ReplicaId
 from stoneyoke.transport.messages import AcceptRequest, AcceptResponse, PrepareRequest, PrepareResponse
@@ -37,14 +37,14 @@
         self.counter = 0
         self.lock = asyncio.Lock()  # two rounds of one process would only refuse each other
 
-    async def propose(self, change: Change, within_s: float) -> Proposal | None:
+    async def propose(self, change: Change, timeout_s: float) -> Proposal | None:
         """Changes the register.
 
         Returns:
             The chosen proposal with the change applied; None if it isn't known in time. Then it may still be chosen.
         """
         try:
-            async with asyncio.timeout(within_s), self.lock:
+            async with asyncio.timeout(timeout_s), self.lock:
                 backoff_s = BACKOFF_S
                 while True:
                     if chosen := await self.run_round(change):
@@ -100,7 +100,7 @@
             await self.prepare_here(current)
             return
         request = PrepareRequest(ballot=ballot_row(current.ballot), known_ballot=ballot_row(current.known.ballot))
-        answer = await ask(self.peers, address, request, CALL_TIMEOUT_S)
+        answer = await call_peer(self.peers, address, request, CALL_TIMEOUT_S)
         if not isinstance(answer, PrepareResponse):
             return
         if not answer.ok:
@@ -127,8 +127,8 @@
             await self.accept_here(current, proposal)
             return
         request = AcceptRequest(ballot=ballot_row(proposal.ballot), value=value_row(proposal.value, with_body=True))
-        within_s = CALL_TIMEOUT_S + TRANSFER_S_PER_BYTE * len(proposal.value.body)
-        answer = await ask(self.peers, address, request, within_s)
+        timeout_s = CALL_TIMEOUT_S + TRANSFER_S_PER_BYTE * len(proposal.value.body)
+        answer = await call_peer(self.peers, address, request, timeout_s)
         if not isinstance(answer, AcceptResponse):
             return
         if answer.ok:
--- a/stoneyoke/consensus/reader.py
+++ b/stoneyoke/consensus/reader.py
@@ -5,7 +5,7 @@
 from stoneyoke.consensus.learner import Learner
 from stoneyoke.consensus.majority_read import MajorityRead
 from stoneyoke.consensus.message_rows import proposal_from_rows
-from stoneyoke.consensus.peer_calls import CALL_TIMEOUT_S, ask
+from stoneyoke.consensus.peer_calls import CALL_TIMEOUT_S, call_peer
 from stoneyoke.consensus.proposer import Proposer
 from stoneyoke.consensus.register_value import Proposal, ReplicaId, unchanged
 from stoneyoke.transport.messages import QueryRequest, QueryResponse
@@ -28,7 +28,7 @@
         self.learner, self.proposer = learner, proposer
         self.replica, self.peers, self.spawn = learner.replica, learner.peers, learner.spawn
 
-    async def read(self, within_s: float) -> Proposal | None:
+    async def read(self, timeout_s: float) -> Proposal | None:
         """The newest chosen proposal, no older than any that was chosen before this call.
 
         Nothing is written where a quorum agrees already. Otherwise a round completes what was left unfinished.
@@ -37,10 +37,10 @@
             None if too few voters answer in time.
         """
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 chosen = await self.query()
                 if chosen is None:
-                    return await self.proposer.propose(unchanged, within_s)
+                    return await self.proposer.propose(unchanged, timeout_s)
                 self.learner.learn(chosen)
                 return chosen
         except TimeoutError:
@@ -79,7 +79,7 @@
         if address == self.peers.own_address:
             current.on_reply(self.replica.identity, self.replica.acceptor.accepted)
             return
-        answer = await ask(self.peers, address, QueryRequest(), CALL_TIMEOUT_S)
+        answer = await call_peer(self.peers, address, QueryRequest(), CALL_TIMEOUT_S)
         if isinstance(answer, QueryResponse):
             accepted = proposal_from_rows(answer.has_accepted, answer.accepted_ballot, answer.accepted)
             current.on_reply(ReplicaId(*answer.replica), accepted)
--- a/stoneyoke/consensus/replication.py
+++ b/stoneyoke/consensus/replication.py
@@ -37,13 +37,13 @@
         self.reader = Reader(self.learner, self.proposer)
         self.replica_server = ReplicaServer(self.learner)
 
-    async def propose(self, change: Change, within_s: float) -> Proposal | None:
+    async def propose(self, change: Change, timeout_s: float) -> Proposal | None:
         """Changes the register; see `Proposer.propose`."""
-        return await self.proposer.propose(change, within_s)
+        return await self.proposer.propose(change, timeout_s)
 
-    async def read(self, within_s: float) -> Proposal | None:
+    async def read(self, timeout_s: float) -> Proposal | None:
         """Reads the register; see `Reader.read`."""
-        return await self.reader.read(within_s)
+        return await self.reader.read(timeout_s)
 
     async def catch_up(self, address: str, ballot: Ballot) -> None:
         """Learns a chosen proposal from another controller; see `Learner.catch_up`."""
--- a/stoneyoke/controlplane/controller.py
+++ b/stoneyoke/controlplane/controller.py
@@ -152,14 +152,14 @@
             configuration=self.configuration,
         )
 
-    async def leave(self, within_s: float) -> None:
+    async def leave(self, timeout_s: float) -> None:
         """Hands this controller's vote to a learner, if there is one, before a shutdown.
 
         Args:
-            within_s: returns after this many seconds at the latest.
+            timeout_s: returns after this many seconds at the latest.
         """
         self.context.changes.notify()
-        await self.membership.leave(within_s)
+        await self.membership.leave(timeout_s)
 
     def has_quorum(self) -> bool:
         """Whether a majority of the voters is reachable."""
--- a/stoneyoke/controlplane/membership.py
+++ b/stoneyoke/controlplane/membership.py
@@ -131,18 +131,18 @@
         chosen = self.replica.chosen
         return now - peer.steady_since >= STEADY_S and chosen is not None and peer.chosen_ballot >= chosen.ballot
 
-    async def leave(self, within_s: float) -> None:
+    async def leave(self, timeout_s: float) -> None:
         """Hands this controller's vote to a learner, if there is one.
 
         Args:
-            within_s: returns after this many seconds at the latest.
+            timeout_s: returns after this many seconds at the latest.
         """
         self.leaving = True
         members = self.replica.voters().members
         if not any(peer.replica not in members and not peer.leaving for peer in self.peers.reachable().values()):
             return
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 while self.replica.is_voter() or self._change_is_pending():  # noqa: ASYNC110 -- no event tells of it
                     await asyncio.sleep(LEAVE_POLL_S)
         except TimeoutError:
--- a/stoneyoke/controlplane/peers.py
+++ b/stoneyoke/controlplane/peers.py
@@ -19,11 +19,11 @@
 
     address: tuple[str, int]
 
-    async def call(self, message: Message, within_s: float) -> Message:
+    async def call(self, message: Message, timeout_s: float) -> Message:
         """Sends a message and returns the answer.
 
         Raises:
-            PeerUnreachable: there is no answer within `within_s` seconds.
+            PeerUnreachable: there is no answer within `timeout_s` seconds.
         """
 
 
--- a/stoneyoke/lab/simulation/control_api_client.py
+++ b/stoneyoke/lab/simulation/control_api_client.py
@@ -32,13 +32,13 @@
         self.environment.random_source.shuffle(names)
         return names
 
-    async def call(self, name: str, asked: ApiCall | Rejected, within_s: float = CALL_TIMEOUT_S) -> ApiResult | None:
+    async def call(self, name: str, asked: ApiCall | Rejected, timeout_s: float = CALL_TIMEOUT_S) -> ApiResult | None:
         """Calls one controller.
 
         Args:
             name: The controller's address.
             asked: The call; one that is rejected by its form alone is answered at once.
-            within_s: After which the caller gives up.
+            timeout_s: After which the caller gives up.
 
         Returns:
             The answer; None if there is none in time, or if the process ended meanwhile.
@@ -51,7 +51,7 @@
         self.environment.network.run_on("", self.carry(machine, asked, answer))
         received: ApiResult | None
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 received = await answer
         except TimeoutError:
             received = None
--- a/stoneyoke/lab/simulation/defects/orders.py
+++ b/stoneyoke/lab/simulation/defects/orders.py
@@ -85,7 +85,7 @@
 def read_without_majority() -> list[Patch]:
     """A controller reads back what it knows itself."""
 
-    async def read(self: Any, within_s: float) -> Any:
+    async def read(self: Any, timeout_s: float) -> Any:
         return self.replica.chosen
 
     return [Patch(Reader, "read", read)]
--- a/stoneyoke/lab/simulation/network.py
+++ b/stoneyoke/lab/simulation/network.py
@@ -205,7 +205,7 @@
         """Connects one machine to another one."""
         self.network, self.own, self.other, self.address = network, own, other, (other, PORT)
 
-    async def call(self, message: Message, within_s: float) -> Message:
+    async def call(self, message: Message, timeout_s: float) -> Message:
         """Calls the other machine.
 
         Raises:
@@ -219,7 +219,7 @@
         # On its way the call belongs to the network: the end of its sender does not take it back.
         self.network.run_on("", self.network.deliver(call))
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 frame = await answer
         except TimeoutError as error:
             raise PeerUnreachable("no answer in time") from error
--- a/stoneyoke/lab/soak/operator.py
+++ b/stoneyoke/lab/soak/operator.py
@@ -61,13 +61,13 @@
             self.ledger.report(Rule.DURABLE_CONFIGURATION, f"{controller} told r{generation}, r{owed} was acknowledged")
         return True
 
-    async def read_back(self, within_s: float) -> None:
+    async def read_back(self, timeout_s: float) -> None:
         """After the faults: every controller has to tell the configuration."""
         await asyncio.sleep(APPLY_S)
         for controller in self.cluster.controllers:
             try:
-                async with asyncio.timeout(within_s):
+                async with asyncio.timeout(timeout_s):
                     while not await self.read(controller):  # noqa: ASYNC110 -- another process answers, or does not
                         await asyncio.sleep(PAUSE_S)
             except TimeoutError:
-                self.ledger.report(Rule.DURABLE_CONFIGURATION, f"{controller} told none for {within_s} s")
+                self.ledger.report(Rule.DURABLE_CONFIGURATION, f"{controller} told none for {timeout_s} s")
--- a/stoneyoke/lab/soak/watch.py
+++ b/stoneyoke/lab/soak/watch.py
@@ -61,15 +61,15 @@
         answer = await send_request((ip, METRICS_PORT), METRICS_HEAD, b"", WATCH_S)
         return read_metrics_text(answer.body.decode()) if answer and answer.status == OK else None
 
-    async def expect_nothing_held(self, within_s: float) -> None:
+    async def expect_nothing_held(self, timeout_s: float) -> None:
         """After the traffic: no gateway holds anything for a request within a time."""
-        await asyncio.gather(*(self.expect_idle(name, within_s) for name in self.cluster.gateways))
+        await asyncio.gather(*(self.expect_idle(name, timeout_s) for name in self.cluster.gateways))
 
-    async def expect_idle(self, gateway: str, within_s: float) -> None:
+    async def expect_idle(self, gateway: str, timeout_s: float) -> None:
         """Waits until a gateway holds nothing; what it holds at the end of the time breaks a rule."""
         held: Figures | None = None
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 while True:
                     figures = await self.fetch(gateway)
                     held = held_by(figures) if figures else held
--- a/tests/system/controller_cluster.py
+++ b/tests/system/controller_cluster.py
@@ -138,14 +138,14 @@
     def __init__(self, cluster: Cluster, own: str, address: tuple[str, int]) -> None:
         self.cluster, self.own, self.address = cluster, own, address
 
-    async def call(self, message: Message, within_s: float) -> Message:
+    async def call(self, message: Message, timeout_s: float) -> Message:
         cluster, own, other, kind = self.cluster, self.own, self.address[0], type(message).__name__
         cluster.carried[kind] += 1
         await asyncio.sleep(0)
         if other in cluster.down or other not in cluster.controllers:
             raise PeerUnreachable(other)
         if cluster.are_cut(own, other) or kind in cluster.lost.get(other, ()):
-            await asyncio.sleep(within_s)  # a cut says nothing
+            await asyncio.sleep(timeout_s)  # a cut says nothing
             raise PeerUnreachable(other)
         answer = await cluster.controllers[other].handle_message(as_received(message))
         if cluster.cutting == (own, kind):
--- a/tests/system/test_discovery_service.py
+++ b/tests/system/test_discovery_service.py
@@ -29,10 +29,10 @@
     def __init__(self, handle):
         self.handle, self.delay_s, self.lost, self.carried = handle, 0.0, (), []
 
-    async def call(self, message, within_s):
+    async def call(self, message, timeout_s):
         self.carried.append(type(message))
-        await asyncio.sleep(min(self.delay_s, within_s))
-        if self.delay_s > within_s or type(message) in self.lost:
+        await asyncio.sleep(min(self.delay_s, timeout_s))
+        if self.delay_s > timeout_s or type(message) in self.lost:
             raise PeerUnreachable("no answer")
         return self.handle(message)
 
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -14,7 +14,7 @@
     def __init__(self, answers):
         self.answers, self.asked = list(answers), []
 
-    async def call(self, message, within_s):
+    async def call(self, message, timeout_s):
         self.asked.append(message)
         await asyncio.sleep(0)
         answer = self.answers.pop(0) if self.answers else PeerUnreachable("none left")
