--- a/tests/control/test_backend_selection.py
+++ b/tests/control/test_backend_selection.py
@@ -10,13 +10,13 @@
 
 def test_a_backend_missing_from_a_complete_list_is_gone():
     bench = DecisionBench()
-    bench.tell(EndpointsChanged(True, False, [Endpoint(3, 1, 0, 0, BackendState.READY)]))
+    bench.dispatch(EndpointsChanged(True, False, [Endpoint(3, 1, 0, 0, BackendState.READY)]))
     assert all(a.backend == 3 for a in start_rpcs(bench, 3))
 
 
 def test_a_draining_backend_gets_no_attempts_and_without_backends_rpcs_are_rejected():
     bench = DecisionBench(fleet=1)
-    bench.tell(EndpointsChanged(False, False, [Endpoint(0, 0, 0, 0, BackendState.DRAINING)]))
+    bench.dispatch(EndpointsChanged(False, False, [Endpoint(0, 0, 0, 0, BackendState.DRAINING)]))
     assert actions_of(Reject, bench.arrive())
 
 
@@ -105,7 +105,7 @@
 def test_a_lost_subscription_is_renewed():
     bench = DecisionBench(must_subscribe=True)
     assert actions_of(Subscribe, bench.pass_time(100_000))
-    bench.tell(EndpointsChanged(False, True))
+    bench.dispatch(EndpointsChanged(False, True))
     assert actions_of(Subscribe, bench.pass_time(2_000_000))
 
 
@@ -117,7 +117,7 @@
         while ends and ends[0][0] <= bench.now:
             _, rpc, backend = ends.pop(0)
             if backend == 0:
-                bench.tell(ClientGone(rpc))
+                bench.dispatch(ClientGone(rpc))
             outcome = AttemptOutcome.OK if backend else AttemptOutcome.CLIENT_GONE
             bench.end_attempt(rpc, 0, backend, outcome, is_final=True)
         for out in attempts_in(bench.arrive()):
--- a/tests/control/test_quota_shares.py
+++ b/tests/control/test_quota_shares.py
@@ -41,7 +41,7 @@
     bench.pass_time(3_000_000, counter_total(50.0))
     bench.gateway.quotas.counter.asked_at = bench.now + 2_000_000
     for action in [a for _, a in bench.log if isinstance(a, AddToCounter)][:2]:
-        bench.tell(query_lost(action))
+        bench.dispatch(query_lost(action))
     bench.arrive()
     bench.pass_time(1_000_000)
     assert bench.gateway.quotas.customers[0].share < 0.3
@@ -85,7 +85,7 @@
         asked = actions_of(AddToCounter, bench.arrive(customer=bench.next_rpc, customer_gateways=100.0))
         bench.now += after
         for call in asked:
-            bench.tell(CounterReply(call.name, added, total))
+            bench.dispatch(CounterReply(call.name, added, total))
 
     for _ in range(30):
         ask(False, float("nan"))
--- a/tests/control/test_retry_policy.py
+++ b/tests/control/test_retry_policy.py
@@ -86,7 +86,7 @@
     bench = DecisionBench()
     first = attempts_in(bench.arrive())[0]
     bench.end_attempt(1, 0, first.backend)
-    assert not bench.end_attempt(1, 0, first.backend) and not bench.tell(CounterReply(5, True, 1.0))
+    assert not bench.end_attempt(1, 0, first.backend) and not bench.dispatch(CounterReply(5, True, 1.0))
 
 
 def test_the_same_events_give_the_same_actions():
@@ -94,7 +94,7 @@
     for _ in range(2):
         bench = DecisionBench()
         for i in range(60):
-            bench.tell(
+            bench.dispatch(
                 Arrival(
                     rpc=i,
                     method=i % 4,
@@ -114,7 +114,7 @@
 def test_an_answer_that_arrives_is_not_cancelled_and_its_end_releases_the_rpc():
     bench = DecisionBench()
     first = attempts_in(bench.arrive())[0]
-    bench.tell(ResponseStarted(1))
+    bench.dispatch(ResponseStarted(1))
     later = bench.pass_time(5_000_000)
     assert not actions_of(CancelAttempt, later) and not attempts_in(later) and bench.gateway.holds(1)
     bench.end_attempt(1, 0, first.backend)
@@ -129,14 +129,14 @@
 ):
     bench = DecisionBench(can_cancel_attempts=can_cancel)
     first = attempts_in(bench.arrive(method=method))[0]
-    assert bench.tell(ClientGone(1)) == [CancelAttempt(1, 0, only_unsent)]
+    assert bench.dispatch(ClientGone(1)) == [CancelAttempt(1, 0, only_unsent)]
     assert bench.gateway.holds(1) and not attempts_in(bench.pass_time(3_000_000))
     assert not bench.end_attempt(1, 0, first.backend, AttemptOutcome.CLIENT_GONE)
-    assert not bench.gateway.holds(1) and not bench.tell(ClientGone(1))
+    assert not bench.gateway.holds(1) and not bench.dispatch(ClientGone(1))
 
 
 def test_a_second_attempt_ends_with_its_client_and_the_first_that_has_ended_is_left_alone():
     bench = DecisionBench()
     first = attempts_in(bench.arrive())[0]
     assert attempts_in(bench.end_attempt(1, 0, first.backend, AttemptOutcome.BROKEN))
-    assert bench.tell(ClientGone(1)) == [CancelAttempt(1, 1, False)]
+    assert bench.dispatch(ClientGone(1)) == [CancelAttempt(1, 1, False)]
--- a/tests/control/test_rules.py
+++ b/tests/control/test_rules.py
@@ -85,11 +85,11 @@
                         self.finish(r, len(rpc["attempts"]) - 1, AttemptOutcome.TIMED_OUT)
         elif what == "list":
             self.state[number] = detail
-            self.tell(EndpointsChanged(False, False, [Endpoint(number, number % 2, number % 3, 0, detail)]))
+            self.dispatch(EndpointsChanged(False, False, [Endpoint(number, number % 2, number % 3, 0, detail)]))
         elif self.rpcs:
             rpc = list(self.rpcs)[number % len(self.rpcs)]
             self.rpcs[rpc]["ended"] = True
-            self.tell(ClientGone(rpc))
+            self.dispatch(ClientGone(rpc))
         self.check(before)
 
     def finish(self, number, attempt, outcome):
--- a/tests/decision_bench.py
+++ b/tests/decision_bench.py
@@ -109,13 +109,13 @@
         self.log: list[tuple[int, Action]] = []
         self.gateway = Gateway(parameters(**changes), START)
         started = started or {}
-        self.tell(
+        self.dispatch(
             EndpointsChanged(
                 True, False, [Endpoint(i, i % 2, i % 3, started.get(i, 0), BackendState.READY) for i in range(fleet)]
             )
         )
 
-    def tell(self, event: Event) -> list[Action]:
+    def dispatch(self, event: Event) -> list[Action]:
         """Handles an event now."""
         actions = self.gateway.handle(event, self.now)
         self.log += [(self.now, action) for action in actions]
@@ -133,7 +133,7 @@
     ) -> list[Action]:
         """An RPC arrives, with the next number."""
         self.next_rpc += 1
-        return self.tell(
+        return self.dispatch(
             Arrival(
                 rpc=self.next_rpc,
                 method=method,
@@ -157,7 +157,7 @@
         units: float = 0.0,
     ) -> list[Action]:
         """An attempt ends: finally, unless told otherwise, if it is a good one."""
-        return self.tell(
+        return self.dispatch(
             AttemptEnded(
                 rpc=rpc,
                 attempt=attempt,
@@ -173,11 +173,11 @@
         until, out = self.now + microseconds, list[Action]()
         while self.now < until:
             self.now = min(until, self.now + TICK_US - self.now % TICK_US)
-            actions = self.tell(TimerFired(0))
+            actions = self.dispatch(TimerFired(0))
             out += actions
             for action in actions:
                 if answer and (event := answer(action)):
-                    self.tell(event)
+                    self.dispatch(event)
         return out
 
 
--- a/tests/fleet/test_decisions.py
+++ b/tests/fleet/test_decisions.py
@@ -19,9 +19,9 @@
 def test_a_backend_left_out_gets_no_attempts_until_it_is_reinstated():
     bench = DecisionBench()
     first = backends_used(bench, 1)[0]
-    bench.tell(PeerEvidence(frozenset([first]), frozenset()))
+    bench.dispatch(PeerEvidence(frozenset([first]), frozenset()))
     assert first not in backends_used(bench, 20)
-    bench.tell(PeerEvidence(frozenset(), frozenset()))
+    bench.dispatch(PeerEvidence(frozenset(), frozenset()))
     assert first in backends_used(bench, 20)
 
 
@@ -29,15 +29,15 @@
     bench = DecisionBench()
     usual = set(backends_used(bench, 10))
     other = next(b for b in range(6) if b not in usual)
-    bench.tell(PeerEvidence(frozenset(), frozenset([other])))
+    bench.dispatch(PeerEvidence(frozenset(), frozenset([other])))
     assert backends_used(bench, 1) == [other]
-    bench.tell(PeerEvidence(frozenset([other]), frozenset()))
+    bench.dispatch(PeerEvidence(frozenset([other]), frozenset()))
     assert other not in backends_used(bench, 10)
 
 
 def test_a_retry_avoids_a_backend_left_out():
     bench = DecisionBench(fleet=3)
-    bench.tell(PeerEvidence(frozenset([0]), frozenset()))
+    bench.dispatch(PeerEvidence(frozenset([0]), frozenset()))
     (call,) = attempts_in(bench.arrive(units=0.01))
     (again,) = attempts_in(bench.end_attempt(bench.next_rpc, 0, call.backend, AttemptOutcome.CUT))
     assert {call.backend, again.backend} == {1, 2}
--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -62,8 +62,8 @@
         self.totals = {}  # by counter
         self.clients_gone = set()  # RPCs
 
-    def tell(self, event):
-        self.note(self.bench.tell(event))
+    def dispatch(self, event):
+        self.note(self.bench.dispatch(event))
 
     def note(self, actions):
         """Adds actions to the digest, and draws what follows from them."""
@@ -96,7 +96,7 @@
         for event in sorted(event for event in self.pending if event.at_us <= self.bench.now):
             self.pending.remove(event)
             if isinstance(event, PendingCount):
-                self.tell(CounterReply(event.counter, True, event.total))
+                self.dispatch(CounterReply(event.counter, True, event.total))
             else:
                 self.note(self.bench.end_attempt(*event[1:]))
 
@@ -117,16 +117,16 @@
         zone, cell, _, _ = self.endpoints[backend]
         state = self.random_source.choice((BackendState.READY, BackendState.READY, BackendState.DRAINING))
         self.endpoints[backend] = (zone, cell, self.bench.now, state)
-        self.tell(EndpointsChanged(False, False, [Endpoint(backend, *self.endpoints[backend])]))
+        self.dispatch(EndpointsChanged(False, False, [Endpoint(backend, *self.endpoints[backend])]))
 
     def step(self):
         self.deliver_due()
-        self.tell(TimerFired(0))
+        self.dispatch(TimerFired(0))
         self.draw_arrivals()
         if self.random_source.random() < 0.01:
             rpc = self.random_source.randrange(1, self.bench.next_rpc + 1)
             self.clients_gone.add(rpc)
-            self.tell(ClientGone(rpc))
+            self.dispatch(ClientGone(rpc))
         if self.random_source.random() < 0.01:
             self.draw_endpoint_change()
 
@@ -137,7 +137,7 @@
     for step in range(STEPS):
         run.bench.now = START + step * STEP_US
         if peer_evidence and step % 7 == 0:
-            run.tell(peer_evidence)
+            run.dispatch(peer_evidence)
         run.step()
     return run.digest.hexdigest()[:16]
 
