--- a/stoneyoke/control/events.py
+++ b/stoneyoke/control/events.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class AnswerStarted:
+class ResponseStarted:
     """The answer to an attempt has begun to arrive. The attempt is no longer cancelled for being slow."""
 
     rpc: int
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownBackend:
-    """A backend that takes new work, under the names that it has at every gateway. For the peers' dialogue."""
+    """A backend that takes new work, under the names shared by all gateways. Used in messages between gateways."""
 
     index: int
     name: str
@@ -100,7 +100,7 @@
 class PeerEvidence:
     """What the gateways have agreed on among each other about backends."""
 
-    left_out: frozenset[int]  # these get no attempts
+    ejected_backends: frozenset[int]  # these get no attempts
     probed: frozenset[int]  # these get the next attempt, before better ranked ones
 
 
@@ -113,7 +113,7 @@
 
 Event = (
     Arrival
-    | AnswerStarted
+    | ResponseStarted
     | AttemptEnded
     | ClientGone
     | CounterReply
--- a/stoneyoke/control/retry_policy.py
+++ b/stoneyoke/control/retry_policy.py
@@ -7,7 +7,7 @@
 - Rejected only if the client may safely send it again: `AttemptHistory.may_be_rejected`
 """
 
-from stoneyoke.control.actions import Abandon, CancelAttempt, Reject, StartAttempt
+from stoneyoke.control.actions import CancelAttempt, FailRpc, Reject, StartAttempt
 from stoneyoke.control.backend_selection import RANKING_CHANGES, BackendSelector
 from stoneyoke.control.backend_table import Backend
 from stoneyoke.control.context import DecisionContext
@@ -90,7 +90,7 @@
         customer.demand_units += arrival.units
         wait_us, reservation = yield from self.quotas.admit(rpc, customer)
         if wait_us > 0:
-            yield Reject(arrival.rpc, self.quotas.advised_wait(customer, wait_us))
+            yield Reject(arrival.rpc, self.quotas.compute_retry_after(customer, wait_us))
             return
         history, admission_share = AttemptHistory(method), self.admission_share(arrival)
         self.retry_budget.level += self.context.parameters.retry_budget_ratio
@@ -111,10 +111,10 @@
             self.quotas.counter.add(reservation.name, -reservation.amount)  # the RPC was never sent
         yield self.final_answer(arrival, history)
 
-    def final_answer(self, arrival: Arrival, history: AttemptHistory) -> Reject | Abandon:
+    def final_answer(self, arrival: Arrival, history: AttemptHistory) -> Reject | FailRpc:
         """The answer to an RPC that no attempt has answered, and that gets no further one."""
         if not history.may_be_rejected():
-            return Abandon(arrival.rpc)
+            return FailRpc(arrival.rpc)
         # The wait is a soft deadline, in which a full fleet empties.
         return Reject(arrival.rpc, self.quotas.jittered(history.method.soft_deadline_us), True)
 
@@ -134,8 +134,8 @@
     def attempt(self, rpc: OpenRpc, history: AttemptHistory, backend: Backend) -> AttemptSteps:
         """One attempt, until it ends. Checked once it is overdue, then every quarter of that time."""
         history.attempt_started(backend, self.context.now)
-        patience_us = history.method.patience_us
-        rpc.resume_at_us = self.context.now + patience_us
+        overdue_after_us = history.method.overdue_after_us
+        rpc.resume_at_us = self.context.now + overdue_after_us
         result: AttemptEnded | None = yield StartAttempt(rpc.arrival.rpc, backend.index, 0)
         while result is STILL_WAITING:
             self.count_overdue(rpc, backend)
@@ -143,7 +143,7 @@
                 rpc.resume_at_us = self.context.now + CANCEL_US
                 result = yield CancelAttempt(rpc.arrival.rpc, rpc.attempts_started - 1)
             else:
-                rpc.resume_at_us = self.context.now + patience_us // 4
+                rpc.resume_at_us = self.context.now + overdue_after_us // 4
                 result = yield WAIT
         return result
 
@@ -165,7 +165,7 @@
         if self.backends.is_typical(backend) or not self.context.parameters.can_cancel_attempts:
             return False
         silent_us = self.context.now - backend.silent_since
-        return silent_us >= history.method.patience_us and history.may_repeat_running(self.context.now)
+        return silent_us >= history.method.overdue_after_us and history.may_repeat_running(self.context.now)
 
     def ends_with_client(self, method: Method) -> bool:
         """Whether an attempt that was sent ends with its client: only if breaking its run off does no harm."""
--- a/stoneyoke/gateway/forwarding.py
+++ b/stoneyoke/gateway/forwarding.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from stoneyoke.control.actions import Abandon, Reject, StartAttempt
+from stoneyoke.control.actions import FailRpc, Reject, StartAttempt
 from stoneyoke.control.parameters import PROVEN_NOT_RUN, AttemptOutcome
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 from stoneyoke.gateway.local_reply import local_reply
@@ -136,7 +136,7 @@
             head=upstream_request_head(self.message, instance, self.tenant.label, self.deadline_us - now),
             body=self.message.body,
             deadline_us=self.deadline_us,
-            is_answered_by=self.is_answered_by,
+            matches_response=self.matches_response,
         )
         outcome, answer = await context.backends.send_attempt(self.pending, attempt, backend, outgoing)
         context.metrics.add(f"attempts: {outcome.value}")
@@ -144,7 +144,7 @@
             self.note_misdirected(instance, answer)
         return outcome, answer
 
-    def is_answered_by(self, answer: Message) -> bool:
+    def matches_response(self, answer: Message) -> bool:
         """Whether a backend's answer belongs to this request. One that names two requests belongs to neither."""
         return answer.headers.get(b"attempt-id") == self.request.id and b"attempt-id" not in answer.repeated
 
@@ -171,7 +171,7 @@
             if isinstance(decision, Reject):
                 self.context.metrics.add("requests: overloaded")
                 return self.local_reply(503, "the service is full", decision.retry_after_us)
-        self.context.metrics.check_invariant(isinstance(decision, Abandon | Reject | None), "unknown decision")
+        self.context.metrics.check_invariant(isinstance(decision, FailRpc | Reject | None), "unknown decision")
         if self.backend_error:
             answer = self.backend_error
             return Reply(answer.status, answer.body, client_answer_headers(answer))
--- a/stoneyoke/runtime/runtime.py
+++ b/stoneyoke/runtime/runtime.py
@@ -13,10 +13,10 @@
 
 from stoneyoke.control import Gateway
 from stoneyoke.control.actions import (
-    Abandon,
     Action,
     AddToCounter,
     CancelAttempt,
+    FailRpc,
     ForgetCustomer,
     Reject,
     SetTimer,
@@ -76,7 +76,7 @@
         self.requests_opened = 0
         self.departures = ClientDepartures(metrics)
         self.customers = IdIndex[int]()  # released by ForgetCustomer
-        self.next_timer_at = self.gateway.context.born_at
+        self.next_timer_at = self.gateway.context.start_time
         self.stalled_from = self.stalled_until = 0
         self.send_to_counter: Callable[[AddToCounter], None] = lambda _: None
         self.attempt_observer: AttemptObserver | None = None
@@ -220,7 +220,7 @@
     def execute(self, action: Action) -> None:
         """Carries out one action of the decision logic."""
         match action:
-            case StartAttempt() | Reject() | Abandon():
+            case StartAttempt() | Reject() | FailRpc():
                 self.decide(action)
             case SetTimer(delay_us, token):
                 self.next_timer_at = self.clock.now() + delay_us
--- a/stoneyoke/simhost/instance.py
+++ b/stoneyoke/simhost/instance.py
@@ -28,7 +28,7 @@
     410: AttemptOutcome.NOT_SENT,
 }
 
-FINAL_ACTIONS = (actions.Reject, actions.Abandon)  # the decision logic may hold nothing of a request after these
+FINAL_ACTIONS = (actions.Reject, actions.FailRpc)  # the decision logic may hold nothing of a request after these
 
 
 class Instance:
@@ -114,7 +114,7 @@
         """A streamed response has begun."""
         rpc = self.requests.index_by_id.get(fields[1])
         if rpc is not None:
-            self.dispatch_for_request(fields[1], events.AnswerStarted(rpc), batch, reply)
+            self.dispatch_for_request(fields[1], events.ResponseStarted(rpc), batch, reply)
 
     def wakeup(self, fields: Fields, batch: Batch, reply: Reply) -> None:
         """A timer has come due."""
@@ -169,7 +169,7 @@
                 reply.add(ActionCode.SEND, self.number, requests[rpc], to, min(limit_us, TIME_MAX_US))
             case actions.Reject(rpc, retry_after_us):
                 reply.add(ActionCode.DECLINE, self.number, requests[rpc], min(retry_after_us, TIME_MAX_US))
-            case actions.Abandon(rpc):
+            case actions.FailRpc(rpc):
                 reply.add(ActionCode.REPORT_FAILURE, self.number, requests[rpc])
             case actions.CancelAttempt(rpc, attempt, only_unsent):
                 if only_unsent:  # the simulator sends an attempt at once
--- a/stoneyoke/single_gateway/rpc_handler.py
+++ b/stoneyoke/single_gateway/rpc_handler.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from stoneyoke.control.actions import Abandon, Reject, StartAttempt
+from stoneyoke.control.actions import FailRpc, Reject, StartAttempt
 from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.attempt import OutgoingRequest
 from stoneyoke.net.backends import Backends
@@ -96,7 +96,7 @@
                 return CLIENT_GONE
             else:
                 # The decision logic decides before the deadline. None means that it has not.
-                self.metrics.check_invariant(isinstance(decision, Abandon), "unexpected decision")
+                self.metrics.check_invariant(isinstance(decision, FailRpc), "unexpected decision")
                 self.metrics.add("RPCs: abandoned")
                 return Reply(502)
 
@@ -124,7 +124,7 @@
         """The reply to an RPC over quota or over capacity; it advises when to retry if the settings say so."""
         self.metrics.add("RPCs: rejected")
         retry_after = b"Retry-After: %.3f\r\n" % (decision.retry_after_us / 1_000_000)
-        return Reply(429, headers=retry_after if self.runtime.parameters.advises_wait else b"")
+        return Reply(429, headers=retry_after if self.runtime.parameters.sends_retry_after else b"")
 
     async def drain(self) -> None:
         """After SIGTERM: serves as before while clients still come, then closes what is idle."""
--- a/tests/control/test_retry_policy.py
+++ b/tests/control/test_retry_policy.py
@@ -3,16 +3,16 @@
 import pytest
 from decision_bench import METHODS, DecisionBench, actions_of, attempts_in, counter_total, plan
 
-from stoneyoke.control.actions import Abandon, CancelAttempt, Reject, StartAttempt
-from stoneyoke.control.events import AnswerStarted, Arrival, ClientGone, CounterReply
+from stoneyoke.control.actions import CancelAttempt, FailRpc, Reject, StartAttempt
+from stoneyoke.control.events import Arrival, ClientGone, CounterReply, ResponseStarted
 from stoneyoke.control.parameters import AttemptOutcome
 
 
 @pytest.mark.parametrize(
     "method, outcome, answer",
     [
-        (2, AttemptOutcome.ERROR, Abandon),
-        (2, AttemptOutcome.TIMED_OUT, Abandon),
+        (2, AttemptOutcome.ERROR, FailRpc),
+        (2, AttemptOutcome.TIMED_OUT, FailRpc),
         (2, AttemptOutcome.NO_CONNECTION, StartAttempt),
         (0, AttemptOutcome.ERROR, StartAttempt),
         (1, AttemptOutcome.BROKEN, StartAttempt),
@@ -28,7 +28,7 @@
         assert after[0].backend % 2 == first.backend % 2  # its zone
 
 
-@pytest.mark.parametrize("method, answer", [(1, Abandon), (3, Reject)])
+@pytest.mark.parametrize("method, answer", [(1, FailRpc), (3, Reject)])
 def test_a_deduplicated_rpc_is_not_sent_after_its_window_and_rejected_only_if_all_recognise_repeats(method, answer):
     bench = DecisionBench()
     first = attempts_in(bench.arrive(method=method, wait_us=6_000_000))[0]
@@ -36,7 +36,7 @@
     assert isinstance(bench.end_attempt(1, 0, first.backend, AttemptOutcome.ERROR)[0], answer)
 
 
-@pytest.mark.parametrize("fleet, answer", [(2, Abandon), (3, StartAttempt)])  # zones 0 and 1; then 0, 1 and 0
+@pytest.mark.parametrize("fleet, answer", [(2, FailRpc), (3, StartAttempt)])  # zones 0 and 1; then 0, 1 and 0
 def test_a_deduplicated_rpc_that_may_have_run_stays_in_its_scope(fleet, answer):
     bench = DecisionBench(fleet=fleet)
     first = attempts_in(bench.arrive(method=1))[0]
@@ -53,7 +53,7 @@
     assert actions_of(Reject, bench.end_attempt(out.rpc, 0, out.backend, AttemptOutcome.BROKEN))
 
 
-@pytest.mark.parametrize("method, answer", [(2, Abandon), (0, Reject)])
+@pytest.mark.parametrize("method, answer", [(2, FailRpc), (0, Reject)])
 def test_an_rpc_timed_out_at_its_deadline_still_gets_an_answer(method, answer):
     bench = DecisionBench()
     first = attempts_in(bench.arrive(method=method))[0]
@@ -86,7 +86,7 @@
     bench = DecisionBench()
     first = attempts_in(bench.arrive())[0]
     bench.end_attempt(1, 0, first.backend)
-    assert not bench.end_attempt(1, 0, first.backend) and not bench.tell(CounterReply(5, True, 1.0))
+    assert not bench.end_attempt(1, 0, first.backend) and not bench.dispatch(CounterReply(5, True, 1.0))
 
 
 def test_the_same_events_give_the_same_actions():
@@ -94,7 +94,7 @@
     for _ in range(2):
         bench = DecisionBench()
         for i in range(60):
-            bench.tell(
+            bench.dispatch(
                 Arrival(
                     rpc=i,
                     method=i % 4,
@@ -114,7 +114,7 @@
 def test_an_answer_that_arrives_is_not_cancelled_and_its_end_releases_the_rpc():
     bench = DecisionBench()
     first = attempts_in(bench.arrive())[0]
-    bench.tell(AnswerStarted(1))
+    bench.dispatch(ResponseStarted(1))
     later = bench.pass_time(5_000_000)
     assert not actions_of(CancelAttempt, later) and not attempts_in(later) and bench.gateway.holds(1)
     bench.end_attempt(1, 0, first.backend)
@@ -129,14 +129,14 @@
 ):
     bench = DecisionBench(can_cancel_attempts=can_cancel)
     first = attempts_in(bench.arrive(method=method))[0]
-    assert bench.tell(ClientGone(1)) == [CancelAttempt(1, 0, only_unsent)]
+    assert bench.dispatch(ClientGone(1)) == [CancelAttempt(1, 0, only_unsent)]
     assert bench.gateway.holds(1) and not attempts_in(bench.pass_time(3_000_000))
     assert not bench.end_attempt(1, 0, first.backend, AttemptOutcome.CLIENT_GONE)
-    assert not bench.gateway.holds(1) and not bench.tell(ClientGone(1))
+    assert not bench.gateway.holds(1) and not bench.dispatch(ClientGone(1))
 
 
 def test_a_second_attempt_ends_with_its_client_and_the_first_that_has_ended_is_left_alone():
     bench = DecisionBench()
     first = attempts_in(bench.arrive())[0]
     assert attempts_in(bench.end_attempt(1, 0, first.backend, AttemptOutcome.BROKEN))
-    assert bench.tell(ClientGone(1)) == [CancelAttempt(1, 1, False)]
+    assert bench.dispatch(ClientGone(1)) == [CancelAttempt(1, 1, False)]
