--- a/stoneyoke/fleet/agent.py
+++ b/stoneyoke/fleet/agent.py
@@ -15,12 +15,12 @@
 
 SECOND_US = 1_000_000
 TICK_INTERVAL_US = 100_000  # between calls of tick()
-JUDGE_INTERVAL_US = 500_000
+EJECTION_UPDATE_INTERVAL_US = 500_000
 SWEEP_INTERVAL_US = 10 * SECOND_US
 SUPERSEDED_NOTICE_INTERVAL_US = SECOND_US
 QUERIES_PER_S = 5  # members asked for reports while a backend is disputed, beside those probed
 QUERY_INTERVAL_US = SECOND_US // QUERIES_PER_S
-MAX_AWAITED_ANSWERS = 10 * QUERIES_PER_S
+MAX_PENDING_QUERIES = 10 * QUERIES_PER_S
 MESSAGE_OVERHEAD_BYTES = 120  # of a message beside its sender, members and reports
 MIN_REPORT_BYTES = 20
 REQUEST_NUMBER_BITS = 60  # drawn, so that nobody can answer what it was not asked
@@ -34,7 +34,7 @@
     own: Member
     seeds: list[Address]  # to join through
     keys: list[bytes]  # see DatagramCodec
-    silent_after_us: int  # an attempt without answer for so long counts as failed
+    overdue_after_us: int  # an attempt without answer for so long counts as failed
     seed: int  # of the random draws
 
 
@@ -57,12 +57,12 @@
         self._count = count
         self.codec = DatagramCodec(settings.keys)
         self.membership = Membership(own, settings.seeds, self._random_source, now_us, count)
-        self.evidence = Evidence(own.name, settings.silent_after_us, now_us)
+        self.evidence = Evidence(own.name, settings.overdue_after_us, now_us)
         self.advice = NO_ADVICE
         self._sequence = 0
-        self._judged_at_us = self._swept_at_us = now_us
-        self._to_query: list[str] = []  # members in a random order, from the end; each once a round
-        self._awaited_answers: dict[int, str] = {}  # by request number: the member asked; bounded by tick()
+        self._ejections_updated_at_us = self._swept_at_us = now_us
+        self._query_order: list[str] = []  # members in a random order, from the end; each once a round
+        self._pending_queries: dict[int, str] = {}  # by request number: the member asked; bounded by tick()
         self._queried_at_us = now_us
         self._notified_at_us: dict[str, int] = {}  # by name: when a superseded process was last notified
 
@@ -87,25 +87,25 @@
                 return self._notify_superseded(refused.superseded.sender, now_us)
             return []
         self._count("fleet: datagrams")
-        is_probe_answer = self.membership.detector.is_direct_answer(message)
+        is_probe_response = self.membership.detector.is_direct_ack(message)
         self.membership.receive(message, now_us)
         if message.sender.name == self.own.name:
             return self._send(now_us)
-        self._take_reports(message, is_probe_answer, now_us)
+        self._receive_reports(message, is_probe_response, now_us)
         return self._send(now_us, message.reports)
 
-    def _take_reports(self, message: Message, is_probe_answer: bool, now_us: int) -> None:
+    def _receive_reports(self, message: Message, is_probe_response: bool, now_us: int) -> None:
         """Counts the reports of members that this gateway chose to ask; others only start disputes."""
         sender = message.sender.name
-        if is_probe_answer or self._is_query_answer(message):
-            self.evidence.receive_answer(sender, message.reports, now_us)
+        if is_probe_response or self._is_query_response(message):
+            self.evidence.receive_response(sender, message.reports, now_us)
         else:
             self.evidence.receive_unsolicited(sender, message.reports, now_us)
 
-    def _is_query_answer(self, message: Message) -> bool:
+    def _is_query_response(self, message: Message) -> bool:
         if message.kind != MessageKind.ANSWER:
             return False
-        return self._awaited_answers.pop(message.number, "") == message.sender.name
+        return self._pending_queries.pop(message.number, "") == message.sender.name
 
     def _notify_superseded(self, earlier: Member, now_us: int) -> list[tuple[Address, bytes]]:
         """Notifies an earlier process that still runs of the gateway that has its name now, once a second at most."""
@@ -151,10 +151,10 @@
         membership = self.membership
         members = membership.table.size
         membership.tick(now_us)
-        self.evidence.check_silent(now_us)
-        if now_us - self._judged_at_us >= JUDGE_INTERVAL_US:
-            self._judged_at_us = now_us
-            self.evidence.judge(now_us, members() - 1)
+        self.evidence.check_overdue(now_us)
+        if now_us - self._ejections_updated_at_us >= EJECTION_UPDATE_INTERVAL_US:
+            self._ejections_updated_at_us = now_us
+            self.evidence.update_ejections(now_us, members() - 1)
         self.advice = self.evidence.advice(now_us, members()) if membership.active else NO_ADVICE
         self._query(now_us)
         if now_us - self._swept_at_us >= SWEEP_INTERVAL_US:
@@ -164,8 +164,8 @@
     def _sweep(self, now_us: int) -> None:
         """Drops what is no longer needed, so that nothing grows without bound."""
         self._swept_at_us = now_us
-        self.codec.forget_silent_senders(now_us)
-        self._awaited_answers = dict(list(self._awaited_answers.items())[-MAX_AWAITED_ANSWERS:])
+        self.codec.remove_silent_senders(now_us)
+        self._pending_queries = dict(list(self._pending_queries.items())[-MAX_PENDING_QUERIES:])
         self._notified_at_us = {
             name: at_us
             for name, at_us in self._notified_at_us.items()
@@ -178,31 +178,31 @@
         The members are drawn at random: one that sends much is not asked more often.
         """
         evidence = self.evidence
-        if not (evidence.recent_failure or evidence.disputed or evidence.verdicts):
+        if not (evidence.recent_failure or evidence.candidates or evidence.ejections):
             self._queried_at_us = now_us
         if now_us - self._queried_at_us < QUERY_INTERVAL_US:
             return
         self._queried_at_us = max(self._queried_at_us + QUERY_INTERVAL_US, now_us - TICK_INTERVAL_US)
-        while self._to_query:
-            peer = self.membership.table.present_peer(self._to_query.pop())
+        while self._query_order:
+            peer = self.membership.table.present_peer(self._query_order.pop())
             if peer:
                 number = self._random_source.getrandbits(REQUEST_NUMBER_BITS)
-                self._awaited_answers[number] = peer.record.name
+                self._pending_queries[number] = peer.record.name
                 query = OutgoingMessage(to=peer.record.address, kind=MessageKind.QUERY, number=number)
                 self.membership.outbox.add(query)
                 return
-        self._to_query = [member.name for member in self.membership.table.present()]
-        self._random_source.shuffle(self._to_query)
+        self._query_order = [member.name for member in self.membership.table.present()]
+        self._random_source.shuffle(self._query_order)
 
     # ---- out ----
 
-    def _send(self, now_us: int, asked: Iterable[BackendReport] = ()) -> list[tuple[Address, bytes]]:
+    def _send(self, now_us: int, requested: Iterable[BackendReport] = ()) -> list[tuple[Address, bytes]]:
         messages = self.membership.outbox.take()
         if self.membership.superseded_by:
             return []
-        return [(message.to, self._encode(message, now_us, asked)) for message in messages]
+        return [(message.to, self._encode(message, now_us, requested)) for message in messages]
 
-    def _encode(self, outgoing: OutgoingMessage, now_us: int, asked: Iterable[BackendReport]) -> bytes:
+    def _encode(self, outgoing: OutgoingMessage, now_us: int, requested: Iterable[BackendReport]) -> bytes:
         """Encodes a message with as much gossip and as many reports as fit.
 
         Pulls and pages carry neither. Queries and their answers carry no gossip: there are many of them.
@@ -215,8 +215,8 @@
             members += [member for member in gossip if member not in members]
         reports: list[BackendReport] = []
         if kind not in (MessageKind.PULL, MessageKind.PAGE):
-            is_answer = kind in (MessageKind.ACK, MessageKind.ANSWER)
-            reports = self.evidence.reports(now_us, asked if is_answer else ())[: self._report_capacity(members)]
+            is_response = kind in (MessageKind.ACK, MessageKind.ANSWER)
+            reports = self.evidence.reports(now_us, requested if is_response else ())[: self._report_capacity(members)]
         return self.codec.encode(
             Message(
                 sender=self.own,
--- a/stoneyoke/fleet/datagram_codec.py
+++ b/stoneyoke/fleet/datagram_codec.py
@@ -80,11 +80,11 @@
         lengths_fit = all(MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES for key in keys)
         if not 1 <= len(keys) <= MAX_KEYS or not lengths_fit:
             raise UnusableKeys("one or two keys of 16 to 64 bytes are needed")
-        self.keys = {self.key_number(key): key for key in keys}
-        self.first_key_number = self.key_number(keys[0])
+        self.keys = {self.key_id(key): key for key in keys}
+        self.first_key_id = self.key_id(keys[0])
 
     @staticmethod
-    def key_number(key: bytes) -> int:
+    def key_id(key: bytes) -> int:
         """One byte of the key's hash. Of two keys with the same number only the last given is used."""
         return blake2b(key, digest_size=1, person=b"key number").digest()[0]
 
@@ -102,8 +102,8 @@
         body = MESSAGE_ENCODER.encode(message)
         if len(body) + HEADER_BYTES > MAX_DATAGRAM_BYTES:
             raise MessageTooLarge(len(body))
-        header = bytes((FORMAT_VERSION, self.first_key_number))
-        return header + self.signature(self.keys[self.first_key_number], body) + body
+        header = bytes((FORMAT_VERSION, self.first_key_id))
+        return header + self.signature(self.keys[self.first_key_id], body) + body
 
     def decode(self, data: bytes, now_us: int) -> Message:
         """Checks and decodes a datagram. Costs one hash over MAX_DATAGRAM_BYTES at most before anything is trusted.
@@ -118,7 +118,7 @@
             raise DatagramRefused(RefusalReason.MALFORMED) from error
         if abs(message.sent_at_us - now_us) > CLOCK_TOLERANCE_US:
             raise DatagramRefused(RefusalReason.OUT_OF_TIME)
-        self._check_order(message, now_us)
+        self._check_replay(message, now_us)
         return message
 
     def _authentic_body(self, data: bytes) -> bytes:
@@ -137,7 +137,7 @@
             raise DatagramRefused(RefusalReason.BAD_SIGNATURE)
         return body
 
-    def _check_order(self, message: Message, now_us: int) -> None:
+    def _check_replay(self, message: Message, now_us: int) -> None:
         """Refuses replays, and messages of a process that another one of the same name has superseded."""
         sender = message.sender
         window = self.windows.get(sender.name)
@@ -149,7 +149,7 @@
             raise DatagramRefused(RefusalReason.REPLAYED)
         window.received_at_us = now_us
 
-    def forget_silent_senders(self, now_us: int) -> None:
+    def remove_silent_senders(self, now_us: int) -> None:
         """Drops the windows of senders that were silent for long: a replay of theirs is out of time in any case."""
         self.windows = {
             name: window
--- a/stoneyoke/fleet/failure_detector.py
+++ b/stoneyoke/fleet/failure_detector.py
@@ -196,7 +196,7 @@
             )
         )
 
-    def is_direct_answer(self, message: Message) -> bool:
+    def is_direct_ack(self, message: Message) -> bool:
         """Whether a message is the probed member's own answer to the outstanding probe."""
         is_probed = message.sender.name == self.probe.name
         return message.kind == MessageKind.ACK and message.number == self.probe.number and is_probed
@@ -228,7 +228,7 @@
         self.ping(peer, self._last_number)
         self._outbox.add(OutgoingMessage(to=requester, kind=MessageKind.NACK, number=message.number))
 
-    def note_refutation(self) -> None:
+    def record_refutation(self) -> None:
         """Lowers this gateway's own health: others suspect it, so it may be slow itself."""
         self._degrade_local_health()
 
--- a/stoneyoke/fleet/membership.py
+++ b/stoneyoke/fleet/membership.py
@@ -16,7 +16,7 @@
 from stoneyoke.fleet.outbox import Outbox, OutgoingMessage
 
 SWEEP_INTERVAL_US = SECOND_US // 2
-FAREWELL_COUNT = 2 * HELPER_COUNT  # members notified directly that this gateway leaves
+LEAVE_NOTICE_COUNT = 2 * HELPER_COUNT  # members notified directly that this gateway leaves
 
 
 class Membership:
@@ -147,7 +147,7 @@
             # An earlier process of this very gateway, started while the clock was ahead. This one must come after it.
             self._set_own(msgspec.structs.replace(own, started_at_ms=record.started_at_ms + 1, incarnation=0))
         elif later_start or record.address > own.address:
-            self._stand_down(record)
+            self._mark_superseded(record)
         elif same_address and record.state != MemberState.ALIVE:
             self._refute(record)
 
@@ -155,7 +155,7 @@
         self.table.set_own(record)
         self.gossip.add(record.name)
 
-    def _stand_down(self, later: Member) -> None:
+    def _mark_superseded(self, later: Member) -> None:
         """Leaves the name to the gateway that started later; of equal starts, to the higher address."""
         self.superseded_by = later
         self.table.clear_peers()
@@ -167,12 +167,12 @@
         if self.leaving or record.incarnation < own.incarnation:
             return
         self._set_own(msgspec.structs.replace(own, incarnation=record.incarnation + 1))
-        self.detector.note_refutation()
+        self.detector.record_refutation()
 
     def leave(self) -> None:
         """Notifies some members that this gateway leaves; they pass it on."""
         self.table.set_own(msgspec.structs.replace(self.table.own, state=MemberState.LEFT))
         self.leaving = True
         present = self.table.present()
-        for member in self._random_source.sample(present, min(FAREWELL_COUNT, len(present))):
+        for member in self._random_source.sample(present, min(LEAVE_NOTICE_COUNT, len(present))):
             self.outbox.add(OutgoingMessage(to=member.address, kind=MessageKind.PING, members=(self.table.own,)))
--- a/stoneyoke/fleet/observations.py
+++ b/stoneyoke/fleet/observations.py
@@ -32,7 +32,7 @@
     return int.from_bytes(blake2b(text.encode(), digest_size=4).digest(), "big")
 
 
-def accuses_too_many(unhealthy: int, known: int) -> bool:
+def reports_too_many_unhealthy(unhealthy: int, known: int) -> bool:
     """Whether a gateway finds so many backends unhealthy that the fault is likely its own."""
     return unhealthy > MAX_UNHEALTHY_SHARE * max(1, known)
 
@@ -93,20 +93,20 @@
 
     backend: int
     started_at_us: int
-    counted_silent: bool = False  # counted as a failure because it took too long
+    counted_overdue: bool = False  # counted as a failure because it took too long
 
 
 class Observations:
     """Follows this gateway's attempts from their start to their end."""
 
-    def __init__(self, silent_after_us: int, now_us: int) -> None:
+    def __init__(self, overdue_after_us: int, now_us: int) -> None:
         """Starts with no backends.
 
         Args:
-            silent_after_us: An attempt without answer for so long counts as failed.
+            overdue_after_us: An attempt without answer for so long counts as failed.
             now_us: Current time.
         """
-        self._silent_after_us = silent_after_us
+        self._overdue_after_us = overdue_after_us
         self._last_check_us = now_us
         self.backends: dict[int, KnownBackend] = {}  # by id; replaced by set_backends
         self.ids: dict[int, int] = {}  # by the gateway's index
@@ -124,31 +124,31 @@
         """Notes an attempt of an RPC at a backend, both by the gateway's index."""
         self._pending[rpc] = PendingAttempt(backend, now_us)
 
-    def attempt_ended(self, rpc: int, good: bool | None, now_us: int) -> None:
+    def attempt_ended(self, rpc: int, succeeded: bool | None, now_us: int) -> None:
         """Notes an attempt's end.
 
         Args:
             rpc: The RPC's index.
-            good: Whether the backend answered well; None if the end says nothing of it, as a rejection does.
+            succeeded: Whether the backend answered well; None if the end says nothing of it, as a rejection does.
             now_us: Current time.
         """
         attempt = self._pending.pop(rpc, None)
         id = self.ids.get(attempt.backend) if attempt else None
-        if attempt is None or id is None or good is None:
+        if attempt is None or id is None or succeeded is None:
             return
         observation = self._observation(id, now_us)
-        if good:
-            self._note_latency(observation, now_us - attempt.started_at_us)
+        if succeeded:
+            self._record_latency(observation, now_us - attempt.started_at_us)
             observation.success_at_us = now_us
-            if attempt.counted_silent and observation.failures >= 1:
+            if attempt.counted_overdue and observation.failures >= 1:
                 observation.failures -= 1  # it was slow, not silent
         else:
             observation.failure_at_us = now_us
-        if not attempt.counted_silent:
+        if not attempt.counted_overdue:
             observation.attempts += 1
-            observation.failures += not good
+            observation.failures += not succeeded
 
-    def _note_latency(self, observation: BackendObservation, latency_us: int) -> None:
+    def _record_latency(self, observation: BackendObservation, latency_us: int) -> None:
         weight = MEAN_LATENCY_WEIGHT if self._mean_latency_us else 1.0
         self._mean_latency_us += (latency_us - self._mean_latency_us) * weight
         ratio = latency_us / max(1.0, self._mean_latency_us)
@@ -161,7 +161,7 @@
         observation.decay(now_us)
         return observation
 
-    def check_silent(self, now_us: int) -> None:
+    def check_overdue(self, now_us: int) -> None:
         """Counts the attempts that have gone unanswered for long as failed, once each."""
         stalled = now_us - self._last_check_us > STALL_US
         self._last_check_us = now_us
@@ -169,14 +169,14 @@
             for attempt in self._pending.values():
                 attempt.started_at_us = now_us
         for attempt in self._pending.values():
-            if not attempt.counted_silent and now_us - attempt.started_at_us >= self._silent_after_us:
-                self._count_silent(attempt, now_us)
+            if not attempt.counted_overdue and now_us - attempt.started_at_us >= self._overdue_after_us:
+                self._count_overdue(attempt, now_us)
 
-    def _count_silent(self, attempt: PendingAttempt, now_us: int) -> None:
+    def _count_overdue(self, attempt: PendingAttempt, now_us: int) -> None:
         id = self.ids.get(attempt.backend)
         if id is None:
             return
-        attempt.counted_silent = True
+        attempt.counted_overdue = True
         observation = self._observation(id, now_us)
         # A good answer to anything after this attempt's start shows that the backend is not silent.
         if observation.success_at_us < attempt.started_at_us:
@@ -192,13 +192,13 @@
             if 0 <= seen.failure_at_us > seen.success_at_us and now_us - seen.failure_at_us < MAX_REPORT_AGE_US
         }
 
-    def reports(self, now_us: int, relevant: set[int], *, ask_unknown: bool) -> list[BackendReport]:
+    def reports(self, now_us: int, relevant: set[int], *, include_unknown: bool) -> list[BackendReport]:
         """The reports for one message: unhealthy backends, then the relevant ones, the latest seen first.
 
         Args:
             now_us: Current time.
             relevant: Ids of the backends whose good answers are reported, too.
-            ask_unknown: Whether to ask for the relevant backends of which nothing was seen here.
+            include_unknown: Whether to ask for the relevant backends of which nothing was seen here.
         """
         # The many backends that are healthy and not relevant cost no more than this look.
         candidates = [
@@ -209,9 +209,9 @@
         candidates.sort(key=lambda row: row[:2], reverse=True)
         reports = [seen.report(id, now_us) for at_us, id, seen in candidates if now_us - at_us < MAX_REPORT_AGE_US]
         unhealthy = [report for report in reports if report.unhealthy]
-        if accuses_too_many(len(unhealthy), len(self.backends)):
+        if reports_too_many_unhealthy(len(unhealthy), len(self.backends)):
             unhealthy = []
         healthy = [report for report in reports if not report.unhealthy and report.backend_id in relevant]
         reported = {report.backend_id for report in unhealthy + healthy}
-        unknown = [unknown_report(id) for id in sorted(relevant - reported)] if ask_unknown else []
+        unknown = [unknown_report(id) for id in sorted(relevant - reported)] if include_unknown else []
         return (unhealthy + healthy + unknown)[:MAX_REPORTS]
--- a/stoneyoke/fleet/witnesses.py
+++ b/stoneyoke/fleet/peer_reports.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass
 
 from stoneyoke.fleet.messages import BackendReport
-from stoneyoke.fleet.observations import MAX_REPORT_AGE_US, SECOND_US, TENTH_US, accuses_too_many
+from stoneyoke.fleet.observations import MAX_REPORT_AGE_US, SECOND_US, TENTH_US, reports_too_many_unhealthy
 
 REPORT_LIFETIME_US = 7 * SECOND_US  # so long after its arrival a report counts
 NOT_SEEN_US = -1
 
 
 @dataclass(frozen=True, slots=True)
-class Testimony:
+class PeerResponse:
     """The last answer of one witness: when it arrived, and when each backend was seen unhealthy or healthy."""
 
     received_at_us: int
@@ -22,43 +22,46 @@
     healthy: dict[int, int]
 
 
-class Witnesses:
+class PeerReports:
     """The reports of other gateways. A witness counts once, however often it reports."""
 
     def __init__(self) -> None:
         """Starts without reports."""
-        self._testimonies: dict[str, Testimony] = {}  # by witness
-        self._accusations: dict[int, dict[str, int]] = {}  # by backend id: arrival times, by witness; asked or not
+        self._responses: dict[str, PeerResponse] = {}  # by witness
+        # By backend id: arrival times, by witness; asked or not.
+        self._unhealthy_reports: dict[int, dict[str, int]] = {}
 
     def __len__(self) -> int:
         """Number of witnesses whose answer counts."""
-        return len(self._testimonies)
+        return len(self._responses)
 
     def receive_unsolicited(
-        self, witness: str, reports: list[BackendReport], known: Collection[int], now_us: int
+        self, reporter: str, reports: list[BackendReport], known: Collection[int], now_us: int
     ) -> None:
         """Takes in reports that were not asked for. They start disputes and do not count in them.
 
         Args:
-            witness: Name of the reporting gateway.
+            reporter: Name of the reporting gateway.
             reports: Its reports.
             known: Ids of the backends there are; reports on others are dropped.
             now_us: Current time.
         """
         for report in reports:
             if report.backend_id in known and report.unhealthy:
-                self._accusations.setdefault(report.backend_id, {})[witness] = now_us
+                self._unhealthy_reports.setdefault(report.backend_id, {})[reporter] = now_us
 
-    def receive_answer(self, witness: str, reports: list[BackendReport], known: Collection[int], now_us: int) -> None:
+    def receive_response(
+        self, reporter: str, reports: list[BackendReport], known: Collection[int], now_us: int
+    ) -> None:
         """Takes in the reports of a gateway that was asked; they replace its earlier ones. An empty answer counts, too.
 
         Args:
-            witness: Name of the reporting gateway.
+            reporter: Name of the reporting gateway.
             reports: Its reports.
             known: Ids of the backends there are; reports on others are dropped.
             now_us: Current time.
         """
-        self.receive_unsolicited(witness, reports, known, now_us)
+        self.receive_unsolicited(reporter, reports, known, now_us)
         unhealthy: dict[int, int] = {}
         healthy: dict[int, int] = {}
         for report in reports:
@@ -69,40 +72,40 @@
                 unhealthy[report.backend_id] = now_us - age_us
             else:
                 healthy[report.backend_id] = now_us - report.success_age_tenths * TENTH_US
-        if accuses_too_many(len(unhealthy), len(known)):
+        if reports_too_many_unhealthy(len(unhealthy), len(known)):
             unhealthy = {}
-        self._testimonies[witness] = Testimony(now_us, unhealthy, healthy)
+        self._responses[reporter] = PeerResponse(now_us, unhealthy, healthy)
 
     def expire(self, now_us: int) -> None:
         """Drops the reports that arrived too long ago."""
-        self._testimonies = {
-            witness: testimony
-            for witness, testimony in self._testimonies.items()
-            if now_us - testimony.received_at_us < REPORT_LIFETIME_US
+        self._responses = {
+            reporter: response
+            for reporter, response in self._responses.items()
+            if now_us - response.received_at_us < REPORT_LIFETIME_US
         }
         remaining: dict[int, dict[str, int]] = {}
-        for id, accusers in self._accusations.items():
-            recent = {witness: at_us for witness, at_us in accusers.items() if now_us - at_us < REPORT_LIFETIME_US}
+        for id, reporters in self._unhealthy_reports.items():
+            recent = {reporter: at_us for reporter, at_us in reporters.items() if now_us - at_us < REPORT_LIFETIME_US}
             if recent:
                 remaining[id] = recent
-        self._accusations = remaining
+        self._unhealthy_reports = remaining
 
-    def forget_backends_except(self, known: Collection[int]) -> None:
+    def retain_backends(self, known: Collection[int]) -> None:
         """Drops the accusations of backends that are gone."""
-        self._accusations = {id: accusers for id, accusers in self._accusations.items() if id in known}
+        self._unhealthy_reports = {id: reporters for id, reporters in self._unhealthy_reports.items() if id in known}
 
-    def accused_ids(self) -> list[int]:
+    def reported_unhealthy_ids(self) -> list[int]:
         """The backends that somebody finds unhealthy, asked or not."""
-        return list(self._accusations)
+        return list(self._unhealthy_reports)
 
-    def accuser_count(self, id: int) -> int:
+    def unhealthy_reporter_count(self, id: int) -> int:
         """How many gateways find a backend unhealthy, asked or not."""
-        return len(self._accusations[id])
+        return len(self._unhealthy_reports[id])
 
-    def unhealthy_count(self, id: int, since_us: int) -> int:
+    def unhealthy_response_count(self, id: int, since_us: int) -> int:
         """How many of the witnesses that answered saw a backend unhealthy since then."""
-        return sum(testimony.unhealthy.get(id, NOT_SEEN_US) >= since_us for testimony in self._testimonies.values())
+        return sum(response.unhealthy.get(id, NOT_SEEN_US) >= since_us for response in self._responses.values())
 
-    def healthy_count(self, id: int, since_us: int) -> int:
+    def healthy_response_count(self, id: int, since_us: int) -> int:
         """How many of the witnesses that answered saw a backend healthy since then."""
-        return sum(testimony.healthy.get(id, NOT_SEEN_US) >= since_us for testimony in self._testimonies.values())
+        return sum(response.healthy.get(id, NOT_SEEN_US) >= since_us for response in self._responses.values())
--- a/stoneyoke/fleet/transport.py
+++ b/stoneyoke/fleet/transport.py
@@ -22,7 +22,7 @@
 EJECTED = "fleet: backend ejected on peer evidence"
 REINSTATED = "fleet: backend reinstated"
 # Names of the same counters up to release 0.1, kept beside for one release.
-EJECTED_FORMERLY, REINSTATED_FORMERLY = "fleet: left out on hearsay", "fleet: back in"
+EJECTED_OLD_NAME, REINSTATED_OLD_NAME = "fleet: left out on hearsay", "fleet: back in"
 STATE_TEXTS = {
     MemberState.ALIVE: "is there",
     MemberState.SUSPECT: "is suspected",
@@ -31,7 +31,7 @@
 }
 # What an outcome says of its backend; the others say nothing. Only attempts without an answer are cancelled, but for
 # those whose client has gone.
-GOOD_OUTCOMES = {
+SUCCESS_BY_OUTCOME = {
     AttemptOutcome.OK: True,
     AttemptOutcome.ERROR: False,
     AttemptOutcome.TIMED_OUT: False,
@@ -71,7 +71,7 @@
             own=own_member(parameters, zone),
             seeds=parameters.seeds,
             keys=parameters.keys,
-            silent_after_us=max(method.overdue_after_us for method in runtime.parameters.methods),
+            overdue_after_us=max(method.overdue_after_us for method in runtime.parameters.methods),
             seed=runtime.parameters.seed,
         )
         self.agent = FleetAgent(settings, clock.now(), metrics.add)
@@ -115,7 +115,7 @@
 
     def attempt_ended(self, rpc: int, outcome: AttemptOutcome) -> None:
         """Notes that an attempt of an RPC has ended."""
-        self.agent.evidence.attempt_ended(rpc, GOOD_OUTCOMES.get(outcome), self.clock.now())
+        self.agent.evidence.attempt_ended(rpc, SUCCESS_BY_OUTCOME.get(outcome), self.clock.now())
 
     def set_backends(self, backends: Iterable[KnownBackend]) -> None:
         """Replaces the backends that take new work."""
@@ -175,10 +175,10 @@
         after = advice.ejected_backends | advice.probed
         for index in sorted(after - before):
             self.metrics.report(EJECTED, self._backend_names.get(index, "?"))
-            self.metrics.add(EJECTED_FORMERLY)
+            self.metrics.add(EJECTED_OLD_NAME)
         for index in sorted(before - after):
             self.metrics.report(REINSTATED, self._backend_names.get(index, "?"))
-            self.metrics.add(REINSTATED_FORMERLY)
+            self.metrics.add(REINSTATED_OLD_NAME)
         self._applied_advice = advice
         self.runtime.dispatch(advice)
 
--- a/tests/fleet/simulated_cluster.py
+++ b/tests/fleet/simulated_cluster.py
@@ -13,7 +13,7 @@
 SECOND_US = 1_000_000
 START_US = 1_700_000_000 * SECOND_US
 KEY = b"a key of the tests"
-SILENT_AFTER_US = 600_000
+OVERDUE_AFTER_US = 600_000
 ANSWER_US = 50_000
 OBSERVE_INTERVAL_US = 100_000
 ZONES = "abc"
@@ -48,7 +48,7 @@
             own=Member(name, *self.address, ZONES[number % len(ZONES)], started_at_ms),
             seeds=cluster.seeds,
             keys=cluster.keys,
-            silent_after_us=SILENT_AFTER_US,
+            overdue_after_us=OVERDUE_AFTER_US,
             seed=cluster.random_source.getrandbits(60),
         )
         self.agent = FleetAgent(settings, self.now_us(), self.count)
@@ -85,7 +85,7 @@
         """Makes the agent send the false reports, if there are any."""
         false_reports = self.false_reports
         if false_reports:
-            self.agent.evidence.reports = lambda now_us, asked=(): false_reports(self, now_us)  # type: ignore[method-assign]
+            self.agent.evidence.reports = lambda now_us, requested=(): false_reports(self, now_us)  # type: ignore[method-assign]
 
 
 def always_good(_gateway: SimulatedGateway, _backend: int, _now_us: int) -> bool | None:
@@ -260,13 +260,15 @@
         rpc = next(gateway.rpcs)
         gateway.attempts.append((self.now_us, backend))
         gateway.agent.evidence.attempt_started(rpc, backend, gateway.now_us())
-        good = self.backend_answer(gateway, backend, self.now_us)
-        self.schedule(ANSWER_US if good is not None else 2 * SILENT_AFTER_US, self.end_attempt, gateway, rpc, good)
+        succeeded = self.backend_answer(gateway, backend, self.now_us)
+        self.schedule(
+            ANSWER_US if succeeded is not None else 2 * OVERDUE_AFTER_US, self.end_attempt, gateway, rpc, succeeded
+        )
 
-    def end_attempt(self, gateway: SimulatedGateway, rpc: int, good: bool | None) -> None:
+    def end_attempt(self, gateway: SimulatedGateway, rpc: int, succeeded: bool | None) -> None:
         """Ends an attempt; one without answer is cancelled, which counts as a failure."""
         if gateway.responsive:
-            gateway.agent.evidence.attempt_ended(rpc, bool(good), gateway.now_us())
+            gateway.agent.evidence.attempt_ended(rpc, bool(succeeded), gateway.now_us())
 
     # ---- observations ----
 
--- a/tests/fleet/test_datagram_codec.py
+++ b/tests/fleet/test_datagram_codec.py
@@ -103,13 +103,13 @@
         codec.decode(
             DatagramCodec([KEY]).encode(message(name=f"g{n}", at=START_US + n * SECOND_US)), START_US + n * SECOND_US
         )
-        codec.forget_silent_senders(START_US + n * SECOND_US)
+        codec.remove_silent_senders(START_US + n * SECOND_US)
     assert len(codec.windows) <= 40
 
 
 def authenticated(body):
     codec = DatagramCodec([KEY])
-    return bytes((1, codec.first_key_number)) + codec.signature(KEY, body) + body
+    return bytes((1, codec.first_key_id)) + codec.signature(KEY, body) + body
 
 
 def test_fields_of_a_later_version_are_ignored():
--- a/tests/fleet/test_evidence.py
+++ b/tests/fleet/test_evidence.py
@@ -1,13 +1,13 @@
 """Evidence and verdicts of one gateway: what it takes to leave a backend out, and what never does."""
 
 import pytest
-from simulated_cluster import SECOND_US, SILENT_AFTER_US, START_US
+from simulated_cluster import OVERDUE_AFTER_US, SECOND_US, START_US
 
 from stoneyoke.control.events import KnownBackend
 from stoneyoke.fleet.evidence import (
-    MAX_VERDICT_US,
-    MIN_ACCUSER_SHARE,
-    MIN_DISPUTE_US,
+    MAX_EJECTION_US,
+    MIN_CANDIDATE_US,
+    MIN_UNHEALTHY_REPORTER_SHARE,
     OWN_SUCCESS_US,
     PROBE_SLOT_US,
     PROBERS_PER_SLOT,
@@ -16,7 +16,7 @@
 )
 from stoneyoke.fleet.messages import NO_AGE, BackendReport
 from stoneyoke.fleet.observations import MAX_REPORT_AGE_US, backend_id
-from stoneyoke.fleet.witnesses import REPORT_LIFETIME_US
+from stoneyoke.fleet.peer_reports import REPORT_LIFETIME_US
 
 BACKENDS = [KnownBackend(b, f"b{b}", "a", 1) for b in range(12)]
 IDS = [backend_id(backend) for backend in BACKENDS]
@@ -35,20 +35,20 @@
 
 
 def new_evidence(name="me"):
-    evidence = Evidence(name, SILENT_AFTER_US, START_US)
+    evidence = Evidence(name, OVERDUE_AFTER_US, START_US)
     evidence.set_backends(BACKENDS)
     return evidence
 
 
-def receive_answers(evidence, witnesses, entries, now=START_US, first=0):
-    for n in range(first, first + witnesses):
-        evidence.receive_answer(f"w{n}", entries, now)
+def receive_answers(evidence, reporters, entries, now=START_US, first=0):
+    for n in range(first, first + reporters):
+        evidence.receive_response(f"w{n}", entries, now)
 
 
 def ejected_backends(evidence, now=START_US, others=20):
     """Of a dispute that is old enough, and where nobody probes."""
-    evidence.judge(now - MIN_DISPUTE_US, others)
-    evidence.judge(now, others)
+    evidence.update_ejections(now - MIN_CANDIDATE_US, others)
+    evidence.update_ejections(now, others)
     return set(evidence.advice(now, 1_000_000).ejected_backends)
 
 
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    "accusers, defenders, silent",
+    "unhealthy_reporters, healthy_reporters, silent",
     [
         (1, 0, 0),  # one alone, however few they are
         (7, 0, 0),  # fewer than MIN_ACCUSER_SHARE of the least sample
@@ -75,17 +75,17 @@
         (40, 40, 0),  # half of those that know it
     ],
 )
-def test_too_few_accusers_leave_nothing_out(accusers, defenders, silent):
+def test_too_few_accusers_leave_nothing_out(unhealthy_reporters, healthy_reporters, silent):
     evidence = new_evidence()
-    receive_answers(evidence, accusers, [unhealthy(3)])
-    receive_answers(evidence, defenders, [healthy(3)], first=accusers)
-    receive_answers(evidence, silent, [], first=accusers + defenders)
-    assert ejected_backends(evidence, others=100 if accusers > 1 else 2) == set()
+    receive_answers(evidence, unhealthy_reporters, [unhealthy(3)])
+    receive_answers(evidence, healthy_reporters, [healthy(3)], first=unhealthy_reporters)
+    receive_answers(evidence, silent, [], first=unhealthy_reporters + healthy_reporters)
+    assert ejected_backends(evidence, others=100 if unhealthy_reporters > 1 else 2) == set()
 
 
 def test_the_documented_share_of_accusers_suffices():
     evidence = new_evidence()
-    receive_answers(evidence, round(MIN_ACCUSER_SHARE * 300), [unhealthy(3)])
+    receive_answers(evidence, round(MIN_UNHEALTHY_REPORTER_SHARE * 300), [unhealthy(3)])
     assert ejected_backends(evidence, others=300) == {3}
     assert ejected_backends(new_evidence(), others=300) == set()
 
@@ -93,17 +93,17 @@
 def test_a_verdict_waits_for_the_least_time_of_a_dispute():
     evidence = new_evidence()
     receive_answers(evidence, 20, [unhealthy(3)])
-    evidence.judge(START_US, 20)
-    evidence.judge(START_US + MIN_DISPUTE_US - 1, 20)
-    assert not evidence.verdicts
-    evidence.judge(START_US + MIN_DISPUTE_US, 20)
-    assert evidence.verdicts
+    evidence.update_ejections(START_US, 20)
+    evidence.update_ejections(START_US + MIN_CANDIDATE_US - 1, 20)
+    assert not evidence.ejections
+    evidence.update_ejections(START_US + MIN_CANDIDATE_US, 20)
+    assert evidence.ejections
 
 
 def test_a_witness_counts_once_however_often_it_reports():
     evidence = new_evidence()
     for _ in range(50):
-        evidence.receive_answer("liar", [unhealthy(3)], START_US)
+        evidence.receive_response("liar", [unhealthy(3)], START_US)
     assert ejected_backends(evidence) == set()
 
 
@@ -162,7 +162,7 @@
         now = START_US + second * SECOND_US
         receive_answers(evidence, 8, [unhealthy(3)], now)
         receive_answers(evidence, 92, [], now, first=8)
-        assert ejected_backends(evidence, now, 100) == ({3} if second * SECOND_US < MAX_VERDICT_US else set())
+        assert ejected_backends(evidence, now, 100) == ({3} if second * SECOND_US < MAX_EJECTION_US else set())
 
 
 def test_no_verdict_outlives_a_restart_or_removal_of_its_backend():
@@ -195,7 +195,7 @@
     evidence = new_evidence()
     evidence.attempt_started(1, 3, START_US)
     for step in range(12):
-        evidence.check_silent(START_US + step * 100_000)
+        evidence.check_overdue(START_US + step * 100_000)
     (entry,) = evidence.reports(START_US + SECOND_US)
     assert entry.unhealthy and entry.failures == 1 and entry.backend_id == IDS[3]
     evidence.attempt_ended(1, True, START_US + 2 * SECOND_US)
@@ -205,8 +205,8 @@
 def test_attempts_pending_during_a_stall_accuse_nobody():
     evidence = new_evidence()
     evidence.attempt_started(1, 3, START_US)
-    evidence.check_silent(START_US + 100_000)
-    evidence.check_silent(START_US + 5 * SECOND_US)
+    evidence.check_overdue(START_US + 100_000)
+    evidence.check_overdue(START_US + 5 * SECOND_US)
     assert evidence.reports(START_US + 5 * SECOND_US) == []
 
 
@@ -225,7 +225,7 @@
         evidence.attempt_ended(b, True, START_US)
     assert evidence.reports(START_US) == []
     receive_answers(evidence, 2, [unhealthy(3)])
-    evidence.judge(START_US, 20)
+    evidence.update_ejections(START_US, 20)
     assert [e.backend_id for e in evidence.reports(START_US)] == [IDS[3]]
 
 
