--- a/stoneyoke/fleet/__init__.py
+++ b/stoneyoke/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""Gateways that know one another: SWIM membership, shared observations of backends, verdicts drawn from them.
+"""Peer-to-peer exchange between gateways: SWIM membership, shared observations of backends, ejections based on them.
 
-The package is loaded only where the options ask for it. `transport` does the I/O; every other module is plain logic
-to which the time is passed in.
+The package is imported only if the options enable it. `transport` does the I/O; every other module is pure logic that
+takes the time as an argument.
 """
--- a/stoneyoke/fleet/agent.py
+++ b/stoneyoke/fleet/agent.py
@@ -1,4 +1,4 @@
-"""One gateway's part in the fleet: datagrams and observations go in, datagrams and advice come out. No I/O."""
+"""The fleet logic of one gateway: takes datagrams and observations, returns datagrams and advice. No I/O."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -18,39 +18,39 @@
 EJECTION_UPDATE_INTERVAL_US = 500_000
 SWEEP_INTERVAL_US = 10 * SECOND_US
 SUPERSEDED_NOTICE_INTERVAL_US = SECOND_US
-QUERIES_PER_S = 5  # members asked for reports while a backend is disputed, beside those probed
+QUERIES_PER_S = 5  # members asked for reports while there is a candidate for ejection, in addition to the probes
 QUERY_INTERVAL_US = SECOND_US // QUERIES_PER_S
 MAX_PENDING_QUERIES = 10 * QUERIES_PER_S
-MESSAGE_OVERHEAD_BYTES = 120  # of a message beside its sender, members and reports
+MESSAGE_OVERHEAD_BYTES = 120  # of a message without its sender, members and reports
 MIN_REPORT_BYTES = 20
-REQUEST_NUMBER_BITS = 60  # drawn, so that nobody can answer what it was not asked
+REQUEST_NUMBER_BITS = 60  # random numbers, so that a member can't respond to a query that it did not receive
 NO_ADVICE = PeerEvidence(frozenset(), frozenset())
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetSettings:
-    """What an agent needs at its start."""
+    """The settings of an agent."""
 
-    own: Member
-    seeds: list[Address]  # to join through
+    own: Member  # this gateway's record
+    seeds: list[Address]  # gateways to join through
     keys: list[bytes]  # see DatagramCodec
-    overdue_after_us: int  # an attempt without answer for so long counts as failed
+    overdue_after_us: int  # an attempt without a response for so long counts as failed
     seed: int  # of the random draws
 
 
 class FleetAgent:
-    """Composes membership and evidence, and turns their messages into datagrams.
+    """Combines membership and evidence, and encodes their messages as datagrams.
 
     Times are Unix time in microseconds and never step back.
     """
 
     def __init__(self, settings: FleetSettings, now_us: int, count: Callable[[str], None] = lambda _: None) -> None:
-        """Starts alone.
+        """Starts without other members.
 
         Args:
             settings: This gateway's record, seeds and keys.
             now_us: Current time.
-            count: Adds one to the counter of this name.
+            count: Increments the counter of this name.
         """
         own = settings.own
         self._random_source = random.Random(settings.seed)
@@ -61,23 +61,23 @@
         self.advice = NO_ADVICE
         self._sequence = 0
         self._ejections_updated_at_us = self._swept_at_us = now_us
-        self._query_order: list[str] = []  # members in a random order, from the end; each once a round
+        self._query_order: list[str] = []  # members in random order, taken from the end; each once a round
         self._pending_queries: dict[int, str] = {}  # by request number: the member asked; bounded by tick()
         self._queried_at_us = now_us
-        self._notified_at_us: dict[str, int] = {}  # by name: when a superseded process was last notified
+        self._notified_at_us: dict[str, int] = {}  # by gateway name: when its superseded process was last notified
 
     @property
     def own(self) -> Member:
         """This gateway's own record."""
         return self.membership.table.own
 
-    # ---- in ----
+    # ---- input ----
 
     def receive(self, data: bytes, now_us: int) -> list[tuple[Address, bytes]]:
-        """Handles a datagram. One that is refused is counted by its reason.
+        """Handles a datagram. A refused datagram is counted under the reason of the refusal.
 
         Returns:
-            The datagrams to send, each with its receiver.
+            The datagrams to send, each with its destination.
         """
         try:
             message = self.codec.decode(data, now_us)
@@ -95,7 +95,7 @@
         return self._send(now_us, message.reports)
 
     def _receive_reports(self, message: Message, is_probe_response: bool, now_us: int) -> None:
-        """Counts the reports of members that this gateway chose to ask; others only start disputes."""
+        """Records reports: as responses those that this gateway asked for, as unsolicited all others."""
         sender = message.sender.name
         if is_probe_response or self._is_query_response(message):
             self.evidence.receive_response(sender, message.reports, now_us)
@@ -108,7 +108,7 @@
         return self._pending_queries.pop(message.number, "") == message.sender.name
 
     def _notify_superseded(self, earlier: Member, now_us: int) -> list[tuple[Address, bytes]]:
-        """Notifies an earlier process that still runs of the gateway that has its name now, once a second at most."""
+        """Notifies an earlier process, at most once a second, that a later one has superseded its name."""
         peer = self.membership.table.peers.get(earlier.name)
         last_us = self._notified_at_us.get(earlier.name, -SUPERSEDED_NOTICE_INTERVAL_US)
         if peer is None or now_us - last_us < SUPERSEDED_NOTICE_INTERVAL_US:
@@ -119,11 +119,11 @@
         return self._send(now_us)
 
     def set_backends(self, backends: Iterable[KnownBackend]) -> None:
-        """Replaces the backends on which evidence is kept."""
+        """Replaces the backends that are observed."""
         self.evidence.set_backends(backends)
 
     def reload(self, seeds: list[Address], keys: list[bytes]) -> None:
-        """Replaces seeds and keys; known members stay known.
+        """Replaces seeds and keys. The member table stays as it is.
 
         Raises:
             UnusableKeys: The number or the length of the keys is out of bounds.
@@ -135,18 +135,18 @@
         """Leaves the fleet.
 
         Returns:
-            The datagrams that say so.
+            The datagrams that notify other members of it.
         """
         self.membership.leave()
         return self._send(now_us)
 
-    # ---- time ----
+    # ---- timers ----
 
     def tick(self, now_us: int) -> list[tuple[Address, bytes]]:
-        """Drives all timers and renews `advice`. To be called every TICK_INTERVAL_US.
+        """Runs all timers and updates `advice`. To be called every TICK_INTERVAL_US.
 
         Returns:
-            The datagrams to send, each with its receiver.
+            The datagrams to send, each with its destination.
         """
         membership = self.membership
         members = membership.table.size
@@ -162,7 +162,7 @@
         return self._send(now_us)
 
     def _sweep(self, now_us: int) -> None:
-        """Drops what is no longer needed, so that nothing grows without bound."""
+        """Removes expired state, so that no collection grows without bound."""
         self._swept_at_us = now_us
         self.codec.remove_silent_senders(now_us)
         self._pending_queries = dict(list(self._pending_queries.items())[-MAX_PENDING_QUERIES:])
@@ -173,9 +173,9 @@
         }
 
     def _query(self, now_us: int) -> None:
-        """Asks members for reports while a backend is disputed, is left out, or has just failed here.
+        """Asks members for reports while a backend is a candidate, is ejected, or has just failed at this gateway.
 
-        The members are drawn at random: one that sends much is not asked more often.
+        The members are chosen at random, so that a member can't have more weight by sending more messages.
         """
         evidence = self.evidence
         if not (evidence.recent_failure or evidence.candidates or evidence.ejections):
@@ -194,7 +194,7 @@
         self._query_order = [member.name for member in self.membership.table.present()]
         self._random_source.shuffle(self._query_order)
 
-    # ---- out ----
+    # ---- output ----
 
     def _send(self, now_us: int, requested: Iterable[BackendReport] = ()) -> list[tuple[Address, bytes]]:
         messages = self.membership.outbox.take()
@@ -205,7 +205,7 @@
     def _encode(self, outgoing: OutgoingMessage, now_us: int, requested: Iterable[BackendReport]) -> bytes:
         """Encodes a message with as much gossip and as many reports as fit.
 
-        Pulls and pages carry neither. Queries and their answers carry no gossip: there are many of them.
+        Pulls and pages carry neither. Queries and their responses carry no gossip, because there are many of them.
         """
         self._sequence += 1
         kind = outgoing.kind
@@ -233,11 +233,11 @@
         )
 
     def _report_capacity(self, members: list[Member]) -> int:
-        """How many reports fit beside these members."""
+        """Returns how many reports fit into a message with these members."""
         members_bytes = max_encoded_bytes(self.own) + sum(max_encoded_bytes(member) for member in members)
         bytes_left = MAX_DATAGRAM_BYTES - HEADER_BYTES - MESSAGE_OVERHEAD_BYTES - members_bytes
         return max(0, bytes_left // MIN_REPORT_BYTES)
 
     def take_changes(self) -> list[Member]:
-        """The members whose state has changed since the last call."""
+        """Returns the members whose state has changed since the last call."""
         return self.membership.table.take_changes()
--- a/stoneyoke/fleet/datagram_codec.py
+++ b/stoneyoke/fleet/datagram_codec.py
@@ -1,7 +1,7 @@
-"""Datagrams that carry messages: a keyed hash authenticates them, sequence numbers and clocks stop replays. No I/O.
+"""Encoding of messages as datagrams, with authentication by a keyed hash and protection against replays. No I/O.
 
-A datagram is one byte of format version, one byte that names the key, the keyed hash of what follows, and the message
-in msgpack.
+A datagram is one byte of format version, one byte of key id, the keyed hash of the message, and the message in msgpack.
+Sequence numbers and the sender's time detect replays.
 """
 
 import hmac
@@ -13,37 +13,37 @@
 from stoneyoke.fleet.messages import MESSAGE_DECODER, MESSAGE_ENCODER, Message
 
 FORMAT_VERSION = 1
-MAX_DATAGRAM_BYTES = 1_200  # passes every common link without fragmentation
+MAX_DATAGRAM_BYTES = 1_200  # below the MTU of all common links, so datagrams are not fragmented
 SIGNATURE_BYTES = 16
 HEADER_BYTES = 2 + SIGNATURE_BYTES
 MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64
 MAX_KEYS = 2
 
 SECOND_US = 1_000_000
-# Bounds the difference of two clocks and the delay of a datagram together. A process that was suspended reads late
-# what waited for it.
+# Maximum sum of the difference of two clocks and the delay of a datagram. A process that was suspended reads the
+# datagrams that arrived in the meantime late.
 CLOCK_TOLERANCE_US = 10 * SECOND_US
 SENDER_LIFETIME_US = 3 * CLOCK_TOLERANCE_US
-# Sequence numbers behind the highest one that are still accepted: datagrams overtake one another.
+# Sequence numbers so far below the highest one are still accepted, because the network may reorder datagrams.
 REPLAY_WINDOW = 64
 
 
 class ReplayWindow:
-    """The sequence numbers received from one process of a sender: the highest, and a bitmap of those behind it."""
+    """The sequence numbers received from one process of a sender: the highest, and a bitmap of those below it."""
 
     def __init__(self, started_at_ms: int) -> None:
-        """Starts with nothing received.
+        """Starts without any received number.
 
         Args:
             started_at_ms: Start time of the sender's process, Unix time.
         """
         self.started_at_ms = started_at_ms
         self.highest = -1
-        self.bitmap = 0  # bit n: the number n below the highest was received
+        self.bitmap = 0  # bit n is set if the number `highest - n` was received
         self.received_at_us = 0
 
     def accept(self, sequence: int) -> bool:
-        """Records a sequence number; false if it was received before or lies behind the window."""
+        """Records a sequence number. Returns false if it was received before or lies below the window."""
         ahead = sequence - self.highest
         if ahead > 0:
             self.bitmap = (self.bitmap << min(ahead, REPLAY_WINDOW) | 1) & (1 << REPLAY_WINDOW) - 1
@@ -57,16 +57,16 @@
 
 
 class DatagramCodec:
-    """Encodes with the first key, decodes with any, and refuses what was received before.
+    """Encodes with the first key, decodes with any key, and refuses replays.
 
-    While a key is exchanged, every gateway first learns the new one as its second key, then as its first, then drops
-    the old one. At each step every gateway can decode what any other encodes.
+    To replace a key, every gateway first gets the new one as its second key, then as its first, and then drops the old
+    one. At each step every gateway can decode the datagrams of all others.
     """
 
     def __init__(self, keys: list[bytes]) -> None:
-        """Takes the first keys; see set_keys."""
+        """Starts with these keys; see set_keys."""
         self.set_keys(keys)
-        self.windows: dict[str, ReplayWindow] = {}  # by the sender's name; emptied by forget_silent_senders
+        self.windows: dict[str, ReplayWindow] = {}  # by the sender's name; pruned by remove_silent_senders
 
     def set_keys(self, keys: list[bytes]) -> None:
         """Replaces the keys.
@@ -85,12 +85,12 @@
 
     @staticmethod
     def key_id(key: bytes) -> int:
-        """One byte of the key's hash. Of two keys with the same number only the last given is used."""
+        """Returns one byte of the key's hash. Of two keys with the same id only the one given last is used."""
         return blake2b(key, digest_size=1, person=b"key number").digest()[0]
 
     @staticmethod
     def signature(key: bytes, body: bytes) -> bytes:
-        """The keyed hash that authenticates an encoded message."""
+        """Returns the keyed hash that authenticates an encoded message."""
         return blake2b(body, key=key, digest_size=SIGNATURE_BYTES).digest()
 
     def encode(self, message: Message) -> bytes:
@@ -106,10 +106,12 @@
         return header + self.signature(self.keys[self.first_key_id], body) + body
 
     def decode(self, data: bytes, now_us: int) -> Message:
-        """Checks and decodes a datagram. Costs one hash over MAX_DATAGRAM_BYTES at most before anything is trusted.
+        """Verifies and decodes a datagram.
+
+        A datagram that is not authentic costs at most one hash over MAX_DATAGRAM_BYTES.
 
         Raises:
-            DatagramRefused: The datagram is not authentic, not current, or was received before.
+            DatagramRefused: The datagram is not authentic, not current, or a replay.
         """
         body = self._authentic_body(data)
         try:
@@ -122,7 +124,7 @@
         return message
 
     def _authentic_body(self, data: bytes) -> bytes:
-        """The encoded message of a datagram whose signature holds."""
+        """Returns the encoded message of an authentic datagram."""
         if len(data) > MAX_DATAGRAM_BYTES:
             raise DatagramRefused(RefusalReason.OVERSIZED)
         if len(data) <= HEADER_BYTES:
@@ -138,7 +140,7 @@
         return body
 
     def _check_replay(self, message: Message, now_us: int) -> None:
-        """Refuses replays, and messages of a process that another one of the same name has superseded."""
+        """Refuses replays, and messages of a process that a later one of the same name has superseded."""
         sender = message.sender
         window = self.windows.get(sender.name)
         if window is None or sender.started_at_ms > window.started_at_ms:
@@ -150,7 +152,10 @@
         window.received_at_us = now_us
 
     def remove_silent_senders(self, now_us: int) -> None:
-        """Drops the windows of senders that were silent for long: a replay of theirs is out of time in any case."""
+        """Removes the replay windows of senders that were silent for SENDER_LIFETIME_US.
+
+        A replay of their datagrams is refused anyway, because its time is older than CLOCK_TOLERANCE_US.
+        """
         self.windows = {
             name: window
             for name, window in self.windows.items()
--- a/stoneyoke/fleet/errors.py
+++ b/stoneyoke/fleet/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the fleet package, all under one base."""
+"""Errors of the fleet package."""
 
 from enum import StrEnum
 from typing import TYPE_CHECKING
@@ -8,7 +8,7 @@
 
 
 class FleetError(Exception):
-    """Base of the errors that this package raises."""
+    """Base class of the errors that this package raises."""
 
 
 class UnusableKeys(FleetError, ValueError):
@@ -19,17 +19,17 @@
     """A message does not fit into one datagram."""
 
     def __init__(self, body_bytes: int) -> None:
-        """Names the size that does not fit.
+        """Records the size of the message.
 
         Args:
             body_bytes: Length of the encoded message, without the datagram's header.
         """
-        super().__init__(f"a message of {body_bytes} bytes")
+        super().__init__(f"a message of {body_bytes} bytes does not fit into a datagram")
         self.body_bytes = body_bytes
 
 
 class RefusalReason(StrEnum):
-    """Why a datagram is refused. The texts are part of the counters' names, which operators know."""
+    """Why a datagram is refused. The values are part of the names of counters, which operators use."""
 
     OVERSIZED = "oversized"
     TRUNCATED = "cut"
@@ -37,16 +37,16 @@
     UNKNOWN_KEY = "of an unknown key"
     BAD_SIGNATURE = "forged"
     MALFORMED = "unreadable"
-    OUT_OF_TIME = "out of time"  # the clocks differ too much, or the datagram was recorded earlier
+    OUT_OF_TIME = "out of time"  # the clocks differ too much, or the datagram was delayed or replayed
     SUPERSEDED_SENDER = "of an earlier life"  # a gateway of the same name has started later
     REPLAYED = "replayed"
 
 
 class DatagramRefused(FleetError):
-    """A datagram that is not accepted. Its text is the reason's."""
+    """A datagram was refused. The message is the value of the reason."""
 
     def __init__(self, reason: RefusalReason, superseded: "Message | None" = None) -> None:
-        """Holds the reason.
+        """Records the reason.
 
         Args:
             reason: Why the datagram is refused.
--- a/stoneyoke/fleet/evidence.py
+++ b/stoneyoke/fleet/evidence.py
@@ -1,9 +1,10 @@
-"""Verdicts on backends, drawn from this gateway's own observations and from other gateways' reports. No I/O.
+"""Ejects backends on this gateway's own observations and on other gateways' reports (outlier detection). No I/O.
 
-A gateway reports only what it saw itself, and counts only the reports of witnesses that it picked at random. Nothing
-is passed on, and a witness that reports more often counts no more, so a faulty gateway is one witness among many. A
-verdict needs MIN_ACCUSER_SHARE of the witnesses asked to find the backend unhealthy, whether or not the others know
-it. What is seen here overrules what others report. All times are microseconds.
+A gateway reports only its own observations, and counts only the reports of members that it chose at random and asked.
+Reports are not passed on, and each reporter counts once however often it reports, so a faulty gateway has no more
+weight than any other. A backend is ejected only if MIN_UNHEALTHY_REPORTER_SHARE of the members asked report it
+unhealthy; members that never used the backend count among those asked. This gateway's own observations override
+reports. All times are microseconds.
 """
 
 from collections.abc import Collection, Iterable
@@ -14,38 +15,40 @@
 from stoneyoke.fleet.observations import MAX_REPORT_AGE_US, SECOND_US, Observations
 from stoneyoke.fleet.peer_reports import PeerReports
 
-MIN_SAMPLE_SIZE = 40  # witnesses, or all members if they are fewer; shares are taken of no less
-# Of the witnesses asked. With 0.2, a tenth of liars took a backend from 13 of 100 gateways.
+MIN_SAMPLE_SIZE = 40  # reporters; shares are taken of at least so many, or of all other members if they are fewer
+# Of the reporters. With 0.2, false reports of a tenth of the gateways made 13 of 100 gateways eject a healthy backend.
 MIN_UNHEALTHY_REPORTER_SHARE = 0.25
-MIN_UNHEALTHY_REPORTERS = 2  # however few witnesses there are
-MIN_UNHEALTHY_SHARE = 0.6  # of the witnesses that saw the backend since the dispute began
-CANDIDATE_LOOKBACK_US = 3 * SECOND_US  # a dispute is about what was seen since so long before it
-# A backend is disputed for so long before a verdict: who saw a failure reports at once, who saw a success follows.
+MIN_UNHEALTHY_REPORTERS = 2  # however few reporters there are
+MIN_UNHEALTHY_SHARE = 0.6  # of the reporters that saw the backend since it became a candidate
+CANDIDATE_LOOKBACK_US = 3 * SECOND_US  # successes seen up to so long before the backend became a candidate count, too
+# A backend is a candidate for at least so long before it is ejected. Gateways that saw a failure report it unasked;
+# those that saw a success report it only once the backend is a candidate, so their reports arrive later.
 MIN_CANDIDATE_US = 1_500_000
-# For a verdict that stands the shares are lower, since few attempts still reach the backend; reports must be recent.
+# The thresholds for renewing an ejection are lower, since few attempts still reach the backend. Reports must be recent.
 RENEWAL_UNHEALTHY_REPORTER_SHARE, RENEWAL_UNHEALTHY_SHARE = 0.02, 0.4
 RENEWAL_MIN_UNHEALTHY_REPORTERS = 1
 RENEWAL_REPORT_AGE_US = 10 * SECOND_US
-MAX_EJECTION_US = 60 * SECOND_US  # after which a verdict has to be reached anew
-ZONE_EJECTION_DIVISOR = 3  # of a zone's backends one in so many may be ejected on reports
+MAX_EJECTION_US = 60 * SECOND_US  # after which the backend must meet the thresholds of a first ejection again
+ZONE_EJECTION_DIVISOR = 3  # at most one in so many of a zone's backends is ejected on reports
 PROBE_SLOT_US = 2 * SECOND_US
-PROBERS_PER_SLOT = 5  # gateways of all that send one attempt to an ejected backend in each slot
-OWN_SUCCESS_US = 5 * SECOND_US  # a good answer seen here overrules a verdict for so long
-RECENT_FAILURE_US = 3 * SECOND_US  # after a failure seen here, other gateways are asked for so long
+PROBERS_PER_SLOT = 5  # mean number of gateways, of the whole fleet, that probe an ejected backend once in a slot
+OWN_SUCCESS_US = 5 * SECOND_US  # for so long after a success seen by this gateway, it does not eject the backend
+RECENT_FAILURE_US = 3 * SECOND_US  # for so long after a failure seen by this gateway, it queries other gateways
 NO_SLOT = -1
 
 
 def probe_slot_hash(gateway: str, backend: int, slot: int) -> float:
-    """A number from 0 to 1, another one for each gateway, backend and probe slot."""
+    """Returns a hash between 0 and 1 of a gateway, a backend and a probe slot."""
     text = f"{gateway} {backend} {slot}".encode()
     return int.from_bytes(blake2b(text, digest_size=4).digest(), "big") / 2**32
 
 
 class Evidence:
-    """One gateway's observations, the reports it received, and its verdicts.
+    """One gateway's observations, the reports that it received, and the backends that it ejects.
 
-    A backend is disputed while at least MIN_ACCUSERS gateways find it unhealthy, or one and this gateway itself. After
-    MIN_DISPUTE_US a dispute can end in a verdict. A verdict stands while enough witnesses confirm it.
+    A backend is a candidate for ejection while at least MIN_UNHEALTHY_REPORTERS gateways report it unhealthy, or one
+    does and this gateway's own last attempt failed. After MIN_CANDIDATE_US a candidate can be ejected. It stays ejected
+    while enough reporters still find it unhealthy.
     """
 
     def __init__(self, gateway: str, overdue_after_us: int, now_us: int) -> None:
@@ -53,70 +56,70 @@
 
         Args:
             gateway: This gateway's name.
-            overdue_after_us: An attempt without answer for so long counts as failed.
+            overdue_after_us: An attempt without a response for so long counts as failed.
             now_us: Current time.
         """
         self.gateway = gateway
         self.observations = Observations(overdue_after_us, now_us)
         self.peer_reports = PeerReports()
-        self.ejections: dict[int, int] = {}  # by backend id: since when
-        self.candidates: dict[int, int] = {}  # by backend id: since when
-        self.recent_failure = False  # this gateway saw a backend fail just now
-        self._probe_slots: dict[int, int] = {}  # by backend id: the last slot with an attempt from here
+        self.ejections: dict[int, int] = {}  # by backend id: time of the ejection
+        self.candidates: dict[int, int] = {}  # by backend id: when it became a candidate for ejection
+        self.recent_failure = False  # whether this gateway saw a backend fail within RECENT_FAILURE_US
+        self._probe_slots: dict[int, int] = {}  # by backend id: the last slot in which this gateway sent an attempt
 
     def set_backends(self, backends: Iterable[KnownBackend]) -> None:
-        """Replaces the backends, and drops what was known of those that are gone."""
+        """Replaces the backends, and removes the state of those that are no longer listed."""
         self.observations.set_backends(backends)
         known = self.observations.backends
         self.ejections = {id: since_us for id, since_us in self.ejections.items() if id in known}
         self._probe_slots = {id: slot for id, slot in self._probe_slots.items() if id in known}
         self.peer_reports.retain_backends(known)
 
-    # ---- what this gateway sees ----
+    # ---- this gateway's own attempts ----
 
     def attempt_started(self, rpc: int, backend: int, now_us: int) -> None:
-        """Notes an attempt of an RPC at a backend, both by the gateway's index."""
+        """Records the start of an attempt. `rpc` and `backend` are the gateway's indices."""
         self.observations.attempt_started(rpc, backend, now_us)
         if (id := self.observations.ids.get(backend)) is not None:
             self._probe_slots[id] = now_us // PROBE_SLOT_US
 
     def attempt_ended(self, rpc: int, succeeded: bool | None, now_us: int) -> None:
-        """Notes an attempt's end; see Observations.attempt_ended."""
+        """Records the end of an attempt; see Observations.attempt_ended."""
         self.observations.attempt_ended(rpc, succeeded, now_us)
 
     def check_overdue(self, now_us: int) -> None:
-        """Counts attempts that have gone unanswered for long as failed."""
+        """Counts overdue attempts as failed."""
         self.observations.check_overdue(now_us)
 
     def reports(self, now_us: int, requested: Iterable[BackendReport] = ()) -> list[BackendReport]:
-        """The reports for one message.
+        """Returns the reports to send in one message.
 
         Args:
             now_us: Current time.
-            requested: The reports of the gateway that is answered; what was seen of these backends is reported, too.
+            requested: The reports in the request that is answered. The response reports on their backends, too.
         """
         requested_ids = {report.backend_id for report in requested}
         relevant = self.candidates.keys() | self.ejections.keys() | requested_ids
         return self.observations.reports(now_us, relevant, include_unknown=not requested)
 
-    # ---- what others report ----
+    # ---- reports of other gateways ----
 
     def receive_unsolicited(self, reporter: str, reports: list[BackendReport], now_us: int) -> None:
-        """Takes in the reports of a gateway that was not asked."""
+        """Records the reports of a gateway that this one did not ask."""
         self.peer_reports.receive_unsolicited(reporter, reports, self.observations.backends, now_us)
 
     def receive_response(self, reporter: str, reports: list[BackendReport], now_us: int) -> None:
-        """Takes in the reports of a gateway that this one asked."""
+        """Records the reports in the response of a gateway that this one asked."""
         self.peer_reports.receive_response(reporter, reports, self.observations.backends, now_us)
 
-    # ---- verdicts ----
+    # ---- ejections ----
 
     def update_ejections(self, now_us: int, other_members: int) -> None:
-        """Draws all verdicts anew from what counts now.
+        """Decides again which backends are ejected, on the observations and reports that still count.
 
         Args:
             now_us: Current time.
-            other_members: Members beside this gateway.
+            other_members: Number of members, without this gateway.
         """
         self.peer_reports.expire(now_us)
         self._update_candidates(now_us)
@@ -126,11 +129,15 @@
             is_ejected = self._is_ejected(id, now_us)
             unhealthy_share = self._ejection_share(id, sample_size, now_us)
             if unhealthy_share is not None:
-                eligible.append((-unhealthy_share - is_ejected, id))  # standing verdicts first, then the clearest
+                eligible.append((-unhealthy_share - is_ejected, id))  # ejected ones first, then by share
         self._apply_ejections([id for _, id in sorted(eligible)], now_us)
 
     def _update_candidates(self, now_us: int) -> None:
-        """One accuser alone is no dispute: single errors are common, and the whole fleet need not exchange them."""
+        """Finds the candidates for ejection.
+
+        One report alone makes no candidate: single errors are common, and each candidate makes the gateways query one
+        another.
+        """
         failing = self.observations.failing_ids(now_us)
         seen = self.observations.seen
         self.recent_failure = any(now_us - seen[id].failure_at_us < RECENT_FAILURE_US for id in failing)
@@ -144,7 +151,7 @@
         return id in self.ejections and now_us - self.ejections[id] < MAX_EJECTION_US
 
     def _ejection_share(self, id: int, sample_size: int, now_us: int) -> float | None:
-        """The share of witnesses that find a backend unhealthy; None if that is no verdict."""
+        """Returns the share of reporters that find a backend unhealthy, or None if it is not to be ejected."""
         is_ejected = self._is_ejected(id, now_us)
         if not is_ejected and now_us - self.candidates.get(id, now_us) < MIN_CANDIDATE_US:
             return None
@@ -159,9 +166,13 @@
         return share if unhealthy >= min_unhealthy and share >= min_share else None
 
     def _count_reporters(self, id: int, since_us: int) -> tuple[int, float]:
-        """How many witnesses saw a backend unhealthy since then, and their share of those that saw it at all.
+        """Counts the reporters that saw a backend unhealthy since a time.
+
+        Successes count only from CANDIDATE_LOOKBACK_US before the backend became a candidate: earlier ones say nothing
+        about the present failure.
 
-        Good answers count only since the dispute began: earlier ones say nothing about it.
+        Returns:
+            Their number, and their share of the reporters that saw the backend at all.
         """
         unhealthy = self.peer_reports.unhealthy_response_count(id, since_us)
         healthy_since_us = max(since_us, self.candidates.get(id, 0) - CANDIDATE_LOOKBACK_US)
@@ -169,7 +180,7 @@
         return unhealthy, unhealthy / max(1, unhealthy + healthy)
 
     def _apply_ejections(self, eligible: Collection[int], now_us: int) -> None:
-        """Takes verdicts in the order given, as long as each zone keeps enough of its backends."""
+        """Ejects backends in the order given, up to one in ZONE_EJECTION_DIVISOR of each zone's backends."""
         backends = self.observations.backends
         backends_in_zone: dict[str, int] = {}
         for backend in backends.values():
@@ -184,7 +195,7 @@
         self.ejections = ejections
 
     def advice(self, now_us: int, members: int) -> PeerEvidence:
-        """The backends to leave out here, and those to probe in this slot.
+        """Returns the backends that this gateway is to eject, and those that it is to probe in this slot.
 
         Args:
             now_us: Current time.
@@ -205,7 +216,7 @@
         return PeerEvidence(frozenset(ejected_backends), frozenset(probed))
 
     def _recently_succeeded(self, id: int, now_us: int) -> bool:
-        """Whether this gateway's last attempt succeeded, and not long ago."""
+        """Whether this gateway's last attempt at a backend succeeded, less than OWN_SUCCESS_US ago."""
         seen = self.observations.seen.get(id)
         if seen is None or seen.success_at_us <= seen.failure_at_us:
             return False
--- a/stoneyoke/fleet/failure_detector.py
+++ b/stoneyoke/fleet/failure_detector.py
@@ -1,7 +1,7 @@
 """The SWIM failure detector with Lifeguard's local health. No I/O; times are microseconds.
 
-Each period one member is pinged, first directly, then by way of helpers. A member that answers neither way is
-suspected and notified. It is declared dead unless it refutes the suspicion in time.
+In each period one member is probed by a direct ping, then by indirect pings that helpers send. A member that
+acknowledges neither is suspected and notified. It is declared dead unless it refutes the suspicion in time.
 
 Source: Das, Gupta, Motivala: SWIM (2002); Dadgar, Phillips, Currey: Lifeguard (2018).
 """
@@ -17,85 +17,85 @@
 
 SECOND_US = 1_000_000
 PROBE_PERIOD_US = SECOND_US  # times 1 + the local health score
-DIRECT_TIMEOUT_US = 300_000  # for a direct answer; times 1 + the local health score
-HELPER_COUNT = 3  # members asked to ping in this gateway's place (SWIM's k)
+DIRECT_TIMEOUT_US = 300_000  # of a direct ping; times 1 + the local health score
+HELPER_COUNT = 3  # members asked for an indirect ping (SWIM's k)
 MAX_LOCAL_HEALTH_SCORE = 8  # Lifeguard's S
-SUSPICION_PERIODS = 4.0  # least time of a suspicion, in periods for each tenfold of members (Lifeguard's alpha)
-SUSPICION_MAX_FACTOR = 3.0  # times the least one, while nobody else suspects the member (Lifeguard's beta)
-# A tick later than this means that this process was suspended and could hear no refutation.
+SUSPICION_PERIODS = 4.0  # times log10 of the members: minimum time-out of a suspicion, in periods (Lifeguard's alpha)
+SUSPICION_MAX_FACTOR = 3.0  # maximum time-out, while no other member suspects the member, by minimum (Lifeguard's beta)
+# A longer time between two ticks means that this process was suspended and could not receive refutations.
 STALL_US = SECOND_US
 STALL_PENALTY = 2  # added to the local health score
-DEPARTED_RETENTION_US = 600 * SECOND_US  # after which a dead or departed member is no longer known
-# Before its end each member that suspects a suspect pings it again: its refutation may have been lost.
+DEPARTED_RETENTION_US = 600 * SECOND_US  # after which a dead or departed member is removed
+# So long before a suspicion times out, its member is pinged again, since its refutation may have been lost.
 FINAL_PINGS_US = 2 * SECOND_US
-MAX_RELAYED_PINGS = 64  # at a time
-UNTRACKED_NUMBER = 0  # of a ping whose answer is not awaited
+MAX_RELAYED_PINGS = 64  # pending at a time
+UNTRACKED_NUMBER = 0  # of a ping whose acknowledgement is not tracked
 
 
 @dataclass(slots=True)
 class Probe:
-    """The outstanding probe. Its name is empty while nobody is probed."""
+    """The pending probe. Its name is empty while no member is probed."""
 
     name: str
     number: int
     started_at_us: int
-    indirect: bool = False  # the direct answer is overdue; an answer by way of a helper counts
+    indirect: bool = False  # the direct ping has timed out, and an acknowledgement through a helper counts
     helpers: tuple[str, ...] = ()
-    helper_reachable: bool = False  # a helper has answered, so this gateway is not cut off
+    helper_reachable: bool = False  # a helper has responded, so this gateway is not partitioned
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedPing:
-    """A ping sent in another member's place."""
+    """An indirect ping that this gateway sent as the helper of another member."""
 
     requester: Address
-    number: int  # of the request, repeated in the answer to it
+    number: int  # of the request, repeated in the response to it
     expires_at_us: int
 
 
 def no_probe(now_us: int) -> Probe:
-    """Stands for nobody being probed since then. No message has its number."""
+    """Returns a probe of no member, from `now_us` on. No message has its number."""
     return Probe("", -1, now_us)
 
 
 def suspicion_notice(peer: Peer) -> tuple[Member, ...]:
-    """The record to put first into a message to a peer that is suspected or dead (Lifeguard's buddy system)."""
+    """Returns the record to put first into a message to a peer that is suspected or dead (Lifeguard's buddy system)."""
     return (peer.record,) if peer.record.state != MemberState.ALIVE else ()
 
 
 class FailureDetector:
-    """Probes the members one after the other, and drives each through suspicion to death."""
+    """Probes the members one after the other, and changes their states from alive to suspected to dead."""
 
     def __init__(
         self, table: MemberTable, gossip: GossipQueue, outbox: Outbox, random_source: random.Random, now_us: int
     ) -> None:
-        """Starts with nobody probed.
+        """Starts without a pending probe.
 
         Args:
-            table: The members; states change there.
-            gossip: Passes on what changes.
-            outbox: Takes the messages to send.
-            random_source: Draws the helpers and the order of probes.
+            table: The members, whose states this detector changes.
+            gossip: Spreads the changes.
+            outbox: Collects the messages to send.
+            random_source: Chooses the helpers and the order of probes.
             now_us: Current time.
         """
         self._table = table
         self._gossip = gossip
         self._outbox = outbox
         self._random_source = random_source
-        self.local_health_score = 0  # 0 is healthy; a higher one stretches this gateway's time-outs
+        self.local_health_score = 0  # 0 is healthy; a higher score lengthens this gateway's time-outs
         self.probe = no_probe(now_us)
         self.last_tick_us = now_us
         self._last_number = 0
-        self._probe_order: list[str] = []  # names to probe next, from the end
+        self._probe_order: list[str] = []  # names of the members to probe next, taken from the end
         self._relayed_pings: dict[int, RelayedPing] = {}  # by the number of the ping
 
-    # ---- time ----
+    # ---- timers ----
 
     def check_stall(self, now_us: int) -> None:
-        """Notices that this process was suspended.
+        """Detects that this process was suspended.
 
-        It may have missed answers and refutations, so it lowers its own health, drops its probe, and extends all
-        suspicions by the time that it missed.
+        It may have missed acknowledgements and refutations. It therefore raises its local health score, drops its
+        probe, and extends all suspicions by the time of the stall.
         """
         elapsed_us, self.last_tick_us = now_us - self.last_tick_us, now_us
         if elapsed_us <= STALL_US:
@@ -107,7 +107,10 @@
                 peer.state_since_us += elapsed_us
 
     def advance_probe(self, now_us: int) -> None:
-        """Asks helpers once the direct answer is overdue; at the period's end suspects the member, probes the next."""
+        """Sends indirect pings once the direct one has timed out; at the period's end suspects the member.
+
+        Then the next member is probed.
+        """
         time_scale = 1 + self.local_health_score
         probe = self.probe
         age_us = now_us - probe.started_at_us
@@ -119,7 +122,7 @@
         peer = self._table.present_peer(probe.name)
         if peer:
             if probe.helpers and not probe.helper_reachable:
-                self._degrade_local_health()  # no helper answered either: this gateway may be the one cut off
+                self._degrade_local_health()  # no helper responded either, so this gateway may be the partitioned one
             if self._table.suspect(peer, self._table.own.name, now_us):
                 self._gossip.add(peer.record.name)
         self._begin_probe(now_us)
@@ -145,7 +148,7 @@
             self.ping(peer, self._last_number)
 
     def _next_to_probe(self) -> Peer | None:
-        """Each present member once in a random order, then again in another one."""
+        """Returns each present member once in a random order, then each again in a new random order."""
         while self._probe_order:
             if peer := self._table.present_peer(self._probe_order.pop()):
                 return peer
@@ -154,7 +157,7 @@
         return self._table.peers[self._probe_order.pop()] if self._probe_order else None
 
     def sweep(self, now_us: int) -> None:
-        """Ends suspicions that have timed out, forgets the long departed, and drops relayed pings without answer."""
+        """Handles suspicions that time out, and removes departed members and relayed pings that have expired."""
         for peer in list(self._table.peers.values()):
             age_us = now_us - peer.state_since_us
             if peer.record.state == MemberState.SUSPECT:
@@ -175,7 +178,7 @@
             self.ping(peer, UNTRACKED_NUMBER)
 
     def suspicion_timeout_us(self, peer: Peer) -> float:
-        """How long a suspect has to refute the suspicion: less, the more members suspect it independently."""
+        """Returns how long a suspect has to refute the suspicion: less, the more members suspect it independently."""
         least_us = SUSPICION_PERIODS * max(1.0, math.log10(max(1, self._table.size()))) * PROBE_PERIOD_US
         most_us = SUSPICION_MAX_FACTOR * least_us
         confirmations = len(peer.suspected_by) - 1
@@ -185,11 +188,11 @@
     # ---- members and messages ----
 
     def add_member(self, name: str) -> None:
-        """Gives a new member a random place in the order of probes."""
+        """Inserts a new member at a random position of the probe order."""
         self._probe_order.insert(self._random_source.randint(0, len(self._probe_order)), name)
 
     def ping(self, peer: Peer, number: int) -> None:
-        """Pings a peer, with a notice if it is suspected or taken for dead."""
+        """Pings a peer, with a notice if this gateway has it as suspected or dead."""
         self._outbox.add(
             OutgoingMessage(
                 to=peer.record.address, kind=MessageKind.PING, number=number, members=suspicion_notice(peer)
@@ -197,28 +200,28 @@
         )
 
     def is_direct_ack(self, message: Message) -> bool:
-        """Whether a message is the probed member's own answer to the outstanding probe."""
+        """Whether a message is the probed member's own acknowledgement of the pending probe."""
         is_probed = message.sender.name == self.probe.name
         return message.kind == MessageKind.ACK and message.number == self.probe.number and is_probed
 
     def receive_ack(self, message: Message) -> None:
-        """Ends the probe that is answered; an answer to a relayed ping goes to the member that asked for it."""
+        """Ends the acknowledged probe. The acknowledgement of a relayed ping is forwarded to the requester."""
         relayed = self._relayed_pings.pop(message.number, None)
         if relayed:
             self._outbox.add(OutgoingMessage(to=relayed.requester, kind=MessageKind.ACK, number=relayed.number))
-        # Once helpers are asked, the acknowledgement of any of them is as good as the member's own.
+        # Once helpers are asked, an acknowledgement through any of them counts like the member's own.
         from_probed = message.sender.name == self.probe.name
         if message.number == self.probe.number and (from_probed or self.probe.indirect):
             self.probe = no_probe(self.probe.started_at_us)
             self.local_health_score = max(0, self.local_health_score - 1)
 
     def receive_nack(self, message: Message) -> None:
-        """Notes that a helper is reachable, whatever it will find."""
+        """Records that a helper is reachable, whether or not its ping is acknowledged."""
         if message.number == self.probe.number and message.sender.name in self.probe.helpers:
             self.probe.helper_reachable = True
 
     def receive_ping_request(self, message: Message, now_us: int) -> None:
-        """Pings a member in the sender's place. A NACK shows the sender that this helper is reachable."""
+        """Pings a member on behalf of the sender. A NACK at once shows the sender that this helper is reachable."""
         peer = self._table.peers.get(message.subject)
         if not peer or len(self._relayed_pings) >= MAX_RELAYED_PINGS:
             return
@@ -229,7 +232,7 @@
         self._outbox.add(OutgoingMessage(to=requester, kind=MessageKind.NACK, number=message.number))
 
     def record_refutation(self) -> None:
-        """Lowers this gateway's own health: others suspect it, so it may be slow itself."""
+        """Raises the local health score: other members suspect this gateway, so it may be slow itself."""
         self._degrade_local_health()
 
     def _degrade_local_health(self, by: int = 1) -> None:
--- a/stoneyoke/fleet/gossip.py
+++ b/stoneyoke/fleet/gossip.py
@@ -1,22 +1,22 @@
-"""Dissemination of member changes on top of other messages (SWIM's piggybacking). No I/O."""
+"""Dissemination of membership changes, piggybacked on other messages as in SWIM. No I/O."""
 
 import math
 
 from stoneyoke.fleet.member_table import MemberTable, max_encoded_bytes
 from stoneyoke.fleet.messages import Address, Member
 
-# Times log2 of the members: how often a change is sent. With SWIM's 3, 150 gateways that started together were busy
-# for minutes. Anti-entropy repairs what 1.5 misses.
+# Times log2 of the number of members: how often a change is sent. With SWIM's factor of 3, gossip kept 150 gateways
+# that started together busy for minutes. Anti-entropy repairs what 1.5 misses.
 TRANSMISSIONS_PER_LOG2 = 1.5
 MAX_GOSSIP_BYTES = 500  # in one message
 MIN_RECORD_BYTES = 40
 
 
 class GossipQueue:
-    """Changes of members that are still to be passed on, and how often each was sent."""
+    """The members whose changes are still gossiped, and how often each was sent."""
 
     def __init__(self, table: MemberTable) -> None:
-        """Starts with nothing to pass on.
+        """Starts empty.
 
         Args:
             table: Holds the current record of each name that is added.
@@ -25,22 +25,22 @@
         self._transmissions: dict[str, int] = {}  # by the member's name
 
     def add(self, name: str) -> None:
-        """Passes on a member's record from now on, as if it had never been sent."""
+        """Adds a member's record, or resets the count of its transmissions."""
         self._transmissions[name] = 0
 
     def discard(self, name: str) -> None:
-        """Stops passing on a member that is no longer known."""
+        """Removes a member that is no longer known."""
         self._transmissions.pop(name, None)
 
     def clear(self) -> None:
-        """Stops passing on anything."""
+        """Removes all records."""
         self._transmissions.clear()
 
     def select(self, to: Address) -> list[Member]:
-        """Takes the least sent records that fit into one message. A record is dropped once it was sent often enough.
+        """Returns the least sent records that fit into one message. A record is removed once it was sent often enough.
 
         Args:
-            to: The receiver; its own record is left out.
+            to: The receiver, whose own record is not sent to it.
         """
         max_transmissions = math.ceil(TRANSMISSIONS_PER_LOG2 * math.log2(self._table.size() + 1))
         selected: list[Member] = []
--- a/stoneyoke/fleet/membership.py
+++ b/stoneyoke/fleet/membership.py
@@ -1,4 +1,4 @@
-"""Which gateways there are: a member table, a failure detector, gossip and anti-entropy put together. No I/O.
+"""Membership of the fleet: combines member table, failure detector, gossip and anti-entropy. No I/O.
 
 All times are microseconds and are passed in.
 """
@@ -16,14 +16,14 @@
 from stoneyoke.fleet.outbox import Outbox, OutgoingMessage
 
 SWEEP_INTERVAL_US = SECOND_US // 2
-LEAVE_NOTICE_COUNT = 2 * HELPER_COUNT  # members notified directly that this gateway leaves
+LEAVE_NOTICE_COUNT = 2 * HELPER_COUNT  # members that a leaving gateway notifies directly
 
 
 class Membership:
     """This gateway's view of the fleet.
 
-    It takes part until `leave` is called or until it learns of a gateway of the same name that started later. That
-    one is held in `superseded_by`; from then on nothing is sent or merged.
+    It is active until `leave` is called, or until it learns of a gateway of the same name that started later. That
+    gateway's record is then in `superseded_by`, and nothing is sent or merged any more.
     """
 
     def __init__(
@@ -34,14 +34,14 @@
         now_us: int,
         count: Callable[[str], None] = lambda _: None,
     ) -> None:
-        """Starts with this gateway alone.
+        """Starts with this gateway as the only member.
 
         Args:
             own: This gateway's own record.
             seeds: Addresses to join through.
-            random_source: Source of all draws.
+            random_source: Source of all random choices.
             now_us: Current time.
-            count: Adds one to the counter of this name.
+            count: Increments the counter of this name.
         """
         self._random_source = random_source
         self._count = count
@@ -56,11 +56,11 @@
 
     @property
     def active(self) -> bool:
-        """Whether this gateway takes part: it has neither left nor lost its name."""
+        """Whether this gateway is active: it is not leaving, and no later gateway has superseded it."""
         return not (self.superseded_by or self.leaving)
 
     def tick(self, now_us: int) -> None:
-        """Drives all timers. To be called several times a second."""
+        """Runs all timers. To be called several times a second."""
         self.detector.check_stall(now_us)
         if not self.active:
             return
@@ -71,7 +71,7 @@
             self.anti_entropy.tick(now_us)
 
     def receive(self, message: Message, now_us: int) -> None:
-        """Handles a message that is authentic, current and new."""
+        """Handles a message. The codec has verified that it is authentic, current and not a replay."""
         sender = message.sender
         if sender.name == self.table.own.name:
             self._handle_own_name(sender)
@@ -102,7 +102,7 @@
             case MessageKind.QUERY:
                 answer = OutgoingMessage(to=message.sender.address, kind=MessageKind.ANSWER, number=message.number)
                 self.outbox.add(answer)
-            case _:  # an ANSWER, whose reports the agent takes, or a kind of a later version
+            case _:  # an ANSWER, whose reports the agent records, or a kind of a later version
                 pass
 
     def _acknowledge(self, message: Message) -> None:
@@ -113,12 +113,12 @@
         )
 
     def merge(self, record: Member, now_us: int, spread: bool = True) -> None:
-        """Takes in a record of any member.
+        """Merges a record of any member.
 
         Args:
             record: The record, from the member itself or from another one.
             now_us: Current time.
-            spread: Whether the change is passed on; suspicions, deaths and departures always are.
+            spread: Whether the change is gossiped; suspicions, deaths and departures always are.
         """
         if record.name == self.table.own.name:
             self._handle_own_name(record)
@@ -137,14 +137,15 @@
             self.gossip.add(record.name)
 
     def _handle_own_name(self, record: Member) -> None:
-        """Handles a record of this gateway's own name, from another member or from a gateway of the same name."""
+        """Handles a record that has this gateway's name, from another member or from a gateway of the same name."""
         own = self.table.own
         if self.superseded_by or record.started_at_ms < own.started_at_ms:
             return
         same_address = record.address == own.address
         later_start = record.started_at_ms > own.started_at_ms
         if later_start and same_address:
-            # An earlier process of this very gateway, started while the clock was ahead. This one must come after it.
+            # The record is of an earlier process of this gateway, whose clock was ahead. To override that record, this
+            # process needs a later start.
             self._set_own(msgspec.structs.replace(own, started_at_ms=record.started_at_ms + 1, incarnation=0))
         elif later_start or record.address > own.address:
             self._mark_superseded(record)
@@ -156,7 +157,7 @@
         self.gossip.add(record.name)
 
     def _mark_superseded(self, later: Member) -> None:
-        """Leaves the name to the gateway that started later; of equal starts, to the higher address."""
+        """Gives the name up to the gateway that started later, or at the same time with the higher address."""
         self.superseded_by = later
         self.table.clear_peers()
         self.gossip.clear()
@@ -170,7 +171,7 @@
         self.detector.record_refutation()
 
     def leave(self) -> None:
-        """Notifies some members that this gateway leaves; they pass it on."""
+        """Notifies some members that this gateway leaves; they gossip it."""
         self.table.set_own(msgspec.structs.replace(self.table.own, state=MemberState.LEFT))
         self.leaving = True
         present = self.table.present()
--- a/stoneyoke/fleet/observations.py
+++ b/stoneyoke/fleet/observations.py
@@ -1,4 +1,4 @@
-"""What this gateway itself saw of backends, and the reports that it makes of that. No I/O.
+"""This gateway's own observations of backends, and the reports on them for other gateways. No I/O.
 
 Times are microseconds.
 """
@@ -12,60 +12,60 @@
 
 SECOND_US = 1_000_000
 TENTH_US = 100_000
-MAX_REPORT_AGE_US = 20 * SECOND_US  # what was seen earlier is not reported
-HALF_LIFE_US = 5 * SECOND_US  # in which a counted attempt comes to count half
-STALL_US = SECOND_US  # a check later than this means that this process was suspended
-MAX_REPORTS = 40  # in a message
+MAX_REPORT_AGE_US = 20 * SECOND_US  # earlier observations are not reported
+HALF_LIFE_US = 5 * SECOND_US  # of the counts of attempts and failures
+STALL_US = SECOND_US  # a longer time between two checks means that this process was suspended
+MAX_REPORTS = 40  # in one message
 MAX_REPORTED_COUNT = 1_000
-# A gateway that finds more of the backends unhealthy than this is cut off itself, and accuses none.
+# A gateway that finds a larger share of the backends unhealthy is partitioned itself, and reports none of them.
 MAX_UNHEALTHY_SHARE = 0.5
-MEAN_LATENCY_WEIGHT = 0.05  # of a new answer in the running mean over all backends
-LATENCY_RATIO_WEIGHT = 0.3  # of a new answer in a backend's running ratio to that mean
-SLOW_RATIO = 2.9  # a ratio above it rounds to one that counts as unhealthy
+MEAN_LATENCY_WEIGHT = 0.05  # of a new response in the moving average of the latency of all backends
+LATENCY_RATIO_WEIGHT = 0.3  # of a new response in the moving average of a backend's ratio to that latency
+SLOW_RATIO = 2.9  # a latency ratio above it may round to one that counts as unhealthy
 USUAL_RATIO_TENTHS = 10
-NEVER_US = -1  # in place of a time: nothing of the kind was seen
+NEVER_US = -1  # in place of a time: nothing was observed yet
 
 
 def backend_id(backend: KnownBackend) -> int:
-    """A backend's number, the same at all gateways. A restart changes it, so no verdict outlives a restart."""
+    """Returns a backend's id, the same at all gateways. It changes with a restart, which therefore ends an ejection."""
     text = f"{backend.name} {backend.started_us}"
     return int.from_bytes(blake2b(text.encode(), digest_size=4).digest(), "big")
 
 
 def reports_too_many_unhealthy(unhealthy: int, known: int) -> bool:
-    """Whether a gateway finds so many backends unhealthy that the fault is likely its own."""
+    """Whether a gateway finds so many backends unhealthy that the fault is probably its own."""
     return unhealthy > MAX_UNHEALTHY_SHARE * max(1, known)
 
 
 class BackendObservation:
-    """What this gateway saw of one backend."""
+    """This gateway's observations of one backend."""
 
     def __init__(self, now_us: int) -> None:
-        """Starts with nothing seen."""
-        self.attempts = self.failures = 0.0  # decayed
-        self.latency_ratio = 1.0  # to the usual latency
+        """Starts without observations."""
+        self.attempts = self.failures = 0.0  # they decay with HALF_LIFE_US
+        self.latency_ratio = 1.0  # moving average of the ratio to the mean latency of all backends
         self.decayed_at_us = now_us
         self.success_at_us = self.failure_at_us = NEVER_US
 
     @property
     def seen_at_us(self) -> int:
-        """When anything was seen last."""
+        """Time of the last success or failure."""
         return max(self.success_at_us, self.failure_at_us)
 
     @property
     def failing(self) -> bool:
-        """Whether what was seen last is a failure."""
+        """Whether the last attempt failed."""
         return self.failure_at_us > self.success_at_us
 
     def decay(self, now_us: int) -> None:
-        """Lets the counts fade up to now."""
+        """Decays the counts up to now."""
         remaining = 0.5 ** ((now_us - self.decayed_at_us) / HALF_LIFE_US)
         self.attempts *= remaining
         self.failures *= remaining
         self.decayed_at_us = now_us
 
     def report(self, id: int, now_us: int) -> BackendReport:
-        """The report for other gateways."""
+        """Returns the report for other gateways."""
         self.decay(now_us)
         return BackendReport(
             backend_id=id,
@@ -78,32 +78,32 @@
 
 
 def age_tenths(at_us: int, now_us: int) -> int:
-    """The age of an observation in tenths of a second; NO_AGE if there is none."""
+    """Returns the age of an observation in tenths of a second, NO_AGE if there is none."""
     return NO_AGE if at_us < 0 else min(NO_AGE - 1, max(0, now_us - at_us) // TENTH_US)
 
 
 def unknown_report(id: int) -> BackendReport:
-    """Says that this gateway saw nothing of a backend, and asks the receiver for what it saw."""
+    """Returns a report that this gateway did not observe a backend, which asks the receiver for its own report."""
     return BackendReport(id, 0, 0, NO_AGE, NO_AGE, USUAL_RATIO_TENTHS)
 
 
 @dataclass(slots=True)
 class PendingAttempt:
-    """An attempt that has no answer yet."""
+    """An attempt without a response so far."""
 
     backend: int
     started_at_us: int
-    counted_overdue: bool = False  # counted as a failure because it took too long
+    counted_overdue: bool = False  # already counted as a failure because it is overdue
 
 
 class Observations:
-    """Follows this gateway's attempts from their start to their end."""
+    """Tracks this gateway's attempts from start to end, and what they show of each backend."""
 
     def __init__(self, overdue_after_us: int, now_us: int) -> None:
         """Starts with no backends.
 
         Args:
-            overdue_after_us: An attempt without answer for so long counts as failed.
+            overdue_after_us: An attempt without a response for so long counts as failed.
             now_us: Current time.
         """
         self._overdue_after_us = overdue_after_us
@@ -112,24 +112,25 @@
         self.ids: dict[int, int] = {}  # by the gateway's index
         self.seen: dict[int, BackendObservation] = {}  # by id; pruned by set_backends
         self._pending: dict[int, PendingAttempt] = {}  # by RPC; removed at the attempt's end
-        self._mean_latency_us = 0.0  # running mean over all good answers
+        self._mean_latency_us = 0.0  # moving average over all successful attempts
 
     def set_backends(self, backends: Iterable[KnownBackend]) -> None:
-        """Replaces the backends, and drops what was seen of those that are gone."""
+        """Replaces the backends, and removes the observations of those that are no longer listed."""
         self.backends = {backend_id(backend): backend for backend in backends}
         self.ids = {backend.index: id for id, backend in self.backends.items()}
         self.seen = {id: seen for id, seen in self.seen.items() if id in self.backends}
 
     def attempt_started(self, rpc: int, backend: int, now_us: int) -> None:
-        """Notes an attempt of an RPC at a backend, both by the gateway's index."""
+        """Records the start of an attempt. `rpc` and `backend` are the gateway's indices."""
         self._pending[rpc] = PendingAttempt(backend, now_us)
 
     def attempt_ended(self, rpc: int, succeeded: bool | None, now_us: int) -> None:
-        """Notes an attempt's end.
+        """Records the end of an attempt.
 
         Args:
             rpc: The RPC's index.
-            succeeded: Whether the backend answered well; None if the end says nothing of it, as a rejection does.
+            succeeded: Whether the backend responded successfully; None if the outcome, such as a rejection, says
+                nothing about its health.
             now_us: Current time.
         """
         attempt = self._pending.pop(rpc, None)
@@ -141,7 +142,7 @@
             self._record_latency(observation, now_us - attempt.started_at_us)
             observation.success_at_us = now_us
             if attempt.counted_overdue and observation.failures >= 1:
-                observation.failures -= 1  # it was slow, not silent
+                observation.failures -= 1  # the response came late, so the attempt did not fail
         else:
             observation.failure_at_us = now_us
         if not attempt.counted_overdue:
@@ -162,10 +163,10 @@
         return observation
 
     def check_overdue(self, now_us: int) -> None:
-        """Counts the attempts that have gone unanswered for long as failed, once each."""
+        """Counts each overdue attempt as failed, once."""
         stalled = now_us - self._last_check_us > STALL_US
         self._last_check_us = now_us
-        if stalled:  # answers may wait unread, so no attempt has been silent yet
+        if stalled:  # responses may still wait unread in the sockets, so no attempt is overdue yet
             for attempt in self._pending.values():
                 attempt.started_at_us = now_us
         for attempt in self._pending.values():
@@ -178,14 +179,14 @@
             return
         attempt.counted_overdue = True
         observation = self._observation(id, now_us)
-        # A good answer to anything after this attempt's start shows that the backend is not silent.
+        # A success after this attempt's start shows that the backend responds.
         if observation.success_at_us < attempt.started_at_us:
             observation.attempts += 1
             observation.failures += 1
             observation.failure_at_us = now_us
 
     def failing_ids(self, now_us: int) -> set[int]:
-        """The backends whose last attempt from here failed, and not long ago."""
+        """Returns the ids of the backends whose last attempt failed, less than MAX_REPORT_AGE_US ago."""
         return {
             id
             for id, seen in self.seen.items()
@@ -193,14 +194,14 @@
         }
 
     def reports(self, now_us: int, relevant: set[int], *, include_unknown: bool) -> list[BackendReport]:
-        """The reports for one message: unhealthy backends, then the relevant ones, the latest seen first.
+        """Returns the reports for one message: unhealthy backends, then relevant ones, each latest seen first.
 
         Args:
             now_us: Current time.
-            relevant: Ids of the backends whose good answers are reported, too.
-            include_unknown: Whether to ask for the relevant backends of which nothing was seen here.
+            relevant: Ids of the backends that are reported also when they are healthy.
+            include_unknown: Whether to ask the receiver about the relevant backends that this gateway did not observe.
         """
-        # The many backends that are healthy and not relevant cost no more than this look.
+        # Most backends are healthy and not relevant: this filter is all that they cost.
         candidates = [
             (seen.seen_at_us, id, seen)
             for id, seen in self.seen.items()
--- a/stoneyoke/fleet/outbox.py
+++ b/stoneyoke/fleet/outbox.py
@@ -1,4 +1,4 @@
-"""Messages that wait to be sent. No I/O."""
+"""Messages to be sent. No I/O."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OutgoingMessage:
-    """A message to be sent, without what the agent adds to each: sender, sequence number, time, gossip, reports."""
+    """A message to be sent. The agent adds sender, sequence number, time, gossip and reports."""
 
     to: Address
     kind: MessageKind
@@ -18,7 +18,7 @@
 
 
 class Outbox:
-    """Collects the messages of the parts of the membership, in the order in which they are to be sent."""
+    """Collects the messages that the parts of the membership send, in order."""
 
     def __init__(self) -> None:
         """Starts empty."""
--- a/stoneyoke/fleet/parameters.py
+++ b/stoneyoke/fleet/parameters.py
@@ -1,4 +1,4 @@
-"""What the fleet part of one gateway is started with."""
+"""Parameters of the fleet part of a gateway."""
 
 from typing import NamedTuple
 
@@ -6,14 +6,14 @@
 
 
 class FleetParameters(NamedTuple):
-    """The fleet part's options, read and checked.
+    """The validated options of the fleet part.
 
     Attributes:
-        name: This gateway's name, the same after each restart, another one at each gateway.
-        listen: Where datagrams of other gateways are received.
-        advertise: Where the others reach this gateway.
-        seeds: Where some of the others are reached.
-        keys: One or two keys. Datagrams are sealed with the first, and accepted with any of them.
+        name: This gateway's name, unique in the fleet and the same after each restart.
+        listen: Address at which this gateway receives datagrams.
+        advertise: Address at which other gateways reach this one.
+        seeds: Addresses of some other gateways, to join through.
+        keys: One or two keys. Datagrams are authenticated with the first, and accepted with either.
     """
 
     name: str
--- a/stoneyoke/fleet/peer_reports.py
+++ b/stoneyoke/fleet/peer_reports.py
@@ -1,6 +1,7 @@
-"""What other gateways reported of backends: answers that count, and unsolicited reports that do not. No I/O.
+"""Reports of other gateways on backends. No I/O.
 
-Times are microseconds.
+Reports in responses to this gateway's requests count towards an ejection. Unsolicited reports only make a backend a
+candidate. Times are microseconds.
 """
 
 from collections.abc import Collection
@@ -9,13 +10,13 @@
 from stoneyoke.fleet.messages import BackendReport
 from stoneyoke.fleet.observations import MAX_REPORT_AGE_US, SECOND_US, TENTH_US, reports_too_many_unhealthy
 
-REPORT_LIFETIME_US = 7 * SECOND_US  # so long after its arrival a report counts
+REPORT_LIFETIME_US = 7 * SECOND_US  # a report expires so long after its arrival
 NOT_SEEN_US = -1
 
 
 @dataclass(frozen=True, slots=True)
 class PeerResponse:
-    """The last answer of one witness: when it arrived, and when each backend was seen unhealthy or healthy."""
+    """The last response of one reporter: when it arrived, and when each backend was seen unhealthy or healthy."""
 
     received_at_us: int
     unhealthy: dict[int, int]  # time of the observation, by backend id
@@ -23,27 +24,27 @@
 
 
 class PeerReports:
-    """The reports of other gateways. A witness counts once, however often it reports."""
+    """The reports of other gateways. Each reporter counts once, however often it reports."""
 
     def __init__(self) -> None:
         """Starts without reports."""
-        self._responses: dict[str, PeerResponse] = {}  # by witness
-        # By backend id: arrival times, by witness; asked or not.
+        self._responses: dict[str, PeerResponse] = {}  # by reporter
+        # By backend id: the arrival times of reports that it is unhealthy, solicited or not, by reporter.
         self._unhealthy_reports: dict[int, dict[str, int]] = {}
 
     def __len__(self) -> int:
-        """Number of witnesses whose answer counts."""
+        """Number of reporters whose response has not expired."""
         return len(self._responses)
 
     def receive_unsolicited(
         self, reporter: str, reports: list[BackendReport], known: Collection[int], now_us: int
     ) -> None:
-        """Takes in reports that were not asked for. They start disputes and do not count in them.
+        """Records unsolicited reports. They make a backend a candidate for ejection and do not count towards it.
 
         Args:
             reporter: Name of the reporting gateway.
             reports: Its reports.
-            known: Ids of the backends there are; reports on others are dropped.
+            known: Ids of the known backends; reports on others are dropped.
             now_us: Current time.
         """
         for report in reports:
@@ -53,12 +54,14 @@
     def receive_response(
         self, reporter: str, reports: list[BackendReport], known: Collection[int], now_us: int
     ) -> None:
-        """Takes in the reports of a gateway that was asked; they replace its earlier ones. An empty answer counts, too.
+        """Records the reports of a gateway that was asked; they replace its earlier ones.
+
+        An empty response counts as well: its sender is one more reporter that does not find the backends unhealthy.
 
         Args:
             reporter: Name of the reporting gateway.
             reports: Its reports.
-            known: Ids of the backends there are; reports on others are dropped.
+            known: Ids of the known backends; reports on others are dropped.
             now_us: Current time.
         """
         self.receive_unsolicited(reporter, reports, known, now_us)
@@ -77,7 +80,7 @@
         self._responses[reporter] = PeerResponse(now_us, unhealthy, healthy)
 
     def expire(self, now_us: int) -> None:
-        """Drops the reports that arrived too long ago."""
+        """Drops the reports that arrived REPORT_LIFETIME_US ago or earlier."""
         self._responses = {
             reporter: response
             for reporter, response in self._responses.items()
@@ -91,21 +94,21 @@
         self._unhealthy_reports = remaining
 
     def retain_backends(self, known: Collection[int]) -> None:
-        """Drops the accusations of backends that are gone."""
+        """Drops the reports on backends that are no longer known."""
         self._unhealthy_reports = {id: reporters for id, reporters in self._unhealthy_reports.items() if id in known}
 
     def reported_unhealthy_ids(self) -> list[int]:
-        """The backends that somebody finds unhealthy, asked or not."""
+        """Returns the ids of the backends that any gateway reports unhealthy, solicited or not."""
         return list(self._unhealthy_reports)
 
     def unhealthy_reporter_count(self, id: int) -> int:
-        """How many gateways find a backend unhealthy, asked or not."""
+        """Returns how many gateways report a backend unhealthy, solicited or not."""
         return len(self._unhealthy_reports[id])
 
     def unhealthy_response_count(self, id: int, since_us: int) -> int:
-        """How many of the witnesses that answered saw a backend unhealthy since then."""
+        """Returns how many of the responses report that a backend was seen unhealthy since a time."""
         return sum(response.unhealthy.get(id, NOT_SEEN_US) >= since_us for response in self._responses.values())
 
     def healthy_response_count(self, id: int, since_us: int) -> int:
-        """How many of the witnesses that answered saw a backend healthy since then."""
+        """Returns how many of the responses report that a backend was seen healthy since a time."""
         return sum(response.healthy.get(id, NOT_SEEN_US) >= since_us for response in self._responses.values())
--- a/stoneyoke/fleet/transport.py
+++ b/stoneyoke/fleet/transport.py
@@ -1,4 +1,4 @@
-"""The fleet agent on a UDP socket and a clock. Decides nothing."""
+"""Runs the fleet agent on a UDP socket and a clock. All decisions are the agent's."""
 
 import asyncio
 import time
@@ -17,11 +17,11 @@
 from stoneyoke.runtime.runtime import Runtime
 
 SECOND_US = 1_000_000
-MAX_DATAGRAMS_PER_TICK = 100  # more are dropped unread
+MAX_DATAGRAMS_PER_TICK = 100  # further ones are counted and dropped without decoding
 MAX_ZONE_CHARACTERS = 64
 EJECTED = "fleet: backend ejected on peer evidence"
 REINSTATED = "fleet: backend reinstated"
-# Names of the same counters up to release 0.1, kept beside for one release.
+# Names of the same counters up to release 0.1. Both names are counted for one release.
 EJECTED_OLD_NAME, REINSTATED_OLD_NAME = "fleet: left out on hearsay", "fleet: back in"
 STATE_TEXTS = {
     MemberState.ALIVE: "is there",
@@ -29,8 +29,8 @@
     MemberState.DEAD: "is dead",
     MemberState.LEFT: "has left",
 }
-# What an outcome says of its backend; the others say nothing. Only attempts without an answer are cancelled, but for
-# those whose client has gone.
+# Whether an outcome is a success or a failure of the backend; outcomes that are not listed are neither. CANCELLED is a
+# failure, because only attempts without a response are cancelled; those whose client has gone end as CLIENT_GONE.
 SUCCESS_BY_OUTCOME = {
     AttemptOutcome.OK: True,
     AttemptOutcome.ERROR: False,
@@ -43,23 +43,23 @@
 
 
 def own_member(parameters: FleetParameters, zone: str) -> Member:
-    """This gateway's record. Its start is now, so it overrides the records of earlier processes of its name."""
+    """Returns this gateway's record. It starts now, so it overrides the records of earlier processes of this name."""
     host, port = parameters.advertise
     return Member(parameters.name, host, port, zone[:MAX_ZONE_CHARACTERS], time.time_ns() // 1_000_000)
 
 
 class FleetTransport(asyncio.DatagramProtocol):
-    """Exchanges datagrams with other gateways, reports the runtime's attempts to the agent, and returns its advice."""
+    """Exchanges datagrams with other gateways, reports attempts to the agent, and passes its advice to the runtime."""
 
     def __init__(
         self, parameters: FleetParameters, zone: str, runtime: Runtime, clock: Clock, metrics: Metrics
     ) -> None:
-        """Attaches itself to the runtime; `start` opens the socket.
+        """Registers as the runtime's attempt observer. `start` opens the socket.
 
         Args:
             parameters: Addresses, seeds and keys.
             zone: This gateway's failure domain.
-            runtime: Its attempts are watched, and it takes the advice.
+            runtime: Reports its attempts, and receives the advice.
             clock: Unix time in microseconds that never steps back.
             metrics: Counts datagrams and logs changes.
         """
@@ -87,19 +87,19 @@
         """Opens the socket and starts the timer.
 
         Raises:
-            OSError: The address can't be bound.
+            OSError: The socket can't be bound to the address.
         """
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=self.listen_address)
         self.tick_task = loop.create_task(self._tick_forever(), name="fleet tick")
-        logger.info("fleet: {} talks on {}:{}", self.agent.own.name, *self.listen_address)
+        logger.info("fleet: gateway {} exchanges datagrams on {}:{}", self.agent.own.name, *self.listen_address)
 
     def reload(self, seeds: list[Address], keys: list[bytes]) -> None:
-        """Replaces seeds and keys; known members stay known."""
+        """Replaces seeds and keys. The member table stays as it is."""
         self.agent.reload(seeds, keys)
 
     def leave(self) -> None:
-        """Notifies some members that this gateway leaves, and closes the socket. The runtime's advice becomes empty."""
+        """Notifies some members that this gateway leaves, closes the socket, and passes empty advice to the runtime."""
         if self.tick_task:
             self.tick_task.cancel()
         self._send(self.agent.leave(self.clock.now()))
@@ -107,42 +107,42 @@
             self.socket.close()
         self.apply_advice(NO_ADVICE)
 
-    # ---- from the runtime: an AttemptObserver ----
+    # ---- calls of the runtime, for which this is an AttemptObserver ----
 
     def attempt_started(self, rpc: int, backend: int) -> None:
-        """Notes that an attempt of an RPC starts, both by the gateway's index."""
+        """Records the start of an attempt. `rpc` and `backend` are the gateway's indices."""
         self.agent.evidence.attempt_started(rpc, backend, self.clock.now())
 
     def attempt_ended(self, rpc: int, outcome: AttemptOutcome) -> None:
-        """Notes that an attempt of an RPC has ended."""
+        """Records the end of an attempt of an RPC."""
         self.agent.evidence.attempt_ended(rpc, SUCCESS_BY_OUTCOME.get(outcome), self.clock.now())
 
     def set_backends(self, backends: Iterable[KnownBackend]) -> None:
-        """Replaces the backends that take new work."""
+        """Replaces the backends that accept new requests."""
         known = list(backends)
         self._backend_names = {backend.index: backend.name for backend in known}
         self.agent.set_backends(known)
 
-    # ---- from the socket ----
+    # ---- calls of the event loop for the socket ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the open socket."""
+        """Stores the open socket."""
         self.socket = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, _: Address) -> None:
-        """Passes a datagram to the agent, unless too many have come since the last tick."""
+        """Passes a datagram to the agent, unless too many have arrived since the last tick."""
         self._datagrams_this_tick += 1
         if self._datagrams_this_tick > MAX_DATAGRAMS_PER_TICK:
             self.metrics.add("fleet: datagrams too many")
             return
         try:
             self._send(self.agent.receive(data, self.clock.now()))
-        except Exception:  # outermost guard of the fleet part: a fault in it must not cost an RPC
+        except Exception:  # outermost guard of the fleet part: a fault in it must not fail an RPC
             logger.exception("fleet: a datagram caused an error in the fleet part; it is dropped")
             self.metrics.check_invariant(False, "fleet failed")
 
     def error_received(self, _: Exception) -> None:
-        """Counts a datagram that the network rejected."""
+        """Counts a datagram that could not be delivered."""
         self.metrics.add("fleet: datagrams not delivered")
 
     def _send(self, datagrams: list[tuple[Address, bytes]]) -> None:
@@ -150,7 +150,7 @@
             if self.socket and not self.socket.is_closing():
                 self.socket.sendto(data, address)
 
-    # ---- time ----
+    # ---- timer ----
 
     async def _tick_forever(self) -> None:
         while True:
@@ -158,7 +158,7 @@
             self._datagrams_this_tick = 0
             try:
                 self._tick()
-            except Exception:  # outermost guard of the fleet part: a fault in it must not cost an RPC
+            except Exception:  # outermost guard of the fleet part: a fault in it must not fail an RPC
                 logger.exception("fleet: the timer caused an error in the fleet part; the next tick tries again")
                 self.metrics.check_invariant(False, "fleet failed")
 
@@ -168,7 +168,7 @@
         self.apply_advice(self.agent.advice)
 
     def apply_advice(self, advice: PeerEvidence) -> None:
-        """Passes changed advice to the runtime, and logs each backend that is newly left out or used again."""
+        """Passes changed advice to the runtime, and logs each backend that is newly ejected or reinstated."""
         if advice == self._applied_advice:
             return
         before = self._applied_advice.ejected_backends | self._applied_advice.probed
@@ -189,7 +189,7 @@
         if later and not self._superseded_logged:
             self._superseded_logged = True
             logger.error(
-                "fleet: {} is the name of a gateway at {}:{} that started later: this one goes on alone",
+                "fleet: a gateway named {} at {}:{} started later and supersedes this one, which leaves the fleet",
                 later.name,
                 *later.address,
             )
