--- a/stoneyoke/simhost/host.py
+++ b/stoneyoke/simhost/host.py
@@ -23,7 +23,7 @@
         self.instances: dict[int, Instance] = {}
         self.endpoint_lists: dict[int, list[Fields]] = {}
 
-    def answer(self, batch: Batch) -> bytes:
+    def process_batch(self, batch: Batch) -> bytes:
         """Handles the events of a batch in order; returns the reply's frame.
 
         Raises:
@@ -57,7 +57,7 @@
         if instance is None:
             return
         if code == EventCode.BACKENDS_CHANGED:
-            self.change_endpoints(instance, fields, batch, reply)
+            self.update_endpoints(instance, fields, batch, reply)
         else:
             instance.handle(code, fields, batch, reply)
 
@@ -69,16 +69,16 @@
         """
         number, seed, offset, size = fields
         try:
-            settings = json.loads(batch.tail_part(offset, size))
+            settings = json.loads(batch.tail_slice(offset, size))
         except ValueError as error:
             raise InvalidConfiguration(f"start message is not JSON: {error}") from error
         self.instances[number] = Instance(number, read_parameters(seed, settings), batch.clock_us)
 
-    def change_endpoints(self, instance: Instance, fields: Fields, batch: Batch, reply: Reply) -> None:
+    def update_endpoints(self, instance: Instance, fields: Fields, batch: Batch, reply: Reply) -> None:
         """Reports a change of the list of backends to an instance."""
         _, mode, _, number = fields
         if mode == LIST_FAILED:
-            instance.query_failed(batch, reply)
+            instance.discovery_failed(batch, reply)
         elif number not in self.endpoint_lists:
             raise MalformedFrame(f"frame {batch.number}: list {number} was never given")
         else:
@@ -93,5 +93,5 @@
     """
     host = Host()
     for batch in batches(source):
-        sink.write(host.answer(batch))
+        sink.write(host.process_batch(batch))
         sink.flush()
--- a/stoneyoke/simhost/instance.py
+++ b/stoneyoke/simhost/instance.py
@@ -63,9 +63,9 @@
         if handler:
             handler(self, fields, batch, reply)
 
-    def accept(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+    def request_arrived(self, fields: Fields, batch: Batch, reply: Reply) -> None:
         """A client's request has come."""
-        _, request, method, plan, customer, wait_us, units, width, _, bits = fields
+        _, request, method, plan, customer, wait_us, units, customer_gateways, _, flags = fields
         marks_retries = self.gateway.parameters.clients_mark_retries
         arrival = events.Arrival(
             rpc=self.requests.acquire(request),
@@ -75,14 +75,14 @@
             customer_id=customer,
             wait_us=wait_us,
             units=units,
-            customer_gateways=width,
-            is_retry=bool(bits & CLIENT_RETRY_BIT) if marks_retries else None,
+            customer_gateways=customer_gateways,
+            is_retry=bool(flags & CLIENT_RETRY_BIT) if marks_retries else None,
         )
         self.dispatch_for_request(request, arrival, batch, reply)
 
-    def verdict(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+    def attempt_ended(self, fields: Fields, batch: Batch, reply: Reply) -> None:
         """An attempt has ended. Its request may be one that has been ended before."""
-        _, request, _, _, attempt, backend, cost, outcome, closed, *_ = fields
+        _, request, _, _, attempt, backend, settled_units, outcome, is_final, *_ = fields
         if outcome not in OUTCOMES:
             raise MalformedFrame(f"frame {batch.number}: unknown outcome {outcome}")
         rpc = self.requests.index_by_id.get(request)
@@ -92,41 +92,41 @@
             rpc=rpc,
             attempt=attempt,
             backend=self.backends.acquire(backend),
-            outcome=self.attempt_outcome(rpc, OUTCOMES[outcome]),
-            is_final=bool(closed),
-            settled_units=float(cost),
+            outcome=self.resolve_outcome(rpc, OUTCOMES[outcome]),
+            is_final=bool(is_final),
+            settled_units=float(settled_units),
         )
         self.dispatch_for_request(request, ended, batch, reply)
 
-    def attempt_outcome(self, rpc: int, outcome: AttemptOutcome) -> AttemptOutcome:
+    def resolve_outcome(self, rpc: int, outcome: AttemptOutcome) -> AttemptOutcome:
         """An attempt's outcome. The simulator doesn't say why an attempt was cancelled."""
         ended_with_client = outcome is AttemptOutcome.CANCELLED and rpc in self.clients_gone
         return AttemptOutcome.CLIENT_GONE if ended_with_client else outcome
 
-    def gone(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+    def client_gone(self, fields: Fields, batch: Batch, reply: Reply) -> None:
         """A client has gone."""
         rpc = self.requests.index_by_id.get(fields[1])
         if rpc is not None:
             self.clients_gone.add(rpc)
             self.dispatch_for_request(fields[1], events.ClientGone(rpc), batch, reply)
 
-    def first(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+    def response_started(self, fields: Fields, batch: Batch, reply: Reply) -> None:
         """A streamed response has begun."""
         rpc = self.requests.index_by_id.get(fields[1])
         if rpc is not None:
             self.dispatch_for_request(fields[1], events.ResponseStarted(rpc), batch, reply)
 
-    def wakeup(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+    def timer_fired(self, fields: Fields, batch: Batch, reply: Reply) -> None:
         """A timer has come due."""
         self.dispatch(events.TimerFired(fields[1]), batch, reply)
 
-    def count_result(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+    def counter_replied(self, fields: Fields, batch: Batch, reply: Reply) -> None:
         """The counter service has replied."""
         _, name, _, outcome, total = fields
         added = OUTCOMES.get(outcome) is AttemptOutcome.OK
         self.dispatch(events.CounterReply(name, added, total), batch, reply)
 
-    def query_failed(self, batch: Batch, reply: Reply) -> None:
+    def discovery_failed(self, batch: Batch, reply: Reply) -> None:
         """Discovery has not answered; the list stays."""
         self.dispatch(events.EndpointsChanged(False, True), batch, reply)
 
@@ -165,8 +165,8 @@
         requests = self.requests.id_by_index
         match action:
             case actions.StartAttempt(rpc, backend, limit_us):
-                to = self.backends.id_by_index[backend]
-                reply.add(ActionCode.SEND, self.number, requests[rpc], to, min(limit_us, TIME_MAX_US))
+                backend_id = self.backends.id_by_index[backend]
+                reply.add(ActionCode.SEND, self.number, requests[rpc], backend_id, min(limit_us, TIME_MAX_US))
             case actions.Reject(rpc, retry_after_us):
                 reply.add(ActionCode.DECLINE, self.number, requests[rpc], min(retry_after_us, TIME_MAX_US))
             case actions.FailRpc(rpc):
@@ -186,10 +186,10 @@
 
 
 HANDLERS: dict[int, Callable[[Instance, Fields, Batch, Reply], None]] = {
-    EventCode.ACCEPT: Instance.accept,
-    EventCode.VERDICT: Instance.verdict,
-    EventCode.GONE: Instance.gone,
-    EventCode.FIRST: Instance.first,
-    EventCode.WAKEUP: Instance.wakeup,
-    EventCode.COUNT_RESULT: Instance.count_result,
+    EventCode.ACCEPT: Instance.request_arrived,
+    EventCode.VERDICT: Instance.attempt_ended,
+    EventCode.GONE: Instance.client_gone,
+    EventCode.FIRST: Instance.response_started,
+    EventCode.WAKEUP: Instance.timer_fired,
+    EventCode.COUNT_RESULT: Instance.counter_replied,
 }
--- a/stoneyoke/simhost/wire.py
+++ b/stoneyoke/simhost/wire.py
@@ -13,7 +13,7 @@
 BATCH_HEADER = struct.Struct("<IIQI")  # number, length, clock, records
 REPLY_HEADER = struct.Struct("<III")  # number of the batch, length, records
 EVENT_SIZE, ACTION_SIZE = 40, 24
-ENDPOINT = struct.Struct("<HHHfIQB")  # cell, zone, machine type, scale, backend, started, state
+ENDPOINT_LAYOUT = struct.Struct("<HHHfIQB")  # cell, zone, machine type, scale, backend, started, state
 
 CLIENT_RETRY_BIT = 2  # of an Accept's bitmap
 LIST_UPDATE, LIST_FAILED = 0, 3  # modes of BackendsChanged; the others bring a whole list
@@ -81,7 +81,7 @@
 Fields = tuple[Any, ...]
 
 
-def read_exactly(source: BinaryIO, size: int, what: str) -> bytes:
+def read_exactly(source: BinaryIO, size: int, description: str) -> bytes:
     """Reads so many bytes.
 
     Raises:
@@ -89,7 +89,7 @@
     """
     data = source.read(size)
     if data is None or len(data) < size:
-        raise MalformedFrame(f"truncated {what}: {len(data or b'')} of {size} bytes")
+        raise MalformedFrame(f"truncated {description}: {len(data or b'')} of {size} bytes")
     return data
 
 
@@ -127,20 +127,20 @@
                 raise MalformedFrame(f"frame {self.number}, record {start // EVENT_SIZE}: unknown event code {code}")
             yield code, layout.unpack_from(self.records, start)
 
-    def tail_part(self, offset: int, size: int) -> bytes:
+    def tail_slice(self, offset: int, size: int) -> bytes:
         """A part of the tail.
 
         Raises:
             MalformedFrame: It reaches beyond the tail.
         """
         if offset + size > len(self.tail):
-            reach = f"offset {offset}, length {size} reach beyond a tail of {len(self.tail)}"
-            raise MalformedFrame(f"frame {self.number}: {reach}")
+            problem = f"offset {offset}, length {size} reach beyond a tail of {len(self.tail)}"
+            raise MalformedFrame(f"frame {self.number}: {problem}")
         return bytes(self.tail[offset : offset + size])
 
     def endpoint_rows(self, offset: int, count: int) -> list[Fields]:
         """The rows of a list of backends in the tail."""
-        return list(ENDPOINT.iter_unpack(self.tail_part(offset, count * ENDPOINT.size)))
+        return list(ENDPOINT_LAYOUT.iter_unpack(self.tail_slice(offset, count * ENDPOINT_LAYOUT.size)))
 
 
 def batches(source: BinaryIO) -> Iterator[Batch]:
