--- a/stoneyoke/fleet/transport.py
+++ b/stoneyoke/fleet/transport.py
@@ -189,7 +189,7 @@
         if later and not self._superseded_logged:
             self._superseded_logged = True
             logger.error(
-                "fleet: a gateway named {} at {}:{} started later and supersedes this one, which leaves the fleet",
+                "fleet: a gateway named {} at {}:{} started later and supersedes this one, which runs on without peers",
                 later.name,
                 *later.address,
             )
--- a/stoneyoke/simhost/__init__.py
+++ b/stoneyoke/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter for the operators' simulator: its wire, spoken for many gateway instances."""
+"""Adapter for the operators' simulator: implements its wire protocol for many gateway instances."""
--- a/stoneyoke/simhost/__main__.py
+++ b/stoneyoke/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""python -m stoneyoke.simhost: the decisions on the simulator's wire, standard input to standard output."""
+"""python -m stoneyoke.simhost: runs the decision logic for the simulator, over standard input and standard output."""
 
 import sys
 
--- a/stoneyoke/simhost/errors.py
+++ b/stoneyoke/simhost/errors.py
@@ -2,4 +2,4 @@
 
 
 class MalformedFrame(Exception):
-    """A frame that can't be read; the text says what and where. It ends the process."""
+    """A frame can't be decoded; the message says what is wrong and where. The process exits."""
--- a/stoneyoke/simhost/host.py
+++ b/stoneyoke/simhost/host.py
@@ -1,4 +1,4 @@
-"""Hosts the simulated gateways of one process, and keeps them apart."""
+"""Hosts the simulated gateways of one process, and dispatches each event to the gateway that it names."""
 
 import json
 from typing import BinaryIO
@@ -14,8 +14,8 @@
     """All instances of one process.
 
     Attributes:
-        instances: By the numbers that the simulator gives.
-        endpoint_lists: The lists of backends that events refer to, by number; shared by the instances.
+        instances: The instances, by the simulator's numbers.
+        endpoint_lists: The lists of backends that events refer to, by number. All instances share them.
     """
 
     def __init__(self) -> None:
@@ -24,10 +24,10 @@
         self.endpoint_lists: dict[int, list[Fields]] = {}
 
     def process_batch(self, batch: Batch) -> bytes:
-        """Handles the events of a batch in order; returns the reply's frame.
+        """Handles the events of a batch in order, and returns the reply's frame.
 
         Raises:
-            MalformedFrame: The batch can't be read.
+            MalformedFrame: The batch can't be decoded.
         """
         reply = Reply(batch.number)
         for code, fields in batch.events():
@@ -41,12 +41,12 @@
                 raise
             except InvalidConfiguration as error:
                 reply.add_text(ActionCode.BROKEN, fields[0], str(error))
-            except Exception as error:  # outermost guard: any fault in the decision logic is reported to the simulator
+            except Exception as error:  # outermost guard: the simulator receives any fault in the decision logic
                 reply.add_text(ActionCode.BROKEN, fields[0], f"{type(error).__name__}: {error}")
         return reply.frame()
 
     def handle(self, code: int, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """Handles one event of an instance. One that names an instance that is not there is ignored."""
+        """Handles one event of an instance. An event of an unknown instance is ignored."""
         if code == EventCode.SPAWN:
             self.spawn(fields, batch)
             return
@@ -65,7 +65,7 @@
         """Starts an instance.
 
         Raises:
-            InvalidConfiguration: The settings can't be used.
+            InvalidConfiguration: The settings are invalid.
         """
         number, seed, offset, size = fields
         try:
@@ -80,16 +80,16 @@
         if mode == LIST_FAILED:
             instance.discovery_failed(batch, reply)
         elif number not in self.endpoint_lists:
-            raise MalformedFrame(f"frame {batch.number}: list {number} was never given")
+            raise MalformedFrame(f"frame {batch.number}: unknown list of backends {number}")
         else:
             instance.endpoints_changed(mode, self.endpoint_lists[number], batch, reply)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers each batch of the simulator until its input ends.
+    """Replies to each batch of the simulator until the input ends.
 
     Raises:
-        MalformedFrame: A frame can't be read.
+        MalformedFrame: A frame can't be decoded.
     """
     host = Host()
     for batch in batches(source):
--- a/stoneyoke/simhost/instance.py
+++ b/stoneyoke/simhost/instance.py
@@ -1,4 +1,4 @@
-"""One simulated gateway: its decision logic, and the wire's numbers in place of its indices."""
+"""One simulated gateway: its decision logic, and the mapping between its indices and the simulator's numbers."""
 
 from collections.abc import Callable
 
@@ -28,14 +28,17 @@
     410: AttemptOutcome.NOT_SENT,
 }
 
-FINAL_ACTIONS = (actions.Reject, actions.FailRpc)  # the decision logic may hold nothing of a request after these
+FINAL_ACTIONS = (
+    actions.Reject,
+    actions.FailRpc,
+)  # after these the decision logic may have no state of the request any more
 
 
 class Instance:
-    """One simulated gateway. It turns the wire's events into the decision logic's, and the actions back.
+    """One simulated gateway. It converts the wire's events into those of the decision logic, and its actions back.
 
-    Indices of requests and customers are released once the decision logic holds nothing of them any more; those of
-    backends are kept, since discovery never says that the simulator has finished with one.
+    Indices of requests and customers are released once the decision logic has no state of them any more. Indices of
+    backends are never released, since discovery does not report that the simulator no longer uses a backend.
     """
 
     def __init__(self, number: int, parameters: GatewayParameters, now: int) -> None:
@@ -43,7 +46,7 @@
 
         Args:
             number: The instance's number on the wire.
-            parameters: The decision logic's.
+            parameters: The parameters of the decision logic.
             now: The simulated time in microseconds.
         """
         self.number = number
@@ -54,17 +57,17 @@
     # ---- events ----
 
     def handle(self, code: int, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """Handles one event. Events that the decision logic has no use for are ignored.
+        """Handles one event. Events that the decision logic does not need are ignored.
 
         Raises:
-            MalformedFrame: A field holds a value that the wire's page does not give.
+            MalformedFrame: A field has a value that the protocol does not define.
         """
         handler = HANDLERS.get(code)
         if handler:
             handler(self, fields, batch, reply)
 
     def request_arrived(self, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """A client's request has come."""
+        """Handles ACCEPT: a client's request has arrived."""
         _, request, method, plan, customer, wait_us, units, customer_gateways, _, flags = fields
         marks_retries = self.gateway.parameters.clients_mark_retries
         arrival = events.Arrival(
@@ -81,7 +84,7 @@
         self.dispatch_for_request(request, arrival, batch, reply)
 
     def attempt_ended(self, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """An attempt has ended. Its request may be one that has been ended before."""
+        """Handles VERDICT: an attempt has ended. Its request may have ended before, and is then unknown here."""
         _, request, _, _, attempt, backend, settled_units, outcome, is_final, *_ = fields
         if outcome not in OUTCOMES:
             raise MalformedFrame(f"frame {batch.number}: unknown outcome {outcome}")
@@ -99,39 +102,42 @@
         self.dispatch_for_request(request, ended, batch, reply)
 
     def resolve_outcome(self, rpc: int, outcome: AttemptOutcome) -> AttemptOutcome:
-        """An attempt's outcome. The simulator doesn't say why an attempt was cancelled."""
+        """Returns an attempt's outcome: CLIENT_GONE if it was cancelled because its client had gone.
+
+        The simulator does not report why an attempt was cancelled.
+        """
         ended_with_client = outcome is AttemptOutcome.CANCELLED and rpc in self.clients_gone
         return AttemptOutcome.CLIENT_GONE if ended_with_client else outcome
 
     def client_gone(self, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """A client has gone."""
+        """Handles GONE: a client has gone."""
         rpc = self.requests.index_by_id.get(fields[1])
         if rpc is not None:
             self.clients_gone.add(rpc)
             self.dispatch_for_request(fields[1], events.ClientGone(rpc), batch, reply)
 
     def response_started(self, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """A streamed response has begun."""
+        """Handles FIRST: a streamed response has begun to arrive."""
         rpc = self.requests.index_by_id.get(fields[1])
         if rpc is not None:
             self.dispatch_for_request(fields[1], events.ResponseStarted(rpc), batch, reply)
 
     def timer_fired(self, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """A timer has come due."""
+        """Handles WAKEUP: a timer has expired."""
         self.dispatch(events.TimerFired(fields[1]), batch, reply)
 
     def counter_replied(self, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """The counter service has replied."""
+        """Handles COUNT_RESULT: the counter service has replied."""
         _, name, _, outcome, total = fields
         added = OUTCOMES.get(outcome) is AttemptOutcome.OK
         self.dispatch(events.CounterReply(name, added, total), batch, reply)
 
     def discovery_failed(self, batch: Batch, reply: Reply) -> None:
-        """Discovery has not answered; the list stays."""
+        """Handles a failed discovery request: the list of backends stays as it is."""
         self.dispatch(events.EndpointsChanged(False, True), batch, reply)
 
     def endpoints_changed(self, mode: int, rows: list[Fields], batch: Batch, reply: Reply) -> None:
-        """Discovery has sent a whole list or changes to it."""
+        """Handles a discovery response, which is a whole list of backends or changes to it."""
         endpoints = [
             events.Endpoint(self.backends.acquire(backend), zone, cell, started_us, BackendState(state))
             for cell, zone, _, _, backend, started_us, state in rows
@@ -141,27 +147,27 @@
     # ---- the decision logic ----
 
     def dispatch(self, event: events.Event, batch: Batch, reply: Reply) -> None:
-        """Delivers an event and adds the actions that follow from it to the reply."""
+        """Passes an event to the decision logic, and adds the actions that it returns to the reply."""
         for action in self.gateway.handle(event, batch.clock_us):
             self.add_action(action, reply)
             if isinstance(action, FINAL_ACTIONS):
                 self.release_if_done(action.rpc)
 
     def dispatch_for_request(self, request: int, event: events.Event, batch: Batch, reply: Reply) -> None:
-        """Delivers a request's event; releases the request's index if nothing is held of it any more."""
+        """Passes an event of a request to the decision logic; then releases its index if it is unused."""
         self.dispatch(event, batch, reply)
         rpc = self.requests.index_by_id.get(request)
         if rpc is not None:
             self.release_if_done(rpc)
 
     def release_if_done(self, rpc: int) -> None:
-        """Releases a request's index if nothing is held of it any more."""
+        """Releases a request's index if the decision logic has no state of it any more."""
         if not self.gateway.holds(rpc):
             self.clients_gone.discard(rpc)
             self.requests.release(rpc)
 
     def add_action(self, action: actions.Action, reply: Reply) -> None:
-        """Adds an action to the reply, in the wire's numbers."""
+        """Adds an action to the reply, with the simulator's numbers in place of indices."""
         requests = self.requests.id_by_index
         match action:
             case actions.StartAttempt(rpc, backend, limit_us):
@@ -172,7 +178,7 @@
             case actions.FailRpc(rpc):
                 reply.add(ActionCode.REPORT_FAILURE, self.number, requests[rpc])
             case actions.CancelAttempt(rpc, attempt, only_unsent):
-                if only_unsent:  # the simulator sends an attempt at once
+                if only_unsent:  # nothing to cancel: the simulator sends each attempt at once
                     return
                 reply.add(ActionCode.CALL_OFF, self.number, requests[rpc], attempt)
             case actions.SetTimer(delay_us, token):
--- a/stoneyoke/simhost/wire.py
+++ b/stoneyoke/simhost/wire.py
@@ -1,6 +1,7 @@
-"""Frames of the simulator's wire: codes, layouts, reading and writing. Names are those of the wire's page.
+"""The simulator's wire protocol: codes, layouts, decoding and encoding of frames.
 
-A frame is a header, then records of a fixed size, then a tail that holds whatever has no fixed size.
+Codes have the names of the protocol's documentation. A frame is a header, then records of a fixed size, then a tail
+with all data of variable size.
 """
 
 import struct
@@ -15,13 +16,13 @@
 EVENT_SIZE, ACTION_SIZE = 40, 24
 ENDPOINT_LAYOUT = struct.Struct("<HHHfIQB")  # cell, zone, machine type, scale, backend, started, state
 
-CLIENT_RETRY_BIT = 2  # of an Accept's bitmap
-LIST_UPDATE, LIST_FAILED = 0, 3  # modes of BackendsChanged; the others bring a whole list
-TIME_MAX_US = 2**32 - 1  # the longest time that an action can hold
+CLIENT_RETRY_BIT = 2  # in the bitmap of an ACCEPT event
+LIST_UPDATE, LIST_FAILED = 0, 3  # modes of a BACKENDS_CHANGED event; with the other modes the list is complete
+TIME_MAX_US = 2**32 - 1  # the longest time that an action's field can hold
 
 
 class EventCode(IntEnum):
-    """What the simulator tells of."""
+    """Events that the simulator sends."""
 
     SPAWN = 1
     BACKENDS_CHANGED = 2
@@ -38,7 +39,7 @@
 
 
 class ActionCode(IntEnum):
-    """What an instance asks the simulator to do."""
+    """Actions that an instance requests of the simulator."""
 
     SEND = 1
     DECLINE = 2
@@ -64,7 +65,7 @@
     EventCode.COUNT_RESULT: struct.Struct("<xHQIHf"),
     EventCode.MANIFEST: struct.Struct("<xIII"),
 }
-"""The fields of each event. The record's code is skipped; the instance's number comes first but in MANIFEST."""
+"""The fields of each event, without the record's code. The instance's number comes first, except in MANIFEST."""
 
 ACTION_LAYOUTS: dict[int, struct.Struct] = {
     ActionCode.SEND: struct.Struct("<BHIII"),
@@ -82,10 +83,10 @@
 
 
 def read_exactly(source: BinaryIO, size: int, description: str) -> bytes:
-    """Reads so many bytes.
+    """Reads exactly `size` bytes.
 
     Raises:
-        MalformedFrame: The input ends before; the text says what was cut short.
+        MalformedFrame: The input ends earlier. The message contains the description.
     """
     data = source.read(size)
     if data is None or len(data) < size:
@@ -98,14 +99,14 @@
 
     Attributes:
         number: The frame's number, which the reply repeats.
-        clock_us: The simulated time. It stands still until the reply.
+        clock_us: The simulated time. It does not advance until the reply.
     """
 
     def __init__(self, source: BinaryIO, header: bytes) -> None:
-        """Reads the frame that a header begins.
+        """Reads the rest of a frame after its header.
 
         Raises:
-            MalformedFrame: The frame is cut short, or shorter than its records.
+            MalformedFrame: The frame is truncated, or shorter than its records.
         """
         self.number, length, self.clock_us, count = BATCH_HEADER.unpack(header)
         body = memoryview(read_exactly(source, length, f"frame {self.number}"))
@@ -115,7 +116,7 @@
         self.tail = body[count * EVENT_SIZE :]
 
     def events(self) -> Iterator[tuple[int, Fields]]:
-        """The code and the fields of each event, in order.
+        """Yields the code and the fields of each event, in order.
 
         Raises:
             MalformedFrame: A code is unknown.
@@ -128,10 +129,10 @@
             yield code, layout.unpack_from(self.records, start)
 
     def tail_slice(self, offset: int, size: int) -> bytes:
-        """A part of the tail.
+        """Returns `size` bytes of the tail, from `offset` on.
 
         Raises:
-            MalformedFrame: It reaches beyond the tail.
+            MalformedFrame: The slice reaches beyond the tail.
         """
         if offset + size > len(self.tail):
             problem = f"offset {offset}, length {size} reach beyond a tail of {len(self.tail)}"
@@ -139,15 +140,15 @@
         return bytes(self.tail[offset : offset + size])
 
     def endpoint_rows(self, offset: int, count: int) -> list[Fields]:
-        """The rows of a list of backends in the tail."""
+        """Returns the rows of a list of backends, which is in the tail."""
         return list(ENDPOINT_LAYOUT.iter_unpack(self.tail_slice(offset, count * ENDPOINT_LAYOUT.size)))
 
 
 def batches(source: BinaryIO) -> Iterator[Batch]:
-    """The simulator's frames, until the input ends.
+    """Yields the simulator's frames until the input ends.
 
     Raises:
-        MalformedFrame: A frame can't be read.
+        MalformedFrame: A frame can't be decoded.
     """
     while header := source.read(BATCH_HEADER.size):
         if len(header) < BATCH_HEADER.size:
@@ -156,16 +157,20 @@
 
 
 class Reply:
-    """The actions that answer one batch."""
+    """The actions in reply to one batch."""
 
     def __init__(self, number: int) -> None:
-        """Takes the batch's number."""
+        """Starts without actions.
+
+        Args:
+            number: The number of the batch.
+        """
         self.number = number
         self.records: list[bytes] = []
         self.tail = bytearray()
 
     def add(self, code: ActionCode, *fields: float) -> None:
-        """Adds an action, the instance's number first."""
+        """Adds an action. The first of its fields is the instance's number."""
         self.records.append(ACTION_LAYOUTS[code].pack(code, *fields).ljust(ACTION_SIZE, b"\0"))
 
     def add_text(self, code: ActionCode, instance: int, text: str) -> None:
@@ -175,6 +180,6 @@
         self.tail += data
 
     def frame(self) -> bytes:
-        """The whole frame."""
+        """Returns the encoded frame."""
         body = b"".join(self.records) + self.tail
         return REPLY_HEADER.pack(self.number, len(body), len(self.records)) + body
