--- a/tests/fleet/simulated_cluster.py
+++ b/tests/fleet/simulated_cluster.py
@@ -14,7 +14,7 @@
 START_US = 1_700_000_000 * SECOND_US
 KEY = b"a key of the tests"
 OVERDUE_AFTER_US = 600_000
-ANSWER_US = 50_000
+RESPONSE_US = 50_000
 OBSERVE_INTERVAL_US = 100_000
 ZONES = "abc"
 PORT = 7000
@@ -77,23 +77,23 @@
         """Names of the others that it takes for alive."""
         return {member.name for member in self.agent.membership.table.alive()}
 
-    def leaves_out(self, backend: int) -> bool:
+    def ejects(self, backend: int) -> bool:
         """Whether it leaves a backend out, or only probes it."""
         return backend in self.agent.advice.ejected_backends | self.agent.advice.probed
 
-    def use_false_reports(self) -> None:
+    def install_false_reports(self) -> None:
         """Makes the agent send the false reports, if there are any."""
         false_reports = self.false_reports
         if false_reports:
             self.agent.evidence.reports = lambda now_us, requested=(): false_reports(self, now_us)  # type: ignore[method-assign]
 
 
-def always_good(_gateway: SimulatedGateway, _backend: int, _now_us: int) -> bool | None:
+def always_succeeds(_gateway: SimulatedGateway, _backend: int, _now_us: int) -> bool | None:
     """Every backend answers every attempt well."""
     return True
 
 
-def never_cut(_sender: SimulatedGateway, _receiver: SimulatedGateway) -> bool:
+def no_partition(_sender: SimulatedGateway, _receiver: SimulatedGateway) -> bool:
     """The network reaches everywhere."""
     return False
 
@@ -132,9 +132,9 @@
         self.delay_us = delay_us
         self.attempts_per_s = attempts_per_s
         self.keys = [KEY]
-        self.cut: Callable[[SimulatedGateway, SimulatedGateway], bool] = never_cut
+        self.is_partitioned: Callable[[SimulatedGateway, SimulatedGateway], bool] = no_partition
         # What a backend answers to an attempt of a gateway: well, badly, or None for not at all.
-        self.backend_answer: Callable[[SimulatedGateway, int, int], bool | None] = always_good
+        self.backend_outcome: Callable[[SimulatedGateway, int, int], bool | None] = always_succeeds
         self.backends = [KnownBackend(index, f"b{index}", ZONES[index % len(ZONES)], 1) for index in range(backends)]
         self.gateways: list[SimulatedGateway] = []
         self.seeds = [address_of(number) for number in range(seeds)]
@@ -151,7 +151,7 @@
         self.by_address[gateway.address] = gateway
         self.schedule(self.random_source.randrange(TICK_INTERVAL_US), self.tick, gateway)
         if self.attempts_per_s:
-            self.schedule(self.pause_us(), self.start_attempt, gateway)
+            self.schedule(self.next_attempt_delay_us(), self.start_attempt, gateway)
         return gateway
 
     def kill(self, gateway: SimulatedGateway) -> None:
@@ -199,17 +199,17 @@
         Returns:
             The time that it took, in seconds.
         """
-        began_us = self.now_us
-        held_at_us: list[int] = []
+        started_at_us = self.now_us
+        fulfilled_at_us: list[int] = []
 
         def observe() -> bool:
             if holds():
-                held_at_us.append(self.now_us)
-            return bool(held_at_us)
+                fulfilled_at_us.append(self.now_us)
+            return bool(fulfilled_at_us)
 
         self.run(seconds, observe)
-        assert held_at_us, f"not within {seconds} s"
-        return (held_at_us[0] - began_us) / SECOND_US
+        assert fulfilled_at_us, f"not within {seconds} s"
+        return (fulfilled_at_us[0] - started_at_us) / SECOND_US
 
     def tick(self, gateway: SimulatedGateway) -> None:
         """Ticks a gateway's agent, again and again until the gateway is killed."""
@@ -218,7 +218,7 @@
         if not gateway.frozen:
             self.send(gateway, gateway.agent.tick(gateway.now_us()))
             gateway.changes += [(self.now_us, member) for member in gateway.agent.take_changes()]
-            gateway.use_false_reports()
+            gateway.install_false_reports()
         self.schedule(TICK_INTERVAL_US, self.tick, gateway)
 
     # ---- the network ----
@@ -229,7 +229,7 @@
             sender.sent_bytes += len(data)
             sender.sent_datagrams += 1
             receiver = self.by_address.get(address)
-            if receiver is None or self.random_source.random() < self.loss or self.cut(sender, receiver):
+            if receiver is None or self.random_source.random() < self.loss or self.is_partitioned(sender, receiver):
                 continue
             for _ in range(2 if self.random_source.random() < self.duplicated else 1):
                 self.schedule(self.random_source.randrange(*self.delay_us), self.deliver, receiver, data)
@@ -243,7 +243,7 @@
 
     # ---- attempts at backends ----
 
-    def pause_us(self) -> int:
+    def next_attempt_delay_us(self) -> int:
         """The time until a gateway's next attempt."""
         return int(self.random_source.expovariate(self.attempts_per_s) * SECOND_US) + 1
 
@@ -251,7 +251,7 @@
         """Sends an attempt to a backend to probe, or else to any that is not left out."""
         if not gateway.running:
             return
-        self.schedule(self.pause_us(), self.start_attempt, gateway)
+        self.schedule(self.next_attempt_delay_us(), self.start_attempt, gateway)
         if gateway.frozen:
             return
         advice = gateway.agent.advice
@@ -260,9 +260,9 @@
         rpc = next(gateway.rpcs)
         gateway.attempts.append((self.now_us, backend))
         gateway.agent.evidence.attempt_started(rpc, backend, gateway.now_us())
-        succeeded = self.backend_answer(gateway, backend, self.now_us)
+        succeeded = self.backend_outcome(gateway, backend, self.now_us)
         self.schedule(
-            ANSWER_US if succeeded is not None else 2 * OVERDUE_AFTER_US, self.end_attempt, gateway, rpc, succeeded
+            RESPONSE_US if succeeded is not None else 2 * OVERDUE_AFTER_US, self.end_attempt, gateway, rpc, succeeded
         )
 
     def end_attempt(self, gateway: SimulatedGateway, rpc: int, succeeded: bool | None) -> None:
@@ -281,10 +281,10 @@
         names = {gateway.name for gateway in self.responsive()}
         return all(gateway.alive() == gateway.present() == names - {gateway.name} for gateway in self.responsive())
 
-    def share_leaving_out(self, backend: int) -> float:
+    def ejecting_share(self, backend: int) -> float:
         """The share of the running gateways that leave a backend out, or only probe it."""
         gateways = self.responsive()
-        return sum(gateway.leaves_out(backend) for gateway in gateways) / len(gateways)
+        return sum(gateway.ejects(backend) for gateway in gateways) / len(gateways)
 
 
 def member_record(
--- a/tests/fleet/test_datagram_codec.py
+++ b/tests/fleet/test_datagram_codec.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    "corrupt, why",
+    "corrupt, reason",
     [
         (lambda d: d[:-1] + bytes((d[-1] ^ 1,)), "forged"),
         (lambda d: d[:30], "forged"),
@@ -50,11 +50,11 @@
         (lambda d: d[:1] + bytes((d[1] ^ 1,)) + d[2:], "of an unknown key"),
     ],
 )
-def test_a_corrupted_datagram_is_refused_with_its_reason(corrupt, why):
-    assert refusal(DatagramCodec([KEY]), corrupt(DatagramCodec([KEY]).encode(message()))) == why
+def test_a_corrupted_datagram_is_refused_with_its_reason(corrupt, reason):
+    assert refusal(DatagramCodec([KEY]), corrupt(DatagramCodec([KEY]).encode(message()))) == reason
 
 
-def test_keys_are_exchanged_step_by_step_and_the_old_one_is_then_refused():
+def test_keys_are_replaced_step_by_step_and_the_old_one_is_then_refused():
     old, new = DatagramCodec([KEY]), DatagramCodec([KEY])
     new.set_keys([KEY, OTHER])
     old.decode(new.encode(message(1)), START_US)
--- a/tests/fleet/test_decisions.py
+++ b/tests/fleet/test_decisions.py
@@ -7,16 +7,16 @@
 
 
 def backends_used(bench, rpcs):
-    took = []
+    used = []
     for _ in range(rpcs):
-        (call,) = attempts_in(bench.arrive(units=0.01))
-        took.append(call.backend)
-        bench.end_attempt(bench.next_rpc, 0, call.backend)
+        (attempt,) = attempts_in(bench.arrive(units=0.01))
+        used.append(attempt.backend)
+        bench.end_attempt(bench.next_rpc, 0, attempt.backend)
         bench.pass_time(50_000)
-    return took
+    return used
 
 
-def test_a_backend_left_out_gets_no_attempts_until_it_is_reinstated():
+def test_an_ejected_backend_gets_no_attempts_until_it_is_reinstated():
     bench = DecisionBench()
     first = backends_used(bench, 1)[0]
     bench.dispatch(PeerEvidence(frozenset([first]), frozenset()))
@@ -35,9 +35,9 @@
     assert other not in backends_used(bench, 10)
 
 
-def test_a_retry_avoids_a_backend_left_out():
+def test_a_retry_avoids_an_ejected_backend():
     bench = DecisionBench(fleet=3)
     bench.dispatch(PeerEvidence(frozenset([0]), frozenset()))
-    (call,) = attempts_in(bench.arrive(units=0.01))
-    (again,) = attempts_in(bench.end_attempt(bench.next_rpc, 0, call.backend, AttemptOutcome.CUT))
-    assert {call.backend, again.backend} == {1, 2}
+    (attempt,) = attempts_in(bench.arrive(units=0.01))
+    (retry,) = attempts_in(bench.end_attempt(bench.next_rpc, 0, attempt.backend, AttemptOutcome.CUT))
+    assert {attempt.backend, retry.backend} == {1, 2}
--- a/tests/fleet/test_evidence.py
+++ b/tests/fleet/test_evidence.py
@@ -40,9 +40,9 @@
     return evidence
 
 
-def receive_answers(evidence, reporters, entries, now=START_US, first=0):
+def receive_responses(evidence, reporters, reports, now=START_US, first=0):
     for n in range(first, first + reporters):
-        evidence.receive_response(f"w{n}", entries, now)
+        evidence.receive_response(f"w{n}", reports, now)
 
 
 def ejected_backends(evidence, now=START_US, others=20):
@@ -52,17 +52,17 @@
     return set(evidence.advice(now, 1_000_000).ejected_backends)
 
 
-def test_a_backend_that_most_witnesses_find_unhealthy_is_left_out():
+def test_a_backend_that_most_reporters_find_unhealthy_is_ejected():
     evidence = new_evidence()
-    receive_answers(evidence, 8, [unhealthy(3)])
-    receive_answers(evidence, 4, [healthy(3)], first=8)
-    receive_answers(evidence, 8, [], first=12)
+    receive_responses(evidence, 8, [unhealthy(3)])
+    receive_responses(evidence, 4, [healthy(3)], first=8)
+    receive_responses(evidence, 8, [], first=12)
     assert ejected_backends(evidence) == {3}
 
 
-def test_a_backend_that_is_slow_for_most_is_left_out():
+def test_a_backend_that_is_slow_for_most_reporters_is_ejected():
     evidence = new_evidence()
-    receive_answers(evidence, 8, [slow(3)])
+    receive_responses(evidence, 8, [slow(3)])
     assert ejected_backends(evidence) == {3}
 
 
@@ -75,24 +75,24 @@
         (40, 40, 0),  # half of those that know it
     ],
 )
-def test_too_few_accusers_leave_nothing_out(unhealthy_reporters, healthy_reporters, silent):
+def test_too_few_unhealthy_reports_eject_nothing(unhealthy_reporters, healthy_reporters, silent):
     evidence = new_evidence()
-    receive_answers(evidence, unhealthy_reporters, [unhealthy(3)])
-    receive_answers(evidence, healthy_reporters, [healthy(3)], first=unhealthy_reporters)
-    receive_answers(evidence, silent, [], first=unhealthy_reporters + healthy_reporters)
+    receive_responses(evidence, unhealthy_reporters, [unhealthy(3)])
+    receive_responses(evidence, healthy_reporters, [healthy(3)], first=unhealthy_reporters)
+    receive_responses(evidence, silent, [], first=unhealthy_reporters + healthy_reporters)
     assert ejected_backends(evidence, others=100 if unhealthy_reporters > 1 else 2) == set()
 
 
-def test_the_documented_share_of_accusers_suffices():
+def test_the_documented_share_of_unhealthy_reporters_suffices():
     evidence = new_evidence()
-    receive_answers(evidence, round(MIN_UNHEALTHY_REPORTER_SHARE * 300), [unhealthy(3)])
+    receive_responses(evidence, round(MIN_UNHEALTHY_REPORTER_SHARE * 300), [unhealthy(3)])
     assert ejected_backends(evidence, others=300) == {3}
     assert ejected_backends(new_evidence(), others=300) == set()
 
 
-def test_a_verdict_waits_for_the_least_time_of_a_dispute():
+def test_a_candidate_is_ejected_only_after_its_minimum_time():
     evidence = new_evidence()
-    receive_answers(evidence, 20, [unhealthy(3)])
+    receive_responses(evidence, 20, [unhealthy(3)])
     evidence.update_ejections(START_US, 20)
     evidence.update_ejections(START_US + MIN_CANDIDATE_US - 1, 20)
     assert not evidence.ejections
@@ -100,49 +100,49 @@
     assert evidence.ejections
 
 
-def test_a_witness_counts_once_however_often_it_reports():
+def test_a_reporter_counts_once_however_often_it_reports():
     evidence = new_evidence()
     for _ in range(50):
         evidence.receive_response("liar", [unhealthy(3)], START_US)
     assert ejected_backends(evidence) == set()
 
 
-def test_a_witness_that_reports_most_backends_unhealthy_does_not_count():
+def test_a_reporter_that_finds_most_backends_unhealthy_does_not_count():
     evidence = new_evidence()
-    receive_answers(evidence, 30, [unhealthy(b) for b in range(7)])
+    receive_responses(evidence, 30, [unhealthy(b) for b in range(7)])
     assert ejected_backends(evidence) == set()
-    receive_answers(evidence, 30, [unhealthy(b) for b in range(3)])
+    receive_responses(evidence, 30, [unhealthy(b) for b in range(3)])
     assert ejected_backends(evidence) == {0, 1, 2}
 
 
-def test_a_bounded_part_of_a_zone_is_left_out_the_clearest_verdicts_first():
+def test_a_bounded_part_of_a_zone_is_ejected_highest_shares_first():
     evidence = new_evidence()
-    receive_answers(evidence, 20, [unhealthy(b) for b in range(6)])
-    receive_answers(evidence, 8, [healthy(b) for b in (0, 1)], first=20)
-    out = ejected_backends(evidence)
-    assert len(out) == 12 // ZONE_EJECTION_DIVISOR and out == {2, 3, 4, 5}
+    receive_responses(evidence, 20, [unhealthy(b) for b in range(6)])
+    receive_responses(evidence, 8, [healthy(b) for b in (0, 1)], first=20)
+    ejected = ejected_backends(evidence)
+    assert len(ejected) == 12 // ZONE_EJECTION_DIVISOR and ejected == {2, 3, 4, 5}
 
 
 def test_a_zone_of_two_backends_loses_none():
     evidence = new_evidence()
     evidence.set_backends(BACKENDS[:2])
-    receive_answers(evidence, 20, [unhealthy(0)])
+    receive_responses(evidence, 20, [unhealthy(0)])
     assert ejected_backends(evidence) == set()
 
 
-def test_own_observations_overrule_reports():
+def test_own_observations_override_reports():
     evidence = new_evidence()
-    receive_answers(evidence, 20, [unhealthy(3)])
+    receive_responses(evidence, 20, [unhealthy(3)])
     evidence.attempt_started(1, 3, START_US)
     evidence.attempt_ended(1, True, START_US)
     assert ejected_backends(evidence) == set()
-    receive_answers(evidence, 20, [unhealthy(3)], START_US + OWN_SUCCESS_US)
+    receive_responses(evidence, 20, [unhealthy(3)], START_US + OWN_SUCCESS_US)
     assert ejected_backends(evidence, START_US + OWN_SUCCESS_US) == {3}
 
 
-def test_a_verdict_ends_without_new_reports():
+def test_an_ejection_ends_without_new_reports():
     evidence = new_evidence()
-    receive_answers(evidence, 20, [unhealthy(3)])
+    receive_responses(evidence, 20, [unhealthy(3)])
     assert ejected_backends(evidence) == {3}
     assert ejected_backends(evidence, START_US + REPORT_LIFETIME_US - 1) == {3}
     assert ejected_backends(evidence, START_US + REPORT_LIFETIME_US) == set()
@@ -150,40 +150,40 @@
 
 def test_observations_that_were_old_when_reported_do_not_count():
     evidence = new_evidence()
-    receive_answers(evidence, 20, [unhealthy(3, age=MAX_REPORT_AGE_US // 100_000)])
+    receive_responses(evidence, 20, [unhealthy(3, age=MAX_REPORT_AGE_US // 100_000)])
     assert ejected_backends(evidence) == set()
 
 
-def test_a_standing_verdict_needs_fewer_accusers_and_ends_at_its_longest_time():
+def test_renewing_an_ejection_needs_fewer_reporters_and_ends_at_the_maximum_time():
     evidence = new_evidence()
-    receive_answers(evidence, 100, [unhealthy(3)])
+    receive_responses(evidence, 100, [unhealthy(3)])
     assert ejected_backends(evidence, others=100) == {3}
     for second in range(5, 70, 5):
         now = START_US + second * SECOND_US
-        receive_answers(evidence, 8, [unhealthy(3)], now)
-        receive_answers(evidence, 92, [], now, first=8)
+        receive_responses(evidence, 8, [unhealthy(3)], now)
+        receive_responses(evidence, 92, [], now, first=8)
         assert ejected_backends(evidence, now, 100) == ({3} if second * SECOND_US < MAX_EJECTION_US else set())
 
 
-def test_no_verdict_outlives_a_restart_or_removal_of_its_backend():
+def test_no_ejection_outlives_a_restart_or_removal_of_its_backend():
     evidence = new_evidence()
-    receive_answers(evidence, 20, [unhealthy(3), unhealthy(4)])
+    receive_responses(evidence, 20, [unhealthy(3), unhealthy(4)])
     assert ejected_backends(evidence) == {3, 4}
-    again = [KnownBackend(3, "b3", "a", 9) if k.index == 3 else k for k in BACKENDS if k.index != 4]
-    evidence.set_backends(again)
+    changed = [KnownBackend(3, "b3", "a", 9) if k.index == 3 else k for k in BACKENDS if k.index != 4]
+    evidence.set_backends(changed)
     assert ejected_backends(evidence) == set()
 
 
 def test_gateways_take_turns_to_probe_with_one_attempt_each():
     gateways = [new_evidence(f"g{n}") for n in range(60)]
     for evidence in gateways:
-        receive_answers(evidence, 20, [unhealthy(3)])
+        receive_responses(evidence, 20, [unhealthy(3)])
         ejected_backends(evidence)
     probers = []
     for slot in range(40):
         now = START_US + slot * PROBE_SLOT_US
-        who = [evidence.gateway for evidence in gateways if evidence.advice(now, 60).probed]
-        probers += who
+        slot_probers = [evidence.gateway for evidence in gateways if evidence.advice(now, 60).probed]
+        probers += slot_probers
         for evidence in gateways:
             if evidence.advice(now, 60).probed:
                 evidence.attempt_started(1, 3, now)
@@ -191,18 +191,18 @@
     assert 20 * PROBERS_PER_SLOT < len(probers) < 60 * PROBERS_PER_SLOT and len(set(probers)) > 40
 
 
-def test_an_unanswered_attempt_counts_as_failed_once_until_its_late_answer():
+def test_an_overdue_attempt_counts_as_failed_once_until_its_late_response():
     evidence = new_evidence()
     evidence.attempt_started(1, 3, START_US)
     for step in range(12):
         evidence.check_overdue(START_US + step * 100_000)
-    (entry,) = evidence.reports(START_US + SECOND_US)
-    assert entry.unhealthy and entry.failures == 1 and entry.backend_id == IDS[3]
+    (report,) = evidence.reports(START_US + SECOND_US)
+    assert report.unhealthy and report.failures == 1 and report.backend_id == IDS[3]
     evidence.attempt_ended(1, True, START_US + 2 * SECOND_US)
     assert not any(e.unhealthy for e in evidence.reports(START_US + 2 * SECOND_US))
 
 
-def test_attempts_pending_during_a_stall_accuse_nobody():
+def test_attempts_pending_during_a_stall_are_not_reported_as_failures():
     evidence = new_evidence()
     evidence.attempt_started(1, 3, START_US)
     evidence.check_overdue(START_US + 100_000)
@@ -210,7 +210,7 @@
     assert evidence.reports(START_US + 5 * SECOND_US) == []
 
 
-def test_a_gateway_that_finds_most_backends_unhealthy_accuses_nobody():
+def test_a_gateway_that_finds_most_backends_unhealthy_reports_none():
     evidence = new_evidence()
     for b in range(7):
         evidence.attempt_started(b, b, START_US)
@@ -218,23 +218,24 @@
     assert evidence.reports(START_US) == []
 
 
-def test_healthy_backends_are_reported_only_while_disputed():
+def test_healthy_backends_are_reported_only_while_candidates():
     evidence = new_evidence()
     for b in (3, 4):
         evidence.attempt_started(b, b, START_US)
         evidence.attempt_ended(b, True, START_US)
     assert evidence.reports(START_US) == []
-    receive_answers(evidence, 2, [unhealthy(3)])
+    receive_responses(evidence, 2, [unhealthy(3)])
     evidence.update_ejections(START_US, 20)
     assert [e.backend_id for e in evidence.reports(START_US)] == [IDS[3]]
 
 
 @pytest.mark.parametrize(
-    "ends, accused", [([True, False], True), ([False, True], False), ([True, True, True, False], True), ([None], False)]
+    "ends, reported",
+    [([True, False], True), ([False, True], False), ([True, True, True, False], True), ([None], False)],
 )
-def test_the_last_outcome_decides_whether_a_backend_is_reported_unhealthy(ends, accused):
+def test_the_last_outcome_decides_whether_a_backend_is_reported_unhealthy(ends, reported):
     evidence = new_evidence()
     for n, end in enumerate(ends):
         evidence.attempt_started(n, 3, START_US + n * 1000)
         evidence.attempt_ended(n, end, START_US + n * 200_000)
-    assert any(e.unhealthy for e in evidence.reports(START_US + 900_000)) is accused
+    assert any(e.unhealthy for e in evidence.reports(START_US + 900_000)) is reported
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -37,7 +37,7 @@
     converge(cluster, 10)
 
 
-def test_a_killed_gateway_alone_is_declared_dead():
+def test_only_a_killed_gateway_is_declared_dead():
     cluster = SimulatedCluster(20)
     converge(cluster)
     cluster.run(5)
@@ -60,10 +60,10 @@
     cluster.send(gateway, gateway.agent.leave(gateway.now_us()))
     cluster.kill(gateway)
     assert cluster.assert_within(5, all_absent(cluster, {"g3"})) < 3
-    said = [
+    final_states = [
         m.state for n in cluster.responsive() for _, m in n.changes if m.name == "g3" and m.state > MemberState.SUSPECT
     ]
-    assert set(said) == {MemberState.LEFT}
+    assert set(final_states) == {MemberState.LEFT}
 
 
 def test_a_restart_overrides_the_earlier_process():
@@ -131,10 +131,10 @@
 def test_two_partitions_merge_again():
     cluster = SimulatedCluster(20)
     converge(cluster)
-    cluster.cut = lambda a, b: a.number % 2 != b.number % 2
+    cluster.is_partitioned = lambda a, b: a.number % 2 != b.number % 2
     halves = [{m.name for m in cluster.gateways if m.number % 2 == half} for half in (0, 1)]
     cluster.assert_within(40, lambda: all(n.present() == halves[n.number % 2] - {n.name} for n in cluster.responsive()))
-    cluster.cut = lambda a, b: False
+    cluster.is_partitioned = lambda a, b: False
     converge(cluster, 40)
 
 
@@ -142,7 +142,7 @@
     """Datagrams that half of the others send to it get lost; the rest reach it."""
     cluster = SimulatedCluster(20)
     converge(cluster)
-    cluster.cut = lambda a, b: b.number == 5 and a.number % 2 == 0
+    cluster.is_partitioned = lambda a, b: b.number == 5 and a.number % 2 == 0
     cluster.run(40)
     assert not any(m.state == MemberState.DEAD for n in cluster.responsive() for _, m in n.changes)
 
@@ -205,16 +205,16 @@
     assert "g2" not in cluster.gateways[0].agent.membership.table.peers
 
 
-def test_keys_can_be_exchanged_during_a_partition():
+def test_keys_can_be_replaced_during_a_partition():
     old, new = b"a key of the tests", b"the key that follows"
     cluster = SimulatedCluster(8)
     converge(cluster)
-    cluster.cut = lambda a, b: a.number % 2 != b.number % 2
+    cluster.is_partitioned = lambda a, b: a.number % 2 != b.number % 2
     for keys in ([old, new], [new, old]):
         for gateway in cluster.gateways:
             gateway.agent.codec.set_keys(keys)
             cluster.run(2)
-    cluster.cut = lambda a, b: False
+    cluster.is_partitioned = lambda a, b: False
     converge(cluster, 40)
     for gateway in cluster.gateways:
         gateway.agent.codec.set_keys([new])
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -49,12 +49,12 @@
     logs = {path.stem: path.read_text() for path in (out / "logs").glob("*-g*.log")}
     assert len(logs) == 9
     assert not [name for name, log in logs.items() if "Traceback" in log or "BROKEN" in log]
-    knew = [name for name, log in logs.items() if "backend ejected on peer evidence: a/b000" in log]
-    assert len(knew) >= 6, knew
-    back = [name for name in knew if "backend reinstated: a/b000" in logs[name]]
-    assert len(back) >= len(knew) - 1, (knew, back)
-    gone = [name for name, log in logs.items() if re.search("a gateway (is dead|has left): c/g008", log)]
-    assert len(gone) >= 3, gone
+    ejecting = [name for name, log in logs.items() if "backend ejected on peer evidence: a/b000" in log]
+    assert len(ejecting) >= 6, ejecting
+    reinstating = [name for name in ejecting if "backend reinstated: a/b000" in logs[name]]
+    assert len(reinstating) >= len(ejecting) - 1, (ejecting, reinstating)
+    departed = [name for name, log in logs.items() if re.search("a gateway (is dead|has left): c/g008", log)]
+    assert len(departed) >= 3, departed
     # In the end each takes all others for present again.
     for name, log in logs.items():
         changes = re.findall(r"a gateway (is there|is suspected|is dead|has left): (\S+)", log)
@@ -71,16 +71,16 @@
     """Two gateways on sockets that know each other, before the same stand-ins."""
 
     def __init__(self):
-        self.stand_ins = GatewayUnderTest()
+        self.fixture = GatewayUnderTest()
 
     async def __aenter__(self):
-        await self.stand_ins.__aenter__()
-        given = json.loads(json.dumps(self.stand_ins.configuration)) | {"listen": "127.0.0.1:0"}
-        given["settings"] = SETTINGS | {"self-index": 2}
+        await self.fixture.__aenter__()
+        options = json.loads(json.dumps(self.fixture.configuration)) | {"listen": "127.0.0.1:0"}
+        options["settings"] = SETTINGS | {"self-index": 2}
         one, two = (("127.0.0.1", free_port("127.0.0.1", socket.SOCK_DGRAM)) for _ in range(2))
         self.programs = [
-            SingleGatewayProgram(read_settings(given), parameters("g1", one, [two])),
-            SingleGatewayProgram(read_settings(given), parameters("g2", two, [one])),
+            SingleGatewayProgram(read_settings(options), parameters("g1", one, [two])),
+            SingleGatewayProgram(read_settings(options), parameters("g2", two, [one])),
         ]
         for program in self.programs:
             await program.start()
@@ -94,7 +94,7 @@
             if program.peers.tick_task:
                 program.peers.tick_task.cancel()
             program.peers.socket.close()
-        await self.stand_ins.__aexit__()
+        await self.fixture.__aexit__()
 
 
 @runs_on_loop
@@ -108,7 +108,7 @@
 
 
 @runs_on_loop
-async def test_a_flood_of_junk_is_counted_and_the_rest_goes_on():
+async def test_a_flood_of_invalid_datagrams_is_limited_and_others_are_still_handled():
     async with TwoGateways() as two:
         peers = two.programs[0].peers
         await until(lambda: peers.agent.membership.table.size() == 2)
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize(
-    "changes, says",
+    "changes, message",
     [
         ({"listen": "nowhere"}, "fleet.listen: no HOST:PORT: 'nowhere'"),
         ({"seeds": ["127.0.0.1:1", "x"]}, r"fleet.seeds\[1\]: no HOST:PORT: 'x'"),
@@ -148,15 +148,15 @@
         ({"keys": "word"}, "no hex number"),
     ],
 )
-def test_unusable_options_are_reported_by_field(tmp_path, monkeypatch, changes, says):
+def test_unusable_options_are_reported_by_field(tmp_path, monkeypatch, changes, message):
     monkeypatch.chdir(tmp_path)
     (tmp_path / "good").write_text("00" * 16)
     (tmp_path / "short").write_text("00")
     (tmp_path / "word").write_text("key")
-    given = {"listen": "127.0.0.1:7000", "name": "g1", "keys": "good"}
-    assert fleet_parameters(FleetOptions(**given), "") and fleet_parameters(FleetOptions(), "") is None
-    with pytest.raises(InvalidConfiguration, match=says):
-        fleet_parameters(FleetOptions(**(given | changes)), "")
+    options = {"listen": "127.0.0.1:7000", "name": "g1", "keys": "good"}
+    assert fleet_parameters(FleetOptions(**options), "") and fleet_parameters(FleetOptions(), "") is None
+    with pytest.raises(InvalidConfiguration, match=message):
+        fleet_parameters(FleetOptions(**(options | changes)), "")
 
 
 def test_a_gateway_without_the_option_does_not_import_the_fleet_package():
--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -14,13 +14,13 @@
 # Digest of all actions, without the names of their classes and fields, for the events drawn below. The text before
 # these names were changed (0c80eb9) gives the same one. A change of decisions on purpose takes it anew: print(replay())
 # on the changed text, with the reason in its commit.
-RECORDED = "e992db8b9dadba37"
+RECORDED_DIGEST = "e992db8b9dadba37"
 BACKENDS, STEPS, STEP_US = 12, 1200, 50_000
 # Nothing ends as CLIENT_GONE by itself.
 ENDS = [AttemptOutcome.OK] * 12 + [outcome for outcome in AttemptOutcome if outcome is not AttemptOutcome.CLIENT_GONE]
 
 
-def content(action):
+def values_of(action):
     """An action without the names of its class and fields: renaming them changes no decision."""
     values = [getattr(action, field.name) for field in fields(action) if field.repr]
     return [get_args(Action).index(type(action)), *values]
@@ -63,11 +63,11 @@
         self.clients_gone = set()  # RPCs
 
     def dispatch(self, event):
-        self.note(self.bench.dispatch(event))
+        self.record(self.bench.dispatch(event))
 
-    def note(self, actions):
+    def record(self, actions):
         """Adds actions to the digest, and draws what follows from them."""
-        self.digest.update(repr((self.bench.now, [content(action) for action in actions])).encode())
+        self.digest.update(repr((self.bench.now, [values_of(action) for action in actions])).encode())
         for action in actions:
             if isinstance(action, StartAttempt):
                 self.draw_end(action)
@@ -98,7 +98,7 @@
             if isinstance(event, PendingCount):
                 self.dispatch(CounterReply(event.counter, True, event.total))
             else:
-                self.note(self.bench.end_attempt(*event[1:]))
+                self.record(self.bench.end_attempt(*event[1:]))
 
     def draw_arrivals(self):
         for _ in range(self.random_source.randrange(3)):
@@ -110,7 +110,7 @@
                 units=self.random_source.choice((0.2, 0.5, 1.0)),
                 customer_gateways=60.0,
             )
-            self.note(actions)
+            self.record(actions)
 
     def draw_endpoint_change(self):
         backend = self.random_source.randrange(BACKENDS)
@@ -143,7 +143,7 @@
 
 
 def test_recorded_events_get_the_recorded_actions():
-    assert replay() == RECORDED
+    assert replay() == RECORDED_DIGEST
 
 
 def test_peer_evidence_changes_the_actions():
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -75,12 +75,12 @@
     assert struct.unpack_from("<BHI", records[-1]) == (2, 3, 0xABCD)
 
 
-def test_empty_batch_and_clean_end():
+def test_an_empty_batch_gets_an_empty_reply():
     assert replies(frame([])) == [(1, [], b"")]
 
 
 @pytest.mark.parametrize(
-    "data, says",
+    "data, message",
     [
         (frame([])[:9], "truncated header"),
         (spawn()[:-5], "truncated frame 1"),
@@ -89,18 +89,18 @@
         (struct.pack("<IIQI", 1, 40, 0, 2) + bytes(40), "2 records don't fit"),
     ],
 )
-def test_malformed_frames_end_it_with_a_plain_line(data, says):
-    with pytest.raises(MalformedFrame, match=says):
+def test_malformed_frames_raise_an_error_that_names_the_problem(data, message):
+    with pytest.raises(MalformedFrame, match=message):
         replies(data)
 
 
 @pytest.mark.parametrize("broken", [{"tariffs": None}, {"balancers": 0}, {"classes": [{"effect": "odd"}]}])
-def test_a_start_message_that_lacks_something_is_a_fault_that_names_it(broken):
+def test_an_invalid_start_message_is_reported_with_its_field(broken):
     _, records, tail = replies(spawn(START | broken))[0]
     assert records[0][0] == 10 and repr(next(iter(broken))).strip("'") in tail.decode() or b"effect" in tail
 
 
-def test_an_exception_in_the_decisions_is_a_fault_with_its_text():
+def test_an_exception_in_the_decision_logic_is_reported_with_its_text():
     no_such_method = struct.pack("<BHIHIQIfffB", 3, 3, 0xABCD, 9, 0, 5, 500_000, 1.0, 1.0, 0.0, 0)
     _, (_, records, tail) = replies(spawn() + frame([no_such_method], number=2))
     assert records[-1][0] == 10 and b"IndexError" in tail
