--- a/tests/fleet/simulated_cluster.py
+++ b/tests/fleet/simulated_cluster.py
@@ -1,4 +1,4 @@
-"""Fleet agents of many gateways on one clock and one network, both simulated and seeded, with faults between them."""
+"""Fleet agents of many gateways on a simulated clock and a simulated network with faults, both seeded."""
 
 import heapq
 import itertools
@@ -28,10 +28,10 @@
 
 
 class SimulatedGateway:
-    """One process of a gateway: its agent, its clock, and what a test looks at."""
+    """One process of a gateway: its agent, its clock, and the figures that tests check."""
 
     def __init__(self, cluster: "SimulatedCluster", number: int, name: str, started_at_ms: int) -> None:
-        """Draws the agent's seed from the cluster's random source."""
+        """Starts the agent, with a seed from the cluster's random source."""
         self.cluster = cluster
         self.number = number
         self.name = name
@@ -39,11 +39,13 @@
         self.clock_offset_us = 0
         self.running = True
         self.frozen = False
-        self.unread: list[bytes] = []  # datagrams that came while it was frozen
+        self.unread: list[bytes] = []  # datagrams that arrived while it was frozen
         self.sent_bytes = self.sent_datagrams = 0
-        self.false_reports: Callable[[SimulatedGateway, int], Reports] | None = None  # in place of what it saw
+        self.false_reports: Callable[[SimulatedGateway, int], Reports] | None = (
+            None  # sent in place of its own observations
+        )
         self.counts: dict[str, int] = {}
-        self.changes: list[tuple[int, Member]] = []  # with the time
+        self.changes: list[tuple[int, Member]] = []  # changed member records, each with its time
         settings = FleetSettings(
             own=Member(name, *self.address, ZONES[number % len(ZONES)], started_at_ms),
             seeds=cluster.seeds,
@@ -57,7 +59,7 @@
         self.attempts: list[tuple[int, int]] = []  # time and backend
 
     def count(self, name: str) -> None:
-        """Adds one to a counter."""
+        """Increments a counter."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def now_us(self) -> int:
@@ -70,15 +72,15 @@
         return self.running and not self.frozen
 
     def present(self) -> set[str]:
-        """Names of the others that it takes for present."""
+        """Names of the other gateways that are present in its member table."""
         return {member.name for member in self.agent.membership.table.present()}
 
     def alive(self) -> set[str]:
-        """Names of the others that it takes for alive."""
+        """Names of the other gateways that are alive in its member table."""
         return {member.name for member in self.agent.membership.table.alive()}
 
     def ejects(self, backend: int) -> bool:
-        """Whether it leaves a backend out, or only probes it."""
+        """Whether it ejects a backend, or only probes it."""
         return backend in self.agent.advice.ejected_backends | self.agent.advice.probed
 
     def install_false_reports(self) -> None:
@@ -89,17 +91,17 @@
 
 
 def always_succeeds(_gateway: SimulatedGateway, _backend: int, _now_us: int) -> bool | None:
-    """Every backend answers every attempt well."""
+    """Every attempt succeeds."""
     return True
 
 
 def no_partition(_sender: SimulatedGateway, _receiver: SimulatedGateway) -> bool:
-    """The network reaches everywhere."""
+    """All gateways reach one another."""
     return False
 
 
 class SimulatedCluster:
-    """Gateways, the network between them, and their attempts at backends, all driven from one event queue."""
+    """Gateways, the network between them, and their attempts at backends, all run from one event queue."""
 
     def __init__(  # noqa: PLR0913 -- the parameters of a test's network, by keyword, each with a default
         self,
@@ -116,12 +118,12 @@
 
         Args:
             count: Gateways at the start.
-            seed: Of all draws.
+            seed: Of all random choices.
             seeds: Gateways that the others join through.
             backends: Backends that all gateways know.
-            loss: Share of datagrams that get lost.
-            attempts_per_s: Of each gateway.
-            delay_us: Least and greatest delay of a datagram.
+            loss: Share of datagrams that are lost.
+            attempts_per_s: Rate of each gateway's attempts.
+            delay_us: Minimum and maximum delay of a datagram.
         """
         self.random_source = random.Random(seed)
         self.now_us = START_US
@@ -133,7 +135,7 @@
         self.attempts_per_s = attempts_per_s
         self.keys = [KEY]
         self.is_partitioned: Callable[[SimulatedGateway, SimulatedGateway], bool] = no_partition
-        # What a backend answers to an attempt of a gateway: well, badly, or None for not at all.
+        # The outcome of a gateway's attempt at a backend: whether it succeeds, or None for no response.
         self.backend_outcome: Callable[[SimulatedGateway, int, int], bool | None] = always_succeeds
         self.backends = [KnownBackend(index, f"b{index}", ZONES[index % len(ZONES)], 1) for index in range(backends)]
         self.gateways: list[SimulatedGateway] = []
@@ -145,7 +147,7 @@
     # ---- processes ----
 
     def start(self, number: int, name: str = "", started_at_ms: int = 0) -> SimulatedGateway:
-        """Starts a gateway, or one anew; its ticks come at times of its own."""
+        """Starts or restarts a gateway. The time of its first tick is random."""
         gateway = SimulatedGateway(self, number, name or f"g{number}", started_at_ms or self.now_us // 1000)
         self.gateways.append(gateway)
         self.by_address[gateway.address] = gateway
@@ -155,7 +157,7 @@
         return gateway
 
     def kill(self, gateway: SimulatedGateway) -> None:
-        """Ends a gateway without a word."""
+        """Kills a gateway's process: it notifies no member."""
         gateway.running = False
 
     def freeze(self, gateway: SimulatedGateway) -> None:
@@ -163,7 +165,7 @@
         gateway.frozen = True
 
     def resume(self, gateway: SimulatedGateway) -> None:
-        """Resumes a suspended process, which then reads what waited for it."""
+        """Resumes a suspended process, which then receives the datagrams that arrived in the meantime."""
         gateway.frozen = False
         for data in gateway.unread:
             self.deliver(gateway, data)
@@ -176,11 +178,11 @@
         heapq.heappush(self.events, (self.now_us + delay_us, next(self.event_numbers), work, args))
 
     def run(self, seconds: float, observe: Callable[[], object] | None = None) -> None:
-        """Plays so many seconds.
+        """Runs the simulation for some time.
 
         Args:
-            seconds: Of simulated time.
-            observe: Called every tenth of a second; ends the run when it returns something true.
+            seconds: Simulated time to run.
+            observe: Called every tenth of a second. A true result ends the run.
         """
         end_us = self.now_us + int(seconds * SECOND_US)
         next_observation_us = self.now_us
@@ -194,10 +196,10 @@
         self.now_us = end_us
 
     def assert_within(self, seconds: float, holds: Callable[[], bool]) -> float:
-        """Runs until the condition holds, and fails if it does not within so many seconds.
+        """Runs until a condition holds, and fails if it does not hold within so many seconds.
 
         Returns:
-            The time that it took, in seconds.
+            The simulated time until the condition held, in seconds.
         """
         started_at_us = self.now_us
         fulfilled_at_us: list[int] = []
@@ -212,7 +214,7 @@
         return (fulfilled_at_us[0] - started_at_us) / SECOND_US
 
     def tick(self, gateway: SimulatedGateway) -> None:
-        """Ticks a gateway's agent, again and again until the gateway is killed."""
+        """Ticks a gateway's agent periodically until the gateway is killed."""
         if not gateway.running:
             return
         if not gateway.frozen:
@@ -224,7 +226,7 @@
     # ---- the network ----
 
     def send(self, sender: SimulatedGateway, datagrams: list[tuple[Address, bytes]]) -> None:
-        """Sends datagrams, of which some get lost or arrive twice."""
+        """Sends datagrams, of which some are lost or arrive twice."""
         for address, data in datagrams:
             sender.sent_bytes += len(data)
             sender.sent_datagrams += 1
@@ -235,7 +237,7 @@
                 self.schedule(self.random_source.randrange(*self.delay_us), self.deliver, receiver, data)
 
     def deliver(self, gateway: SimulatedGateway, data: bytes) -> None:
-        """Hands a datagram over; a frozen gateway reads it later, a killed one never."""
+        """Delivers a datagram. A frozen gateway receives it when it resumes, a killed one never."""
         if gateway.frozen and gateway.running:
             gateway.unread.append(data)
         elif gateway.running:
@@ -244,11 +246,11 @@
     # ---- attempts at backends ----
 
     def next_attempt_delay_us(self) -> int:
-        """The time until a gateway's next attempt."""
+        """Draws the time until a gateway's next attempt."""
         return int(self.random_source.expovariate(self.attempts_per_s) * SECOND_US) + 1
 
     def start_attempt(self, gateway: SimulatedGateway) -> None:
-        """Sends an attempt to a backend to probe, or else to any that is not left out."""
+        """Sends an attempt to a backend that is to be probed, or else to a random one that is not ejected."""
         if not gateway.running:
             return
         self.schedule(self.next_attempt_delay_us(), self.start_attempt, gateway)
@@ -266,7 +268,7 @@
         )
 
     def end_attempt(self, gateway: SimulatedGateway, rpc: int, succeeded: bool | None) -> None:
-        """Ends an attempt; one without answer is cancelled, which counts as a failure."""
+        """Ends an attempt. One without a response is cancelled, which counts as a failure."""
         if gateway.responsive:
             gateway.agent.evidence.attempt_ended(rpc, bool(succeeded), gateway.now_us())
 
@@ -277,12 +279,12 @@
         return [gateway for gateway in self.gateways if gateway.responsive]
 
     def converged(self) -> bool:
-        """Whether each gateway that runs takes exactly the others that run for alive."""
+        """Whether each responsive gateway has exactly the other responsive ones as alive members."""
         names = {gateway.name for gateway in self.responsive()}
         return all(gateway.alive() == gateway.present() == names - {gateway.name} for gateway in self.responsive())
 
     def ejecting_share(self, backend: int) -> float:
-        """The share of the running gateways that leave a backend out, or only probe it."""
+        """The share of the responsive gateways that eject a backend, or only probe it."""
         gateways = self.responsive()
         return sum(gateway.ejects(backend) for gateway in gateways) / len(gateways)
 
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -1,4 +1,4 @@
-"""Agents of up to 200 simulated gateways with traffic: verdicts, false reports, loss, and the cost in bytes."""
+"""Agents of up to 200 simulated gateways with traffic: ejections, false reports, loss, and bytes sent."""
 
 import pytest
 from simulated_cluster import KEY, SECOND_US, START_US, SimulatedCluster, always_succeeds, member_record, no_partition
@@ -27,7 +27,10 @@
 
 
 def test_200_gateways_eject_an_unresponsive_backend_and_reinstate_it_once_it_responds():
-    """Three attempts a second each before 40 backends: alone, 99% would have met it after 60 s."""
+    """Each gateway sends 3 attempts a second to 40 backends.
+
+    Without reports of others, 99% of the gateways would have tried the backend only after 60 s.
+    """
     cluster = SimulatedCluster(200, backends=40, attempts_per_s=3.0, seed=5)
     cluster.run(15)
     assert cluster.ejecting_share(UNRESPONSIVE_BACKEND) == 0
@@ -103,7 +106,7 @@
 
 
 def test_in_a_partition_each_side_ejects_only_backends_that_it_cannot_reach():
-    """Split in two with the backends: each half keeps its own, and after the split all are used again."""
+    """Backends 0 and 7 respond to one half only. The other half ejects them until the partition ends."""
     cluster = SimulatedCluster(40, backends=12, attempts_per_s=3.0)
     cluster.run(10)
 
--- a/tests/fleet/test_datagram_codec.py
+++ b/tests/fleet/test_datagram_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams: what is authentic, current and new is decoded; anything else is refused with its reason."""
+"""Datagrams that are authentic, current and no replays are decoded; all others are refused with a reason."""
 
 import contextlib
 
--- a/tests/fleet/test_decisions.py
+++ b/tests/fleet/test_decisions.py
@@ -1,4 +1,4 @@
-"""What the gateway's decisions make of peer evidence: which backends get attempts."""
+"""How peer evidence changes the gateway's choice of backends."""
 
 from decision_bench import DecisionBench, attempts_in
 
--- a/tests/fleet/test_evidence.py
+++ b/tests/fleet/test_evidence.py
@@ -1,4 +1,4 @@
-"""Evidence and verdicts of one gateway: what it takes to leave a backend out, and what never does."""
+"""The conditions under which one gateway ejects a backend, and those under which it must not."""
 
 import pytest
 from simulated_cluster import OVERDUE_AFTER_US, SECOND_US, START_US
@@ -46,7 +46,11 @@
 
 
 def ejected_backends(evidence, now=START_US, others=20):
-    """Of a dispute that is old enough, and where nobody probes."""
+    """Returns the ejected backends.
+
+    Ejections are updated twice, MIN_CANDIDATE_US apart, so that the candidates are old enough. With a million members
+    this gateway is not chosen to probe.
+    """
     evidence.update_ejections(now - MIN_CANDIDATE_US, others)
     evidence.update_ejections(now, others)
     return set(evidence.advice(now, 1_000_000).ejected_backends)
@@ -69,10 +73,10 @@
 @pytest.mark.parametrize(
     "unhealthy_reporters, healthy_reporters, silent",
     [
-        (1, 0, 0),  # one alone, however few they are
-        (7, 0, 0),  # fewer than MIN_ACCUSER_SHARE of the least sample
-        (19, 0, 81),  # fewer than MIN_ACCUSER_SHARE of those asked
-        (40, 40, 0),  # half of those that know it
+        (1, 0, 0),  # a single reporter, in however small a fleet
+        (7, 0, 0),  # fewer than MIN_UNHEALTHY_REPORTER_SHARE of the minimum sample size
+        (19, 0, 81),  # fewer than MIN_UNHEALTHY_REPORTER_SHARE of the reporters
+        (40, 40, 0),  # half of the reporters that saw the backend
     ],
 )
 def test_too_few_unhealthy_reports_eject_nothing(unhealthy_reporters, healthy_reporters, silent):
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership among simulated gateways: who is taken for present while gateways, clocks and the network fail."""
+"""Membership of simulated gateways: which members are present while gateways, clocks and the network fail."""
 
 import itertools
 import random
@@ -139,7 +139,7 @@
 
 
 def test_indirect_pings_keep_a_gateway_alive_under_one_way_loss():
-    """Datagrams that half of the others send to it get lost; the rest reach it."""
+    """Datagrams to gateway 5 are lost if an even-numbered gateway sends them; all others arrive."""
     cluster = SimulatedCluster(20)
     converge(cluster)
     cluster.is_partitioned = lambda a, b: b.number == 5 and a.number % 2 == 0
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,4 +1,4 @@
-"""Real gateways that know one another, over faulty links, with kills and freezes."""
+"""Processes of gateways that exchange reports over faulty links, while some are killed or suspended."""
 
 import json
 import os
@@ -55,7 +55,7 @@
     assert len(reinstating) >= len(ejecting) - 1, (ejecting, reinstating)
     departed = [name for name, log in logs.items() if re.search("a gateway (is dead|has left): c/g008", log)]
     assert len(departed) >= 3, departed
-    # In the end each takes all others for present again.
+    # At the end each gateway has all others but one at most as present members again.
     for name, log in logs.items():
         changes = re.findall(r"a gateway (is there|is suspected|is dead|has left): (\S+)", log)
         last = {other: state for state, other in changes}
@@ -68,7 +68,7 @@
 
 
 class TwoGateways:
-    """Two gateways on sockets that know each other, before the same stand-ins."""
+    """Two gateways on sockets that are seeds of each other, with the same stub servers."""
 
     def __init__(self):
         self.fixture = GatewayUnderTest()
@@ -130,7 +130,7 @@
         program.peers.apply_advice(PeerEvidence(frozenset([index]), frozenset()))
         assert program.runtime.gateway.backends.peer_evidence.ejected_backends == {index}
         assert program.metrics.counts["fleet: backend ejected on peer evidence"] == 1
-        assert program.metrics.counts["fleet: left out on hearsay"] == 1  # the name before, for one release
+        assert program.metrics.counts["fleet: left out on hearsay"] == 1  # the counter's old name, kept for one release
         program.peers.leave()
         assert program.runtime.gateway.backends.peer_evidence.ejected_backends == frozenset()
 
--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -1,4 +1,4 @@
-"""Without peer evidence the decisions are what they were before there was a fleet package."""
+"""Guards that the decisions without peer evidence do not change: a seeded run must give the recorded digest."""
 
 import hashlib
 import random
@@ -11,23 +11,23 @@
 from stoneyoke.control.events import ClientGone, CounterReply, Endpoint, EndpointsChanged, PeerEvidence, TimerFired
 from stoneyoke.control.parameters import AttemptOutcome, BackendState
 
-# Digest of all actions, without the names of their classes and fields, for the events drawn below. The text before
-# these names were changed (0c80eb9) gives the same one. A change of decisions on purpose takes it anew: print(replay())
-# on the changed text, with the reason in its commit.
+# Digest of all actions for the events drawn below, without the names of classes and fields: the code before these were
+# renamed (0c80eb9) gives the same digest. A commit that changes decisions on purpose records it again, with
+# print(replay()), and states the reason.
 RECORDED_DIGEST = "e992db8b9dadba37"
 BACKENDS, STEPS, STEP_US = 12, 1200, 50_000
-# Nothing ends as CLIENT_GONE by itself.
+# An attempt ends as CLIENT_GONE only if it is cancelled after its client has gone.
 ENDS = [AttemptOutcome.OK] * 12 + [outcome for outcome in AttemptOutcome if outcome is not AttemptOutcome.CLIENT_GONE]
 
 
 def values_of(action):
-    """An action without the names of its class and fields: renaming them changes no decision."""
+    """Returns an action's index and field values, without names, so that renames don't change the digest."""
     values = [getattr(action, field.name) for field in fields(action) if field.repr]
     return [get_args(Action).index(type(action)), *values]
 
 
 class PendingEnd(NamedTuple):
-    """The end of an attempt, at a time to come."""
+    """The end of an attempt, at a future time."""
 
     at_us: int
     rpc: int
@@ -37,7 +37,7 @@
 
 
 class PendingCount(NamedTuple):
-    """The counter's reply, at a time to come."""
+    """The counter's reply, at a future time."""
 
     at_us: int
     counter: int
@@ -45,7 +45,7 @@
 
 
 class Replay:
-    """Drawn events at one gateway of 60. What the gateway asks for is answered with delays that are drawn, too."""
+    """Random events at one gateway of 60. The responses to its actions have random outcomes and delays, too."""
 
     def __init__(self):
         self.random_source = random.Random(18)
@@ -66,7 +66,7 @@
         self.record(self.bench.dispatch(event))
 
     def record(self, actions):
-        """Adds actions to the digest, and draws what follows from them."""
+        """Adds actions to the digest, and draws the events that follow from them."""
         self.digest.update(repr((self.bench.now, [values_of(action) for action in actions])).encode())
         for action in actions:
             if isinstance(action, StartAttempt):
@@ -85,7 +85,7 @@
         self.pending.append(PendingEnd(self.bench.now + took_us, action.rpc, attempt, action.backend, outcome))
 
     def cancel(self, action):
-        if action.only_unsent:  # each attempt here is sent at once
+        if action.only_unsent:  # nothing to cancel: here each attempt is sent at once
             return
         outcome = AttemptOutcome.CLIENT_GONE if action.rpc in self.clients_gone else AttemptOutcome.CANCELLED
         for end in [event for event in self.pending if event[1:3] == (action.rpc, action.attempt)]:
@@ -132,7 +132,7 @@
 
 
 def replay(peer_evidence=None):
-    """Plays a minute, with peer evidence now and then if there is some; the digest of all actions."""
+    """Runs one minute, with `peer_evidence`, if given, at every seventh step. Returns the digest of all actions."""
     run = Replay()
     for step in range(STEPS):
         run.bench.now = START + step * STEP_US
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: frames by hand, and what is malformed."""
+"""The simulator's wire protocol: hand-written frames, well-formed and malformed."""
 
 import io
 import json
