--- a/stoneyoke/fleet/agent.py
+++ b/stoneyoke/fleet/agent.py
@@ -34,8 +34,8 @@
     own: Member  # this gateway's record
     seeds: list[Address]  # gateways to join through
     keys: list[bytes]  # see DatagramCodec
-    overdue_after_us: int  # an attempt without a response for so long counts as failed
-    seed: int  # of the random draws
+    overdue_after_us: int  # an attempt without a response for this long counts as failed
+    seed: int  # of the random choices
 
 
 class FleetAgent:
--- a/stoneyoke/fleet/datagram_codec.py
+++ b/stoneyoke/fleet/datagram_codec.py
@@ -24,7 +24,7 @@
 # datagrams that arrived in the meantime late.
 CLOCK_TOLERANCE_US = 10 * SECOND_US
 SENDER_LIFETIME_US = 3 * CLOCK_TOLERANCE_US
-# Sequence numbers so far below the highest one are still accepted, because the network may reorder datagrams.
+# Sequence numbers less than this far below the highest one are accepted, because the network may reorder datagrams.
 REPLAY_WINDOW = 64
 
 
--- a/stoneyoke/fleet/evidence.py
+++ b/stoneyoke/fleet/evidence.py
@@ -15,13 +15,13 @@
 from stoneyoke.fleet.observations import MAX_REPORT_AGE_US, SECOND_US, Observations
 from stoneyoke.fleet.peer_reports import PeerReports
 
-MIN_SAMPLE_SIZE = 40  # reporters; shares are taken of at least so many, or of all other members if they are fewer
+MIN_SAMPLE_SIZE = 40  # reporters; shares are taken of at least this many, or of all other members if they are fewer
 # Of the reporters. With 0.2, false reports of a tenth of the gateways made 13 of 100 gateways eject a healthy backend.
 MIN_UNHEALTHY_REPORTER_SHARE = 0.25
 MIN_UNHEALTHY_REPORTERS = 2  # however few reporters there are
 MIN_UNHEALTHY_SHARE = 0.6  # of the reporters that saw the backend since it became a candidate
-CANDIDATE_LOOKBACK_US = 3 * SECOND_US  # successes seen up to so long before the backend became a candidate count, too
-# A backend is a candidate for at least so long before it is ejected. Gateways that saw a failure report it unasked;
+CANDIDATE_LOOKBACK_US = 3 * SECOND_US  # successes up to this long before a backend became a candidate also count
+# A backend is a candidate for at least this long before it is ejected. Gateways that saw a failure report it unasked;
 # those that saw a success report it only once the backend is a candidate, so their reports arrive later.
 MIN_CANDIDATE_US = 1_500_000
 # The thresholds for renewing an ejection are lower, since few attempts still reach the backend. Reports must be recent.
@@ -29,11 +29,11 @@
 RENEWAL_MIN_UNHEALTHY_REPORTERS = 1
 RENEWAL_REPORT_AGE_US = 10 * SECOND_US
 MAX_EJECTION_US = 60 * SECOND_US  # after which the backend must meet the thresholds of a first ejection again
-ZONE_EJECTION_DIVISOR = 3  # at most one in so many of a zone's backends is ejected on reports
+ZONE_EJECTION_DIVISOR = 3  # of the backends of a zone, at most one in three is ejected on reports
 PROBE_SLOT_US = 2 * SECOND_US
 PROBERS_PER_SLOT = 5  # mean number of gateways, of the whole fleet, that probe an ejected backend once in a slot
-OWN_SUCCESS_US = 5 * SECOND_US  # for so long after a success seen by this gateway, it does not eject the backend
-RECENT_FAILURE_US = 3 * SECOND_US  # for so long after a failure seen by this gateway, it queries other gateways
+OWN_SUCCESS_US = 5 * SECOND_US  # after its own success at a backend, this gateway does not eject it for this long
+RECENT_FAILURE_US = 3 * SECOND_US  # after a failure of its own, this gateway queries other gateways for this long
 NO_SLOT = -1
 
 
@@ -56,7 +56,7 @@
 
         Args:
             gateway: This gateway's name.
-            overdue_after_us: An attempt without a response for so long counts as failed.
+            overdue_after_us: An attempt without a response for this long counts as failed.
             now_us: Current time.
         """
         self.gateway = gateway
--- a/stoneyoke/fleet/failure_detector.py
+++ b/stoneyoke/fleet/failure_detector.py
@@ -20,13 +20,15 @@
 DIRECT_TIMEOUT_US = 300_000  # of a direct ping; times 1 + the local health score
 HELPER_COUNT = 3  # members asked for an indirect ping (SWIM's k)
 MAX_LOCAL_HEALTH_SCORE = 8  # Lifeguard's S
-SUSPICION_PERIODS = 4.0  # times log10 of the members: minimum time-out of a suspicion, in periods (Lifeguard's alpha)
-SUSPICION_MAX_FACTOR = 3.0  # maximum time-out, while no other member suspects the member, by minimum (Lifeguard's beta)
+# Minimum time-out of a suspicion, in probe periods, divided by log10 of the number of members (Lifeguard's alpha).
+SUSPICION_PERIODS = 4.0
+# Maximum time-out of a suspicion, as long as only one member has it, divided by the minimum (Lifeguard's beta).
+SUSPICION_MAX_FACTOR = 3.0
 # A longer time between two ticks means that this process was suspended and could not receive refutations.
 STALL_US = SECOND_US
 STALL_PENALTY = 2  # added to the local health score
 DEPARTED_RETENTION_US = 600 * SECOND_US  # after which a dead or departed member is removed
-# So long before a suspicion times out, its member is pinged again, since its refutation may have been lost.
+# A suspect is pinged again from this long before its suspicion times out, since its refutation may have been lost.
 FINAL_PINGS_US = 2 * SECOND_US
 MAX_RELAYED_PINGS = 64  # pending at a time
 UNTRACKED_NUMBER = 0  # of a ping whose acknowledgement is not tracked
--- a/stoneyoke/fleet/gossip.py
+++ b/stoneyoke/fleet/gossip.py
@@ -5,8 +5,8 @@
 from stoneyoke.fleet.member_table import MemberTable, max_encoded_bytes
 from stoneyoke.fleet.messages import Address, Member
 
-# Times log2 of the number of members: how often a change is sent. With SWIM's factor of 3, gossip kept 150 gateways
-# that started together busy for minutes. Anti-entropy repairs what 1.5 misses.
+# Transmissions of each change, divided by log2 of the number of members. With SWIM's factor of 3, gossip kept 150
+# gateways that started together busy for minutes. Anti-entropy repairs what 1.5 misses.
 TRANSMISSIONS_PER_LOG2 = 1.5
 MAX_GOSSIP_BYTES = 500  # in one message
 MIN_RECORD_BYTES = 40
--- a/stoneyoke/fleet/observations.py
+++ b/stoneyoke/fleet/observations.py
@@ -17,13 +17,14 @@
 STALL_US = SECOND_US  # a longer time between two checks means that this process was suspended
 MAX_REPORTS = 40  # in one message
 MAX_REPORTED_COUNT = 1_000
-# A gateway that finds a larger share of the backends unhealthy is partitioned itself, and reports none of them.
+# A gateway that finds a larger share of the backends unhealthy is taken to be partitioned itself: its reports of
+# unhealthy backends are neither sent nor counted.
 MAX_UNHEALTHY_SHARE = 0.5
 MEAN_LATENCY_WEIGHT = 0.05  # of a new response in the moving average of the latency of all backends
 LATENCY_RATIO_WEIGHT = 0.3  # of a new response in the moving average of a backend's ratio to that latency
 SLOW_RATIO = 2.9  # a latency ratio above it may round to one that counts as unhealthy
 USUAL_RATIO_TENTHS = 10
-NEVER_US = -1  # in place of a time: nothing was observed yet
+NEVER_US = -1  # in place of the time of a success or failure: none was observed
 
 
 def backend_id(backend: KnownBackend) -> int:
@@ -89,7 +90,7 @@
 
 @dataclass(slots=True)
 class PendingAttempt:
-    """An attempt without a response so far."""
+    """An attempt that has not ended."""
 
     backend: int
     started_at_us: int
@@ -103,14 +104,14 @@
         """Starts with no backends.
 
         Args:
-            overdue_after_us: An attempt without a response for so long counts as failed.
+            overdue_after_us: An attempt without a response for this long counts as failed.
             now_us: Current time.
         """
         self._overdue_after_us = overdue_after_us
         self._last_check_us = now_us
-        self.backends: dict[int, KnownBackend] = {}  # by id; replaced by set_backends
-        self.ids: dict[int, int] = {}  # by the gateway's index
-        self.seen: dict[int, BackendObservation] = {}  # by id; pruned by set_backends
+        self.backends: dict[int, KnownBackend] = {}  # by backend id; replaced by set_backends
+        self.ids: dict[int, int] = {}  # backend ids, by the gateway's index of the backend
+        self.seen: dict[int, BackendObservation] = {}  # by backend id; pruned by set_backends
         self._pending: dict[int, PendingAttempt] = {}  # by RPC; removed at the attempt's end
         self._mean_latency_us = 0.0  # moving average over all successful attempts
 
--- a/stoneyoke/fleet/peer_reports.py
+++ b/stoneyoke/fleet/peer_reports.py
@@ -10,7 +10,7 @@
 from stoneyoke.fleet.messages import BackendReport
 from stoneyoke.fleet.observations import MAX_REPORT_AGE_US, SECOND_US, TENTH_US, reports_too_many_unhealthy
 
-REPORT_LIFETIME_US = 7 * SECOND_US  # a report expires so long after its arrival
+REPORT_LIFETIME_US = 7 * SECOND_US  # a report expires this long after its arrival
 NOT_SEEN_US = -1
 
 
--- a/stoneyoke/fleet/transport.py
+++ b/stoneyoke/fleet/transport.py
@@ -77,7 +77,7 @@
         self.agent = FleetAgent(settings, clock.now(), metrics.add)
         self.socket: asyncio.DatagramTransport | None = None
         self.tick_task: asyncio.Task[None] | None = None
-        self._backend_names: dict[int, str] = {}  # by the gateway's index; replaced by set_backends
+        self._backend_names: dict[int, str] = {}  # by the gateway's index of the backend; replaced by set_backends
         self._datagrams_this_tick = 0
         self._applied_advice = NO_ADVICE
         self._superseded_logged = False
--- a/tests/fleet/simulated_cluster.py
+++ b/tests/fleet/simulated_cluster.py
@@ -196,7 +196,7 @@
         self.now_us = end_us
 
     def assert_within(self, seconds: float, holds: Callable[[], bool]) -> float:
-        """Runs until a condition holds, and fails if it does not hold within so many seconds.
+        """Runs until a condition holds, and fails if it does not hold within this time.
 
         Returns:
             The simulated time until the condition held, in seconds.
