--- a/tests/fleet/test_evidence.py
+++ b/tests/fleet/test_evidence.py
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(
-    "unhealthy_reporters, healthy_reporters, silent",
+    "unhealthy_reporters, healthy_reporters, empty_responses",
     [
         (1, 0, 0),  # a single reporter, in however small a fleet
         (7, 0, 0),  # fewer than MIN_UNHEALTHY_REPORTER_SHARE of the minimum sample size
@@ -79,11 +79,11 @@
         (40, 40, 0),  # half of the reporters that saw the backend
     ],
 )
-def test_too_few_unhealthy_reports_eject_nothing(unhealthy_reporters, healthy_reporters, silent):
+def test_too_few_unhealthy_reports_eject_nothing(unhealthy_reporters, healthy_reporters, empty_responses):
     evidence = new_evidence()
     receive_responses(evidence, unhealthy_reporters, [unhealthy(3)])
     receive_responses(evidence, healthy_reporters, [healthy(3)], first=unhealthy_reporters)
-    receive_responses(evidence, silent, [], first=unhealthy_reporters + healthy_reporters)
+    receive_responses(evidence, empty_responses, [], first=unhealthy_reporters + healthy_reporters)
     assert ejected_backends(evidence, others=100 if unhealthy_reporters > 1 else 2) == set()
 
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -22,7 +22,7 @@
 ENV = os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)}
 
 
-def test_gateways_share_evidence_of_a_silent_backend_under_faults(tmp_path):
+def test_gateways_share_evidence_of_an_unresponsive_backend_under_faults(tmp_path):
     out = tmp_path / "run"
     ran = subprocess.run(
         [
