--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -27,7 +27,7 @@
     converge(SimulatedCluster(count), 15)
 
 
-def test_seeds_that_are_down_are_retried_until_one_answers():
+def test_seeds_that_are_down_are_retried_until_one_responds():
     cluster = SimulatedCluster(6, seeds=2)
     for gateway in cluster.gateways[:2]:
         cluster.kill(gateway)
