--- a/stoneyoke/simhost/instance.py
+++ b/stoneyoke/simhost/instance.py
@@ -1,4 +1,4 @@
-"""One simulated gateway: its decision logic, and the wire's numbers in place of its indices."""
+"""One simulated gateway: its decision logic, and the mapping between its indices and the simulator's numbers."""
 
 from collections.abc import Callable
 
@@ -28,14 +28,17 @@
     410: AttemptOutcome.NOT_SENT,
 }
 
-FINAL_ACTIONS = (actions.Reject, actions.FailRpc)  # the decision logic may hold nothing of a request after these
+FINAL_ACTIONS = (
+    actions.Reject,
+    actions.FailRpc,
+)  # after these the decision logic may have no state of the request any more
 
 
 class Instance:
-    """One simulated gateway. It turns the wire's events into the decision logic's, and the actions back.
+    """One simulated gateway. It converts the wire's events into those of the decision logic, and its actions back.
 
-    Indices of requests and customers are released once the decision logic holds nothing of them any more; those of
-    backends are kept, since discovery never says that the simulator has finished with one.
+    Indices of requests and customers are released once the decision logic has no state of them any more. Indices of
+    backends are never released, since discovery does not report that the simulator no longer uses a backend.
     """
 
     def __init__(self, number: int, parameters: GatewayParameters, now: int) -> None:
@@ -43,7 +46,7 @@
 
         Args:
             number: The instance's number on the wire.
-            parameters: The decision logic's.
+            parameters: The parameters of the decision logic.
             now: The simulated time in microseconds.
         """
         self.number = number
@@ -54,18 +57,18 @@
     # ---- events ----
 
     def handle(self, code: int, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """Handles one event. Events that the decision logic has no use for are ignored.
+        """Handles one event. Events that the decision logic does not need are ignored.
 
         Raises:
-            MalformedFrame: A field holds a value that the wire's page does not give.
+            MalformedFrame: A field has a value that the protocol does not define.
         """
         handler = HANDLERS.get(code)
         if handler:
             handler(self, fields, batch, reply)
 
-    def accept(self, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """A client's request has come."""
-        _, request, method, plan, customer, wait_us, units, width, _, bits = fields
+    def request_arrived(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+        """Handles ACCEPT: a client's request has arrived."""
+        _, request, method, plan, customer, wait_us, units, customer_gateways, _, flags = fields
         marks_retries = self.gateway.parameters.clients_mark_retries
         arrival = events.Arrival(
             rpc=self.requests.acquire(request),
@@ -75,14 +78,14 @@
             customer_id=customer,
             wait_us=wait_us,
             units=units,
-            customer_gateways=width,
-            is_retry=bool(bits & CLIENT_RETRY_BIT) if marks_retries else None,
+            customer_gateways=customer_gateways,
+            is_retry=bool(flags & CLIENT_RETRY_BIT) if marks_retries else None,
         )
         self.dispatch_for_request(request, arrival, batch, reply)
 
-    def verdict(self, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """An attempt has ended. Its request may be one that has been ended before."""
-        _, request, _, _, attempt, backend, cost, outcome, closed, *_ = fields
+    def attempt_ended(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+        """Handles VERDICT: an attempt has ended. Its request may have ended before, and is then unknown here."""
+        _, request, _, _, attempt, backend, settled_units, outcome, is_final, *_ = fields
         if outcome not in OUTCOMES:
             raise MalformedFrame(f"frame {batch.number}: unknown outcome {outcome}")
         rpc = self.requests.index_by_id.get(request)
@@ -92,46 +95,49 @@
             rpc=rpc,
             attempt=attempt,
             backend=self.backends.acquire(backend),
-            outcome=self.attempt_outcome(rpc, OUTCOMES[outcome]),
-            is_final=bool(closed),
-            settled_units=float(cost),
+            outcome=self.resolve_outcome(rpc, OUTCOMES[outcome]),
+            is_final=bool(is_final),
+            settled_units=float(settled_units),
         )
         self.dispatch_for_request(request, ended, batch, reply)
 
-    def attempt_outcome(self, rpc: int, outcome: AttemptOutcome) -> AttemptOutcome:
-        """An attempt's outcome. The simulator doesn't say why an attempt was cancelled."""
+    def resolve_outcome(self, rpc: int, outcome: AttemptOutcome) -> AttemptOutcome:
+        """Returns an attempt's outcome: CLIENT_GONE if it was cancelled because its client had gone.
+
+        The simulator does not report why an attempt was cancelled.
+        """
         ended_with_client = outcome is AttemptOutcome.CANCELLED and rpc in self.clients_gone
         return AttemptOutcome.CLIENT_GONE if ended_with_client else outcome
 
-    def gone(self, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """A client has gone."""
+    def client_gone(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+        """Handles GONE: a client has gone."""
         rpc = self.requests.index_by_id.get(fields[1])
         if rpc is not None:
             self.clients_gone.add(rpc)
             self.dispatch_for_request(fields[1], events.ClientGone(rpc), batch, reply)
 
-    def first(self, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """A streamed response has begun."""
+    def response_started(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+        """Handles FIRST: a streamed response has begun to arrive."""
         rpc = self.requests.index_by_id.get(fields[1])
         if rpc is not None:
             self.dispatch_for_request(fields[1], events.ResponseStarted(rpc), batch, reply)
 
-    def wakeup(self, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """A timer has come due."""
+    def timer_fired(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+        """Handles WAKEUP: a timer has expired."""
         self.dispatch(events.TimerFired(fields[1]), batch, reply)
 
-    def count_result(self, fields: Fields, batch: Batch, reply: Reply) -> None:
-        """The counter service has replied."""
+    def counter_replied(self, fields: Fields, batch: Batch, reply: Reply) -> None:
+        """Handles COUNT_RESULT: the counter service has replied."""
         _, name, _, outcome, total = fields
         added = OUTCOMES.get(outcome) is AttemptOutcome.OK
         self.dispatch(events.CounterReply(name, added, total), batch, reply)
 
-    def query_failed(self, batch: Batch, reply: Reply) -> None:
-        """Discovery has not answered; the list stays."""
+    def discovery_failed(self, batch: Batch, reply: Reply) -> None:
+        """Handles a failed discovery request: the list of backends stays as it is."""
         self.dispatch(events.EndpointsChanged(False, True), batch, reply)
 
     def endpoints_changed(self, mode: int, rows: list[Fields], batch: Batch, reply: Reply) -> None:
-        """Discovery has sent a whole list or changes to it."""
+        """Handles a discovery response, which is a whole list of backends or changes to it."""
         endpoints = [
             events.Endpoint(self.backends.acquire(backend), zone, cell, started_us, BackendState(state))
             for cell, zone, _, _, backend, started_us, state in rows
@@ -141,38 +147,38 @@
     # ---- the decision logic ----
 
     def dispatch(self, event: events.Event, batch: Batch, reply: Reply) -> None:
-        """Delivers an event and adds the actions that follow from it to the reply."""
+        """Passes an event to the decision logic, and adds the actions that it returns to the reply."""
         for action in self.gateway.handle(event, batch.clock_us):
             self.add_action(action, reply)
             if isinstance(action, FINAL_ACTIONS):
                 self.release_if_done(action.rpc)
 
     def dispatch_for_request(self, request: int, event: events.Event, batch: Batch, reply: Reply) -> None:
-        """Delivers a request's event; releases the request's index if nothing is held of it any more."""
+        """Passes an event of a request to the decision logic; then releases its index if it is unused."""
         self.dispatch(event, batch, reply)
         rpc = self.requests.index_by_id.get(request)
         if rpc is not None:
             self.release_if_done(rpc)
 
     def release_if_done(self, rpc: int) -> None:
-        """Releases a request's index if nothing is held of it any more."""
+        """Releases a request's index if the decision logic has no state of it any more."""
         if not self.gateway.holds(rpc):
             self.clients_gone.discard(rpc)
             self.requests.release(rpc)
 
     def add_action(self, action: actions.Action, reply: Reply) -> None:
-        """Adds an action to the reply, in the wire's numbers."""
+        """Adds an action to the reply, with the simulator's numbers in place of indices."""
         requests = self.requests.id_by_index
         match action:
             case actions.StartAttempt(rpc, backend, limit_us):
-                to = self.backends.id_by_index[backend]
-                reply.add(ActionCode.SEND, self.number, requests[rpc], to, min(limit_us, TIME_MAX_US))
+                backend_id = self.backends.id_by_index[backend]
+                reply.add(ActionCode.SEND, self.number, requests[rpc], backend_id, min(limit_us, TIME_MAX_US))
             case actions.Reject(rpc, retry_after_us):
                 reply.add(ActionCode.DECLINE, self.number, requests[rpc], min(retry_after_us, TIME_MAX_US))
             case actions.FailRpc(rpc):
                 reply.add(ActionCode.REPORT_FAILURE, self.number, requests[rpc])
             case actions.CancelAttempt(rpc, attempt, only_unsent):
-                if only_unsent:  # the simulator sends an attempt at once
+                if only_unsent:  # nothing to cancel: the simulator sends each attempt at once
                     return
                 reply.add(ActionCode.CALL_OFF, self.number, requests[rpc], attempt)
             case actions.SetTimer(delay_us, token):
@@ -186,10 +192,10 @@
 
 
 HANDLERS: dict[int, Callable[[Instance, Fields, Batch, Reply], None]] = {
-    EventCode.ACCEPT: Instance.accept,
-    EventCode.VERDICT: Instance.verdict,
-    EventCode.GONE: Instance.gone,
-    EventCode.FIRST: Instance.first,
-    EventCode.WAKEUP: Instance.wakeup,
-    EventCode.COUNT_RESULT: Instance.count_result,
+    EventCode.ACCEPT: Instance.request_arrived,
+    EventCode.VERDICT: Instance.attempt_ended,
+    EventCode.GONE: Instance.client_gone,
+    EventCode.FIRST: Instance.response_started,
+    EventCode.WAKEUP: Instance.timer_fired,
+    EventCode.COUNT_RESULT: Instance.counter_replied,
 }
--- a/tests/fleet/test_datagram_codec.py
+++ b/tests/fleet/test_datagram_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams: what is authentic, current and new is decoded; anything else is refused with its reason."""
+"""Datagrams that are authentic, current and no replays are decoded; all others are refused with a reason."""
 
 import contextlib
 
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    "corrupt, why",
+    "corrupt, reason",
     [
         (lambda d: d[:-1] + bytes((d[-1] ^ 1,)), "forged"),
         (lambda d: d[:30], "forged"),
@@ -50,11 +50,11 @@
         (lambda d: d[:1] + bytes((d[1] ^ 1,)) + d[2:], "of an unknown key"),
     ],
 )
-def test_a_corrupted_datagram_is_refused_with_its_reason(corrupt, why):
-    assert refusal(DatagramCodec([KEY]), corrupt(DatagramCodec([KEY]).encode(message()))) == why
+def test_a_corrupted_datagram_is_refused_with_its_reason(corrupt, reason):
+    assert refusal(DatagramCodec([KEY]), corrupt(DatagramCodec([KEY]).encode(message()))) == reason
 
 
-def test_keys_are_exchanged_step_by_step_and_the_old_one_is_then_refused():
+def test_keys_are_replaced_step_by_step_and_the_old_one_is_then_refused():
     old, new = DatagramCodec([KEY]), DatagramCodec([KEY])
     new.set_keys([KEY, OTHER])
     old.decode(new.encode(message(1)), START_US)
@@ -103,13 +103,13 @@
         codec.decode(
             DatagramCodec([KEY]).encode(message(name=f"g{n}", at=START_US + n * SECOND_US)), START_US + n * SECOND_US
         )
-        codec.forget_silent_senders(START_US + n * SECOND_US)
+        codec.remove_silent_senders(START_US + n * SECOND_US)
     assert len(codec.windows) <= 40
 
 
 def authenticated(body):
     codec = DatagramCodec([KEY])
-    return bytes((1, codec.first_key_number)) + codec.signature(KEY, body) + body
+    return bytes((1, codec.first_key_id)) + codec.signature(KEY, body) + body
 
 
 def test_fields_of_a_later_version_are_ignored():
