--- a/stoneyoke/control/backend_selection.py
+++ b/stoneyoke/control/backend_selection.py
@@ -13,12 +13,12 @@
 
 RANKING_TICKS = 5  # ticks from one look at the backends to the next: a quarter of a second
 STALL_US = 4 * TICK_US  # without an event for so long this process stood still itself, and measures nothing
-EJECTED_US = SECOND  # how long a failing backend gets no attempts
+EJECTION_US = SECOND  # how long a failing backend gets no attempts
 EJECTION_MARGIN = 0.4  # ejected above the median share of failures by this
 LATENCY_BAND = 1.5  # each band of the order is this much slower than the one before
-TYPICAL_LATENCY = 2.25  # times the median of the backends measured of late
+TYPICAL_LATENCY_FACTOR = 2.25  # times the median of the backends measured of late
 RANKING_CHANGES = 4  # changes after which the order is renewed: answers, overdue attempts and quarters of a second
-REFUSAL_LATENCY = 3.0  # a failure counts as slow as this, or a backend that refuses quickly would attract all
+MIN_FAILURE_LATENCY = 3.0  # a failure counts as slow as this, or a backend that refuses quickly would attract all
 
 
 class BackendSelector:
@@ -29,14 +29,14 @@
         self.context, self.concurrency = context, ConcurrencyLimit(context)
         self.table, self.order = BackendTable(), list[Backend]()
         self.changes, self.ranked_at = 0, context.now  # since the order was renewed, and when it was
-        self.typical_max = TYPICAL_LATENCY  # observed latencies of backends that tell of the whole fleet
+        self.typical_latency_max = TYPICAL_LATENCY_FACTOR  # observed latencies of backends that tell of the whole fleet
         self.peer_evidence = PeerEvidence(frozenset(), frozenset())
 
-    def choose(self, tried: set[int], share: float, home: Backend | None, scope: DeduplicationScope) -> Backend | None:
-        """The backend for an RPC that may fill this share of the limit; in the scope of `home` if there is one."""
-        limit, order, typical_max = self.concurrency.limit, self.order, self.typical_max
-        overloaded, rotation = self.concurrency.is_overloaded(), rotation_size(self.concurrency.answers_per_s)
-        filled = sum(b.in_flight - (0 if overloaded else b.overdue) for b in order if b.observed_latency < typical_max)
+    def choose(self, tried: set[int], share: float, first: Backend | None, scope: DeduplicationScope) -> Backend | None:
+        """The backend for an RPC that may fill this share of the limit; in the scope of `first` if there is one."""
+        limit, order, latency_max = self.concurrency.limit, self.order, self.typical_latency_max
+        overloaded, rotation = self.concurrency.is_overloaded(), rotation_size(self.concurrency.responses_per_s)
+        filled = sum(b.in_flight - (0 if overloaded else b.overdue) for b in order if b.observed_latency < latency_max)
         # Where gateways are many the limit is a fraction: drawn, so that the gateways' parts sum to the whole.
         if filled + self.context.random_source.draw() >= limit * share:
             return None
@@ -48,7 +48,7 @@
                 break
             if backend.index in tried or not self.is_usable(backend):
                 continue
-            if home and not backend.shares(scope, home):
+            if first and not backend.is_in_scope(scope, first):
                 continue
             is_probed = backend.index in self.peer_evidence.probed
             load = (-1, 0) if is_probed else (backend.in_flight + backend.latency_band, backend.last_attempt_at)
@@ -63,12 +63,12 @@
 
     def is_typical(self, backend: Backend) -> bool:
         """Whether it is not much slower than the others that were measured of late."""
-        return backend.observed_latency < self.typical_max
+        return backend.observed_latency < self.typical_latency_max
 
     def grant_cold_budgets(self, ready: list[Backend]) -> None:
         """Sets each cold backend's slow-start budget to this gateway's part. All gateways' parts sum to the whole."""
         parameters = self.context.parameters
-        share = self.concurrency.answers_per_s / max(1, sum(b.is_warm for b in ready))
+        share = self.concurrency.responses_per_s / max(1, sum(b.is_warm for b in ready))
         window_s = parameters.overload_window_us / SECOND
         for backend in ready:
             warm_share = backend.warm_share(parameters, self.context.now)
@@ -88,10 +88,10 @@
     def renew_order(self) -> None:
         """Ranks by bands of latency against the fleet's median, cold backends first, then by the place on the ring."""
         now = self.context.now
-        quarters, self.changes, self.ranked_at = (now - self.ranked_at) / (RANKING_TICKS * TICK_US), 0, now
+        intervals, self.changes, self.ranked_at = (now - self.ranked_at) / (RANKING_TICKS * TICK_US), 0, now
         ready = self.table.ready()
         if ready:
-            self.fade_measurements(ready, quarters)
+            self.decay_measurements(ready, intervals)
             self.grant_cold_budgets(ready)
             self.assign_bands(ready)
         # A cold one goes first in its band: its budget keeps it from more than its part, and so all parts are used.
@@ -99,19 +99,19 @@
         self.order = sorted(ready, key=lambda b: (b.index not in probed, b.latency_band, b.is_warm, b.ring_position))
         self.concurrency.backends = len(self.order)
 
-    def fade_measurements(self, ready: list[Backend], quarters: float) -> None:
+    def decay_measurements(self, ready: list[Backend], intervals: float) -> None:
         """Renews observed latencies. What was measured is slowly forgotten, so that a slow backend is tried again."""
         now, methods = self.context.now, self.context.methods
         mean_us = sum(method.mean_latency_us for method in methods) / len(methods)
         for backend in ready:
             silence = (now - backend.silent_since) / mean_us / 2 if backend.in_flight else 0.01
             backend.observed_latency = max(backend.relative_latency, silence)
-            kept = 1.0 if backend.in_flight else 0.98**quarters
-            backend.relative_latency = 1 + (backend.relative_latency - 1) * kept
-            backend.failure_share *= 0.95**quarters
+            retained = 1.0 if backend.in_flight else 0.98**intervals
+            backend.relative_latency = 1 + (backend.relative_latency - 1) * retained
+            backend.failure_share *= 0.95**intervals
         # One that is never used tells nothing of an overload. The 1.0 is for a single measured one: it is no norm.
         recent = [b.observed_latency for b in ready if b.in_flight or now - b.measured_at < 5 * SECOND]
-        self.typical_max = TYPICAL_LATENCY * sorted([1.0, *recent])[len(recent) // 2]
+        self.typical_latency_max = TYPICAL_LATENCY_FACTOR * sorted([1.0, *recent])[len(recent) // 2]
 
     def assign_bands(self, ready: list[Backend]) -> None:
         """Sets each backend's band and place on the ring. Ejects those with far more failures than the median."""
@@ -123,7 +123,7 @@
             backend.ring_position = position
             backend.latency_band = max(0, int(math.log(backend.observed_latency / latency) / math.log(LATENCY_BAND)))
             if backend.failure_share > failures + EJECTION_MARGIN and now >= backend.ejected_until:
-                backend.ejected_until = now + EJECTED_US
+                backend.ejected_until = now + EJECTION_US
 
     def measure(self, attempt: InFlight, method: int, outcome: AttemptOutcome) -> None:
         """Learns from an attempt that has ended."""
@@ -139,14 +139,14 @@
         backend.failure_share += ((outcome not in NO_FAULT) - backend.failure_share) * 0.25
         if outcome is AttemptOutcome.OK:
             # With a tenth lost four times a second: a running mean of answers a second.
-            self.concurrency.answers_per_s += 0.4 * backend.is_warm
+            self.concurrency.responses_per_s += 0.4 * backend.is_warm
             statistics.record(latency_us)
         if outcome is AttemptOutcome.NO_CONNECTION:
             # What accepts no connection may have died, and comes back cold before discovery reports it.
-            backend.ejected_until = self.context.now + EJECTED_US
-            self.mark_cold(backend, self.context.now + EJECTED_US)
+            backend.ejected_until = self.context.now + EJECTION_US
+            self.mark_cold(backend, self.context.now + EJECTION_US)
         elif outcome is not AttemptOutcome.NOT_SENT:
-            least = 0.0 if outcome is AttemptOutcome.OK else REFUSAL_LATENCY
+            least = 0.0 if outcome is AttemptOutcome.OK else MIN_FAILURE_LATENCY
             backend.record_latency(max(least, latency_us / statistics.mean_latency_us), self.context.now)
         latency = min(1.5, latency_us / self.context.parameters.methods[method].soft_deadline_us)
         self.concurrency.record(outcome, latency, self.is_typical(backend))
--- a/stoneyoke/control/backend_table.py
+++ b/stoneyoke/control/backend_table.py
@@ -56,7 +56,7 @@
             return 1.0
         return parameters.cold_share + (1 - parameters.cold_share) * max(0, age_us) / parameters.warm_up_us
 
-    def shares(self, scope: DeduplicationScope, other: "Backend") -> bool:
+    def is_in_scope(self, scope: DeduplicationScope, other: "Backend") -> bool:
         """Whether it is within a scope of another one, so that both recognise a repeat."""
         if scope is DeduplicationScope.ZONE:
             return self.zone == other.zone
--- a/stoneyoke/control/concurrency.py
+++ b/stoneyoke/control/concurrency.py
@@ -8,7 +8,7 @@
 # Latencies here are in soft deadlines of the method.
 TARGET_LATENCY = 0.35  # with this mean the fleet is full and few answers are late
 OVERLOAD_LATENCY = 0.3  # mean latency of good answers above which the fleet is overloaded
-FULL_REFUSED_SHARE = 0.4  # share of attempts rejected or timed out above which the fleet is full
+FULL_UNSERVED_SHARE = 0.4  # share of attempts rejected or timed out above which the fleet is full
 
 
 class ConcurrencyLimit:
@@ -18,15 +18,15 @@
         """Begins with a guess of the limit, which answers soon replace."""
         self.context = context
         self.limit = 16.0  # attempts of this gateway; a fraction where gateways are many
-        self.in_flight, self.usual_in_flight = 0, 4.0
+        self.in_flight, self.mean_in_flight = 0, 4.0
         self.backends = 0  # ranked ones
         self.latency = 0.1  # running mean of good answers
-        self.refused_share = 0.0  # running mean: share of attempts rejected or timed out
-        self.answers_per_s = 0.0  # good answers of warm backends
+        self.unserved_share = 0.0  # running mean: share of attempts rejected or timed out
+        self.responses_per_s = 0.0  # good answers of warm backends
 
     def is_full(self) -> bool:
         """Whether the backends reject so many attempts, or let them time out, that the fleet is full."""
-        return self.refused_share > FULL_REFUSED_SHARE
+        return self.unserved_share > FULL_UNSERVED_SHARE
 
     def is_overloaded(self) -> bool:
         """Attempts without an answer show an overload only while answers are slow too. Else they are lost."""
@@ -34,19 +34,19 @@
 
     def smoothing(self, seconds: float) -> float:
         """The weight of an answer in a mean over so many seconds. With 0.3 at most an overload could last a day."""
-        return min(0.6, 1 / seconds / max(1.0, self.answers_per_s))
+        return min(0.6, 1 / seconds / max(1.0, self.responses_per_s))
 
     def record(self, outcome: AttemptOutcome, latency: float, is_typical: bool) -> None:
         """Moves signals and limit by an attempt's end. A backend that is not typical tells nothing of the fleet."""
         if outcome is AttemptOutcome.OK:
             self.latency += (latency - self.latency) * self.smoothing(0.4)
-        refused = outcome in (AttemptOutcome.REJECTED, AttemptOutcome.TIMED_OUT)
-        if outcome is AttemptOutcome.OK or refused:
-            self.refused_share += (refused - self.refused_share) * self.smoothing(0.4) / 2
-        lost_in_overload = outcome not in PROVEN_NOT_RUN and is_typical and self.is_overloaded()
+        unserved = outcome in (AttemptOutcome.REJECTED, AttemptOutcome.TIMED_OUT)
+        if outcome is AttemptOutcome.OK or unserved:
+            self.unserved_share += (unserved - self.unserved_share) * self.smoothing(0.4) / 2
+        failed_in_overload = outcome not in PROVEN_NOT_RUN and is_typical and self.is_overloaded()
         if outcome is AttemptOutcome.OK and is_typical:
             self.adjust(latency)
-        elif (refused and self.is_full()) or lost_in_overload:
+        elif (unserved and self.is_full()) or failed_in_overload:
             self.adjust(1.0)
 
     def adjust(self, latency: float) -> None:
@@ -58,6 +58,6 @@
 
     def decay(self) -> None:
         """Four times a second: lowers a limit that is not used, or it would let a sudden overload in unchecked."""
-        self.usual_in_flight += (self.in_flight - self.usual_in_flight) * 0.1
-        self.limit = min(self.limit, 3 * self.usual_in_flight + 4)
-        self.answers_per_s *= 0.9
+        self.mean_in_flight += (self.in_flight - self.mean_in_flight) * 0.1
+        self.limit = min(self.limit, 3 * self.mean_in_flight + 4)
+        self.responses_per_s *= 0.9
--- a/stoneyoke/control/context.py
+++ b/stoneyoke/control/context.py
@@ -14,13 +14,13 @@
     def __init__(self, soft_deadline_us: int) -> None:
         """Begins with a guess from the method's soft deadline."""
         self.mean_latency_us = soft_deadline_us / 6  # a guess, which answers soon replace
-        self.answers = 0
+        self.responses = 0
         self.longest_wait_us = 0  # the longest that a client of an RPC was to wait: that of a first request
 
     def record(self, latency_us: int) -> None:
         """Takes the latency of a good answer into the running mean."""
-        self.answers += 1
-        self.mean_latency_us += (latency_us - self.mean_latency_us) * max(0.02, 1 / (self.answers + 5))
+        self.responses += 1
+        self.mean_latency_us += (latency_us - self.mean_latency_us) * max(0.02, 1 / (self.responses + 5))
 
 
 class DecisionContext:
--- a/stoneyoke/control/counter_calls.py
+++ b/stoneyoke/control/counter_calls.py
@@ -31,7 +31,7 @@
 class PendingQuery(NamedTuple):
     """A query that was made and not yet answered."""
 
-    asked_at: int
+    sent_at: int
     on_reply: OnReply | None
 
 
@@ -42,13 +42,13 @@
         """Begins without queries."""
         self.context = context
         self.pending: dict[int, deque[PendingQuery]] = {}  # by name
-        self.asked_at = self.replied_at = context.now  # the last query, the last reply
+        self.last_query_at = self.last_reply_at = context.now  # the last query, the last reply
         self.unanswered = 0  # queries in a row without a reply
 
     def add(self, name: int, amount: float, on_reply: OnReply | None = None) -> None:
         """Adds to a value of the counter. `on_reply` is called with the reply, also if there was none."""
-        self.asked_at = self.context.now
-        self.pending.setdefault(name, deque()).append(PendingQuery(self.asked_at, on_reply))
+        self.last_query_at = self.context.now
+        self.pending.setdefault(name, deque()).append(PendingQuery(self.last_query_at, on_reply))
         self.context.actions.append(AddToCounter(name, KEY_TTL_US, amount))
 
     def match(self, reply: CounterReply) -> PendingQuery | None:
@@ -59,7 +59,7 @@
         if not queue:
             del self.pending[reply.name]
         if reply.added:
-            self.unanswered, self.replied_at = 0, self.context.now
+            self.unanswered, self.last_reply_at = 0, self.context.now
         else:
             self.unanswered += 1
         return query
@@ -105,7 +105,7 @@
         """Schedules a query for a tick of the second."""
         self.queries.setdefault(tick, []).append(query)
 
-    def make_due(self, tick: int) -> None:
+    def send_due(self, tick: int) -> None:
         """Makes the queries scheduled up to a tick of this second."""
         for due in [one for one in self.queries if one <= tick]:
             for query in self.queries.pop(due):
--- a/stoneyoke/control/customer.py
+++ b/stoneyoke/control/customer.py
@@ -8,7 +8,7 @@
 from stoneyoke.limits.shared_bucket import SharedBucket, ceiling_share
 from stoneyoke.limits.token_bucket import SECOND, TokenBucket
 
-THIN_RPCS_PER_S = 2  # of the largest RPCs: an even share that refills by less uses the shared bucket
+MIN_EVEN_SHARE_RPCS_PER_S = 2  # of the largest RPCs: an even share that refills by less uses the shared bucket
 
 
 class Customer(CustomerRecord):
@@ -29,8 +29,8 @@
         # A thin share tells little of the whole quota. Then the shared bucket decides, and the share where
         # the counter does not reply. All gateways are told the same figures, so that they agree.
         self.shared_bucket, self.period_s = None, 1
-        is_thin = 0 < plan.rate * even < THIN_RPCS_PER_S * parameters.units_max
-        if parameters.has_counter and even < 1 and is_thin:
+        is_low_rate = 0 < plan.rate * even < MIN_EVEN_SHARE_RPCS_PER_S * parameters.units_max
+        if parameters.has_counter and even < 1 and is_low_rate:
             self.period_s = 2  # while the shared bucket is not asked: thin demand shows late
             self.shared_bucket = SharedBucket(plan, arrival.customer_id, even, mean_units)
             rate, depth = ceiling_share(plan, even, parameters.units_max, parameters.own_index)
@@ -43,7 +43,7 @@
         rounding = (1 + min(1.0, 12 * self.even_share)) * self.mean_units
         return min(self.plan.burst, self.plan.burst * self.share + rounding)
 
-    def take_share(self, share: float, now: int) -> None:
+    def set_share(self, share: float, now: int) -> None:
         """Changes the share of the quota, at least to a tenth of the even one. A larger share adds no units."""
         self.share = max(share, self.even_share / 10)
         self.bucket.resize(self.plan.rate * self.share, self.depth(), now)
--- a/stoneyoke/control/customer_record.py
+++ b/stoneyoke/control/customer_record.py
@@ -27,7 +27,7 @@
         self.demand_units = 0.0  # of the period that runs
         # Decayed sums over seconds, and their lengths: own demand, and what other gateways have counted.
         self.own_units = self.own_s = self.others_units = self.others_s = 0.0
-        self.counted_at = -MAX_WAIT_US  # when the others' demand was read last
+        self.others_read_at = -MAX_WAIT_US  # when the others' demand was read last
         self.counting_until = 0  # its demand is counted while its bucket has been half empty of late
         # Early returns: RPCs that come before the wait of the last rejection is over.
         self.advised_until = self.blocked_until = 0
--- a/stoneyoke/control/gateway.py
+++ b/stoneyoke/control/gateway.py
@@ -96,7 +96,7 @@
         if tick < self.tick_of_second:
             self.shares.close_second()
         self.tick_of_second = tick
-        self.shares.schedule.make_due(tick)
+        self.shares.schedule.send_due(tick)
         if tick % RANKING_TICKS == 0:
             self.backends.look()
         if self.context.parameters.must_subscribe and self.context.now >= self.subscribe_at:
--- a/stoneyoke/control/open_rpc.py
+++ b/stoneyoke/control/open_rpc.py
@@ -20,14 +20,14 @@
     amount: float
 
 
-class Verdict(NamedTuple):
+class AdmissionDecision(NamedTuple):
     """What the quotas say to an RPC."""
 
     wait_us: int  # 0: admitted; else after how long there are units for it
     reservation: Reservation | None = None
 
 
-AdmissionSteps = Generator[Step, Any, Verdict]  # the part of RpcSteps that ends with the quotas' verdict
+AdmissionSteps = Generator[Step, Any, AdmissionDecision]  # the part of RpcSteps that ends with the quotas' verdict
 AttemptSteps = Generator[Step, Any, AttemptEnded]  # the part that ends with an attempt
 
 
--- a/stoneyoke/control/quota_shares.py
+++ b/stoneyoke/control/quota_shares.py
@@ -27,11 +27,11 @@
         now, counter = self.context.now, self.quotas.counter
         second = now // SECOND
         self.schedule.clear()
-        silent = counter.unanswered >= SILENT_QUERIES and counter.asked_at - counter.replied_at > SECOND
+        silent = counter.unanswered >= SILENT_QUERIES and counter.last_query_at - counter.last_reply_at > SECOND
         for customer in list(self.quotas.customers.values()):
             if (second + customer.customer_id) % customer.period_s == 0:
                 self.close_period(customer, second)
-            if now - customer.counted_at > (2 if silent else 20) * SECOND:
+            if now - customer.others_read_at > (2 if silent else 20) * SECOND:
                 customer.others_units = customer.others_s = 0.0
             self.renew_share(customer)
             if customer.may_be_forgotten(now):
@@ -56,7 +56,7 @@
                 self.schedule.add_units(customer, name, units)
             if draw() < queried_share:
                 self.schedule.add_reading(customer, name, units)
-        elif units > 0 and not load.asks_about(customer.shared_bucket) and draw() < queried_share:
+        elif units > 0 and not load.rpcs_query_bucket(customer.shared_bucket) and draw() < queried_share:
             # What is left out while the counter is overloaded is made up for by its weight.
             self.schedule.add_both(customer, name, units / queried_share, draw())
 
@@ -67,11 +67,11 @@
             return
         if reply.total < query.own_units * 0.999:  # the counter has lost values: as if it were silent
             return
-        periods = (self.context.now - customer.counted_at) / SECOND / customer.period_s
-        kept = DECAY ** min(20.0, periods)
-        customer.counted_at = self.context.now
-        customer.others_units = kept * customer.others_units + reply.total - query.own_units
-        customer.others_s = kept * customer.others_s + query.period_share * customer.period_s
+        periods = (self.context.now - customer.others_read_at) / SECOND / customer.period_s
+        retained = DECAY ** min(20.0, periods)
+        customer.others_read_at = self.context.now
+        customer.others_units = retained * customer.others_units + reply.total - query.own_units
+        customer.others_s = retained * customer.others_s + query.period_share * customer.period_s
         self.renew_share(customer)
 
     def renew_share(self, customer: Customer) -> None:
@@ -79,4 +79,4 @@
         own = customer.own_units / max(customer.own_s, 1)
         demand = own + customer.others_units / max(customer.others_s, 0.01)
         is_known = demand > 0 and customer.others_s > 0
-        customer.take_share(own / demand if is_known else customer.even_share, self.context.now)
+        customer.set_share(own / demand if is_known else customer.even_share, self.context.now)
--- a/stoneyoke/control/quotas.py
+++ b/stoneyoke/control/quotas.py
@@ -9,14 +9,14 @@
 from stoneyoke.control.customer import Customer
 from stoneyoke.control.customer_record import Escalation
 from stoneyoke.control.events import Arrival, CounterReply
-from stoneyoke.control.open_rpc import AdmissionSteps, OpenRpc, Reservation, Verdict
+from stoneyoke.control.open_rpc import AdmissionDecision, AdmissionSteps, OpenRpc, Reservation
 from stoneyoke.limits.shared_bucket import KEY_TTL_US, SharedBucket
 from stoneyoke.limits.token_bucket import MAX_WAIT_US, SECOND
 
 COUNTER_TIMEOUT_US = 2 * TICK_US  # without a reply by then the own share decides
-SHORTEST_WAIT_ASKED_US = 4 * TICK_US  # a client that waits for less may be gone before the reply
-REVIEWED_RPCS, EARLY_RPCS = 10, 9  # so many early ones of so many escalate a customer's waits
-BLOCKED_US = 5 * SECOND
+MIN_CLIENT_WAIT_US = 4 * TICK_US  # a client that waits for less may be gone before the reply
+REVIEW_RPCS, ESCALATION_RPCS = 10, 9  # so many early ones of so many escalate a customer's waits
+BLOCK_US = 5 * SECOND
 
 
 class Quotas:
@@ -46,50 +46,50 @@
         customer.rpcs += 1
         latency_us = self.context.methods[arrival.method].mean_latency_us
         if customer.concurrency_reached(latency_us / SECOND):
-            return Verdict(int(latency_us))
+            return AdmissionDecision(int(latency_us))
         if arrival.units > customer.plan.burst and customer.plan.rate > 0:
-            return Verdict(MAX_WAIT_US)
-        if bucket is None or not self.load.asks_about(bucket):
-            return Verdict(self.share_wait(customer, arrival))
+            return AdmissionDecision(MAX_WAIT_US)
+        if bucket is None or not self.load.rpcs_query_bucket(bucket):
+            return AdmissionDecision(self.share_wait(customer, arrival))
         # The counter is not asked about a bucket that is surely empty.
         if bucket.max_level(self.context.now) < arrival.units or self.context.now < bucket.closed_until:
-            return Verdict(self.shared_wait(bucket, arrival))
-        share_asked = self.load.share_asked(bucket)
-        if not self.may_ask(arrival, share_asked):
-            return Verdict(self.share_wait(customer, arrival))
+            return AdmissionDecision(self.shared_wait(bucket, arrival))
+        query_share = self.load.query_share(bucket)
+        if not self.may_query_counter(arrival, query_share):
+            return AdmissionDecision(self.share_wait(customer, arrival))
         # What goes unasked is made up for by the weight of what is asked.
-        amount = max(arrival.units, min(arrival.units / share_asked, 0.5 * bucket.burst))
-        return (yield from self.ask_counter(rpc, customer, bucket, amount))
+        amount = max(arrival.units, min(arrival.units / query_share, 0.5 * bucket.burst))
+        return (yield from self.query_counter(rpc, customer, bucket, amount))
 
-    def may_ask(self, arrival: Arrival, share_asked: float) -> bool:
+    def may_query_counter(self, arrival: Arrival, query_share: float) -> bool:
         """Whether the counter is asked about this RPC. A silent one is asked once a second."""
-        silent = self.counter.unanswered >= SILENT_QUERIES and self.context.now - self.counter.asked_at < SECOND
-        if silent or arrival.wait_us < SHORTEST_WAIT_ASKED_US:
+        silent = self.counter.unanswered >= SILENT_QUERIES and self.context.now - self.counter.last_query_at < SECOND
+        if silent or arrival.wait_us < MIN_CLIENT_WAIT_US:
             return False
-        return self.context.random_source.draw() < share_asked
+        return self.context.random_source.draw() < query_share
 
-    def ask_counter(self, rpc: OpenRpc, customer: Customer, bucket: SharedBucket, amount: float) -> AdmissionSteps:
+    def query_counter(self, rpc: OpenRpc, customer: Customer, bucket: SharedBucket, amount: float) -> AdmissionSteps:
         """Takes an amount from the shared bucket. Without a reply that tells its level this gateway's share decides."""
-        arrival, name, asked_at = rpc.arrival, bucket.counter_key(self.context.now), self.context.now
-        rpc.resume_at_us = asked_at + COUNTER_TIMEOUT_US
+        arrival, name, queried_at = rpc.arrival, bucket.counter_key(self.context.now), self.context.now
+        rpc.resume_at_us = queried_at + COUNTER_TIMEOUT_US
         reply: CounterReply | None = yield AddToCounter(name, KEY_TTL_US, amount)
         now = self.context.now
-        if reply is None or not reply.added or not math.isfinite(reply.total) or asked_at < self.context.resumed_at:
-            return Verdict(self.share_wait(customer, arrival))
+        if reply is None or not reply.added or not math.isfinite(reply.total) or queried_at < self.context.resumed_at:
+            return AdmissionDecision(self.share_wait(customer, arrival))
         level = bucket.level_from(reply.total, now)
         if level is None or bucket.counter_key(now) != name:
             # A gateway just started does not look back: all have, when there are many names to open.
             reads_last_epoch = now - self.context.start_time > 3 * SECOND
             self.counter.run_exchange(bucket.open_epoch(now, reads_last_epoch))
-            return Verdict(self.share_wait(customer, arrival))
+            return AdmissionDecision(self.share_wait(customer, arrival))
         level += amount
         if excess := bucket.overflow(level):
             self.counter.add(name, excess)
         bucket.record_level(level, arrival.units, now)
         if level >= arrival.units:
-            return Verdict(0, Reservation(name, amount))
+            return AdmissionDecision(0, Reservation(name, amount))
         self.counter.add(name, -amount)
-        return Verdict(self.shared_wait(bucket, arrival))
+        return AdmissionDecision(self.shared_wait(bucket, arrival))
 
     def counter_replied(self, reply: CounterReply) -> None:
         """Takes a reply of the counter."""
@@ -97,16 +97,16 @@
         if query is None:
             return
         # A query lost with its connection (NaN), a silent counter or a stall of this process is no sign of overload.
-        is_measure = query.asked_at >= self.context.resumed_at and self.counter.unanswered < SILENT_QUERIES
-        if is_measure and not math.isnan(reply.total):
-            self.load.record(reply.added, self.context.now - query.asked_at)
+        is_valid_sample = query.sent_at >= self.context.resumed_at and self.counter.unanswered < SILENT_QUERIES
+        if is_valid_sample and not math.isnan(reply.total):
+            self.load.record(reply.added, self.context.now - query.sent_at)
         if query.on_reply:
             query.on_reply(reply)
 
     def shared_wait(self, bucket: SharedBucket, arrival: Arrival) -> int:
         """The time in us until the shared bucket can hold an RPC's units."""
-        lack = arrival.units - bucket.max_level(self.context.now)
-        return max(1, bucket.closed_until - self.context.now, math.ceil(lack / bucket.rate * SECOND))
+        shortfall = arrival.units - bucket.max_level(self.context.now)
+        return max(1, bucket.closed_until - self.context.now, math.ceil(shortfall / bucket.rate * SECOND))
 
     def share_wait(self, customer: Customer, arrival: Arrival) -> int:
         """The time in us until this gateway's share holds an RPC's units. 0: it does."""
@@ -123,7 +123,7 @@
     def compute_retry_after(self, customer: Customer, wait_us: int) -> int:
         """The wait in us that a rejection states: jittered, and longer for customers that keep coming too early."""
         customer.early_rpcs += self.context.now < customer.advised_until
-        if customer.rpcs >= REVIEWED_RPCS:
+        if customer.rpcs >= REVIEW_RPCS:
             self.review_early_returns(customer)
         wait_us = min(MAX_WAIT_US, wait_us * (2 if customer.escalation else 1))
         wait_us = self.jittered(max(wait_us, customer.blocked_until - self.context.now))
@@ -132,10 +132,10 @@
 
     def review_early_returns(self, customer: Customer) -> None:
         """First doubles the waits of a customer that comes too early, then blocks it. Else back to plain waits."""
-        is_early = customer.early_rpcs >= EARLY_RPCS
+        is_early = customer.early_rpcs >= ESCALATION_RPCS
         customer.escalation = min(Escalation.BLOCKED, customer.escalation + 1) if is_early else 0
         if customer.escalation == Escalation.BLOCKED:
-            customer.blocked_until = self.context.now + BLOCKED_US
+            customer.blocked_until = self.context.now + BLOCK_US
         customer.rpcs = customer.early_rpcs = 0
 
     def jittered(self, wait_us: int) -> int:
--- a/stoneyoke/control/retry_policy.py
+++ b/stoneyoke/control/retry_policy.py
@@ -17,9 +17,9 @@
 from stoneyoke.control.quotas import Quotas
 from stoneyoke.limits.token_bucket import SECOND, TokenBucket
 
-CANCEL_US = SECOND  # a cancelled attempt ends within this, or is cancelled again
-HOPELESS_SHARE = 0.1  # of the concurrency limit: for RPCs whose client will probably time out before the answer
-LATE_SHARE = 0.4  # for retries too late for their soft deadline (0.5 and 0.3 each lost on one kind of incident)
+CANCEL_RETRY_US = SECOND  # a cancelled attempt ends within this, or is cancelled again
+EXPIRING_RPC_SHARE = 0.1  # of the concurrency limit: for RPCs whose client will probably time out before the answer
+LATE_RETRY_SHARE = 0.4  # for retries too late for their soft deadline (0.5 and 0.3 each lost on one kind of incident)
 
 
 class AttemptHistory:
@@ -32,12 +32,12 @@
         self.reached_backend = False  # an attempt has cost a backend something
         # The attempt that may have run first, or the last one while all are proven not to have run.
         self.first_backend: Backend | None = None
-        self.first_at = 0
+        self.first_start = 0
 
     def attempt_started(self, backend: Backend, now: int) -> None:
         """Notes an attempt."""
         if self.not_run:
-            self.first_backend, self.first_at = backend, now
+            self.first_backend, self.first_start = backend, now
         self.tried.add(backend.index)
 
     def attempt_ended(self, outcome: AttemptOutcome) -> None:
@@ -49,7 +49,7 @@
         """Whether the next attempt is harmless only at a backend that recognises the repeat."""
         return not self.not_run and self.method.is_deduplicated
 
-    def home(self) -> Backend | None:
+    def scope_backend(self) -> Backend | None:
         """The backend that may have run it: only backends in its scope recognise a repeat. None: any will do."""
         return self.first_backend if self.needs_deduplication() else None
 
@@ -59,11 +59,11 @@
 
     def window_has_passed(self, now: int) -> bool:
         """A deduplicated RPC that may have run is sent again only while backends recognise repeats."""
-        return self.needs_deduplication() and now >= self.first_at + self.method.deduplication_window_us
+        return self.needs_deduplication() and now >= self.first_start + self.method.deduplication_window_us
 
-    def may_repeat_running(self, now: int) -> bool:
+    def may_retry_while_running(self, now: int) -> bool:
         """Whether an RPC may be sent again although an attempt is running now."""
-        is_recognised = self.method.is_deduplicated and now < self.first_at + self.method.deduplication_window_us
+        is_recognised = self.method.is_deduplicated and now < self.first_start + self.method.deduplication_window_us
         return self.method.is_idempotent or is_recognised
 
     def may_be_rejected(self) -> bool:
@@ -109,22 +109,22 @@
                 break
         if reservation and rpc.attempts_started == 0:
             self.quotas.counter.add(reservation.name, -reservation.amount)  # the RPC was never sent
-        yield self.final_answer(arrival, history)
+        yield self.final_action(arrival, history)
 
-    def final_answer(self, arrival: Arrival, history: AttemptHistory) -> Reject | FailRpc:
+    def final_action(self, arrival: Arrival, history: AttemptHistory) -> Reject | FailRpc:
         """The answer to an RPC that no attempt has answered, and that gets no further one."""
         if not history.may_be_rejected():
             return FailRpc(arrival.rpc)
         # The wait is a soft deadline, in which a full fleet empties.
         return Reject(arrival.rpc, self.quotas.jittered(history.method.soft_deadline_us), True)
 
-    def next_backend(self, history: AttemptHistory, admission_share: float) -> Backend | None:
+    def next_backend(self, history: AttemptHistory, share: float) -> Backend | None:
         """The backend for the next attempt, if there may be one."""
         if history.reached_backend and not self.retry_budget_allows():
             return None
         if history.window_has_passed(self.context.now):
             return None
-        return self.backends.choose(history.tried, admission_share, history.home(), history.method.deduplication_scope)
+        return self.backends.choose(history.tried, share, history.scope_backend(), history.method.deduplication_scope)
 
     def retry_budget_allows(self) -> bool:
         """This gateway's part of the system's retry budget. Only attempts that reached a backend draw on it."""
@@ -140,7 +140,7 @@
         while result is STILL_WAITING:
             self.count_overdue(rpc, backend)
             if self.may_cancel(history, backend):
-                rpc.resume_at_us = self.context.now + CANCEL_US
+                rpc.resume_at_us = self.context.now + CANCEL_RETRY_US
                 result = yield CancelAttempt(rpc.arrival.rpc, rpc.attempts_started - 1)
             else:
                 rpc.resume_at_us = self.context.now + overdue_after_us // 4
@@ -165,7 +165,7 @@
         if self.backends.is_typical(backend) or not self.context.parameters.can_cancel_attempts:
             return False
         silent_us = self.context.now - backend.silent_since
-        return silent_us >= history.method.overdue_after_us and history.may_repeat_running(self.context.now)
+        return silent_us >= history.method.overdue_after_us and history.may_retry_while_running(self.context.now)
 
     def ends_with_client(self, method: Method) -> bool:
         """Whether an attempt that was sent ends with its client: only if breaking its run off does no harm."""
@@ -175,9 +175,9 @@
         """Whether an answer can still be in time, and a retry does not just keep an overloaded fleet overloaded."""
         concurrency, deadline = self.backends.concurrency, rpc.arrived_at + rpc.arrival.wait_us
         too_late = self.context.now >= deadline - history.method.soft_deadline_us // 8
-        feeds_overload = not history.not_run and concurrency.is_overloaded()
+        adds_to_overload = not history.not_run and concurrency.is_overloaded()
         fleet_is_full = outcome is AttemptOutcome.REJECTED and concurrency.is_full()
-        return not (too_late or feeds_overload or fleet_is_full)
+        return not (too_late or adds_to_overload or fleet_is_full)
 
     def admission_share(self, arrival: Arrival) -> float:
         """The part of the concurrency limit that an RPC may fill: less if its answer is late, or worth little."""
@@ -185,13 +185,13 @@
         statistics = self.context.methods[arrival.method]
         statistics.longest_wait_us = max(statistics.longest_wait_us, arrival.wait_us)
         if arrival.wait_us < 0.7 * statistics.mean_latency_us:
-            return HOPELESS_SHARE
+            return EXPIRING_RPC_SHARE
         is_retry = arrival.is_retry
         if is_retry is None:  # clients don't say: a retry's wait is shorter than that of a first request
             is_retry = arrival.wait_us < 0.98 * statistics.longest_wait_us
         # The client has waited for so long that no answer is within its soft deadline.
         if is_retry and method.deadline_us - arrival.wait_us > 0.8 * method.soft_deadline_us:
-            return LATE_SHARE
+            return LATE_RETRY_SHARE
         return self.priority(arrival, method.utility, statistics.mean_latency_us)
 
     def priority(self, arrival: Arrival, utility: float, latency_us: float) -> float:
--- a/stoneyoke/control/rpc_runner.py
+++ b/stoneyoke/control/rpc_runner.py
@@ -11,7 +11,7 @@
 from stoneyoke.control.retry_policy import RetryPolicy
 from stoneyoke.limits.token_bucket import SECOND
 
-STREAMING_US = 3600 * SECOND  # for so long an RPC is left alone whose answer has begun to arrive
+STREAMING_RESUME_US = 3600 * SECOND  # for so long an RPC is left alone whose answer has begun to arrive
 
 
 class RpcRunner:
@@ -29,26 +29,26 @@
         rpc = OpenRpc(arrival, self.context.now)
         self.open[arrival.rpc] = rpc
         rpc.steps = self.policy.serve(rpc)
-        self.carry_out(rpc, next(rpc.steps))
+        self.execute_step(rpc, next(rpc.steps))
 
     def resume(self, rpc: OpenRpc, result: AttemptEnded | CounterReply | None) -> None:
         """Lets an RPC go on, unless it has its answer."""
         rpc.query = None
         if rpc.steps and not rpc.answered:
-            self.carry_out(rpc, rpc.steps.send(result))
+            self.execute_step(rpc, rpc.steps.send(result))
 
     def resume_due(self) -> None:
         """Resumes the RPCs whose time to look again has come."""
         for rpc in [r for r in self.open.values() if r.resume_at_us <= self.context.now]:
             self.resume(rpc, STILL_WAITING)
 
-    def carry_out(self, rpc: OpenRpc, step: Step) -> None:
+    def execute_step(self, rpc: OpenRpc, step: Step) -> None:
         """Does what an RPC's policy has yielded."""
         if step is WAIT:
             return
         if isinstance(step, AddToCounter):
             rpc.query = step
-            self.quotas.counter.add(step.name, step.amount, partial(self.query_answered, rpc, step))
+            self.quotas.counter.add(step.name, step.amount, partial(self.query_replied, rpc, step))
             return
         self.context.actions.append(step)
         if isinstance(step, StartAttempt):
@@ -86,7 +86,7 @@
         self.resume(rpc, result)
         self.drop_if_done(rpc)
 
-    def query_answered(self, rpc: OpenRpc, query: AddToCounter, reply: CounterReply) -> None:
+    def query_replied(self, rpc: OpenRpc, query: AddToCounter, reply: CounterReply) -> None:
         """Resumes an RPC with the counter's reply, unless it has gone on without it."""
         if rpc.query is query and not rpc.answered:
             self.resume(rpc, reply)
@@ -107,7 +107,7 @@
     def response_started(self, event: ResponseStarted) -> None:
         """Leaves an RPC alone whose answer arrives: only the end of its attempt counts now."""
         if rpc := self.open.get(event.rpc):
-            rpc.resume_at_us = self.context.now + STREAMING_US
+            rpc.resume_at_us = self.context.now + STREAMING_RESUME_US
 
     def drop_if_done(self, rpc: OpenRpc) -> None:
         """Forgets an RPC that has its answer and no attempt in flight."""
--- a/tests/control/test_backend_selection.py
+++ b/tests/control/test_backend_selection.py
@@ -24,11 +24,11 @@
     benches = gateways_of_one_fleet(200, fleet=2, started={0: START}, plans=(plan(1e6, 1e6),))
     cold = 0
     for bench in benches:
-        bench.gateway.backends.concurrency.answers_per_s = 0.1  # 20 a second over all, from the one warm backend
+        bench.gateway.backends.concurrency.responses_per_s = 0.1  # 20 a second over all, from the one warm backend
     for _ in range(10):  # a window of 1.5 s, of which each gateway uses all it may
         for bench in benches:
             bench.pass_time(150_000)
-            bench.gateway.backends.concurrency.answers_per_s = 0.1
+            bench.gateway.backends.concurrency.responses_per_s = 0.1
             for out in attempts_in(bench.arrive()):
                 cold += out.backend == 0
                 bench.end_attempt(bench.next_rpc, 0, out.backend, AttemptOutcome.CANCELLED, is_final=True)
@@ -40,8 +40,8 @@
     bench = DecisionBench(fleet=6, started={5: START - 9_990_000}, plans=(plan(1e6, 1e6),))
     bench.now += 20_000
     assert bench.gateway.backends.order[0].index == 5
-    got = [out.backend for i in range(14) for out in attempts_in(bench.arrive(customer=i))]
-    assert got.count(5) <= 1 and len(got) == 14
+    chosen = [out.backend for i in range(14) for out in attempts_in(bench.arrive(customer=i))]
+    assert chosen.count(5) <= 1 and len(chosen) == 14
 
 
 def test_a_backend_that_accepted_no_connection_counts_as_cold_afterwards():
@@ -50,8 +50,8 @@
     other = attempts_in(bench.end_attempt(1, 0, first, AttemptOutcome.NO_CONNECTION))[0].backend
     bench.end_attempt(1, 1, other)
     bench.pass_time(1_200_000)
-    got = [out.backend for i in range(20) for out in attempts_in(bench.arrive(customer=i))]
-    assert got.count(first) <= 1 and other in got
+    chosen = [out.backend for i in range(20) for out in attempts_in(bench.arrive(customer=i))]
+    assert chosen.count(first) <= 1 and other in chosen
 
 
 def test_cut_connections_alone_make_no_backend_cold_or_ejected():
@@ -111,7 +111,7 @@
 
 def shares_with_a_silent_backend(leave_us, arrivals=600):
     """The share of the attempts that backend 0 gets, which never answers; of six, each client leaving after a time."""
-    bench, ends, got = DecisionBench(fleet=6, plans=(plan(0.0, 0.0),), has_counter=False, gateways=1), [], []
+    bench, ends, chosen = DecisionBench(fleet=6, plans=(plan(0.0, 0.0),), has_counter=False, gateways=1), [], []
     for _ in range(arrivals):
         bench.pass_time(20_000)
         while ends and ends[0][0] <= bench.now:
@@ -121,11 +121,11 @@
             outcome = AttemptOutcome.OK if backend else AttemptOutcome.CLIENT_GONE
             bench.end_attempt(rpc, 0, backend, outcome, is_final=True)
         for out in attempts_in(bench.arrive()):
-            got.append(out.backend)
+            chosen.append(out.backend)
             ends.append((bench.now + (leave_us if out.backend == 0 else 40_000), bench.next_rpc, out.backend))
             ends.sort()
     assert bench.gateway.backends.table.by_index[0].failure_share == 0
-    return got.count(0) / len(got)
+    return chosen.count(0) / len(chosen)
 
 
 @pytest.mark.parametrize("leave_us", [30_000, 60_000, 200_000])
--- a/tests/control/test_concurrency.py
+++ b/tests/control/test_concurrency.py
@@ -18,11 +18,11 @@
 
 
 def test_many_gateways_limits_are_fractions_that_sum_to_the_whole():
-    benches, through = gateways_of_one_fleet(200, fleet=20, has_counter=False), 0
+    benches, started = gateways_of_one_fleet(200, fleet=20, has_counter=False), 0
     for bench in benches:
         bench.gateway.backends.concurrency.limit = 0.3
-        through += len(attempts_in(bench.arrive(customer_gateways=200.0)))
-    assert 40 <= through <= 80
+        started += len(attempts_in(bench.arrive(customer_gateways=200.0)))
+    assert 40 <= started <= 80
 
 
 def test_at_the_limit_late_retries_and_cheap_rpcs_are_rejected_first():
--- a/tests/control/test_quota_shares.py
+++ b/tests/control/test_quota_shares.py
@@ -39,7 +39,7 @@
     bench = DecisionBench()
     exhaust_quota(bench)
     bench.pass_time(3_000_000, counter_total(50.0))
-    bench.gateway.quotas.counter.asked_at = bench.now + 2_000_000
+    bench.gateway.quotas.counter.last_query_at = bench.now + 2_000_000
     for action in [a for _, a in bench.log if isinstance(a, AddToCounter)][:2]:
         bench.dispatch(query_lost(action))
     bench.arrive()
@@ -58,7 +58,7 @@
                     9.9 * 5,
                     5.0,
                 )
-                bench.gateway.quotas.customers[0].counted_at = bench.now
+                bench.gateway.quotas.customers[0].others_read_at = bench.now
             for out in attempts_in([a for _, a in bench.log[-2:]]):
                 bench.end_attempt(bench.next_rpc, 0, out.backend)
         for bench in benches:
@@ -81,24 +81,24 @@
 def test_an_overloaded_counter_is_asked_less_and_a_lost_connection_is_no_overload():
     bench = DecisionBench(gateways=100, plans=(plan(4.0, 12.0, ceiling_rate=8.0, ceiling_burst=24.0),))
 
-    def ask(added, total, after=5_000):
-        asked = actions_of(AddToCounter, bench.arrive(customer=bench.next_rpc, customer_gateways=100.0))
+    def query(added, total, after=5_000):
+        queries = actions_of(AddToCounter, bench.arrive(customer=bench.next_rpc, customer_gateways=100.0))
         bench.now += after
-        for call in asked:
+        for call in queries:
             bench.dispatch(CounterReply(call.name, added, total))
 
     for _ in range(30):
-        ask(False, float("nan"))
-        ask(True, 1.0)  # a silent counter would be no overload either
+        query(False, float("nan"))
+        query(True, 1.0)  # a silent counter would be no overload either
     assert bench.gateway.quotas.load.queried_share == 1.0
     for _ in range(20):
-        ask(False, 0.0)
-        ask(True, 1.0)
+        query(False, 0.0)
+        query(True, 1.0)
     after_failures = bench.gateway.quotas.load.queried_share
     assert after_failures < 0.7
     for _ in range(100):
-        ask(True, 1.0)
+        query(True, 1.0)
     assert bench.gateway.quotas.load.queried_share == 1.0
     for _ in range(40):
-        ask(True, 1.0, 60_000)
+        query(True, 1.0, 60_000)
     assert bench.gateway.quotas.load.queried_share < 0.1  # slow ones delay RPCs
--- a/tests/control/test_quotas.py
+++ b/tests/control/test_quotas.py
@@ -14,8 +14,8 @@
 
 
 def test_an_rpc_larger_than_the_burst_gets_the_longest_wait():
-    refused = actions_of(Reject, DecisionBench().arrive(units=50.0))
-    assert 20_000_000 <= refused[0].retry_after_us <= 40_000_000
+    rejections = actions_of(Reject, DecisionBench().arrive(units=50.0))
+    assert 20_000_000 <= rejections[0].retry_after_us <= 40_000_000
 
 
 def test_early_returns_double_the_wait_then_block_and_an_rpc_within_quota_is_admitted():
@@ -31,7 +31,7 @@
     bench = DecisionBench()
     exhaust_quota(bench)
     customer = bench.gateway.quotas.customers[0]
-    customer.take_share(1.0, bench.now)
+    customer.set_share(1.0, bench.now)
     assert customer.bucket.level < 1
 
 
--- a/tests/control/test_rules.py
+++ b/tests/control/test_rules.py
@@ -125,7 +125,7 @@
         bench.pass_time(gap * 1000)
         for action in attempts_in(bench.arrive()):
             bench.end_attempt(bench.next_rpc, 0, action.backend)
-            peak = max(peak, bench.gateway.backends.concurrency.answers_per_s)
+            peak = max(peak, bench.gateway.backends.concurrency.responses_per_s)
             if action.backend == 0:
                 times.append(bench.now)
     for at in times:
--- a/tests/system/test_client_left.py
+++ b/tests/system/test_client_left.py
@@ -330,7 +330,7 @@
         decisions = upstream.runtime.gateway
         (measured,) = decisions.backends.table.by_index.values()
         assert measured.failure_share == 0 and measured.relative_latency == 1.0 and not measured.ejected_until
-        assert decisions.backends.concurrency.refused_share == 0
+        assert decisions.backends.concurrency.unserved_share == 0
         assert gateway.metrics.counts["attempts: client gone"] == 8
 
 
