--- a/stoneyoke/control/quotas.py
+++ b/stoneyoke/control/quotas.py
@@ -52,7 +52,7 @@
         if bucket is None or not self.load.rpcs_query_bucket(bucket):
             return AdmissionDecision(self.share_wait(customer, arrival))
         # The counter is not asked about a bucket that is surely empty.
-        if bucket.max_level(self.context.now) < arrival.units or self.context.now < bucket.closed_until:
+        if bucket.max_level(self.context.now) < arrival.units or self.context.now < bucket.next_query_at:
             return AdmissionDecision(self.shared_wait(bucket, arrival))
         query_share = self.load.query_share(bucket)
         if not self.may_query_counter(arrival, query_share):
@@ -76,7 +76,7 @@
         now = self.context.now
         if reply is None or not reply.added or not math.isfinite(reply.total) or queried_at < self.context.resumed_at:
             return AdmissionDecision(self.share_wait(customer, arrival))
-        level = bucket.level_from(reply.total, now)
+        level = bucket.level_from_total(reply.total, now)
         if level is None or bucket.counter_key(now) != name:
             # A gateway just started does not look back: all have, when there are many names to open.
             reads_last_epoch = now - self.context.start_time > 3 * SECOND
@@ -106,7 +106,7 @@
     def shared_wait(self, bucket: SharedBucket, arrival: Arrival) -> int:
         """The time in us until the shared bucket can hold an RPC's units."""
         shortfall = arrival.units - bucket.max_level(self.context.now)
-        return max(1, bucket.closed_until - self.context.now, math.ceil(shortfall / bucket.rate * SECOND))
+        return max(1, bucket.next_query_at - self.context.now, math.ceil(shortfall / bucket.rate * SECOND))
 
     def share_wait(self, customer: Customer, arrival: Arrival) -> int:
         """The time in us until this gateway's share holds an RPC's units. 0: it does."""
--- a/stoneyoke/lab/simulation/defects/quotas.py
+++ b/stoneyoke/lab/simulation/defects/quotas.py
@@ -56,7 +56,9 @@
 def share_never_expires() -> list[Patch]:
     """A gateway's share never expires, though the lease holder relies on that."""
 
-    def isolated_allowance(self: local_quota.LocalQuota, heard_at: float, now: float) -> local_quota.IsolatedAllowance:
+    def isolated_allowance(
+        self: local_quota.LocalQuota, last_response_at: float, now: float
+    ) -> local_quota.IsolatedAllowance:
         share, reserve_units = (self.share, self.reserve_units) if self.share else (0.5, 0.0)
         return local_quota.IsolatedAllowance(share, reserve_units)
 
--- a/stoneyoke/limits/local_quota.py
+++ b/stoneyoke/limits/local_quota.py
@@ -10,7 +10,7 @@
 from stoneyoke.limits.quota_terms import DEMAND_HALF_LIFE_S, SHARE_LEASE_S, decayed
 from stoneyoke.transport.messages import QuotaDemand, QuotaGrant
 
-STOCK_S = 0.25  # of its demand that a gateway holds in advance; whole units only, so thin demand holds none
+PREFETCH_S = 0.25  # of its demand that a gateway holds in advance; whole units only, so thin demand holds none
 ISOLATED_START_RATIO = 0.2  # of the excess that the rule allows: what all gateways together begin an isolation with
 UNGRANTED_RATIO = 0.4  # of that excess: what gateways granted no share may use together in UNGRANTED_S
 UNGRANTED_S = 3.0
@@ -60,11 +60,11 @@
         self.demand_rate = decayed(self.demand_rate, now - self.demand_at) + units * LN_2 / DEMAND_HALF_LIFE_S
         self.demand_at = now
 
-    def isolated_allowance(self, heard_at: float, now: float) -> IsolatedAllowance:
-        """What it may use while no lease holder is heard, one having been heard last at `heard_at`."""
-        if now - heard_at > SHARE_LEASE_S:
+    def isolated_allowance(self, last_response_at: float, now: float) -> IsolatedAllowance:
+        """What it may use while no lease holder is heard, one having been heard last at `last_response_at`."""
+        if now - last_response_at > SHARE_LEASE_S:
             return IsolatedAllowance(0.0, 0.0)
-        elapsed_s = heard_at - self.granted_at
+        elapsed_s = last_response_at - self.granted_at
         return IsolatedAllowance(decayed(self.share, elapsed_s), decayed(self.reserve_units, elapsed_s))
 
     def try_take(self, units: float) -> bool:
@@ -76,7 +76,7 @@
 
     def wanted_units(self, waiting: float) -> float:
         """Units to hold: for `waiting` requests, and what its demand uses in STOCK_S."""
-        return waiting + float(int(self.demand_rate * STOCK_S))
+        return waiting + float(int(self.demand_rate * PREFETCH_S))
 
     def apply_grant(self, grant: QuotaGrant, now: float) -> None:
         """Takes what the lease holder has granted."""
@@ -89,14 +89,18 @@
 
 
 def take_demands(
-    local_quotas: Mapping[str, LocalQuota], waiting: Mapping[str, int], heard_at: float, complete: bool, now: float
+    local_quotas: Mapping[str, LocalQuota],
+    waiting: Mapping[str, int],
+    last_response_at: float,
+    complete: bool,
+    now: float,
 ) -> list[QuotaDemand]:
     """What a gateway asks and reports in its next message; the demand counted so far is taken out of the quotas.
 
     Args:
         local_quotas: By tenant.
         waiting: Requests that wait for units, by tenant.
-        heard_at: When a lease holder was last heard, in seconds.
+        last_response_at: When a lease holder last answered this gateway, in seconds.
         complete: Whether all shares are to be reported.
         now: In seconds.
 
@@ -106,15 +110,15 @@
     demands = []
     for tenant, local_quota in local_quotas.items():
         waiting_requests = waiting.get(tenant, 0)
-        has_news = (
+        has_report = (
             waiting_requests
             or local_quota.demand_units
             or local_quota.isolated_units > local_quota.reported_isolated_units
         )
-        if not has_news and not complete:
+        if not has_report and not complete:
             continue
-        share = local_quota.isolated_allowance(heard_at, now).share
-        if not has_news and share <= REPORTED_SHARE_MIN and not local_quota.isolated_units:
+        share = local_quota.isolated_allowance(last_response_at, now).share
+        if not has_report and share <= REPORTED_SHARE_MIN and not local_quota.isolated_units:
             continue
         wanted = local_quota.wanted_units(waiting_requests) if now >= local_quota.closed_until else 0.0
         missing = max(0.0, wanted - local_quota.level)
--- a/stoneyoke/limits/quota_allocator.py
+++ b/stoneyoke/limits/quota_allocator.py
@@ -43,7 +43,7 @@
 MAX_EVEN_SHARES = 4.0  # even shares that one gateway's share is at most
 REFILL_INTERVAL_S = 0.05  # buckets that nobody asks for are refilled no more often
 MAX_DEMAND_UNITS = 1e6  # of one message: a larger number is a fault
-NEVER_HEARD_AT = -1e9
+NEVER_RECEIVED_AT = -1e9
 UNKNOWN_TENANT_WAIT_S = 0.2
 MIN_WAIT_SHARE = 0.02  # a wait is no longer than that of a gateway with this share of the demand
 
@@ -61,8 +61,8 @@
         """
         self.bounds = bounds
         self.buckets: dict[str, TenantBucket] = {}
-        self.last_heard_at = dict.fromkeys(expected, now - SILENCE_TIMEOUT_S)  # by gateway, until it is forgotten
-        self.unreported = set(self.last_heard_at)  # of them, those that have not reported their shares yet
+        self.last_request_at = dict.fromkeys(expected, now - SILENCE_TIMEOUT_S)  # by gateway, until it is forgotten
+        self.unreported = set(self.last_request_at)  # of them, those that have not reported their shares yet
         self.incarnations: dict[str, str] = {}
         self.now = self.started_at = now
         self.tenants: Any = None  # the list that the buckets were made from
@@ -106,16 +106,16 @@
         if now - self.started_at > SHARE_LEASE_S:
             self.unreported.clear()
         self.refill_buckets(now)
-        self.note_incarnation(request.name, request.incarnation)
+        self.update_incarnation(request.name, request.incarnation)
         self.forget_silent_gateways(now)
         if request.since_answer_ms / 1000 > SILENCE_TIMEOUT_S:
             return []
         if request.complete and request.name in self.unreported:
-            self.take_report(request, now)
-        if now - self.last_heard_at.get(request.name, now) > SILENCE_TIMEOUT_S:
+            self.record_reported_shares(request, now)
+        if now - self.last_request_at.get(request.name, now) > SILENCE_TIMEOUT_S:
             for bucket in self.buckets.values():
-                bucket.credit_back(request.name)
-        self.last_heard_at[request.name] = now
+                bucket.return_debited_units(request.name)
+        self.last_request_at[request.name] = now
         silent = self.silent_gateways(now)
         return [self.grant(request.name, demand, silent, now) for demand in request.demands]
 
@@ -138,8 +138,8 @@
         entry.isolated_units = max(entry.isolated_units, demand.isolated_units)
         entry.record_demand(min(max(0.0, demand.demand_units), MAX_DEMAND_UNITS), now)
         demand_share = self.update_share(bucket, name, entry, now)
-        most = max(1.0, bucket.burst * demand_share)
-        units = float(int(max(0.0, min(demand.wanted_units, bucket.level, most))))
+        units_max = max(1.0, bucket.burst * demand_share)
+        units = float(int(max(0.0, min(demand.wanted_units, bucket.level, units_max))))
         bucket.level -= units
         wait_s = 0.0 if units or demand.wanted_units < 1 else refill_wait_s(bucket, demand_share)
         entry.reserve_units = RESERVE_RATIO * entry.share * max(0.0, bucket.level)
@@ -151,17 +151,17 @@
         Returns:
             The gateway's share of the demand of all gateways that are heard, 0 to 1.
         """
-        total_demand = held_share = 0.0
+        total_demand = others_share = 0.0
         for other, other_entry in bucket.gateways.items():
-            last_heard_at = self.last_heard_at.get(other, NEVER_HEARD_AT)
-            if now - last_heard_at <= SILENCE_TIMEOUT_S:
+            last_request_at = self.last_request_at.get(other, NEVER_RECEIVED_AT)
+            if now - last_request_at <= SILENCE_TIMEOUT_S:
                 total_demand += other_entry.current_demand(now)
-            if other != name and now - last_heard_at <= SHARE_LEASE_S:
-                held_share += other_entry.isolated_share(last_heard_at)
+            if other != name and now - last_request_at <= SHARE_LEASE_S:
+                others_share += other_entry.isolated_share(last_request_at)
         demand_share = entry.current_demand(now) / total_demand if total_demand > 0 else 0.0
         if now - self.started_at < LEARNING_S:  # not all have reported their demand yet: the first would get it all
-            demand_share = min(demand_share, 1 / max(1, len(self.last_heard_at)))
-        unclaimed = 1 - held_share - self.withheld_share(bucket)
+            demand_share = min(demand_share, 1 / max(1, len(self.last_request_at)))
+        unclaimed = 1 - others_share - self.withheld_share(bucket)
         entry.share = max(0.0, min(demand_share, self.max_share(), unclaimed))
         entry.granted_at = now
         return demand_share
@@ -174,11 +174,11 @@
 
     def max_share(self) -> float:
         """The largest share that one gateway is granted."""
-        return min(1.0, MAX_EVEN_SHARES / max(1, len(self.last_heard_at)))
+        return min(1.0, MAX_EVEN_SHARES / max(1, len(self.last_request_at)))
 
     def silent_gateways(self, now: float) -> dict[str, float]:
         """Gateways not heard of late, and when each was last heard."""
-        return {name: at for name, at in self.last_heard_at.items() if now - at > SILENCE_TIMEOUT_S}
+        return {name: at for name, at in self.last_request_at.items() if now - at > SILENCE_TIMEOUT_S}
 
     def refill_buckets(self, now: float) -> None:
         """Refills all buckets that were not refilled of late."""
@@ -187,7 +187,7 @@
             if now - bucket.filled_at > REFILL_INTERVAL_S:
                 bucket.refill(self.withheld_share(bucket), silent, now)
 
-    def note_incarnation(self, name: str, incarnation: str) -> None:
+    def update_incarnation(self, name: str, incarnation: str) -> None:
         """Forgets what a gateway's earlier incarnation was granted: that ended with its process."""
         if self.incarnations.get(name, incarnation) != incarnation:
             self.forget_gateway(name)
@@ -195,17 +195,17 @@
 
     def forget_silent_gateways(self, now: float) -> None:
         """Forgets gateways whose shares have ended for long."""
-        for name in [name for name, at in self.last_heard_at.items() if now - at > GATEWAY_TTL_S]:
+        for name in [name for name, at in self.last_request_at.items() if now - at > GATEWAY_TTL_S]:
             self.forget_gateway(name)
 
     def forget_gateway(self, name: str) -> None:
         """Forgets a gateway: it uses nothing any more, and what it used since it was last heard nobody knows."""
-        self.last_heard_at.pop(name, None)
+        self.last_request_at.pop(name, None)
         self.unreported.discard(name)
         for bucket in self.buckets.values():
             bucket.gateways.pop(name, None)
 
-    def take_report(self, request: QuotaRequest, now: float) -> None:
+    def record_reported_shares(self, request: QuotaRequest, now: float) -> None:
         """Takes the shares that a gateway holds from an earlier lease holder."""
         self.unreported.discard(request.name)
         for demand in request.demands:
@@ -221,5 +221,5 @@
     Half of the time in which its share refills a unit: more would leave units unused, less asks in vain. Never before
     the bucket holds a unit.
     """
-    lack = max(0.0, 1 - bucket.level)
-    return max(lack, 0.5 / max(demand_share, MIN_WAIT_SHARE)) / bucket.rate
+    shortfall = max(0.0, 1 - bucket.level)
+    return max(shortfall, 0.5 / max(demand_share, MIN_WAIT_SHARE)) / bucket.rate
--- a/stoneyoke/limits/shared_bucket.py
+++ b/stoneyoke/limits/shared_bucket.py
@@ -24,7 +24,7 @@
 EPOCH_OFFSETS = 97  # customers change their keys at so many different moments
 MARKER_FACTOR = 64  # of what an epoch can give: a total holds seven digits, so a hundredth of a unit still shows
 OVERFLOW_RATIO = 0.5  # of the burst: what a full bucket may hold over it; a smaller one would take more calls
-GUARDED_OVERFLOW_RATIO = 0.25  # the same under a ceiling; a larger one would leave less of the ceiling to share
+CEILING_OVERFLOW_RATIO = 0.25  # the same under a ceiling; a larger one would leave less of the ceiling to share
 KEY_MULTIPLIER = 0x9E3779B97F4A7C15
 KEY_EPOCH_MULTIPLIER = 0xD1B54A32D192ED03
 KEY_INCREMENT = 0x632BE59BD9B4E019
@@ -80,10 +80,10 @@
         self.epoch_offset_us = customer_id % EPOCH_OFFSETS * EPOCH_US // EPOCH_OFFSETS
         self.marker = MARKER_FACTOR * (limits.burst + limits.rate * EPOCH_US / SECOND)
         self.level, self.level_at = limits.burst, 0
-        self.closed_until, self.opened_at = 0, -SECOND
+        self.next_query_at, self.opened_at = 0, -SECOND
         # An empty one is asked at twice the pace at which its even share refills, however many RPCs come: all
         # gateways together then still find each RPC's worth of units. Half of a whole refill's time at most.
-        self.closed_us = int(min(mean_units / even_share, limits.burst) / limits.rate / 2 * SECOND)
+        self.query_interval_us = int(min(mean_units / even_share, limits.burst) / limits.rate / 2 * SECOND)
 
     def counter_key(self, now: int, epochs_back: int = 0) -> int:
         """The counter's key for this epoch, or for an earlier one."""
@@ -98,7 +98,7 @@
         """How many gateways have opened the key that has this total."""
         return round(total / self.marker) if math.isfinite(total) else 0
 
-    def level_from(self, total: float, now: int) -> float | None:
+    def level_from_total(self, total: float, now: int) -> float | None:
         """The level that this epoch's total means, which may exceed the burst; None: it says nothing."""
         return self.refilled_units(now) - (total - self.marker) if self.marker_count(total) == 1 else None
 
@@ -140,7 +140,7 @@
         among the gateways.
         """
         over = level - self.burst
-        ratio = GUARDED_OVERFLOW_RATIO if self.has_ceiling else OVERFLOW_RATIO
+        ratio = CEILING_OVERFLOW_RATIO if self.has_ceiling else OVERFLOW_RATIO
         return over if over > self.burst * ratio else 0.0
 
     def record_level(self, level: float, units: float, now: int) -> None:
@@ -149,7 +149,7 @@
         if level >= units:
             self.level -= units
         else:
-            self.closed_until = now + self.closed_us
+            self.next_query_at = now + self.query_interval_us
 
     def max_level(self, now: int) -> float:
         """The level can be no higher, whatever the other gateways did; units that they gave back aside."""
@@ -169,13 +169,16 @@
         own_index: Index of this gateway.
     """
     rate = limits.ceiling_rate - limits.rate
-    burst = limits.ceiling_burst - (1 + GUARDED_OVERFLOW_RATIO) * limits.burst
+    burst = limits.ceiling_burst - (1 + CEILING_OVERFLOW_RATIO) * limits.burst
     if rate <= 0 or burst <= 0:
         return CeilingShare(0.0, 0.0)
     if burst * even_share >= largest_units:
         return CeilingShare(rate * even_share, burst * even_share)
-    holders = int(burst / largest_units) - 1  # one less: the indices may wrap around the last gateway
+    sharing_gateways = int(burst / largest_units) - 1  # one less: the indices may wrap around the last gateway
     gateways = round(1 / even_share)
-    if holders < 1 or (own_index + 1) * holders // gateways == own_index * holders // gateways:
+    if (
+        sharing_gateways < 1
+        or (own_index + 1) * sharing_gateways // gateways == own_index * sharing_gateways // gateways
+    ):
         return CeilingShare(0.0, 0.0)
-    return CeilingShare(rate / (holders + 1), burst / (holders + 1))
+    return CeilingShare(rate / (sharing_gateways + 1), burst / (sharing_gateways + 1))
--- a/stoneyoke/limits/tenant_bucket.py
+++ b/stoneyoke/limits/tenant_bucket.py
@@ -37,17 +37,17 @@
         """Its demand, decayed up to now."""
         return decayed(self.demand_units, now - self.demand_at)
 
-    def isolated_share(self, last_heard_at: float) -> float:
+    def isolated_share(self, last_request_at: float) -> float:
         """The share that it may use if it is heard no more.
 
         The share decays until the gateway last heard a grant, which may be SILENCE_TIMEOUT_S before it was last heard.
         """
-        return decayed(self.share, last_heard_at - SILENCE_TIMEOUT_S - self.granted_at)
+        return decayed(self.share, last_request_at - SILENCE_TIMEOUT_S - self.granted_at)
 
-    def isolated_use(self, last_heard_at: float, rate: float, now: float) -> float:
+    def isolated_use(self, last_request_at: float, rate: float, now: float) -> float:
         """The most units that it can have used since it fell silent."""
-        reserve = decayed(self.reserve_units, last_heard_at - SILENCE_TIMEOUT_S - self.granted_at)
-        return reserve + self.isolated_share(last_heard_at) * rate * min(now - last_heard_at, SHARE_LEASE_S)
+        reserve = decayed(self.reserve_units, last_request_at - SILENCE_TIMEOUT_S - self.granted_at)
+        return reserve + self.isolated_share(last_request_at) * rate * min(now - last_request_at, SHARE_LEASE_S)
 
 
 @dataclass(slots=True)
@@ -80,13 +80,13 @@
         """
         self.level = min(self.burst, self.level + self.rate * (1 - withheld_share) * (now - self.filled_at))
         self.filled_at = now
-        for name, last_heard_at in silent.items():
+        for name, last_request_at in silent.items():
             if entry := self.gateways.get(name):
-                due = entry.isolated_use(last_heard_at, self.rate, now)
-                self.level -= due - entry.debited_units
-                entry.debited_units = due
+                used_units = entry.isolated_use(last_request_at, self.rate, now)
+                self.level -= used_units - entry.debited_units
+                entry.debited_units = used_units
 
-    def credit_back(self, name: str) -> None:
+    def return_debited_units(self, name: str) -> None:
         """Gives back what was debited for a gateway: it is heard again and reports what it has used."""
         entry = self.gateways.get(name)
         if entry and entry.debited_units:
--- a/stoneyoke/limits/token_bucket.py
+++ b/stoneyoke/limits/token_bucket.py
@@ -33,7 +33,7 @@
 
     def wait_us(self, units: float, now: int) -> int:
         """Microseconds until it holds so many units: 0 if it does, MAX_WAIT_US if it is never refilled."""
-        lack = units - self.fill(now)
-        if lack <= 0:
+        shortfall = units - self.fill(now)
+        if shortfall <= 0:
             return 0
-        return MAX_WAIT_US if self.rate <= 0 else math.ceil(lack / self.rate * SECOND)
+        return MAX_WAIT_US if self.rate <= 0 else math.ceil(shortfall / self.rate * SECOND)
--- a/stoneyoke/spread/zone_ranking.py
+++ b/stoneyoke/spread/zone_ranking.py
@@ -2,7 +2,7 @@
 
 import math
 
-GOLDEN = 0.618034  # multiples of this part of a ring never come close to one another (three-distance theorem)
+GOLDEN_RATIO = 0.618034  # multiples of this part of a ring never come close to one another (three-distance theorem)
 # A gateway rotates among so many backends that in a window of this length, in seconds, each gets one of its
 # attempts or none. The sum over many gateways is then far more even than by chance.
 ROTATION_WINDOW_S = 2.0
@@ -31,12 +31,12 @@
     if not count:
         return []
     stretch = count / len(kinds)
-    begin = kinds.index(own_zone) * stretch if own_zone in kinds else 0.0
-    offset = own_index * GOLDEN % 1  # of the stretch
-    low, high = int(begin + 1e-9), math.ceil(begin + stretch - 1e-9)
+    stretch_start = kinds.index(own_zone) * stretch if own_zone in kinds else 0.0
+    offset = own_index * GOLDEN_RATIO % 1  # of the stretch
+    low, high = int(stretch_start + 1e-9), math.ceil(stretch_start + stretch - 1e-9)
     inside = [at % count for at in range(low, high)]
     outside = [at % count for at in range(high, low + count)]
-    first_inside, first_outside = int(begin + offset * stretch) - low, int(offset * len(outside))
+    first_inside, first_outside = int(stretch_start + offset * stretch) - low, int(offset * len(outside))
     positions = [0] * count
     for position, at in enumerate(rotated(inside, first_inside)):
         positions[at] = position
--- a/tests/limits/simulated_gateways.py
+++ b/tests/limits/simulated_gateways.py
@@ -97,7 +97,7 @@
     inside: float = 0.0
     beyond: float = 0.0
     refused_inside: float = 0.0
-    lowest: float = 0.0
+    lowest_ceiling_level: float = 0.0
 
     @property
     def passed(self) -> float:
@@ -197,7 +197,7 @@
         self.open_rpcs: dict[int, tuple[Customer, int]] = {}  # the customer, and when it came
         self.rpc_numbers = itertools.count(1)
         self.arrivals = 0
-        self.longest_us = 0  # between an arrival and its decision
+        self.longest_decision_us = 0  # between an arrival and its decision
         for at in range(gateways):
             self.start(at)
         self.customers: list[Customer] = []
@@ -326,14 +326,14 @@
         )
         self.deliver(at, self.incarnations[at], arrival)
 
-    def decided(self, rpc: int) -> Customer:
+    def end_rpc(self, rpc: int) -> Customer:
         """Ends an RPC, and returns whose it was."""
         customer, arrived_at = self.open_rpcs.pop(rpc)
-        self.longest_us = max(self.longest_us, self.now - arrived_at)
+        self.longest_decision_us = max(self.longest_decision_us, self.now - arrived_at)
         return customer
 
     def forwarded(self, at: int, incarnation: int, rpc: int, backend: int) -> None:
-        customer = self.decided(rpc)
+        customer = self.end_rpc(rpc)
         if customer.quota.fill(self.now) >= self.units:
             customer.quota.level -= self.units
             customer.inside += self.units
@@ -341,14 +341,14 @@
             customer.beyond += self.units
         customer.ceiling.fill(self.now)
         customer.ceiling.level -= self.units
-        customer.lowest = min(customer.lowest, customer.ceiling.level)
+        customer.lowest_ceiling_level = min(customer.lowest_ceiling_level, customer.ceiling.level)
         ended = AttemptEnded(
             rpc=rpc, attempt=0, backend=backend, outcome=AttemptOutcome.OK, is_final=True, settled_units=0.0
         )
         self.after(self.random_source.uniform(0.05, 0.2) * SECOND, lambda: self.deliver(at, incarnation, ended))
 
     def rejected(self, rpc: int) -> None:
-        customer = self.decided(rpc)
+        customer = self.end_rpc(rpc)
         customer.refused_inside += self.units * (customer.quota.fill(self.now) >= self.units)
 
     # ---- results ----
--- a/tests/limits/test_shared_bucket.py
+++ b/tests/limits/test_shared_bucket.py
@@ -11,7 +11,7 @@
 from stoneyoke.limits.token_bucket import SECOND
 
 PLAN = Plan(rate=4.0, burst=12.0, price=1.0, concurrency_max=0, ceiling_rate=0.0, ceiling_burst=0.0)
-GUARDED = Plan(rate=20.0, burst=30.0, price=1.0, concurrency_max=0, ceiling_rate=44.0, ceiling_burst=70.0)
+CEILING_PLAN = Plan(rate=20.0, burst=30.0, price=1.0, concurrency_max=0, ceiling_rate=44.0, ceiling_burst=70.0)
 NOW = 1_000_000_000 * SECOND
 
 
@@ -48,29 +48,29 @@
 )
 def test_a_total_without_one_marker_says_nothing(kind: str) -> None:
     bucket = shared_bucket()
-    assert bucket.level_from(total_without_marker(kind, bucket.marker), NOW) is None
+    assert bucket.level_from_total(total_without_marker(kind, bucket.marker), NOW) is None
 
 
-@pytest.mark.parametrize("plan, expected_level", [(PLAN, 12.0), (GUARDED, 0.0)], ids=["plain", "under a ceiling"])
+@pytest.mark.parametrize("plan, expected_level", [(PLAN, 12.0), (CEILING_PLAN, 0.0)], ids=["plain", "under a ceiling"])
 def test_an_opened_bucket_is_full_and_one_under_a_ceiling_empty(plan: Plan, expected_level: float) -> None:
     bucket = shared_bucket(plan)
-    level = bucket.level_from(bucket.opening_amount(math.nan, NOW), NOW)
+    level = bucket.level_from_total(bucket.opening_amount(math.nan, NOW), NOW)
     assert level is not None
     assert abs(level - expected_level) < 1e-3
 
 
 @settings(derandomize=True, max_examples=200)
 @given(st.floats(0, 100), st.integers(0, EPOCH_US - 1), st.booleans())
-def test_what_is_lacking_passes_on_to_the_next_epoch(lack: float, before_end_us: int, guarded: bool) -> None:
-    bucket = shared_bucket(GUARDED if guarded else PLAN)
+def test_what_is_lacking_passes_on_to_the_next_epoch(lack: float, before_end_us: int, has_ceiling: bool) -> None:
+    bucket = shared_bucket(CEILING_PLAN if has_ceiling else PLAN)
     next_epoch_at = NOW // EPOCH_US * EPOCH_US + EPOCH_US - bucket.epoch_offset_us
     last_us = next_epoch_at - 1 - before_end_us
     total = bucket.opening_amount(math.nan, last_us) + lack
-    level = bucket.level_from(total, last_us)
+    level = bucket.level_from_total(total, last_us)
     assert level is not None
     assert bucket.counter_key(next_epoch_at, 1) == bucket.counter_key(last_us)
     assert bucket.counter_key(last_us) != bucket.counter_key(next_epoch_at)
-    next_level = bucket.level_from(bucket.opening_amount(total, next_epoch_at), next_epoch_at)
+    next_level = bucket.level_from_total(bucket.opening_amount(total, next_epoch_at), next_epoch_at)
     assert next_level is not None
     refilled = level + bucket.rate * (next_epoch_at - last_us) / SECOND
     assert abs(next_level - min(bucket.burst, refilled)) < 1e-2
@@ -89,7 +89,7 @@
     assert calls_after(exchanges[0], totals[0]) == []
     ((key, amount_back),) = calls_after(exchanges[1], totals[1])
     assert key == bucket.counter_key(NOW)
-    level = bucket.level_from(total + amount_back, NOW)
+    level = bucket.level_from_total(total + amount_back, NOW)
     assert level is not None
     assert abs(level - 12.0) < 1e-3
 
@@ -105,7 +105,7 @@
 def test_a_bucket_found_too_low_is_closed_for_a_while_and_never_above_what_time_refills() -> None:
     bucket = shared_bucket()
     bucket.record_level(0.5, 1.0, NOW)
-    assert bucket.closed_until > NOW
+    assert bucket.next_query_at > NOW
     assert bucket.max_level(NOW) == 0.5
     assert bucket.max_level(NOW + SECOND) == 4.5
     assert bucket.max_level(NOW + 60 * SECOND) == 12.0
--- a/tests/limits/test_shared_limits.py
+++ b/tests/limits/test_shared_limits.py
@@ -7,16 +7,16 @@
 from stoneyoke.control.parameters import Plan
 from stoneyoke.limits.token_bucket import SECOND
 
-THIN = Plan(rate=2.0, burst=8.0, price=1.0, concurrency_max=0, ceiling_rate=0.0, ceiling_burst=0.0)
-GUARDED = Plan(rate=20.0, burst=30.0, price=1.0, concurrency_max=0, ceiling_rate=40.0, ceiling_burst=66.0)
-GUARDED_AT = 1  # its index among the plans
+LOW_RATE_PLAN = Plan(rate=2.0, burst=8.0, price=1.0, concurrency_max=0, ceiling_rate=0.0, ceiling_burst=0.0)
+CEILING_PLAN = Plan(rate=20.0, burst=30.0, price=1.0, concurrency_max=0, ceiling_rate=40.0, ceiling_burst=66.0)
+CEILING_PLAN_INDEX = 1  # its index among the plans
 
 
-def is_quiet(customer: Customer) -> bool:
+def is_within_quota(customer: Customer) -> bool:
     return customer.use <= 0.7
 
 
-def is_greedy(customer: Customer) -> bool:
+def is_over_quota(customer: Customer) -> bool:
     return customer.use > 1.5
 
 
@@ -37,7 +37,10 @@
 ) -> SimulatedGateways:
     """Customers well inside their quota and some far over it, of each plan: 48 of the thin one, 16 of the guarded."""
     uses = [0.3, 0.5, 0.7] * 4 + [3.0] * 4
-    plans = [PlanCustomers(THIN, customer_gateways, uses * 3), PlanCustomers(GUARDED, min(customer_gateways, 30), uses)]
+    plans = [
+        PlanCustomers(LOW_RATE_PLAN, customer_gateways, uses * 3),
+        PlanCustomers(CEILING_PLAN, min(customer_gateways, 30), uses),
+    ]
     return SimulatedGateways(gateways, plans, calls_per_s=calls_per_s, seed=seed)
 
 
@@ -46,12 +49,12 @@
     fleet = simulated(gateways, customer_gateways).run(3)
     fleet.clear()
     fleet.run(12)
-    assert fleet.share(refused_inside, is_quiet) < 0.04
-    assert fleet.share(beyond, is_quiet) < 0.02
-    for customer in filter(is_greedy, fleet.customers):
+    assert fleet.share(refused_inside, is_within_quota) < 0.04
+    assert fleet.share(beyond, is_within_quota) < 0.02
+    for customer in filter(is_over_quota, fleet.customers):
         plan = fleet.plans[customer.plan]
         assert 0.6 * plan.rate * 12 <= customer.passed <= 1.15 * (plan.rate * 12 + plan.burst)
-    assert fleet.longest_us <= 160_000
+    assert fleet.longest_decision_us <= 160_000
     assert fleet.counter.calls < 1.6 * fleet.arrivals
 
 
@@ -66,8 +69,11 @@
             if fleet.members[at]:
                 fleet.kill(at, 0.8)
         fleet.run(1)
-    slack = max(0.1 * GUARDED.ceiling_burst, 1.0) + 0.15 * GUARDED.ceiling_rate
-    assert min(customer.lowest for customer in fleet.customers if customer.plan == GUARDED_AT) >= -slack
+    slack = max(0.1 * CEILING_PLAN.ceiling_burst, 1.0) + 0.15 * CEILING_PLAN.ceiling_rate
+    assert (
+        min(customer.lowest_ceiling_level for customer in fleet.customers if customer.plan == CEILING_PLAN_INDEX)
+        >= -slack
+    )
 
 
 def test_a_wipe_creates_one_burst_at_most_and_none_under_a_ceiling() -> None:
@@ -75,7 +81,7 @@
     fleet.clear()
     fleet.counter.wipe()
     fleet.run(6)
-    for customer in filter(is_greedy, fleet.customers):
+    for customer in filter(is_over_quota, fleet.customers):
         plan = fleet.plans[customer.plan]
         created = 0.0 if plan.ceiling_rate else plan.burst
         assert customer.passed <= 1.15 * (plan.rate * 6 + plan.burst + created) + 4
@@ -89,12 +95,12 @@
     fleet.clear()
     fleet.run(4)
     assert fleet.counter.calls - calls <= 60 * 5  # once a second a gateway, and heartbeats
-    assert fleet.share(passed, is_quiet) > 0.5
+    assert fleet.share(passed, is_within_quota) > 0.5
     fleet.counter.silent = False
     fleet.run(2)
     fleet.clear()
     fleet.run(5)
-    assert fleet.share(refused_inside, is_quiet) < 0.06
+    assert fleet.share(refused_inside, is_within_quota) < 0.06
 
 
 def test_an_overloaded_counter_is_spared_and_limits_stay_near() -> None:
@@ -103,8 +109,8 @@
     fleet.clear()
     fleet.run(10)
     assert fleet.counter.calls - calls < 10 * 250 * 1.4
-    assert fleet.share(refused_inside, is_quiet) < 0.5
-    assert fleet.share(passed, is_greedy) < 0.75  # a third is inside, what comes late can't be told
+    assert fleet.share(refused_inside, is_within_quota) < 0.5
+    assert fleet.share(passed, is_over_quota) < 0.75  # a third is inside, what comes late can't be told
 
 
 def test_restarted_gateways_know_at_once_what_was_taken() -> None:
@@ -113,10 +119,10 @@
     for at in range(0, 60, 2):
         fleet.kill(at, 0.5)
     fleet.run(5)
-    for customer in filter(is_greedy, fleet.customers):
-        if customer.plan != GUARDED_AT:
-            assert customer.passed <= 1.15 * (THIN.rate * 5 + THIN.burst) + 3
-    assert fleet.share(refused_inside, is_quiet) < 0.08
+    for customer in filter(is_over_quota, fleet.customers):
+        if customer.plan != CEILING_PLAN_INDEX:
+            assert customer.passed <= 1.15 * (LOW_RATE_PLAN.rate * 5 + LOW_RATE_PLAN.burst) + 3
+    assert fleet.share(refused_inside, is_within_quota) < 0.08
 
 
 def test_an_rpc_with_little_time_left_is_not_held_for_the_counter() -> None:
--- a/tests/spread/test_zone_ranking.py
+++ b/tests/spread/test_zone_ranking.py
@@ -73,13 +73,15 @@
 
 def test_the_rotation_goes_to_the_longest_unused_first_and_stays_within_the_zone():
     bench = DecisionBench(fleet=12, gateways=60, own_index=5)
-    took = []
+    chosen = []
     for _ in range(120):
         (call,) = attempts_in(bench.arrive(units=0.001))
-        took.append(call.backend)
+        chosen.append(call.backend)
         bench.pass_time(50_000)
         bench.end_attempt(bench.next_rpc, 0, call.backend)
         bench.pass_time(50_000)
-    late = took[60:]
-    assert {b % 2 for b in late} == {0} and len(set(late)) == ROTATION_MAX
-    assert all(len(set(late[n : n + ROTATION_MAX])) == ROTATION_MAX for n in range(0, 60 - ROTATION_MAX, ROTATION_MAX))
+    second_half = chosen[60:]
+    assert {b % 2 for b in second_half} == {0} and len(set(second_half)) == ROTATION_MAX
+    assert all(
+        len(set(second_half[n : n + ROTATION_MAX])) == ROTATION_MAX for n in range(0, 60 - ROTATION_MAX, ROTATION_MAX)
+    )
--- a/tests/system/test_quota_allocator.py
+++ b/tests/system/test_quota_allocator.py
@@ -36,9 +36,9 @@
         self.complete = [True] * gateways
         self.allocator: QuotaAllocator | None = QuotaAllocator(BOUNDS, self.now)
         self.next_allocator_at: float | None = None
-        self.asked_at = [self.now - at * 0.03 for at in range(gateways)]
+        self.last_message_at = [self.now - at * 0.03 for at in range(gateways)]
         self.sent_at: list[float] = []
-        self.refused = self.requests = 0
+        self.rejected = self.requests = 0
 
     def new_admission(self) -> Admission:
         admission = Admission(7, int(self.now * SECOND), BOUNDS)
@@ -99,7 +99,7 @@
         if wait_us == 0:
             self.sent_at.append(self.now)
         else:
-            self.refused += 1
+            self.rejected += 1
 
     def run(self, seconds: float, rate: float, weights: list[float]) -> None:
         """Requests of the tenant at so many a second, gateways drawn by weight."""
@@ -110,14 +110,14 @@
                 expected = [f"g{at}" for at in range(self.gateways)]
                 self.allocator, self.next_allocator_at = QuotaAllocator(BOUNDS, self.now, expected), None
             for at in range(self.gateways):
-                if self.now - self.asked_at[at] >= MESSAGE_INTERVAL_S:
-                    self.asked_at[at] = self.now
+                if self.now - self.last_message_at[at] >= MESSAGE_INTERVAL_S:
+                    self.last_message_at[at] = self.now
                     self.exchange(at, 0)
             while self.random_source.random() < rate * STEP_S / (1 + rate * STEP_S):
                 self.request(self.random_source.choices(range(self.gateways), weights)[0])
 
     def clear_counts(self) -> None:
-        self.refused = self.requests = 0
+        self.rejected = self.requests = 0
 
     def most_sent_in_window(self) -> int:
         most, first = 0, 0
@@ -134,7 +134,7 @@
     return allocator
 
 
-def ask(  # noqa: PLR0913 -- fields of a message, by keyword, each with a default
+def send_request(  # noqa: PLR0913 -- fields of a message, by keyword, each with a default
     allocator: QuotaAllocator,
     now: float,
     *demands: QuotaDemand,
@@ -175,7 +175,7 @@
     fleet.clear_counts()
     fleet.run(20, RATE / 2, weights)
     assert fleet.requests > 200
-    assert fleet.refused == 0
+    assert fleet.rejected == 0
 
 
 @test("isolation, restarts and changes of the lease holder under ten times the quota: no window over the rule ({seed})")
@@ -206,18 +206,18 @@
     fleet.run(1.5, 0.6 * RATE, weights)
     fleet.clear_counts()
     fleet.run(8, 0.6 * RATE, weights)
-    assert fleet.refused < 0.1 * fleet.requests, f"{fleet.refused} of {fleet.requests}"
+    assert fleet.rejected < 0.1 * fleet.requests, f"{fleet.rejected} of {fleet.requests}"
 
 
 @test("a demand that wants nothing is answered without a wait; one that finds the bucket empty with one")
 def _() -> None:
     allocator = new_allocator()
-    (grant,) = ask(allocator, 0.1, demand(wanted=0.0, counted=9.0))
+    (grant,) = send_request(allocator, 0.1, demand(wanted=0.0, counted=9.0))
     assert (grant.units, grant.wait_s) == (0, 0)
-    (grant,) = ask(allocator, 0.1, demand(wanted=99.0, counted=9.0))
+    (grant,) = send_request(allocator, 0.1, demand(wanted=99.0, counted=9.0))
     assert grant.units > 0
     assert grant.wait_s == 0
-    (grant,) = ask(allocator, 0.1, demand(wanted=1.0, counted=9.0))
+    (grant,) = send_request(allocator, 0.1, demand(wanted=1.0, counted=9.0))
     assert grant.units == 0
     assert grant.wait_s > 0
 
@@ -225,13 +225,13 @@
 @test("the first that reports its demand to a new lease holder is not granted the share of all")
 def _() -> None:
     allocator = new_allocator([f"g{at}" for at in range(8)])
-    (grant,) = ask(allocator, 0.2, demand(wanted=1.0, counted=9.0), name="g0", complete=True)
+    (grant,) = send_request(allocator, 0.2, demand(wanted=1.0, counted=9.0), name="g0", complete=True)
     assert grant.share == 0  # the others may hold it all
     for at in range(1, 8):
-        ask(allocator, 0.3, demand(share=0.01), name=f"g{at}", complete=True)
-    (grant,) = ask(allocator, 0.4, demand(wanted=1.0, counted=9.0), name="g0")
+        send_request(allocator, 0.3, demand(share=0.01), name=f"g{at}", complete=True)
+    (grant,) = send_request(allocator, 0.4, demand(wanted=1.0, counted=9.0), name="g0")
     assert 0 < grant.share <= 1 / 8
-    (grant,) = ask(allocator, 1.2, demand(wanted=1.0, counted=9.0), name="g0")
+    (grant,) = send_request(allocator, 1.2, demand(wanted=1.0, counted=9.0), name="g0")
     assert grant.share > 0.4
 
 
@@ -240,7 +240,7 @@
     allocator = new_allocator()
     for at in range(40):
         for name in "ab":
-            ask(allocator, now - 0.2 * (39 - at), demand(wanted=1.0, counted=10.0), name=name)
+            send_request(allocator, now - 0.2 * (39 - at), demand(wanted=1.0, counted=10.0), name=name)
     return allocator, allocator.buckets["anna"]
 
 
@@ -250,11 +250,11 @@
     silent = bucket.gateways["b"]
     assert abs(silent.share - 0.5) < 0.05
     bucket.level = 0.0
-    ask(allocator, 10.0)
+    send_request(allocator, 10.0)
     assert abs(silent.debited_units - (silent.share * RATE + silent.reserve_units)) < 0.1
     assert abs(bucket.level - (RATE - silent.debited_units)) < 0.1
     debited, level = silent.debited_units, bucket.level
-    ask(allocator, 10.001, demand(isolated=4.0), name="b")
+    send_request(allocator, 10.001, demand(isolated=4.0), name="b")
     assert abs(bucket.level - min(BURST, level + debited - 4.0)) < 0.1
 
 
@@ -262,12 +262,12 @@
 def _() -> None:
     allocator, bucket = allocator_with_two_gateways(9.0)
     bucket.level = 0.0
-    ask(allocator, 10.0)
+    send_request(allocator, 10.0)
     level = bucket.level
-    ask(allocator, 10.0, name="b", incarnation="2", complete=True)
+    send_request(allocator, 10.0, name="b", incarnation="2", complete=True)
     assert bucket.level == level
     assert "b" not in bucket.gateways
-    ask(allocator, 10.1)
+    send_request(allocator, 10.1)
     assert abs(bucket.level - level - 0.1 * RATE) < 0.01
 
 
@@ -275,9 +275,9 @@
 def _() -> None:
     allocator, bucket = allocator_with_two_gateways(9.0)
     level = bucket.level
-    ask(allocator, 9.0, demand(isolated=3.0), name="b")
+    send_request(allocator, 9.0, demand(isolated=3.0), name="b")
     assert abs(bucket.level - (level - 3.0)) < 1e-6
-    ask(allocator, 9.0, demand(isolated=3.0), name="b")  # reported again
+    send_request(allocator, 9.0, demand(isolated=3.0), name="b")  # reported again
     assert abs(bucket.level - (level - 3.0)) < 1e-6
 
 
@@ -287,11 +287,13 @@
     bucket = allocator.buckets["anna"]
     assert allocator.withheld_share(bucket) == 1
     report = demand(wanted=1.0, counted=1.0, share=0.3)
-    ask(allocator, 0.1, report, since_answer_ms=5000, complete=True)  # it may not hear the answer: nothing counts yet
+    send_request(
+        allocator, 0.1, report, since_answer_ms=5000, complete=True
+    )  # it may not hear the answer: nothing counts yet
     assert allocator.withheld_share(bucket) == 1
-    ask(allocator, 0.2, report._replace(isolated_units=9.0), complete=True)
+    send_request(allocator, 0.2, report._replace(isolated_units=9.0), complete=True)
     assert abs(allocator.withheld_share(bucket) - 0.7) < 0.01
-    ask(allocator, SHARE_LEASE_S + 0.1)
+    send_request(allocator, SHARE_LEASE_S + 0.1)
     assert allocator.withheld_share(bucket) == 0
 
 
@@ -318,11 +320,11 @@
 
 @test("a local quota holds whole units in advance only where demand is dense")
 def _() -> None:
-    thin, dense = LocalQuota(), LocalQuota()
+    low_rate, high_rate = LocalQuota(), LocalQuota()
     for step in range(100):
         if step % 50 == 0:
-            thin.record_demand(1.0, step / 10)
+            low_rate.record_demand(1.0, step / 10)
         for _ in range(4):
-            dense.record_demand(1.0, step / 10)
-    assert thin.wanted_units(1) == 1
-    assert 7 <= dense.wanted_units(1) <= 12
+            high_rate.record_demand(1.0, step / 10)
+    assert low_rate.wanted_units(1) == 1
+    assert 7 <= high_rate.wanted_units(1) <= 12
