--- a/stoneyoke/control/__init__.py
+++ b/stoneyoke/control/__init__.py
@@ -1,3 +1,3 @@
-"""The decisions about an RPC: quotas, choice of backend, retries, refusals."""
+"""The decisions about an RPC: quotas, choice of a backend, retries and rejections."""
 
 from stoneyoke.control.gateway import Gateway as Gateway
--- a/stoneyoke/control/concurrency.py
+++ b/stoneyoke/control/concurrency.py
@@ -1,43 +1,43 @@
-"""The concurrency limit: how many attempts this gateway keeps in flight, and the signals of an overloaded fleet."""
+"""The concurrency limit: how many attempts this gateway may have in flight, and the signs of an overloaded fleet."""
 
 import math
 
 from stoneyoke.control.context import DecisionContext
 from stoneyoke.control.parameters import PROVEN_NOT_RUN, AttemptOutcome
 
-# Latencies here are in soft deadlines of the method.
-TARGET_LATENCY = 0.35  # with this mean the fleet is full and few answers are late
-OVERLOAD_LATENCY = 0.3  # mean latency of good answers above which the fleet is overloaded
+# Latencies here are fractions of the method's soft deadline.
+TARGET_LATENCY = 0.35  # mean latency at which the fleet is fully used and few responses are late
+OVERLOAD_LATENCY = 0.3  # mean latency of successful responses above which the fleet is overloaded
 FULL_UNSERVED_SHARE = 0.4  # share of attempts rejected or timed out above which the fleet is full
 
 
 class ConcurrencyLimit:
-    """A limit moved by each attempt's latency so that the mean stays at the target, well inside the soft deadline."""
+    """A limit that each attempt's latency adjusts, so that the mean stays at a target well below the soft deadline."""
 
     def __init__(self, context: DecisionContext) -> None:
-        """Begins with a guess of the limit, which answers soon replace."""
+        """Starts with an initial limit, which measured latencies soon correct."""
         self.context = context
-        self.limit = 16.0  # attempts of this gateway; a fraction where gateways are many
+        self.limit = 16.0  # attempts of this gateway in flight; less than one where there are many gateways
         self.in_flight, self.mean_in_flight = 0, 4.0
-        self.backends = 0  # ranked ones
-        self.latency = 0.1  # running mean of good answers
+        self.backends = 0  # number of ranked backends
+        self.latency = 0.1  # running mean over successful responses
         self.unserved_share = 0.0  # running mean: share of attempts rejected or timed out
-        self.responses_per_s = 0.0  # good answers of warm backends
+        self.responses_per_s = 0.0  # successful responses of warm backends
 
     def is_full(self) -> bool:
-        """Whether the backends reject so many attempts, or let them time out, that the fleet is full."""
+        """Whether so many attempts are rejected or time out that the fleet has no capacity left."""
         return self.unserved_share > FULL_UNSERVED_SHARE
 
     def is_overloaded(self) -> bool:
-        """Attempts without an answer show an overload only while answers are slow too. Else they are lost."""
+        """Whether responses are slow or the fleet is full. Attempts that are merely lost are no sign of an overload."""
         return self.latency > OVERLOAD_LATENCY or self.is_full()
 
     def smoothing(self, seconds: float) -> float:
-        """The weight of an answer in a mean over so many seconds. With 0.3 at most an overload could last a day."""
+        """Returns a response's weight in a mean over so many seconds. Capped at 0.3, an overload could last a day."""
         return min(0.6, 1 / seconds / max(1.0, self.responses_per_s))
 
     def record(self, outcome: AttemptOutcome, latency: float, is_typical: bool) -> None:
-        """Moves signals and limit by an attempt's end. A backend that is not typical tells nothing of the fleet."""
+        """Updates the overload signals from an ended attempt, and the limit only if its backend is typical."""
         if outcome is AttemptOutcome.OK:
             self.latency += (latency - self.latency) * self.smoothing(0.4)
         unserved = outcome in (AttemptOutcome.REJECTED, AttemptOutcome.TIMED_OUT)
@@ -50,14 +50,14 @@
             self.adjust(1.0)
 
     def adjust(self, latency: float) -> None:
-        """Moves the limit by one more attempt's latency."""
+        """Adjusts the limit by one attempt's latency; raises it only while at least half of it is in use."""
         if latency > TARGET_LATENCY or self.in_flight + 1 >= 0.5 * self.limit:
             self.limit *= math.exp(self.smoothing(1.0) * (TARGET_LATENCY - latency))
-        # One and a half attempts a backend, shared by the gateways, never overload a fleet: no less than that.
+        # The floor is 1.5 attempts per backend, divided among the gateways: that many never overload a fleet.
         self.limit = max(1.5 * self.backends / self.context.parameters.gateways, self.limit)
 
     def decay(self) -> None:
-        """Four times a second: lowers a limit that is not used, or it would let a sudden overload in unchecked."""
+        """Called four times a second: lowers an unused limit, which would not hold back a sudden overload."""
         self.mean_in_flight += (self.in_flight - self.mean_in_flight) * 0.1
         self.limit = min(self.limit, 3 * self.mean_in_flight + 4)
         self.responses_per_s *= 0.9
--- a/stoneyoke/control/quota_shares.py
+++ b/stoneyoke/control/quota_shares.py
@@ -1,4 +1,4 @@
-"""Each gateway's share of a customer's quota: its own part of the demand that all gateways count at the counter."""
+"""Each gateway's share of a customer's quota: its part of the demand that all gateways add up at the shared counter."""
 
 import math
 
@@ -11,19 +11,19 @@
 from stoneyoke.control.quotas import Quotas
 from stoneyoke.limits.token_bucket import SECOND
 
-DECAY = 0.6  # of the demand counted before, each period
+DECAY = 0.6  # factor on the demand counted so far, each period
 
 
 class QuotaShares:
-    """Counts demand and renews shares each second."""
+    """Counts demand and recomputes the shares each second."""
 
     def __init__(self, context: DecisionContext, quotas: Quotas) -> None:
-        """Renews the shares of the customers of `quotas`."""
+        """Manages the shares of the customers of `quotas`."""
         self.context, self.quotas = context, quotas
         self.schedule = QuerySchedule(quotas.counter, self.read_total)
 
     def close_second(self) -> None:
-        """At each second's end: closes the periods that end now, schedules their queries and renews the shares."""
+        """Called once a second: closes the periods that end now, schedules their queries and recomputes all shares."""
         now, counter = self.context.now, self.quotas.counter
         second = now // SECOND
         self.schedule.clear()
@@ -39,7 +39,7 @@
                 self.context.actions.append(ForgetCustomer(customer.index))
 
     def close_period(self, customer: Customer, second: int) -> None:
-        """Adds the period's demand to the customer's own, and has it counted."""
+        """Adds the period's demand to the customer's own, and schedules counting it if other gateways need it."""
         units, customer.demand_units = customer.demand_units, 0.0
         customer.own_units = DECAY * customer.own_units + units
         customer.own_s = DECAY * customer.own_s + customer.period_s
@@ -48,7 +48,7 @@
             self.schedule_queries(customer, units, second)
 
     def schedule_queries(self, customer: Customer, units: float, second: int) -> None:
-        """Schedules what counts a period's demand: an addition and a later reading, or one query for both."""
+        """Schedules the counter queries for a period's demand: an addition and a later read, or one query for both."""
         load, draw = self.quotas.load, self.context.random_source.draw
         name, queried_share = demand_name(customer.customer_id, second), load.queried_share
         if not customer.shared_bucket:
@@ -57,15 +57,15 @@
             if draw() < queried_share:
                 self.schedule.add_reading(customer, name, units)
         elif units > 0 and not load.rpcs_query_bucket(customer.shared_bucket) and draw() < queried_share:
-            # What is left out while the counter is overloaded is made up for by its weight.
+            # While the counter is overloaded, each query that is sent is scaled up for those that are skipped.
             self.schedule.add_both(customer, name, units / queried_share, draw())
 
     def read_total(self, query: ScheduledQuery, reply: CounterReply) -> None:
-        """Takes the others' demand from a total."""
+        """Updates the other gateways' demand from a counter total."""
         customer = self.quotas.customers.get(query.customer)
         if not customer or not reply.added or not math.isfinite(reply.total):
             return
-        if reply.total < query.own_units * 0.999:  # the counter has lost values: as if it were silent
+        if reply.total < query.own_units * 0.999:  # the counter has lost values; treated like a missing reply
             return
         periods = (self.context.now - customer.others_read_at) / SECOND / customer.period_s
         retained = DECAY ** min(20.0, periods)
@@ -75,7 +75,7 @@
         self.renew_share(customer)
 
     def renew_share(self, customer: Customer) -> None:
-        """Own part of the counted demand. The even share while nothing is known of the others."""
+        """Sets the share to the own part of the counted demand; to the even share while the others' is not known."""
         own = customer.own_units / max(customer.own_s, 1)
         demand = own + customer.others_units / max(customer.others_s, 0.01)
         is_known = demand > 0 and customer.others_s > 0
