--- a/stoneyoke/control/actions.py
+++ b/stoneyoke/control/actions.py
@@ -1,6 +1,6 @@
-"""Actions: what the decisions ask their host to do, one type for each thing. No logic here.
+"""Actions: what the decisions ask their host to do, one class for each. No logic here.
 
-Times are whole microseconds. RPCs, backends and customers are small indices, which `runtime/id_index.py` hands out.
+Times are whole microseconds. RPCs, backends and customers are small indices, assigned by `runtime/id_index.py`.
 """
 
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send the RPC to this backend. An AttemptEnded is owed for it."""
+    """Send the RPC to this backend, and report its end as an AttemptEnded."""
 
     rpc: int
     backend: int
@@ -17,27 +17,27 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Answer the RPC with a rejection that states when the client may come back. A final answer."""
+    """Reject the RPC, and state after how long the client may retry. This is the final response."""
 
     rpc: int
     retry_after_us: int
-    overloaded: bool = field(default=False, repr=False)  # for lack of backend capacity, not of quota
+    overloaded: bool = field(default=False, repr=False)  # rejected for lack of backend capacity, not of quota
 
 
 @dataclass(slots=True)
 class FailRpc:
-    """Answer the RPC with an error: it may have run, so the client must not send it again. A final answer."""
+    """Fail the RPC with an error: it may have run, so the client must not retry it. This is the final response."""
 
     rpc: int
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Cancel an attempt. Its AttemptEnded is still owed and tells how it really ended."""
+    """Cancel an attempt. Its AttemptEnded is still to be reported, with its real outcome."""
 
     rpc: int
     attempt: int
-    only_unsent: bool = field(default=False, repr=False)  # leave it alone once its request has been offered to a socket
+    only_unsent: bool = field(default=False, repr=False)  # do nothing if the request was already passed to a socket
 
 
 @dataclass(slots=True)
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class ForgetCustomer:
-    """Nothing is remembered of this customer any more: its index may be given to another one."""
+    """The customer's state is removed: its index may be assigned to another customer."""
 
     customer: int
 
--- a/stoneyoke/control/context.py
+++ b/stoneyoke/control/context.py
@@ -1,10 +1,10 @@
-"""What all parts of one gateway's decisions share: the time, the parameters, chance and the actions to carry out."""
+"""State shared by all parts of a gateway's decisions: time, parameters, random numbers and the actions to carry out."""
 
 from stoneyoke.control.actions import Action
 from stoneyoke.control.parameters import GatewayParameters
 from stoneyoke.limits.random_source import RandomSource
 
-# The gateway's one timer. 20 ticks a second are fine enough for everything that is looked at, and cost little.
+# Period of the gateway's only timer. 20 ticks a second are frequent enough for everything polled, and cost little.
 TICK_US = 50_000
 
 
@@ -12,31 +12,31 @@
     """What a gateway has measured of a method."""
 
     def __init__(self, soft_deadline_us: int) -> None:
-        """Begins with a guess from the method's soft deadline."""
-        self.mean_latency_us = soft_deadline_us / 6  # a guess, which answers soon replace
+        """Starts with an estimate from the method's soft deadline."""
+        self.mean_latency_us = soft_deadline_us / 6  # an initial estimate, which measurements soon replace
         self.responses = 0
-        self.longest_wait_us = 0  # the longest that a client of an RPC was to wait: that of a first request
+        self.longest_wait_us = 0  # longest wait that a client stated: a first request's, as retries have less time left
 
     def record(self, latency_us: int) -> None:
-        """Takes the latency of a good answer into the running mean."""
+        """Adds the latency of a successful response to the running mean."""
         self.responses += 1
         self.mean_latency_us += (latency_us - self.mean_latency_us) * max(0.02, 1 / (self.responses + 5))
 
 
 class DecisionContext:
-    """The state of one gateway that no part of the decisions owns alone."""
+    """The state of one gateway that all parts of the decisions use."""
 
     def __init__(self, parameters: GatewayParameters, now: int) -> None:
-        """Begins an incarnation of the gateway at `now` (Unix time in us)."""
+        """Starts an incarnation of the gateway at `now` (Unix time in us)."""
         self.parameters, self.now, self.start_time = parameters, now, now
         self.random_source = RandomSource(parameters.seed)
         self.methods = [MethodStatistics(method.soft_deadline_us) for method in parameters.methods]
-        self.actions: list[Action] = []  # the answer to the event that is being handled
-        # When this process last ran on after it had stood still. What was in flight then measures nothing.
+        self.actions: list[Action] = []  # the actions decided on the event that is being handled
+        # When this process last resumed after a stall. Attempts and queries in flight then are not measured.
         self.resumed_at = 0
 
     def replace_parameters(self, parameters: GatewayParameters) -> None:
-        """Takes new parameters. Statistics stay, those of new methods are appended."""
+        """Replaces the parameters. Statistics stay, those of new methods are appended."""
         self.parameters = parameters
         known = len(self.methods)
         self.methods += [MethodStatistics(method.soft_deadline_us) for method in parameters.methods[known:]]
--- a/stoneyoke/control/gateway.py
+++ b/stoneyoke/control/gateway.py
@@ -1,14 +1,14 @@
-"""The decisions of one gateway: what is admitted, which backend gets it, when it is sent again, what is rejected.
+"""The decisions of one gateway: which RPCs are admitted, forwarded to which backend, retried or rejected.
 
 A host calls Gateway.handle(event, now) and carries out the actions that it returns (events.py, actions.py). The
-ordinary path (docs/design.md): a customer's share of its quota at this gateway is its part of the counted demand.
-An RPC over it is rejected at once, with the time until its bucket holds enough. Mechanisms beside the design:
+ordinary path (docs/design.md): a gateway's share of a customer's quota is its part of the demand that all gateways
+count. An RPC over the share is rejected at once, with the time until its bucket holds enough. Further mechanisms:
 
 1. Ranking            Backends are ordered by measured latency and filled from the top, each up to a limit.
-2. Concurrency limit  Attempts in flight are limited so that the mean latency stays well inside the soft deadline.
-3. Priority           An RPC that comes too late, or is worth little, may fill only a part of the limit.
-4. Silent backends    One that answers nothing is ranked last. Idempotent RPCs are cancelled there and sent again.
-5. Ejection           A backend whose share of failures is far above the fleet's median gets nothing for a while.
+2. Concurrency limit  Attempts in flight are limited so that the mean latency stays well below the soft deadline.
+3. Priority           An RPC that is late, or of low value, may fill only a share of the limit.
+4. Silent backends    A backend that does not respond is ranked last. RPCs safe to repeat are cancelled and retried.
+5. Ejection           A backend whose share of failures is far above the fleet's median gets no attempts for a while.
 6. Slow start         A cold backend gets a budget of attempts. A ceiling's bucket starts empty.
 """
 
@@ -29,10 +29,10 @@
 
 
 class Gateway:
-    """Decides for one gateway. It has no clock and does no I/O: the host tells the time and what happened."""
+    """Decides for one gateway. It has no clock and does no I/O: the host passes in the time and the events."""
 
     def __init__(self, parameters: GatewayParameters, now: int) -> None:
-        """Begins an incarnation at `now` (Unix time in us, as in all calls)."""
+        """Starts an incarnation at `now` (Unix time in us, as in all calls)."""
         self.context = DecisionContext(parameters, now)
         self.quotas = Quotas(self.context)
         self.shares = QuotaShares(self.context, self.quotas)
@@ -55,22 +55,22 @@
 
     @property
     def parameters(self) -> GatewayParameters:
-        """The parameters as they are now."""
+        """The current parameters."""
         return self.context.parameters
 
     def holds(self, rpc: int) -> bool:
-        """Whether an RPC is owed an answer or has attempts in flight. Its index must not be used anew."""
+        """Whether an RPC waits for its response or has attempts in flight. Its index must not be reused then."""
         return rpc in self.rpcs.open
 
     def knows(self, backend: int) -> bool:
-        """Whether a backend is listed or has attempts in flight. Its index must not be used anew."""
+        """Whether a backend is listed or has attempts in flight. Its index must not be reused then."""
         return backend in self.backends.table.by_index
 
     def handle(self, event: events.Event, now: int) -> list[Action]:
         """Decides on an event.
 
         Returns:
-            The actions for the host, in order. After an error those decided so far stay in `context.actions`.
+            The actions for the host, in order. After an exception, those decided so far stay in `context.actions`.
         """
         context = self.context
         if now - context.now > STALL_US and self.ticking:
@@ -84,13 +84,13 @@
         return context.actions
 
     def set_timer(self) -> None:
-        """Each gateway ticks at a phase of its own: their queries don't reach the counter all at once."""
+        """Sets the next tick. Each gateway has a phase of its own: their queries don't reach the counter all at once."""
         parameters = self.context.parameters
         phase_us = parameters.own_index * TICK_US // parameters.gateways
         self.context.actions.append(SetTimer(TICK_US - (self.context.now - phase_us) % TICK_US, 0))
 
     def tick(self, _: events.TimerFired) -> None:
-        """Does what is done by time: shares and their queries, the ranking, RPCs whose next look is due."""
+        """Does the periodic work: shares and their counter queries, the ranking, and RPCs whose next check is due."""
         self.set_timer()
         tick = self.context.now % SECOND // TICK_US
         if tick < self.tick_of_second:
@@ -105,7 +105,7 @@
         self.rpcs.resume_due()
 
     def endpoints_changed(self, event: events.EndpointsChanged) -> None:
-        """Takes discovery's report. After a failed query subscribes again, a drawn time later."""
+        """Applies discovery's report. After a failed query, subscribes again in a random 0.5 to 1.5 s."""
         if event.failed:
             self.subscribe_at = self.context.now + int((0.5 + self.context.random_source.draw()) * SECOND)
             return
@@ -114,12 +114,12 @@
         self.backends.renew_order()
 
     def peer_evidence_changed(self, event: events.PeerEvidence) -> None:
-        """Takes what the gateways have agreed on."""
+        """Applies what the gateways have agreed on about backends."""
         self.backends.peer_evidence = event
         self.backends.renew_order()
 
     def parameters_changed(self, event: events.ParametersChanged) -> None:
-        """Takes new parameters. What was measured stays. More gateways may share the retry budget now."""
+        """Replaces the parameters, and resizes the retry budget with them. Measurements stay."""
         parameters, budget = event.parameters, self.retry_policy.retry_budget
         self.context.replace_parameters(parameters)
         budget.resize(parameters.retry_budget_per_s, parameters.retry_budget_depth, self.context.now)
--- a/stoneyoke/control/parameters.py
+++ b/stoneyoke/control/parameters.py
@@ -1,4 +1,4 @@
-"""Parameters of one gateway: its methods, plans and bounds, and the enums of outcomes and states.
+"""Parameters of one gateway: its methods, plans and limits, and the enums of outcomes and states.
 
 Times are whole microseconds, costs are units of quota.
 """
@@ -24,9 +24,9 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended. PROVEN_NOT_RUN has the outcomes after which the backend has not run the RPC.
+    """How an attempt ended. PROVEN_NOT_RUN lists the outcomes after which the backend has not run the RPC.
 
-    The values stand in counters that operators know, so they keep their earlier words.
+    The values appear in counters that operators monitor, so they must not change.
     """
 
     OK = "ok"
@@ -34,16 +34,16 @@
     TIMED_OUT = "timed out"
     BROKEN = "broken"  # the connection failed after the request's first byte
     CANCELLED = "called off"
-    CLIENT_GONE = "client gone"  # ended because its client has left; it may have run
-    REJECTED = "turned away"  # the backend says that it has not run the RPC
-    NO_CONNECTION = "no connection"  # no connection at all was accepted: the backend may be gone
-    CUT = "cut"  # closed before the first byte, or refused while others to this backend stay open
-    NOT_SENT = "not sent"  # given up by the host before anything was sent
+    CLIENT_GONE = "client gone"  # ended because its client is gone; it may have run
+    REJECTED = "turned away"  # the backend states that it has not run the RPC
+    NO_CONNECTION = "no connection"  # the backend accepted no connection at all: it may be gone
+    CUT = "cut"  # the connection closed before the first byte, or was refused while others to this backend are open
+    NOT_SENT = "not sent"  # the host gave it up before sending anything
 
 
 # These outcomes alone prove that the backend has not run the RPC.
 PROVEN_NOT_RUN = (AttemptOutcome.REJECTED, AttemptOutcome.NO_CONNECTION, AttemptOutcome.CUT, AttemptOutcome.NOT_SENT)
-# After these the backend has neither failed nor been unreachable.
+# After these outcomes the attempt does not count as a failure of the backend.
 NO_FAULT = (
     AttemptOutcome.OK,
     AttemptOutcome.CANCELLED,
@@ -51,7 +51,7 @@
     AttemptOutcome.REJECTED,
     AttemptOutcome.NOT_SENT,
 )
-# After these the backend has had no work with the attempt.
+# After these outcomes the attempt has cost the backend nothing.
 NOT_REACHED = (AttemptOutcome.NO_CONNECTION, AttemptOutcome.NOT_SENT)
 
 
@@ -65,19 +65,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Method:
-    """What holds for all RPCs of one method."""
+    """The properties of all RPCs of one method."""
 
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
-    soft_deadline_us: int  # an answer after this is worth less
-    deadline_us: int  # over all of a client's retries
+    soft_deadline_us: int  # a response after this is worth less
+    deadline_us: int  # total time a client waits, over all its retries
     deduplication_window_us: int  # how long backends recognise repeats
-    utility: float  # what an answer within the soft deadline is worth
-    attempts_max: int = 0  # 0: as GatewayParameters.attempts_max says
+    utility: float  # value of a response within the soft deadline
+    attempts_max: int = 0  # attempts for one RPC; 0: GatewayParameters.attempts_max applies
 
     @property
     def overdue_after_us(self) -> int:
-        """The time after which an attempt without an answer is overdue."""
+        """The time after which an attempt without a response is overdue."""
         return self.soft_deadline_us * 3 // 5
 
     @property
@@ -93,11 +93,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Plan:
-    """A customer plan: its quota, its ceiling and its limit of concurrent attempts."""
+    """A customer plan: its quota, its ceiling and its limit on concurrent attempts."""
 
     rate: float  # units per second; 0: no quota
     burst: float  # units
-    price: float  # weight of the plan's RPCs against those of other plans
+    price: float  # weight of the plan's RPCs relative to those of other plans
     concurrency_max: int  # attempts in flight over all gateways; 0: not limited
     ceiling_rate: float  # units per second that must never be exceeded; 0: no ceiling
     ceiling_burst: float  # units
@@ -105,11 +105,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GatewayParameters:
-    """What one gateway is given at its start, or by ParametersChanged."""
+    """The parameters of one gateway, set at its start or by ParametersChanged."""
 
     seed: int
     gateways: int  # the number of gateways that share the backends
-    own_index: int  # among them, from 0
+    own_index: int  # index of this gateway among them, from 0
     zone: int
     methods: tuple[Method, ...]
     plans: tuple[Plan, ...]
@@ -117,15 +117,15 @@
     can_cancel_attempts: bool
     has_counter: bool  # a shared counter exists
     clients_mark_retries: bool
-    sends_retry_after: bool  # a rejection may state when to come back
-    settles_units: bool  # an RPC's true cost is told with its answer
+    sends_retry_after: bool  # a rejection may state a retry time
+    settles_units: bool  # an RPC's actual cost is reported with its response
     must_subscribe: bool  # discovery reports changes only after a Subscribe
     units_max: float  # the largest cost of an RPC
-    cold_share: float  # the part of its capacity that a backend has when it starts
-    warm_up_us: int  # from the start to the whole capacity
+    cold_share: float  # share of its capacity that a backend has when it starts
+    warm_up_us: int  # time from a backend's start to its full capacity
     overload_factor: float  # a cold backend that gets this many times its current capacity ...
-    overload_window_us: int  # ... for this long fails for good
-    # The retry budget: units earned by each RPC and each second, and how many can be saved. Depth 0: not limited.
+    overload_window_us: int  # ... for this long fails permanently
+    # The retry budget: retries credited per RPC and per second, and the most that accumulate. Depth 0: not limited.
     retry_budget_ratio: float = 0.0
     retry_budget_per_s: float = 0.0
     retry_budget_depth: float = 0.0
