--- a/stoneyoke/control/gateway.py
+++ b/stoneyoke/control/gateway.py
@@ -84,7 +84,7 @@
         return context.actions
 
     def set_timer(self) -> None:
-        """Sets the next tick. Each gateway has a phase of its own: their queries don't reach the counter all at once."""
+        """Sets the next tick. Each gateway has its own phase, so that queries don't reach the counter all at once."""
         parameters = self.context.parameters
         phase_us = parameters.own_index * TICK_US // parameters.gateways
         self.context.actions.append(SetTimer(TICK_US - (self.context.now - phase_us) % TICK_US, 0))
--- a/stoneyoke/limits/__init__.py
+++ b/stoneyoke/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that gateways hold together: what they agree on through the counter. No I/O."""
+"""Limits that hold over all gateways: quotas through the shared counter or the quota lease holder. No I/O."""
--- a/stoneyoke/limits/local_quota.py
+++ b/stoneyoke/limits/local_quota.py
@@ -1,6 +1,6 @@
-"""A gateway's side of a tenant's quota: units granted to it, and what it may use while no lease holder answers. No I/O.
+"""A gateway's side of a tenant's quota: units granted to it, and what it may use without a lease holder. No I/O.
 
-A gateway is isolated from when it last heard a lease holder until it hears one again.
+A gateway is isolated from the last response of a lease holder until the next one.
 """
 
 from collections.abc import Mapping
@@ -10,17 +10,17 @@
 from stoneyoke.limits.quota_terms import DEMAND_HALF_LIFE_S, SHARE_LEASE_S, decayed
 from stoneyoke.transport.messages import QuotaDemand, QuotaGrant
 
-PREFETCH_S = 0.25  # of its demand that a gateway holds in advance; whole units only, so thin demand holds none
-ISOLATED_START_RATIO = 0.2  # of the excess that the rule allows: what all gateways together begin an isolation with
-UNGRANTED_RATIO = 0.4  # of that excess: what gateways granted no share may use together in UNGRANTED_S
+PREFETCH_S = 0.25  # seconds of its demand that a gateway requests in advance; whole units only, so low demand gets none
+ISOLATED_START_RATIO = 0.2  # of the excess that the quota rule allows: units that all gateways start an isolation with
+UNGRANTED_RATIO = 0.4  # of that excess: units that gateways without a granted share may use together in UNGRANTED_S
 UNGRANTED_S = 3.0
-ASSUMED_GATEWAYS = 8  # a new incarnation counts with so many until it knows how many there are
-REPORTED_SHARE_MIN = 0.005  # a smaller share is not worth a row of a complete report
+ASSUMED_GATEWAYS = 8  # number of gateways that a new incarnation assumes until it knows the actual one
+REPORTED_SHARE_MIN = 0.005  # a complete report leaves out smaller shares
 LN_2 = 0.693
 
 
 class IsolatedAllowance(NamedTuple):
-    """What a gateway may use in isolation: a share of the rate, 0 to 1, and units besides."""
+    """What a gateway may use in isolation: a share of the rate, 0 to 1, and units in addition."""
 
     share: float
     reserve_units: float
@@ -28,19 +28,19 @@
 
 @dataclass(slots=True)
 class LocalQuota:
-    """What a gateway holds of one tenant's quota.
+    """A gateway's part of one tenant's quota.
 
     Attributes:
         level: Units granted and not used yet.
-        closed_until: No units are asked for before, in seconds.
+        closed_until: No units are requested before this time, in seconds.
         share: Share of the rate granted for isolation, 0 to 1; 0 while none was granted.
-        reserve_units: Units that an isolation begins with.
-        granted_at: When both were granted.
-        demand_units: Units that requests have asked for since the last message.
-        demand_rate: The same a second, decayed up to `demand_at`.
-        demand_at: When a request last asked.
-        isolated_units: Units used in isolation, in all this incarnation.
-        reported_isolated_units: Of them, those that the lease holder knows of.
+        reserve_units: Units granted for the start of an isolation.
+        granted_at: When share and reserve were granted, in seconds.
+        demand_units: Units that requests have needed since the last message.
+        demand_rate: Demand in units a second, decayed up to `demand_at`.
+        demand_at: When a request last needed units, in seconds.
+        isolated_units: Units used in isolation since this incarnation started.
+        reported_isolated_units: Of these, the units that the lease holder knows of.
     """
 
     level: float = 0.0
@@ -55,31 +55,31 @@
     reported_isolated_units: float = 0.0
 
     def record_demand(self, units: float, now: float) -> None:
-        """Counts a request, whether or not it gets its units."""
+        """Counts a request's units as demand, whether or not it gets them."""
         self.demand_units += units
         self.demand_rate = decayed(self.demand_rate, now - self.demand_at) + units * LN_2 / DEMAND_HALF_LIFE_S
         self.demand_at = now
 
     def isolated_allowance(self, last_response_at: float, now: float) -> IsolatedAllowance:
-        """What it may use while no lease holder is heard, one having been heard last at `last_response_at`."""
+        """Returns what it may use in isolation, if the last response of a lease holder came at `last_response_at`."""
         if now - last_response_at > SHARE_LEASE_S:
             return IsolatedAllowance(0.0, 0.0)
         elapsed_s = last_response_at - self.granted_at
         return IsolatedAllowance(decayed(self.share, elapsed_s), decayed(self.reserve_units, elapsed_s))
 
     def try_take(self, units: float) -> bool:
-        """Takes units that were granted; false if it holds fewer."""
+        """Takes granted units. Returns false, and takes none, if it has fewer."""
         if self.level < units:
             return False
         self.level -= units
         return True
 
     def wanted_units(self, waiting: float) -> float:
-        """Units to hold: for `waiting` requests, and what its demand uses in STOCK_S."""
+        """Returns the units to have available: for `waiting` requests, and for PREFETCH_S of its demand."""
         return waiting + float(int(self.demand_rate * PREFETCH_S))
 
     def apply_grant(self, grant: QuotaGrant, now: float) -> None:
-        """Takes what the lease holder has granted."""
+        """Applies a grant of the lease holder."""
         self.level += grant.units
         self.share, self.reserve_units, self.granted_at = grant.share, grant.reserve_units, now
         if grant.units > 0:
@@ -95,7 +95,7 @@
     complete: bool,
     now: float,
 ) -> list[QuotaDemand]:
-    """What a gateway asks and reports in its next message; the demand counted so far is taken out of the quotas.
+    """Builds a gateway's demands and reports for its next message, and resets the demand counted so far.
 
     Args:
         local_quotas: By tenant.
@@ -105,7 +105,7 @@
         now: In seconds.
 
     Returns:
-        A row for each tenant of whom there is something to ask or report.
+        A row for each tenant with units to request or usage to report.
     """
     demands = []
     for tenant, local_quota in local_quotas.items():
--- a/stoneyoke/limits/quota_terms.py
+++ b/stoneyoke/limits/quota_terms.py
@@ -1,19 +1,19 @@
-"""What the allocator and the gateways' local quotas agree on: how shares decay, when they end, what a rule allows."""
+"""What allocator and local quotas share: how granted shares decay and expire, and the excess that a rule allows."""
 
 from stoneyoke.api.bounds import ServiceBounds
 
-SILENCE_TIMEOUT_S = 0.7  # a gateway not heard for so long may be using its share in isolation
-SHARE_LEASE_S = 10.0  # a gateway goes on with its share for so long after it last heard a lease holder
-DEMAND_HALF_LIFE_S = 2.0  # counted demand halves in so long, and so does a granted share
+SILENCE_TIMEOUT_S = 0.7  # a gateway that has sent nothing for this long may be using its share in isolation
+SHARE_LEASE_S = 10.0  # how long a gateway may use its share after the last response of a lease holder
+DEMAND_HALF_LIFE_S = 2.0  # half-life of counted demand, and of a granted share
 
 
 def decayed(amount: float, elapsed_s: float) -> float:
-    """What is left of an amount after so many seconds."""
+    """Returns what remains of an amount after so many seconds."""
     return amount * float(0.5 ** (max(0.0, elapsed_s) / DEMAND_HALF_LIFE_S))
 
 
 def excess_units(rate_per_s: float, burst: float, bounds: ServiceBounds) -> float:
-    """Units beyond a tenant's quota that the rule allows in one window.
+    """Returns the units beyond a tenant's quota that the quota rule allows in one window.
 
     Source:
         The operators' RULES, QUOTA.
--- a/stoneyoke/limits/token_bucket.py
+++ b/stoneyoke/limits/token_bucket.py
@@ -3,14 +3,14 @@
 import math
 
 SECOND = 1_000_000  # in microseconds
-MAX_WAIT_US = 20 * SECOND  # the design's limit on an advised wait and on its jitter
+MAX_WAIT_US = 20 * SECOND  # the design's limit on a stated retry time, and on its jitter
 
 
 class TokenBucket:
-    """Units that time refills up to a depth."""
+    """Units that are refilled at a rate, up to a depth."""
 
     def __init__(self, rate: float, depth: float, level: float, now: int) -> None:
-        """Starts with some units.
+        """Starts at a level.
 
         Args:
             rate: Units a second.
@@ -21,18 +21,18 @@
         self.rate, self.depth, self.level, self.filled_at = rate, depth, level, now
 
     def fill(self, now: int) -> float:
-        """Adds what time has refilled, and returns the level."""
+        """Adds the units refilled since the last call, and returns the level."""
         self.level = min(self.depth, self.level + self.rate * (now - self.filled_at) / SECOND)
         self.filled_at = now
         return self.level
 
     def resize(self, rate: float, depth: float, now: int) -> None:
-        """Changes rate and depth. It creates no units: the level stays, at most up to the new depth."""
+        """Changes rate and depth. This creates no units: the level stays, limited to the new depth."""
         self.level = min(self.fill(now), depth)
         self.rate, self.depth = rate, depth
 
     def wait_us(self, units: float, now: int) -> int:
-        """Microseconds until it holds so many units: 0 if it does, MAX_WAIT_US if it is never refilled."""
+        """Returns the microseconds until it holds so many units: 0 if it does, MAX_WAIT_US if it is never refilled."""
         shortfall = units - self.fill(now)
         if shortfall <= 0:
             return 0
--- a/stoneyoke/spread/__init__.py
+++ b/stoneyoke/spread/__init__.py
@@ -1,1 +1,1 @@
-"""Spreads the attempts of many gateways evenly over all backends, without any word between the gateways."""
+"""Spreads the attempts of many gateways evenly over all backends, without communication between the gateways."""
--- a/stoneyoke/spread/zone_ranking.py
+++ b/stoneyoke/spread/zone_ranking.py
@@ -1,31 +1,31 @@
-"""A gateway's order among equal backends: a ring of all zones on which each gateway begins elsewhere. No I/O."""
+"""A gateway's order among equal backends: a ring over all zones on which each gateway has its own start. No I/O."""
 
 import math
 
-GOLDEN_RATIO = 0.618034  # multiples of this part of a ring never come close to one another (three-distance theorem)
-# A gateway rotates among so many backends that in a window of this length, in seconds, each gets one of its
-# attempts or none. The sum over many gateways is then far more even than by chance.
+GOLDEN_RATIO = 0.618034  # multiples of this fraction of a ring stay far apart (three-distance theorem)
+# Seconds. A gateway rotates among so many backends that each gets at most one of its attempts in this window.
+# The sum over many gateways is then far more even than by random choice.
 ROTATION_WINDOW_S = 2.0
-# At most among so many, whatever its rate: each gateway learns the latency of each by itself and meets each bad
-# one. (Without a limit calm+mass took 4,242 connections in place of 1,736 and fell to 0.72; four cost 0.02 on
-# one grown site.)
+# Most backends in the rotation, whatever the gateway's rate. Each gateway has to measure the latency of each of them
+# and to find each bad one itself: more backends do worse, and without a limit connections more than double.
 ROTATION_MAX = 2
 
 
 def ring_positions(zones: list[int], own_zone: int, own_index: int) -> list[int]:
-    """The place of each backend in one gateway's order.
+    """Returns the position of each backend in one gateway's order.
 
-    The backends are a ring, zone after zone. A zone's gateways have an even stretch of it: mostly the backends of
-    their own zone, and some of a large one for a small one's. Stretches begin and end within a backend, to which
-    both zones then send. (With whole backends those at the ends were the first of twice as many gateways.)
+    The backends form a ring, ordered by zone. Each zone's gateways get an equal stretch of the ring: mostly the
+    backends of their own zone; those of a small zone also get some of a large one. A stretch may start and end within a
+    backend, to which both zones then send: with whole backends, those at the ends would come first for twice as many
+    gateways.
 
     Args:
         zones: the zone of each backend, sorted. The list is the same at all gateways.
         own_zone: the gateway's zone.
-        own_index: the gateway's number. Each begins elsewhere in its stretch.
+        own_index: the gateway's number. It sets where in its stretch the gateway starts.
 
     Returns:
-        The place of each backend, in the order of `zones`. Outside of the stretch they are from len(zones) on.
+        The position of each backend, in the order of `zones`. Positions outside the stretch start at len(zones).
     """
     count, kinds = len(zones), sorted(set(zones))
     if not count:
@@ -46,10 +46,10 @@
 
 
 def rotated(backends: list[int], first: int) -> list[int]:
-    """A list that begins at its element `first` and goes round."""
+    """Returns the list rotated so that it starts at index `first`."""
     return backends[first:] + backends[:first]
 
 
 def rotation_size(attempts_per_s: float) -> int:
-    """The number of backends among which a gateway rotates at this rate of attempts."""
+    """Returns the number of backends among which a gateway rotates at this rate of attempts."""
     return max(1, min(ROTATION_MAX, math.ceil(ROTATION_WINDOW_S * attempts_per_s)))
