--- a/tests/control/test_backend_selection.py
+++ b/tests/control/test_backend_selection.py
@@ -20,23 +20,24 @@
     assert actions_of(Reject, bench.arrive())
 
 
-def test_many_gateways_parts_of_a_cold_budget_sum_to_the_whole_from_the_start():
+def test_the_parts_of_many_gateways_of_a_cold_budget_sum_to_the_whole_from_the_start():
     benches = gateways_of_one_fleet(200, fleet=2, started={0: START}, plans=(plan(1e6, 1e6),))
     cold = 0
     for bench in benches:
         bench.gateway.backends.concurrency.responses_per_s = 0.1  # 20 a second over all, from the one warm backend
-    for _ in range(10):  # a window of 1.5 s, of which each gateway uses all it may
+    for _ in range(10):  # a window of 1.5 s, in which each gateway uses its whole budget
         for bench in benches:
             bench.pass_time(150_000)
             bench.gateway.backends.concurrency.responses_per_s = 0.1
             for out in attempts_in(bench.arrive()):
                 cold += out.backend == 0
                 bench.end_attempt(bench.next_rpc, 0, out.backend, AttemptOutcome.CANCELLED, is_final=True)
-    # A quarter of the capacity at least, twice that may be sent: 15 in 1.5 s. Rounded up it would be 200.
+    # The backend has a quarter of the capacity at least, and twice that may be sent: 15 attempts in 1.5 s. If each
+    # gateway rounded its part up to one attempt, it would be 200.
     assert 2 <= cold <= 15
 
 
-def test_a_backend_that_turns_warm_between_rankings_attracts_no_crowd():
+def test_a_backend_that_turns_warm_between_rankings_still_gets_one_attempt_at_most():
     bench = DecisionBench(fleet=6, started={5: START - 9_990_000}, plans=(plan(1e6, 1e6),))
     bench.now += 20_000
     assert bench.gateway.backends.order[0].index == 5
@@ -54,7 +55,7 @@
     assert chosen.count(first) <= 1 and other in chosen
 
 
-def test_cut_connections_alone_make_no_backend_cold_or_ejected():
+def test_cut_connections_alone_neither_make_a_backend_cold_nor_eject_it():
     bench = DecisionBench(fleet=3, plans=(plan(1e6, 1e6),))
     for turn in range(40):
         bench.pass_time(100_000)
@@ -70,7 +71,7 @@
     assert len(set(firsts)) == 10 and max(firsts.count(f) for f in firsts) <= 4
 
 
-def test_a_backend_that_rejects_quickly_does_not_rank_as_a_fast_one():
+def test_a_backend_that_rejects_quickly_is_not_ranked_as_fast():
     bench = DecisionBench()
     for _ in range(12):
         actions = bench.arrive(customer=bench.next_rpc)
@@ -84,7 +85,7 @@
     assert bench.gateway.backends.order[-1].index == 0 and bench.gateway.backends.table.by_index[0].latency_band > 0
 
 
-def test_one_answer_of_three_mean_latencies_does_not_lower_the_rank():
+def test_one_response_of_three_mean_latencies_does_not_lower_the_rank():
     bench = DecisionBench()
     out = attempts_in(bench.arrive())[0]
     bench.now += int(3 * bench.gateway.context.methods[0].mean_latency_us)
@@ -102,7 +103,7 @@
     assert all(o.backend != out.backend for o in start_rpcs(bench, 5))
 
 
-def test_a_lost_subscription_is_renewed():
+def test_the_gateway_subscribes_again_after_a_failed_discovery_query():
     bench = DecisionBench(must_subscribe=True)
     assert actions_of(Subscribe, bench.pass_time(100_000))
     bench.dispatch(EndpointsChanged(False, True))
@@ -110,7 +111,7 @@
 
 
 def shares_with_a_silent_backend(leave_us, arrivals=600):
-    """The share of the attempts that backend 0 gets, which never answers; of six, each client leaving after a time."""
+    """Returns the share of attempts sent to backend 0 of six, which never responds. Its clients leave after a time."""
     bench, ends, chosen = DecisionBench(fleet=6, plans=(plan(0.0, 0.0),), has_counter=False, gateways=1), [], []
     for _ in range(arrivals):
         bench.pass_time(20_000)
@@ -129,5 +130,5 @@
 
 
 @pytest.mark.parametrize("leave_us", [30_000, 60_000, 200_000])
-def test_a_backend_that_never_answers_attracts_nobody_though_its_clients_leave_before_it_is_overdue(leave_us):
+def test_a_backend_that_never_responds_gets_few_attempts_though_its_clients_leave_before_they_are_overdue(leave_us):
     assert shares_with_a_silent_backend(leave_us) < 0.06, "an even share is a sixth"
--- a/tests/control/test_quota_shares.py
+++ b/tests/control/test_quota_shares.py
@@ -1,4 +1,4 @@
-"""Shares of a quota from the demand counted at the shared counter, and how much the counter is asked."""
+"""Shares of a quota from the demand counted at the shared counter, and how much the counter is queried."""
 
 import pytest
 from decision_bench import (
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("total, share", [(20.0, None), (0.5, 1 / 3), (1e9, 1 / 30)])
-def test_the_share_is_the_own_part_of_the_last_second_with_a_floor_and_lost_counts_change_nothing(total, share):
+def test_the_share_is_the_own_part_of_the_demand_with_a_floor_and_lost_counts_do_not_change_it(total, share):
     bench = DecisionBench()
     exhaust_quota(bench)
     own = bench.next_rpc
@@ -25,7 +25,7 @@
     assert bench.gateway.quotas.customers[0].share == pytest.approx(share or own / total)
 
 
-def test_a_silent_counter_leads_back_to_the_even_share():
+def test_with_a_silent_counter_the_share_returns_to_the_even_share():
     bench = DecisionBench()
     exhaust_quota(bench)
     bench.pass_time(3_000_000, counter_total(50.0))
@@ -35,7 +35,7 @@
     assert bench.gateway.quotas.customers[0].share == pytest.approx(1 / 3)
 
 
-def test_a_query_lost_now_and_then_is_no_silence():
+def test_single_lost_queries_do_not_make_the_counter_silent():
     bench = DecisionBench()
     exhaust_quota(bench)
     bench.pass_time(3_000_000, counter_total(50.0))
@@ -48,7 +48,7 @@
 
 
 def test_many_gateways_admit_a_new_customer_and_then_only_its_part_of_the_quota():
-    # 10 units a second asked of a plan of 4, through 100 gateways, each of which sees a tenth of a unit.
+    # A demand of 10 units a second on a plan of 4, through 100 gateways, each of which sees a tenth of a unit a second.
     benches, got = gateways_of_one_fleet(100, plans=(plan(4.0, 12.0),), has_counter=False), []
     for second in range(60):
         for bench in benches[second % 10 :: 10]:
@@ -63,11 +63,11 @@
                 bench.end_attempt(bench.next_rpc, 0, out.backend)
         for bench in benches:
             bench.pass_time(1_000_000)
-    assert sum(s < 10 for s in got) == 100  # nobody is rejected before its demand is known
+    assert sum(s < 10 for s in got) == 100  # no RPC is rejected before the demand is known
     assert 0.25 <= sum(s >= 20 for s in got) / 400 <= 0.6
 
 
-def test_with_an_overloaded_counter_one_query_counts_and_weighs_for_those_left_out():
+def test_with_an_overloaded_counter_sent_queries_are_scaled_up_for_the_skipped_ones():
     bench = DecisionBench(gateways=100)
     bench.gateway.quotas.load.periodic_until = bench.now + 60_000_000
     calls = []
@@ -78,7 +78,7 @@
     assert 8 <= len(calls) <= 32 and all(a.amount == 2.0 for a in calls)
 
 
-def test_an_overloaded_counter_is_asked_less_and_a_lost_connection_is_no_overload():
+def test_an_overloaded_counter_is_queried_less_and_a_lost_connection_does_not_count_as_overload():
     bench = DecisionBench(gateways=100, plans=(plan(4.0, 12.0, ceiling_rate=8.0, ceiling_burst=24.0),))
 
     def query(added, total, after=5_000):
@@ -89,7 +89,7 @@
 
     for _ in range(30):
         query(False, float("nan"))
-        query(True, 1.0)  # a silent counter would be no overload either
+        query(True, 1.0)  # without replies in between the counter would be silent, which is not overload either
     assert bench.gateway.quotas.load.queried_share == 1.0
     for _ in range(20):
         query(False, 0.0)
@@ -101,4 +101,4 @@
     assert bench.gateway.quotas.load.queried_share == 1.0
     for _ in range(40):
         query(True, 1.0, 60_000)
-    assert bench.gateway.quotas.load.queried_share < 0.1  # slow ones delay RPCs
+    assert bench.gateway.quotas.load.queried_share < 0.1  # slow replies delay RPCs, so they count as failed
--- a/tests/control/test_retry_policy.py
+++ b/tests/control/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Retries: when an RPC is sent again, cancelled, rejected or abandoned."""
+"""Retries: when an RPC is retried, cancelled, rejected or failed."""
 
 import pytest
 from decision_bench import METHODS, DecisionBench, actions_of, attempts_in, counter_total, plan
@@ -25,36 +25,36 @@
     after = bench.end_attempt(1, 0, first.backend, outcome)
     assert isinstance(after[0], answer)
     if method == 1:
-        assert after[0].backend % 2 == first.backend % 2  # its zone
+        assert after[0].backend % 2 == first.backend % 2  # the same zone
 
 
 @pytest.mark.parametrize("method, answer", [(1, FailRpc), (3, Reject)])
-def test_a_deduplicated_rpc_is_not_sent_after_its_window_and_rejected_only_if_all_recognise_repeats(method, answer):
+def test_a_deduplicated_rpc_is_not_retried_after_its_window_and_rejected_only_if_all_recognise_repeats(method, answer):
     bench = DecisionBench()
     first = attempts_in(bench.arrive(method=method, wait_us=6_000_000))[0]
     bench.now += METHODS[method].deduplication_window_us
     assert isinstance(bench.end_attempt(1, 0, first.backend, AttemptOutcome.ERROR)[0], answer)
 
 
-@pytest.mark.parametrize("fleet, answer", [(2, FailRpc), (3, StartAttempt)])  # zones 0 and 1; then 0, 1 and 0
+@pytest.mark.parametrize("fleet, answer", [(2, FailRpc), (3, StartAttempt)])  # backends in zones 0, 1; in 0, 1, 0
 def test_a_deduplicated_rpc_that_may_have_run_stays_in_its_scope(fleet, answer):
     bench = DecisionBench(fleet=fleet)
     first = attempts_in(bench.arrive(method=1))[0]
     assert isinstance(bench.end_attempt(1, 0, first.backend, AttemptOutcome.ERROR)[0], answer)
 
 
-def test_an_idempotent_rpc_that_may_have_run_goes_anywhere_but_not_into_an_overload():
+def test_an_idempotent_rpc_that_may_have_run_is_retried_at_any_backend_but_not_in_an_overload():
     bench = DecisionBench(fleet=6)
     (out,) = attempts_in(bench.arrive())
-    for n in range(4):  # no two of these have a cell of their own left
+    for n in range(4):  # a cell has only two backends, so the retries leave the first one's cell
         (out,) = attempts_in(bench.end_attempt(out.rpc, n, out.backend, AttemptOutcome.BROKEN))
     (out,) = attempts_in(bench.arrive())
-    bench.gateway.backends.concurrency.latency = 0.4  # an overload, which retries would only feed
+    bench.gateway.backends.concurrency.latency = 0.4  # an overload, which retries would only add to
     assert actions_of(Reject, bench.end_attempt(out.rpc, 0, out.backend, AttemptOutcome.BROKEN))
 
 
 @pytest.mark.parametrize("method, answer", [(2, FailRpc), (0, Reject)])
-def test_an_rpc_timed_out_at_its_deadline_still_gets_an_answer(method, answer):
+def test_an_rpc_timed_out_at_its_deadline_still_gets_a_final_response(method, answer):
     bench = DecisionBench()
     first = attempts_in(bench.arrive(method=method))[0]
     bench.now += 2_500_000
@@ -73,7 +73,7 @@
     assert tries[0] > 1 and tries[-1] <= 1 and bench.gateway.backends.concurrency.limit < 16
 
 
-def test_an_idempotent_rpc_at_a_silent_backend_is_cancelled_and_sent_again():
+def test_an_idempotent_rpc_at_a_silent_backend_is_cancelled_and_retried():
     bench = DecisionBench()
     first = attempts_in(bench.arrive())[0]
     off = actions_of(CancelAttempt, bench.pass_time(1_500_000))
@@ -111,7 +111,7 @@
     assert logs[0] == logs[1]
 
 
-def test_an_answer_that_arrives_is_not_cancelled_and_its_end_releases_the_rpc():
+def test_an_attempt_whose_response_has_begun_is_not_cancelled_and_its_end_releases_the_rpc():
     bench = DecisionBench()
     first = attempts_in(bench.arrive())[0]
     bench.dispatch(ResponseStarted(1))
@@ -124,7 +124,7 @@
 @pytest.mark.parametrize(
     ("method", "can_cancel", "only_unsent"), [(0, True, False), (0, False, True), (1, True, True), (2, True, True)]
 )
-def test_a_client_that_leaves_ends_its_attempt_also_a_sent_one_if_that_may_be_broken_off(
+def test_the_attempt_of_a_client_that_leaves_is_cancelled_even_a_sent_one_if_it_may_be_interrupted(
     method, can_cancel, only_unsent
 ):
     bench = DecisionBench(can_cancel_attempts=can_cancel)
@@ -135,7 +135,7 @@
     assert not bench.gateway.holds(1) and not bench.dispatch(ClientGone(1))
 
 
-def test_a_second_attempt_ends_with_its_client_and_the_first_that_has_ended_is_left_alone():
+def test_when_a_client_leaves_only_its_attempt_in_flight_is_cancelled_not_one_that_has_ended():
     bench = DecisionBench()
     first = attempts_in(bench.arrive())[0]
     assert attempts_in(bench.end_attempt(1, 0, first.backend, AttemptOutcome.BROKEN))
--- a/tests/control/test_rules.py
+++ b/tests/control/test_rules.py
@@ -1,4 +1,4 @@
-"""Seeded random runs: the five rules hold after every step, whatever the outcomes of attempts."""
+"""Random runs: the guarantees for RPCs hold after every step, whatever the outcomes of attempts."""
 
 from decision_bench import METHODS, DecisionBench, attempts_in, plan
 from hypothesis import given, settings
@@ -8,7 +8,7 @@
 from stoneyoke.control.events import ClientGone, Endpoint, EndpointsChanged
 from stoneyoke.control.parameters import AttemptOutcome, BackendState, DeduplicationScope, Idempotency
 
-# Its own list, not the decisions': of these outcomes no byte can have left, or the backend refused the attempt.
+# Independent of PROVEN_NOT_RUN: after these outcomes no byte can have been sent, or the backend rejected the attempt.
 NOT_RUN = (AttemptOutcome.REJECTED, AttemptOutcome.NO_CONNECTION, AttemptOutcome.CUT, AttemptOutcome.NOT_SENT)
 STEP = st.one_of(
     st.tuples(st.just("arrive"), st.integers(0, 3), st.integers(0, 2)),
@@ -60,7 +60,7 @@
                         )
         for number, rpc in self.rpcs.items():
             if not rpc["ended"]:
-                assert any(c[2] is None for c in rpc["attempts"]), f"RPC {number} is open without an attempt in flight"
+                assert any(c[2] is None for c in rpc["attempts"]), f"RPC {number} has neither a response nor an attempt"
 
     def step(self, what, number, detail):
         before = len(self.log)
@@ -93,7 +93,7 @@
         self.check(before)
 
     def finish(self, number, attempt, outcome):
-        """Ends an attempt, finally if it is a good one or nobody waits."""
+        """Ends an attempt; it is final if it succeeded or the RPC already has its response."""
         rpc = self.rpcs[number]
         rpc["attempts"][attempt][2] = outcome
         rpc["ended"] = rpc["ended"] or outcome is AttemptOutcome.OK
@@ -106,7 +106,7 @@
     checker = RuleChecker()
     for step in steps:
         checker.step(*step)
-    for rpc in list(checker.rpcs):  # all that is still out ends, and nothing is left behind
+    for rpc in list(checker.rpcs):  # ends all attempts in flight, after which no RPC may remain
         while any(c[2] is None for c in checker.rpcs[rpc]["attempts"]):
             before = len(checker.log)
             n = next(i for i, c in enumerate(checker.rpcs[rpc]["attempts"]) if c[2] is None)
--- a/tests/decision_bench.py
+++ b/tests/decision_bench.py
@@ -101,10 +101,16 @@
 
 
 class DecisionBench:
-    """Drives one gateway's decision logic, and keeps every action with its time."""
+    """Drives one gateway's decision logic, and logs every action with its time."""
 
     def __init__(self, fleet: int = 6, started: dict[int, int] | None = None, **changes: Any) -> None:
-        """A gateway with `fleet` backends in two zones; `started`: start times of some; changes of its parameters."""
+        """Creates a gateway with `fleet` backends in two zones.
+
+        Args:
+            fleet: Number of backends.
+            started: Start times of some backends, by index.
+            changes: Gateway parameters that differ from the defaults.
+        """
         self.now, self.next_rpc = START, 0
         self.log: list[tuple[int, Action]] = []
         self.gateway = Gateway(parameters(**changes), START)
@@ -131,7 +137,7 @@
         plan: int = 0,
         is_retry: bool | None = None,
     ) -> list[Action]:
-        """An RPC arrives, with the next number."""
+        """Lets an RPC arrive, with the next number. Returns the actions."""
         self.next_rpc += 1
         return self.dispatch(
             Arrival(
@@ -156,7 +162,7 @@
         is_final: bool | None = None,
         units: float = 0.0,
     ) -> list[Action]:
-        """An attempt ends: finally, unless told otherwise, if it is a good one."""
+        """Ends an attempt. Unless `is_final` says otherwise, it is final if it succeeded. Returns the actions."""
         return self.dispatch(
             AttemptEnded(
                 rpc=rpc,
@@ -169,7 +175,7 @@
         )
 
     def pass_time(self, microseconds: int, answer: Callable[[Action], Event | None] | None = None) -> list[Action]:
-        """Lets time pass with a timer at each tick; answer(action) may return an event for an action."""
+        """Lets time pass with a timer event at each tick; answer(action) may return an event as its response."""
         until, out = self.now + microseconds, list[Action]()
         while self.now < until:
             self.now = min(until, self.now + TICK_US - self.now % TICK_US)
@@ -192,14 +198,14 @@
 
 
 def exhaust_quota(bench: DecisionBench, **arrival: Any) -> Reject:
-    """RPCs that are answered at once, until the first one is rejected."""
+    """Sends RPCs, whose attempts succeed at once, until the first rejection, and returns that."""
     while not (rejections := actions_of(Reject, bench.arrive(**arrival))):
         bench.end_attempt(bench.next_rpc, 0, attempts_in([action for _, action in bench.log])[-1].backend)
     return rejections[0]
 
 
 def counter_total(total: float) -> Callable[[Action], Event | None]:
-    """The counter's replies, for pass_time: always this total."""
+    """Returns a counter for pass_time that always replies with this total."""
 
     def answer(action: Action) -> Event | None:
         return CounterReply(action.name, True, total) if isinstance(action, AddToCounter) else None
@@ -208,15 +214,15 @@
 
 
 def query_lost(action: Action) -> Event | None:
-    """The counter's replies, for pass_time: none comes."""
+    """Reports to pass_time that a counter query got no reply."""
     return CounterReply(action.name, False, 0.0) if isinstance(action, AddToCounter) else None
 
 
 def gateways_of_one_fleet(gateways: int, **changes: Any) -> list[DecisionBench]:
-    """Gateways that share the backends, each with its own index and seed."""
+    """Returns gateways that share the backends, each with its own index and seed."""
     return [DecisionBench(gateways=gateways, own_index=i, seed=i, **changes) for i in range(gateways)]
 
 
 def start_rpcs(bench: DecisionBench, number: int, **arrival: Any) -> list[StartAttempt]:
-    """As many RPCs of as many customers; the attempts that they start."""
+    """Starts one RPC for each of `number` customers, and returns their attempts."""
     return [attempts_in(bench.arrive(customer=100 + i, **arrival))[0] for i in range(number)]
--- a/tests/limits/simulated_gateways.py
+++ b/tests/limits/simulated_gateways.py
@@ -1,7 +1,8 @@
-"""Many gateways' decisions around one counter, on a simulated clock in one process: what limits let through.
+"""Simulates many gateways around one counter, with a simulated clock in one process, to check what limits admit.
 
-No backend is ever full here: what is rejected is rejected by limits. A reference bucket for each customer, which sees
-every attempt, tells what was inside the quota; another one tells what was inside the ceiling. Times are microseconds.
+No backend is ever full here, so limits are the only cause of rejections. For each customer, a reference bucket that
+sees every attempt shows what was within the quota; another one shows what was within the ceiling. Times are
+microseconds.
 """
 
 import bisect
@@ -30,7 +31,7 @@
 START = 1_000_000_000 * SECOND
 BACKENDS = 40
 ZONES = 3
-COUNTER_BACKLOG_US = 100_000  # the counter turns calls away while its queue is longer
+COUNTER_BACKLOG_US = 100_000  # the counter rejects calls while its queue is longer
 COUNTER_TIMEOUT_US = 80_000
 COUNTER_DELAY_US = (200, 2600)  # one way
 METHODS = (
@@ -46,7 +47,7 @@
 
 
 class ReferenceBucket:
-    """A bucket that sees every attempt; its level falls below 0 by what is beyond its limit."""
+    """A bucket that sees every attempt; its level goes below 0 by what exceeds its limit."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate, self.burst, self.level, self.filled_at = rate, burst, burst, START
@@ -67,21 +68,21 @@
 
 @dataclass
 class Customer:
-    """A customer, and what became of its units since they were last cleared.
+    """A customer, and what happened to its units since the counts were last cleared.
 
     Attributes:
         customer_id: The same at all gateways.
         plan: Index of its plan.
         first_gateway: Index of the first of its gateways, which have consecutive indices.
-        gateways: How many it has.
-        use: How much of its rate it uses.
-        quota: What was inside its quota.
-        ceiling: What was inside its ceiling.
-        cumulative_weights: Of its gateways, by which they are drawn.
-        asked: Units that it asked for.
-        inside: Units forwarded inside its quota.
-        beyond: Units forwarded beyond it.
-        refused_inside: Units rejected while the quota held them.
+        gateways: Number of its gateways.
+        use: Its demand, as a multiple of its rate.
+        quota: Reference bucket of its quota.
+        ceiling: Reference bucket of its ceiling.
+        cumulative_weights: Cumulative weights of its gateways, for the random choice among them.
+        asked: Units that it requested.
+        inside: Units forwarded within its quota.
+        beyond: Units forwarded beyond its quota.
+        refused_inside: Units rejected although the quota had them.
         lowest: Lowest level of the ceiling's bucket.
     """
 
@@ -105,7 +106,7 @@
 
 
 class SimulatedCounter:
-    """A counter that adds in turn, a call each 1 / calls_per_s seconds, and turns calls away when it has a backlog."""
+    """A counter that serves one call each 1 / calls_per_s seconds in order, and rejects calls during a backlog."""
 
     def __init__(self, fleet: "SimulatedGateways", calls_per_s: float) -> None:
         self.fleet = fleet
@@ -114,10 +115,10 @@
         self.values: dict[int, tuple[float, int]] = {}  # by key: the total and when it expires
         self.calls = 0
         self.silent = False
-        self.lost_ratio = 0.0  # of the replies
+        self.lost_ratio = 0.0  # share of the replies that are lost
 
     def call(self, gateway: int, incarnation: int, action: AddToCounter) -> None:
-        """Carries a gateway's call: it arrives, waits its turn, is served, and its reply goes back."""
+        """Simulates a gateway's call: it arrives, queues, is served, and its reply travels back."""
         fleet, timeout_at = self.fleet, self.fleet.now + COUNTER_TIMEOUT_US
         self.calls += 1
 
@@ -145,7 +146,7 @@
         fleet.after(fleet.random_source.randint(*COUNTER_DELAY_US), arrive)
 
     def add(self, action: AddToCounter) -> float:
-        """Adds to a key, which begins at 0 again once it has expired, and returns its total."""
+        """Adds to a key, which restarts at 0 once it has expired, and returns its total."""
         total, expires_at = self.values.get(action.name, (0.0, 0))
         if expires_at <= self.fleet.now:
             total, expires_at = 0.0, self.fleet.now + action.ttl_us
@@ -154,13 +155,13 @@
         return total
 
     def wipe(self, ratio: float = 1.0) -> None:
-        """Loses so many of the keys."""
+        """Loses this share of the keys, chosen at random."""
         for key in [key for key in self.values if self.fleet.random_source.random() < ratio]:
             del self.values[key]
 
 
 class SimulatedGateways:
-    """Gateways, their customers' requests, and the counter, as events of one clock."""
+    """Gateways, their customers' requests, and the counter, as events on one clock."""
 
     def __init__(  # noqa: PLR0913 -- settings of a simulation, by keyword, each with a default
         self,
@@ -176,16 +177,16 @@
         """Starts the gateways and their customers' requests.
 
         Args:
-            gateways: How many.
+            gateways: Number of gateways.
             plans: The plans, each with its customers.
             calls_per_s: Calls that the counter serves in a second.
-            seed: Of all that is drawn.
+            seed: Seed of all random choices.
             units: Cost of each request.
-            skew: How unevenly a customer's requests fall on its gateways; 0 is evenly.
-            parameters: In place of the gateways' own.
+            skew: How unevenly a customer's requests are spread over its gateways; 0 is evenly.
+            parameters: Gateway parameters that differ from the defaults.
         """
         self.random_source, self.now = random.Random(seed), START
-        self.events: list[tuple[int, int, Callable[[], object]]] = []  # a heap: when, in which order, what
+        self.events: list[tuple[int, int, Callable[[], object]]] = []  # a heap: time, sequence number, action
         self.order = itertools.count()
         self.units, self.skew = units, skew
         self.parameters = {"units_max": units, "has_counter": True} | parameters
@@ -193,11 +194,11 @@
         self.counter = SimulatedCounter(self, calls_per_s)
         self.incarnations = [0] * gateways
         self.members: list[Gateway | None] = [None] * gateways
-        self.indices: list[dict[int, int]] = [{} for _ in range(gateways)]  # of customers, by gateway
-        self.open_rpcs: dict[int, tuple[Customer, int]] = {}  # the customer, and when it came
+        self.indices: list[dict[int, int]] = [{} for _ in range(gateways)]  # customers' indices, by gateway
+        self.open_rpcs: dict[int, tuple[Customer, int]] = {}  # the customer and the arrival time, by RPC
         self.rpc_numbers = itertools.count(1)
         self.arrivals = 0
-        self.longest_decision_us = 0  # between an arrival and its decision
+        self.longest_decision_us = 0  # longest time between an arrival and its decision
         for at in range(gateways):
             self.start(at)
         self.customers: list[Customer] = []
@@ -261,13 +262,13 @@
         self.deliver(at, self.incarnations[at], EndpointsChanged(True, False, endpoints))
 
     def kill(self, at: int, back_s: float) -> None:
-        """Ends a gateway's process; it starts again after so many seconds."""
+        """Kills a gateway's process; it restarts after so many seconds."""
         self.incarnations[at] += 1
         self.members[at] = None
         self.after(back_s * SECOND, lambda: self.start(at))
 
     def deliver(self, at: int, incarnation: int, event: Event) -> None:
-        """Hands an event to a gateway, unless it has ended since, and carries out the actions."""
+        """Passes an event to a gateway, unless that incarnation has ended, and executes the actions."""
         gateway = self.members[at]
         if self.incarnations[at] != incarnation or not gateway:
             return
@@ -287,7 +288,7 @@
     # ---- clients ----
 
     def shift_weights(self, customer: Customer) -> None:
-        """Spreads a customer's requests anew over its gateways, now and then."""
+        """Redistributes a customer's requests over its gateways, every 8 to 19 s."""
         weights = [1 / (i + 1) ** self.skew for i in range(customer.gateways)]
         self.random_source.shuffle(weights)
         customer.cumulative_weights = list(itertools.accumulate(weights))
@@ -302,7 +303,7 @@
         self.after(self.random_source.expovariate(arrivals_per_s) * SECOND, arrive)
 
     def arrive(self, customer: Customer) -> None:
-        """A request of a customer at one of its gateways; none if that is down."""
+        """Sends a request of a customer to one of its gateways; none if that one is down."""
         weights = customer.cumulative_weights
         place = bisect.bisect(weights, self.random_source.random() * weights[-1])
         at = (customer.first_gateway + place) % len(self.members)
@@ -327,7 +328,7 @@
         self.deliver(at, self.incarnations[at], arrival)
 
     def end_rpc(self, rpc: int) -> Customer:
-        """Ends an RPC, and returns whose it was."""
+        """Ends an RPC, and returns its customer."""
         customer, arrived_at = self.open_rpcs.pop(rpc)
         self.longest_decision_us = max(self.longest_decision_us, self.now - arrived_at)
         return customer
@@ -354,11 +355,11 @@
     # ---- results ----
 
     def clear(self) -> None:
-        """Forgets what became of the units so far."""
+        """Resets the counted units of all customers."""
         for customer in self.customers:
             customer.asked = customer.inside = customer.beyond = customer.refused_inside = 0.0
 
     def share(self, units: Callable[[Customer], float], among: Callable[[Customer], bool] = lambda _: True) -> float:
-        """Units of the chosen customers, as a share of what they asked for."""
+        """Returns units of the chosen customers, as a share of what they requested."""
         chosen = [customer for customer in self.customers if among(customer)]
         return sum(units(customer) for customer in chosen) / max(1e-9, sum(customer.asked for customer in chosen))
--- a/tests/limits/test_shared_bucket.py
+++ b/tests/limits/test_shared_bucket.py
@@ -46,13 +46,13 @@
         "a marker taken back",
     ],
 )
-def test_a_total_without_one_marker_says_nothing(kind: str) -> None:
+def test_a_total_without_exactly_one_marker_gives_no_level(kind: str) -> None:
     bucket = shared_bucket()
     assert bucket.level_from_total(total_without_marker(kind, bucket.marker), NOW) is None
 
 
 @pytest.mark.parametrize("plan, expected_level", [(PLAN, 12.0), (CEILING_PLAN, 0.0)], ids=["plain", "under a ceiling"])
-def test_an_opened_bucket_is_full_and_one_under_a_ceiling_empty(plan: Plan, expected_level: float) -> None:
+def test_a_newly_opened_bucket_is_full_and_under_a_ceiling_empty(plan: Plan, expected_level: float) -> None:
     bucket = shared_bucket(plan)
     level = bucket.level_from_total(bucket.opening_amount(math.nan, NOW), NOW)
     assert level is not None
@@ -76,7 +76,7 @@
     assert abs(next_level - min(bucket.burst, refilled)) < 1e-2
 
 
-def test_of_two_that_open_a_key_the_second_takes_its_marker_back() -> None:
+def test_of_two_gateways_that_open_a_key_at_once_the_second_subtracts_its_marker() -> None:
     bucket, other, total = shared_bucket(), shared_bucket(), 0.0
     exchanges = [bucket.open_epoch(NOW, True), other.open_epoch(NOW, True)]
     for exchange in exchanges:
@@ -95,14 +95,14 @@
 
 
 def calls_after(exchange: CounterExchange, total: float) -> list[tuple[int, float]]:
-    """The counter calls that an exchange makes once it has heard a total: one or none."""
+    """Returns the counter calls that an exchange makes after it has received a total: one or none."""
     try:
         return [exchange.send((total, NOW))]
     except StopIteration:
         return []
 
 
-def test_a_bucket_found_too_low_is_closed_for_a_while_and_never_above_what_time_refills() -> None:
+def test_a_bucket_found_too_low_is_not_queried_for_a_while_and_never_assumed_above_its_refill() -> None:
     bucket = shared_bucket()
     bucket.record_level(0.5, 1.0, NOW)
     assert bucket.next_query_at > NOW
--- a/tests/limits/test_shared_limits.py
+++ b/tests/limits/test_shared_limits.py
@@ -1,4 +1,4 @@
-"""Two to 200 gateways' decisions around one counter: limits hold for all together, whatever happens to them."""
+"""The decisions of 2 to 200 gateways around one counter: limits hold over all of them, also during faults."""
 
 import pytest
 from simulated_gateways import Customer, PlanCustomers, SimulatedGateways
@@ -9,7 +9,7 @@
 
 LOW_RATE_PLAN = Plan(rate=2.0, burst=8.0, price=1.0, concurrency_max=0, ceiling_rate=0.0, ceiling_burst=0.0)
 CEILING_PLAN = Plan(rate=20.0, burst=30.0, price=1.0, concurrency_max=0, ceiling_rate=40.0, ceiling_burst=66.0)
-CEILING_PLAN_INDEX = 1  # its index among the plans
+CEILING_PLAN_INDEX = 1  # index of CEILING_PLAN among the plans
 
 
 def is_within_quota(customer: Customer) -> bool:
@@ -35,7 +35,7 @@
 def simulated(
     gateways: int = 60, customer_gateways: int = 40, calls_per_s: float = 5000, seed: int = 1
 ) -> SimulatedGateways:
-    """Customers well inside their quota and some far over it, of each plan: 48 of the thin one, 16 of the guarded."""
+    """Creates customers within their quota and some far over it: 48 of the low-rate plan, 16 of the ceiling plan."""
     uses = [0.3, 0.5, 0.7] * 4 + [3.0] * 4
     plans = [
         PlanCustomers(LOW_RATE_PLAN, customer_gateways, uses * 3),
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("gateways, customer_gateways", [(2, 2), (12, 8), (60, 40), (200, 120)])
-def test_who_stays_inside_is_served_and_who_does_not_gets_the_quota(gateways: int, customer_gateways: int) -> None:
+def test_customers_within_quota_are_served_and_others_get_their_quota(gateways: int, customer_gateways: int) -> None:
     fleet = simulated(gateways, customer_gateways).run(3)
     fleet.clear()
     fleet.run(12)
@@ -58,7 +58,7 @@
     assert fleet.counter.calls < 1.6 * fleet.arrivals
 
 
-def test_ceilings_hold_with_and_without_replies_and_over_wipes_and_restarts() -> None:
+def test_ceilings_hold_with_and_without_counter_replies_and_across_counter_wipes_and_gateway_restarts() -> None:
     fleet = simulated(seed=5)
     for second in range(20):
         if second % 4 == 1:
@@ -76,7 +76,7 @@
     )
 
 
-def test_a_wipe_creates_one_burst_at_most_and_none_under_a_ceiling() -> None:
+def test_a_counter_wipe_adds_one_burst_at_most_and_none_under_a_ceiling() -> None:
     fleet = simulated().run(4)
     fleet.clear()
     fleet.counter.wipe()
@@ -87,14 +87,14 @@
         assert customer.passed <= 1.15 * (plan.rate * 6 + plan.burst + created) + 4
 
 
-def test_while_the_counter_is_silent_slices_hold_and_it_is_asked_again_at_once() -> None:
+def test_while_the_counter_is_silent_shares_decide_and_after_that_it_is_queried_again_at_once() -> None:
     fleet = simulated().run(4)
     fleet.counter.silent = True
     fleet.run(1)
     calls = fleet.counter.calls
     fleet.clear()
     fleet.run(4)
-    assert fleet.counter.calls - calls <= 60 * 5  # once a second a gateway, and heartbeats
+    assert fleet.counter.calls - calls <= 60 * 5  # one query a second per gateway, and heartbeats
     assert fleet.share(passed, is_within_quota) > 0.5
     fleet.counter.silent = False
     fleet.run(2)
@@ -103,7 +103,7 @@
     assert fleet.share(refused_inside, is_within_quota) < 0.06
 
 
-def test_an_overloaded_counter_is_spared_and_limits_stay_near() -> None:
+def test_an_overloaded_counter_is_queried_less_and_limits_hold_approximately() -> None:
     fleet = simulated(calls_per_s=250).run(8)
     calls = fleet.counter.calls
     fleet.clear()
@@ -113,7 +113,7 @@
     assert fleet.share(passed, is_over_quota) < 0.75  # a third is inside, what comes late can't be told
 
 
-def test_restarted_gateways_know_at_once_what_was_taken() -> None:
+def test_restarted_gateways_know_at_once_what_was_used() -> None:
     fleet = simulated().run(4)
     fleet.clear()
     for at in range(0, 60, 2):
@@ -125,7 +125,7 @@
     assert fleet.share(refused_inside, is_within_quota) < 0.08
 
 
-def test_an_rpc_with_little_time_left_is_not_held_for_the_counter() -> None:
+def test_an_rpc_whose_client_waits_only_briefly_does_not_wait_for_the_counter() -> None:
     fleet = simulated()
     customer = fleet.customers[0]
     rpc = 1 << 40
@@ -142,4 +142,4 @@
         is_retry=False,
     )
     fleet.deliver(0, fleet.incarnations[0], arrival)
-    assert rpc not in fleet.open_rpcs  # decided within the event
+    assert rpc not in fleet.open_rpcs  # decided while the event was handled
--- a/tests/spread/test_zone_ranking.py
+++ b/tests/spread/test_zone_ranking.py
@@ -1,4 +1,4 @@
-"""Ring positions and rotation: together many gateways load all backends evenly, while each uses few of them."""
+"""Ring positions and rotation: many gateways together load all backends evenly, though each uses only a few."""
 
 import random
 
@@ -17,7 +17,7 @@
     assert len(set(found)) == len(zones) and min(found) == 0
 
 
-def test_backends_of_the_own_zone_come_first():
+def test_backends_of_the_gateways_own_zone_come_first():
     found = ring_positions([0] * 10 + [1] * 10 + [2] * 10, 1, 7)
     assert {at for at, place in enumerate(found) if place < 10} == set(range(10, 20))
 
@@ -45,7 +45,7 @@
 
 
 def attempts_by_window(gateways=60, backends=24, seconds=12, seed=3):
-    """Attempts by window of 3 s and backend, of gateways without word of one another, with skewed rates."""
+    """Returns the attempts by window of 3 s and backend, of gateways with uneven rates that do not communicate."""
     random_source, windows = random.Random(seed), {}
     benches = [DecisionBench(fleet=backends, gateways=gateways, own_index=g, zone=g % 2) for g in range(gateways)]
     rates = [3.0 / (1 + g) ** 0.5 * 2 for g in range(gateways)]
@@ -65,13 +65,13 @@
     return [row for window, row in sorted(windows.items()) if window]
 
 
-def test_sixty_gateways_without_word_of_one_another_load_all_backends_evenly():
+def test_sixty_gateways_that_do_not_communicate_load_all_backends_evenly():
     rows = [[of / (sum(row) / len(row)) for of in row] for row in attempts_by_window()]
     assert sum(map(max, rows)) / len(rows) <= 1.8, rows  # without rotation 1.96
     assert sum(map(min, rows)) / len(rows) >= 0.38, rows  # without rotation 0.33
 
 
-def test_the_rotation_goes_to_the_longest_unused_first_and_stays_within_the_zone():
+def test_the_rotation_takes_the_least_recently_used_backend_first_and_stays_within_the_zone():
     bench = DecisionBench(fleet=12, gateways=60, own_index=5)
     chosen = []
     for _ in range(120):
