--- a/tests/system/test_quota_allocator.py
+++ b/tests/system/test_quota_allocator.py
@@ -1,4 +1,4 @@
-"""Quotas between gateways and the lease holder: units granted, shares used in isolation, and the rule over both."""
+"""Quotas between gateways and the lease holder: units granted, shares used in isolation, and the rule for their sum."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 
 class SimulatedFleet:
-    """Gateways and a lease holder in simulated time: each step a hundredth of a second."""
+    """Gateways and a lease holder in simulated time, in steps of STEP_S."""
 
     def __init__(self, seed: int, gateways: int) -> None:
         self.random_source = random.Random(seed)
@@ -42,7 +42,7 @@
 
     def new_admission(self) -> Admission:
         admission = Admission(7, int(self.now * SECOND), BOUNDS)
-        if self.now > 1003:  # a new incarnation counts with many
+        if self.now > 1003:  # a new incarnation assumes ASSUMED_GATEWAYS until it knows the number
             admission.set_gateway_count(ASSUMED_GATEWAYS)
         return admission
 
@@ -54,7 +54,7 @@
         self.next_allocator_at, self.allocator = self.now + gap_s, None
 
     def exchange(self, at: int, waiting: int) -> None:
-        """A gateway's message to the lease holder and its answer."""
+        """Sends a gateway's message to the lease holder and applies the response."""
         if self.isolated[at] or self.allocator is None:
             self.complete[at] = True
             return
@@ -102,7 +102,7 @@
             self.rejected += 1
 
     def run(self, seconds: float, rate: float, weights: list[float]) -> None:
-        """Requests of the tenant at so many a second, gateways drawn by weight."""
+        """Sends requests of the tenant at so many a second, to gateways chosen at random by weight."""
         until = self.now + seconds
         while self.now < until:
             self.now += STEP_S
@@ -157,7 +157,7 @@
     return QuotaDemand("anna", wanted, counted, isolated, share)
 
 
-@test("ten times the quota: no window over the rule, and most of the quota is used (seed {seed})")
+@test("at ten times the quota no window exceeds the rule, and most of the quota is used (seed {seed})")
 def _(seed: int = each(0, 1, 2)) -> None:
     fleet = SimulatedFleet(seed, 8)
     fleet.run(20, 10 * RATE, [1, 1, 1, 1, 1, 1, 1, 5])
@@ -168,7 +168,7 @@
 UNEVEN_WEIGHTS = each([1.0] * 8, [20.0, 1, 1, 1, 1, 1, 1, 1], [1.0, 0, 0, 0, 0, 0, 0, 0])
 
 
-@test("a tenant at half its quota is not refused, however uneven its gateways")
+@test("a tenant at half its quota is not rejected, however unevenly its gateways are loaded")
 def _(weights: list[float] = UNEVEN_WEIGHTS) -> None:
     fleet = SimulatedFleet(4, 8)
     fleet.run(2, RATE / 2, weights)
@@ -178,7 +178,7 @@
     assert fleet.rejected == 0
 
 
-@test("isolation, restarts and changes of the lease holder under ten times the quota: no window over the rule ({seed})")
+@test("at ten times the quota, isolation, restarts and changes of lease holder: no window exceeds the rule ({seed})")
 def _(seed: int = each(*range(12))) -> None:
     fleet = SimulatedFleet(seed, 8)
     random_source = random.Random(seed + 100)
@@ -197,7 +197,7 @@
     assert fleet.most_sent_in_window() <= ALLOWED_IN_WINDOW
 
 
-@test("an isolated gateway goes on with the share of counted demand that it was granted, not the even one")
+@test("an isolated gateway uses the share that it was granted by its demand, not the even one")
 def _() -> None:
     fleet = SimulatedFleet(9, 8)
     weights = [8.0, 1, 1, 1, 1, 1, 1, 1]
@@ -209,7 +209,7 @@
     assert fleet.rejected < 0.1 * fleet.requests, f"{fleet.rejected} of {fleet.requests}"
 
 
-@test("a demand that wants nothing is answered without a wait; one that finds the bucket empty with one")
+@test("a demand for no units gets no wait; one that finds the bucket empty gets one")
 def _() -> None:
     allocator = new_allocator()
     (grant,) = send_request(allocator, 0.1, demand(wanted=0.0, counted=9.0))
@@ -222,11 +222,11 @@
     assert grant.wait_s > 0
 
 
-@test("the first that reports its demand to a new lease holder is not granted the share of all")
+@test("the first gateway that reports its demand to a new lease holder is not granted the whole rate")
 def _() -> None:
     allocator = new_allocator([f"g{at}" for at in range(8)])
     (grant,) = send_request(allocator, 0.2, demand(wanted=1.0, counted=9.0), name="g0", complete=True)
-    assert grant.share == 0  # the others may hold it all
+    assert grant.share == 0  # the other gateways may have been granted all of it
     for at in range(1, 8):
         send_request(allocator, 0.3, demand(share=0.01), name=f"g{at}", complete=True)
     (grant,) = send_request(allocator, 0.4, demand(wanted=1.0, counted=9.0), name="g0")
@@ -236,7 +236,7 @@
 
 
 def allocator_with_two_gateways(now: float) -> tuple[QuotaAllocator, TenantBucket]:
-    """An allocator that two gateways, a and b, have asked evenly for eight seconds until now."""
+    """Returns an allocator that two gateways, a and b, have requested units of evenly for eight seconds until now."""
     allocator = new_allocator()
     for at in range(40):
         for name in "ab":
@@ -244,7 +244,7 @@
     return allocator, allocator.buckets["anna"]
 
 
-@test("what a silent gateway may use is debited, and what it did not use is given back")
+@test("what a silent gateway may use is debited, and what it did not use is returned")
 def _() -> None:
     allocator, bucket = allocator_with_two_gateways(9.0)
     silent = bucket.gateways["b"]
@@ -258,7 +258,7 @@
     assert abs(bucket.level - min(BURST, level + debited - 4.0)) < 0.1
 
 
-@test("of a gateway whose process has ended nothing more is debited, and nothing given back")
+@test("for a gateway whose process has ended nothing more is debited, and nothing is returned")
 def _() -> None:
     allocator, bucket = allocator_with_two_gateways(9.0)
     bucket.level = 0.0
@@ -271,7 +271,7 @@
     assert abs(bucket.level - level - 0.1 * RATE) < 0.01
 
 
-@test("units that were used in isolation count once, though the lease holder never missed their gateway")
+@test("units used in isolation count once, though the gateway was never silent for the lease holder")
 def _() -> None:
     allocator, bucket = allocator_with_two_gateways(9.0)
     level = bucket.level
@@ -281,15 +281,14 @@
     assert abs(bucket.level - (level - 3.0)) < 1e-6
 
 
-@test("a new lease holder withholds the rate that unheard gateways may be using, until they report or it has ended")
+@test("a new lease holder withholds the rate that gateways may be using, until they report or their shares expire")
 def _() -> None:
     allocator = new_allocator(["a", "b"])
     bucket = allocator.buckets["anna"]
     assert allocator.withheld_share(bucket) == 1
     report = demand(wanted=1.0, counted=1.0, share=0.3)
-    send_request(
-        allocator, 0.1, report, since_answer_ms=5000, complete=True
-    )  # it may not hear the answer: nothing counts yet
+    # The gateway may not receive this response either, so its message does not count as a report yet.
+    send_request(allocator, 0.1, report, since_answer_ms=5000, complete=True)
     assert allocator.withheld_share(bucket) == 1
     send_request(allocator, 0.2, report._replace(isolated_units=9.0), complete=True)
     assert abs(allocator.withheld_share(bucket) - 0.7) < 0.01
@@ -297,7 +296,7 @@
     assert allocator.withheld_share(bucket) == 0
 
 
-@test("a share ends with its lease, and decays while it is not asked for")
+@test("a share expires with its lease, and decays while its gateway requests nothing")
 def _() -> None:
     local_quota = LocalQuota(share=0.5, reserve_units=4.0, granted_at=10.0)
     assert local_quota.isolated_allowance(10.0, 10.0 + SHARE_LEASE_S - 1) == (0.5, 4.0)
@@ -305,7 +304,7 @@
     assert local_quota.isolated_allowance(12.0, 13.0) == (0.25, 2.0)
 
 
-@test("early returners wait longer, and a refusal states the bucket's wait with jitter")
+@test("customers that return early get longer retry times, and a rejection states the bucket's wait with jitter")
 def _() -> None:
     admission = Admission(7, 0, BOUNDS)
     call = admission.arrival(TENANT, SECOND)
@@ -318,7 +317,7 @@
     assert min(waits[20:]) >= 4.9 * SECOND  # then blocked
 
 
-@test("a local quota holds whole units in advance only where demand is dense")
+@test("a local quota requests units in advance only at a high demand rate")
 def _() -> None:
     low_rate, high_rate = LocalQuota(), LocalQuota()
     for step in range(100):
