--- a/stoneyoke/control/backend_selection.py
+++ b/stoneyoke/control/backend_selection.py
@@ -74,8 +74,8 @@
             warm_share = backend.warm_share(parameters, self.context.now)
             backend.is_warm = warm_share >= 1.0
             if not backend.is_warm:
-                # Half of what overloads the backend (twice as much does worse), at most a warm one's load times the
-                # warm share; half a window's worth at once. Two per window in all at least: an all-cold fleet starts.
+                # At most half of what overloads it and its share of a warm one's load; half a window's worth at once.
+                # Twice as much does worse. At least two per window over all gateways: an all-cold fleet has to start.
                 rate = min(1.0, 0.5 * parameters.overload_factor) * warm_share * share
                 rate = max(rate, 2 / parameters.gateways / window_s)
                 backend.cold_budget.resize(rate, max(1.0, 0.5 * rate * window_s), self.context.now)
--- a/stoneyoke/control/concurrency.py
+++ b/stoneyoke/control/concurrency.py
@@ -37,7 +37,7 @@
         return min(0.6, 1 / seconds / max(1.0, self.responses_per_s))
 
     def record(self, outcome: AttemptOutcome, latency: float, is_typical: bool) -> None:
-        """Updates the overload signals from an ended attempt, and the limit only if its backend is typical."""
+        """Updates signals and limit from an ended attempt. Latencies of atypical backends don't move the limit."""
         if outcome is AttemptOutcome.OK:
             self.latency += (latency - self.latency) * self.smoothing(0.4)
         unserved = outcome in (AttemptOutcome.REJECTED, AttemptOutcome.TIMED_OUT)
--- a/stoneyoke/control/counter_load.py
+++ b/stoneyoke/control/counter_load.py
@@ -1,4 +1,4 @@
-"""How much of the query load goes to the shared counter: less while it is overloaded, down to a random sample."""
+"""How much the shared counter is queried: for all RPCs, for a random sample, or not at all while it does not reply."""
 
 from stoneyoke.control.context import DecisionContext
 from stoneyoke.limits.shared_bucket import SharedBucket
@@ -39,7 +39,7 @@
         share = 0.9 * self.queried_share if failed else 1.03 * self.queried_share + 0.01
         self.queried_share = max(0.05, min(1.0, share))
         self.mean_queried_share += (self.queried_share - self.mean_queried_share) * 0.04
-        # Below half, only RPCs under a ceiling query the counter: partial queries and period counts mixed do worse.
+        # Below half, only RPCs under a ceiling query the counter, the others count by period: a mix does worse.
         if self.rpcs_query_counter() and self.has_ceilings and self.mean_queried_share < 0.45:
             self.periodic_until = self.context.now + 30 * SECOND
             self.queried_share = self.mean_queried_share = 1.0
