--- a/stoneyoke/control/customer.py
+++ b/stoneyoke/control/customer.py
@@ -27,7 +27,7 @@
         self.bucket = TokenBucket(plan.rate * even, self.depth(), self.depth(), context.now)
         self.ceiling = empty_bucket(plan.ceiling_rate * even, plan.ceiling_burst * even, context)
         # A low-rate share says little about the whole quota. The shared bucket decides instead, and the share only
-        # where the counter does not reply. All gateways get the same parameters, so they agree on it.
+        # where the counter does not reply. All gateways get the same figures, so they agree on it.
         self.shared_bucket, self.period_s = None, 1
         is_low_rate = 0 < plan.rate * even < MIN_EVEN_SHARE_RPCS_PER_S * parameters.units_max
         if parameters.has_counter and even < 1 and is_low_rate:
@@ -37,7 +37,7 @@
             self.ceiling = empty_bucket(rate, depth, context)
 
     def depth(self) -> float:
-        """Returns the bucket's depth in units: the share of the burst, raised because an RPC takes its whole cost at once."""
+        """Returns the bucket's depth in units: the share of the burst, raised as an RPC takes its whole cost at once."""
         # Raised by the cost of two mean RPCs with few gateways (less does worse), and by little more than one with
         # many, where what is added at each gateway sums up.
         rounding = (1 + min(1.0, 12 * self.even_share)) * self.mean_units
--- a/stoneyoke/control/quota_shares.py
+++ b/stoneyoke/control/quota_shares.py
@@ -39,7 +39,7 @@
                 self.context.actions.append(ForgetCustomer(customer.index))
 
     def close_period(self, customer: Customer, second: int) -> None:
-        """Adds the period's demand to the customer's own, and schedules counting it if other gateways need it."""
+        """Adds the period's demand to the customer's own. Counts it if it is shared and the bucket was low lately."""
         units, customer.demand_units = customer.demand_units, 0.0
         customer.own_units = DECAY * customer.own_units + units
         customer.own_s = DECAY * customer.own_s + customer.period_s
