--- a/stoneyoke/control/customer.py
+++ b/stoneyoke/control/customer.py
@@ -37,7 +37,7 @@
             self.ceiling = empty_bucket(rate, depth, context)
 
     def depth(self) -> float:
-        """Returns the bucket's depth in units: the share of the burst, raised as an RPC takes its whole cost at once."""
+        """Returns the bucket's depth in units: the share of the burst, raised as RPCs take their whole cost at once."""
         # Raised by the cost of two mean RPCs with few gateways (less does worse), and by little more than one with
         # many, where what is added at each gateway sums up.
         rounding = (1 + min(1.0, 12 * self.even_share)) * self.mean_units
