--- a/stoneyoke/control/backend_selection.py
+++ b/stoneyoke/control/backend_selection.py
@@ -42,9 +42,9 @@
             return None
         backend_limit = max(1.0, 2 * limit / max(1, len(order)))
         best, best_load = None, (math.inf, 0)
-        for at, backend in enumerate(order):
+        for rank, backend in enumerate(order):
             # Rotates among the first ones, least recently used first: else a busy gateway would load just one backend.
-            if best_load[0] <= 0 and (at >= rotation or backend.ring_position >= len(order)):
+            if best_load[0] <= 0 and (rank >= rotation or backend.ring_position >= len(order)):
                 break
             if backend.index in tried or not self.is_usable(backend):
                 continue
--- a/stoneyoke/control/counter_calls.py
+++ b/stoneyoke/control/counter_calls.py
@@ -107,8 +107,8 @@
 
     def send_due(self, tick: int) -> None:
         """Sends the queries that are scheduled up to a tick of this second."""
-        for due in [one for one in self.queries if one <= tick]:
-            for query in self.queries.pop(due):
+        for due_tick in [one for one in self.queries if one <= tick]:
+            for query in self.queries.pop(due_tick):
                 on_reply = partial(self.read, query) if query.customer >= 0 else None
                 self.counter.add(query.name, query.amount, on_reply)
 
--- a/stoneyoke/limits/quota_allocator.py
+++ b/stoneyoke/limits/quota_allocator.py
@@ -134,38 +134,38 @@
         if bucket is None:  # the tenant has no limit here; a gateway with a newer configuration requests again
             return QuotaGrant(demand.tenant, 0.0, UNKNOWN_TENANT_WAIT_S, 0.0, 0.0)
         bucket.refill(self.withheld_share(bucket), silent, now)
-        entry = bucket.gateways.setdefault(name, GatewayShare(demand_at=now))
+        gateway_share = bucket.gateways.setdefault(name, GatewayShare(demand_at=now))
         if name not in self.unreported:  # else it may have used them before this bucket existed
-            bucket.level -= max(0.0, demand.isolated_units - entry.isolated_units)
-        entry.isolated_units = max(entry.isolated_units, demand.isolated_units)
-        entry.record_demand(min(max(0.0, demand.demand_units), MAX_DEMAND_UNITS), now)
-        demand_share = self.update_share(bucket, name, entry, now)
+            bucket.level -= max(0.0, demand.isolated_units - gateway_share.isolated_units)
+        gateway_share.isolated_units = max(gateway_share.isolated_units, demand.isolated_units)
+        gateway_share.record_demand(min(max(0.0, demand.demand_units), MAX_DEMAND_UNITS), now)
+        demand_share = self.update_share(bucket, name, gateway_share, now)
         units_max = max(1.0, bucket.burst * demand_share)
         units = float(int(max(0.0, min(demand.wanted_units, bucket.level, units_max))))
         bucket.level -= units
         wait_s = 0.0 if units or demand.wanted_units < 1 else refill_wait_s(bucket, demand_share)
-        entry.reserve_units = RESERVE_RATIO * entry.share * max(0.0, bucket.level)
-        return QuotaGrant(demand.tenant, units, wait_s, entry.share, entry.reserve_units)
+        gateway_share.reserve_units = RESERVE_RATIO * gateway_share.share * max(0.0, bucket.level)
+        return QuotaGrant(demand.tenant, units, wait_s, gateway_share.share, gateway_share.reserve_units)
 
-    def update_share(self, bucket: TenantBucket, name: str, entry: GatewayShare, now: float) -> float:
+    def update_share(self, bucket: TenantBucket, name: str, gateway_share: GatewayShare, now: float) -> float:
         """Sets the share that a gateway may use in isolation.
 
         Returns:
             The gateway's share of the demand of all gateways that are not silent, 0 to 1.
         """
         total_demand = others_share = 0.0
-        for other, other_entry in bucket.gateways.items():
+        for other, other_share in bucket.gateways.items():
             last_request_at = self.last_request_at.get(other, NEVER_RECEIVED_AT)
             if now - last_request_at <= SILENCE_TIMEOUT_S:
-                total_demand += other_entry.current_demand(now)
+                total_demand += other_share.current_demand(now)
             if other != name and now - last_request_at <= SHARE_LEASE_S:
-                others_share += other_entry.isolated_share(last_request_at)
-        demand_share = entry.current_demand(now) / total_demand if total_demand > 0 else 0.0
+                others_share += other_share.isolated_share(last_request_at)
+        demand_share = gateway_share.current_demand(now) / total_demand if total_demand > 0 else 0.0
         if now - self.started_at < LEARNING_S:  # not all have reported their demand yet: the first would get everything
             demand_share = min(demand_share, 1 / max(1, len(self.last_request_at)))
         unclaimed = 1 - others_share - self.withheld_share(bucket)
-        entry.share = max(0.0, min(demand_share, self.max_share(), unclaimed))
-        entry.granted_at = now
+        gateway_share.share = max(0.0, min(demand_share, self.max_share(), unclaimed))
+        gateway_share.granted_at = now
         return demand_share
 
     def withheld_share(self, bucket: TenantBucket) -> float:
@@ -212,8 +212,12 @@
         self.unreported.discard(request.name)
         for demand in request.demands:
             if (bucket := self.buckets.get(demand.tenant)) is not None:
-                entry = bucket.gateways.setdefault(request.name, GatewayShare(demand_at=now))
-                entry.isolated_units, entry.share, entry.granted_at = demand.isolated_units, demand.share, now
+                gateway_share = bucket.gateways.setdefault(request.name, GatewayShare(demand_at=now))
+                gateway_share.isolated_units, gateway_share.share, gateway_share.granted_at = (
+                    demand.isolated_units,
+                    demand.share,
+                    now,
+                )
                 bucket.reported_share += demand.share
 
 
--- a/stoneyoke/limits/tenant_bucket.py
+++ b/stoneyoke/limits/tenant_bucket.py
@@ -81,14 +81,14 @@
         self.level = min(self.burst, self.level + self.rate * (1 - withheld_share) * (now - self.filled_at))
         self.filled_at = now
         for name, last_request_at in silent.items():
-            if entry := self.gateways.get(name):
-                used_units = entry.isolated_use(last_request_at, self.rate, now)
-                self.level -= used_units - entry.debited_units
-                entry.debited_units = used_units
+            if gateway_share := self.gateways.get(name):
+                used_units = gateway_share.isolated_use(last_request_at, self.rate, now)
+                self.level -= used_units - gateway_share.debited_units
+                gateway_share.debited_units = used_units
 
     def return_debited_units(self, name: str) -> None:
         """Returns what was debited for a gateway: it has sent a request again and reports what it really used."""
-        entry = self.gateways.get(name)
-        if entry and entry.debited_units:
-            self.level = min(self.burst, self.level + entry.debited_units)
-            entry.debited_units = 0.0
+        gateway_share = self.gateways.get(name)
+        if gateway_share and gateway_share.debited_units:
+            self.level = min(self.burst, self.level + gateway_share.debited_units)
+            gateway_share.debited_units = 0.0
--- a/stoneyoke/spread/zone_ranking.py
+++ b/stoneyoke/spread/zone_ranking.py
@@ -34,14 +34,14 @@
     stretch_start = kinds.index(own_zone) * stretch if own_zone in kinds else 0.0
     offset = own_index * GOLDEN_RATIO % 1  # of the stretch
     low, high = int(stretch_start + 1e-9), math.ceil(stretch_start + stretch - 1e-9)
-    inside = [at % count for at in range(low, high)]
-    outside = [at % count for at in range(high, low + count)]
+    inside = [index % count for index in range(low, high)]
+    outside = [index % count for index in range(high, low + count)]
     first_inside, first_outside = int(stretch_start + offset * stretch) - low, int(offset * len(outside))
     positions = [0] * count
-    for position, at in enumerate(rotated(inside, first_inside)):
-        positions[at] = position
-    for position, at in enumerate(rotated(outside, first_outside), start=count):
-        positions[at] = position
+    for position, index in enumerate(rotated(inside, first_inside)):
+        positions[index] = position
+    for position, index in enumerate(rotated(outside, first_outside), start=count):
+        positions[index] = position
     return positions
 
 
--- a/tests/control/test_backend_selection.py
+++ b/tests/control/test_backend_selection.py
@@ -67,8 +67,8 @@
 
 
 def test_gateways_of_a_zone_begin_at_different_backends():
-    firsts = [attempts_in(b.arrive())[0].backend for b in gateways_of_one_fleet(30, fleet=20)]
-    assert len(set(firsts)) == 10 and max(firsts.count(f) for f in firsts) <= 4
+    first_backends = [attempts_in(b.arrive())[0].backend for b in gateways_of_one_fleet(30, fleet=20)]
+    assert len(set(first_backends)) == 10 and max(first_backends.count(f) for f in first_backends) <= 4
 
 
 def test_a_backend_that_rejects_quickly_is_not_ranked_as_fast():
--- a/tests/control/test_quota_shares.py
+++ b/tests/control/test_quota_shares.py
@@ -49,10 +49,10 @@
 
 def test_many_gateways_admit_a_new_customer_and_then_only_its_part_of_the_quota():
     # A demand of 10 units a second on a plan of 4, through 100 gateways, each of which sees a tenth of a unit a second.
-    benches, got = gateways_of_one_fleet(100, plans=(plan(4.0, 12.0),), has_counter=False), []
+    benches, attempt_seconds = gateways_of_one_fleet(100, plans=(plan(4.0, 12.0),), has_counter=False), []
     for second in range(60):
         for bench in benches[second % 10 :: 10]:
-            got += [second] * len(attempts_in(bench.arrive(customer_gateways=100.0)))
+            attempt_seconds += [second] * len(attempts_in(bench.arrive(customer_gateways=100.0)))
             if second >= 10:
                 bench.gateway.quotas.customers[0].others_units, bench.gateway.quotas.customers[0].others_s = (
                     9.9 * 5,
@@ -63,8 +63,8 @@
                 bench.end_attempt(bench.next_rpc, 0, out.backend)
         for bench in benches:
             bench.pass_time(1_000_000)
-    assert sum(s < 10 for s in got) == 100  # no RPC is rejected before the demand is known
-    assert 0.25 <= sum(s >= 20 for s in got) / 400 <= 0.6
+    assert sum(s < 10 for s in attempt_seconds) == 100  # no RPC is rejected before the demand is known
+    assert 0.25 <= sum(s >= 20 for s in attempt_seconds) / 400 <= 0.6
 
 
 def test_with_an_overloaded_counter_sent_queries_are_scaled_up_for_the_skipped_ones():
--- a/tests/control/test_retry_policy.py
+++ b/tests/control/test_retry_policy.py
@@ -64,22 +64,22 @@
 
 def test_in_a_fleet_that_rejects_most_attempts_rpcs_are_not_retried():
     bench = DecisionBench(fleet=20, plans=(plan(1e6, 1e6),))
-    tries = []
+    attempt_counts = []
     for _ in range(12):
         actions, n = bench.arrive(), 0
         while out := attempts_in(actions):
             actions, n = bench.end_attempt(bench.next_rpc, n, out[0].backend, AttemptOutcome.REJECTED), n + 1
-        tries.append(n)
-    assert tries[0] > 1 and tries[-1] <= 1 and bench.gateway.backends.concurrency.limit < 16
+        attempt_counts.append(n)
+    assert attempt_counts[0] > 1 and attempt_counts[-1] <= 1 and bench.gateway.backends.concurrency.limit < 16
 
 
 def test_an_idempotent_rpc_at_a_silent_backend_is_cancelled_and_retried():
     bench = DecisionBench()
     first = attempts_in(bench.arrive())[0]
-    off = actions_of(CancelAttempt, bench.pass_time(1_500_000))
-    assert off and off[0].attempt == 0
-    again = attempts_in(bench.end_attempt(1, 0, first.backend, AttemptOutcome.CANCELLED))
-    assert again and again[0].backend != first.backend
+    cancellations = actions_of(CancelAttempt, bench.pass_time(1_500_000))
+    assert cancellations and cancellations[0].attempt == 0
+    retries = attempts_in(bench.end_attempt(1, 0, first.backend, AttemptOutcome.CANCELLED))
+    assert retries and retries[0].backend != first.backend
 
 
 def test_late_events_on_ended_rpcs_are_ignored():
--- a/tests/limits/simulated_gateways.py
+++ b/tests/limits/simulated_gateways.py
@@ -94,7 +94,7 @@
     quota: ReferenceBucket
     ceiling: ReferenceBucket
     cumulative_weights: list[float] = field(default_factory=list)
-    asked: float = 0.0
+    requested: float = 0.0
     inside: float = 0.0
     beyond: float = 0.0
     refused_inside: float = 0.0
@@ -312,7 +312,7 @@
         rpc, indices = next(self.rpc_numbers), self.indices[at]
         self.open_rpcs[rpc] = customer, self.now
         self.arrivals += 1
-        customer.asked += self.units
+        customer.requested += self.units
         index = indices.setdefault(customer.customer_id, max(indices.values(), default=-1) + 1)
         arrival = Arrival(
             rpc=rpc,
@@ -357,9 +357,9 @@
     def clear(self) -> None:
         """Resets the counted units of all customers."""
         for customer in self.customers:
-            customer.asked = customer.inside = customer.beyond = customer.refused_inside = 0.0
+            customer.requested = customer.inside = customer.beyond = customer.refused_inside = 0.0
 
     def share(self, units: Callable[[Customer], float], among: Callable[[Customer], bool] = lambda _: True) -> float:
         """Returns units of the chosen customers, as a share of what they requested."""
         chosen = [customer for customer in self.customers if among(customer)]
-        return sum(units(customer) for customer in chosen) / max(1e-9, sum(customer.asked for customer in chosen))
+        return sum(units(customer) for customer in chosen) / max(1e-9, sum(customer.requested for customer in chosen))
--- a/tests/spread/test_zone_ranking.py
+++ b/tests/spread/test_zone_ranking.py
@@ -13,20 +13,20 @@
 @given(st.lists(st.integers(0, 4), min_size=1, max_size=40), st.integers(0, 5), st.integers(0, 400))
 @settings(derandomize=True, deadline=None)
 def test_every_backend_has_a_position_of_its_own_and_one_is_the_first(zones, own_zone, own):
-    found = ring_positions(sorted(zones), own_zone, own)
-    assert len(set(found)) == len(zones) and min(found) == 0
+    positions = ring_positions(sorted(zones), own_zone, own)
+    assert len(set(positions)) == len(zones) and min(positions) == 0
 
 
 def test_backends_of_the_gateways_own_zone_come_first():
-    found = ring_positions([0] * 10 + [1] * 10 + [2] * 10, 1, 7)
-    assert {at for at, place in enumerate(found) if place < 10} == set(range(10, 20))
+    positions = ring_positions([0] * 10 + [1] * 10 + [2] * 10, 1, 7)
+    assert {at for at, place in enumerate(positions) if place < 10} == set(range(10, 20))
 
 
 @pytest.mark.parametrize("gateways, backends", [(200, 40), (300, 60), (100, 12)])
 def test_first_positions_are_spread_evenly_over_backends(gateways, backends):
     zones = sorted(b % 3 for b in range(backends))
-    firsts = [ring_positions(zones, g % 3, g).index(0) for g in range(gateways)]
-    counts = [firsts.count(b) for b in range(backends)]
+    first_backends = [ring_positions(zones, g % 3, g).index(0) for g in range(gateways)]
+    counts = [first_backends.count(b) for b in range(backends)]
     assert min(counts) >= 0.5 * gateways / backends and max(counts) <= 1.6 * gateways / backends
 
 
