--- a/stoneyoke/limits/quota_allocator.py
+++ b/stoneyoke/limits/quota_allocator.py
@@ -46,7 +46,7 @@
 MAX_DEMAND_UNITS = 1e6  # in one message; a larger number is an error and counts as this many
 NEVER_RECEIVED_AT = -1e9
 UNKNOWN_TENANT_WAIT_S = 0.2
-MIN_WAIT_SHARE = 0.02  # waits are computed for at least this share of the demand, which limits them
+MIN_WAIT_SHARE = 0.02  # a wait is no longer than that of a gateway with this share of the demand
 
 
 class QuotaAllocator:
--- a/stoneyoke/limits/shared_bucket.py
+++ b/stoneyoke/limits/shared_bucket.py
@@ -82,7 +82,7 @@
         self.level, self.level_at = limits.burst, 0
         self.next_query_at, self.opened_at = 0, -SECOND
         # An empty bucket is queried twice in the time in which the even share refills one RPC's units, however many
-        # RPCs come: so all gateways together still find all units. At most half of the time of a whole refill.
+        # RPCs come: so all gateways together still find each RPC's units. At most half of the time of a whole refill.
         self.query_interval_us = int(min(mean_units / even_share, limits.burst) / limits.rate / 2 * SECOND)
 
     def counter_key(self, now: int, epochs_back: int = 0) -> int:
