--- a/stoneyoke/gateway/__init__.py
+++ b/stoneyoke/gateway/__init__.py
@@ -1,5 +1,6 @@
-"""The data plane of the system: routes, quotas, forwarding, and what a gateway learns from controllers.
+"""The data plane of the system: routes, quotas, forwarding, and the state that a gateway gets from controllers.
 
-A request's way: `request_handler` (route, tenant, deadline, quota), then `forwarding` (attempts at backends). A
-configuration's way: `config_sync` (pull and fetch), `control_client` (readiness), then `routes` (the table in force).
+A request passes through `request_handler` (route, tenant, deadline, quota) and `forwarding` (attempts at backends). A
+configuration passes through `config_sync` (pull and fetch), `control_client` (readiness) and `routes` (the table in
+force).
 """
--- a/stoneyoke/gateway/admission.py
+++ b/stoneyoke/gateway/admission.py
@@ -1,7 +1,8 @@
-"""Admission by quota: before routing, a tenant's request is admitted or rejected at once.
+"""Admission by quota: a tenant's request is admitted or rejected before it is forwarded.
 
-Units come from the one bucket that the lease holder keeps (`limits/quota_allocator.py`). While no lease holder answers,
-they come from this gateway's share of it: the share that was granted last, or an even one for a tenant without a grant.
+Units come from the tenant's token bucket at the lease holder (`limits/quota_allocator.py`). While no lease holder
+responds, they come from this gateway's share of the quota: the share granted last, or an even share for a tenant
+without a grant.
 
 Source: SYSTEM, The design in the system.
 """
@@ -26,13 +27,14 @@
 from stoneyoke.limits.token_bucket import SECOND
 
 LONG_AGO_US = 3600 * SECOND
-ADMITTED = 0  # in place of a time after which to retry
-ISOLATED_START_MAX = 2.0  # units
-UNGRANTED_LONG_RATIO = 0.25  # of the rule's excess, for tenants without a grant once a silence lasts
+ADMITTED = 0  # returned instead of a time after which to retry
+ISOLATED_START_MAX = 2.0  # units, the most that are drawn into a local bucket at the start of an isolation
+# Fraction of the excess that the rule allows, for a tenant without a grant once an isolation lasts UNGRANTED_S.
+UNGRANTED_LONG_RATIO = 0.25
 
 
 def admission_parameters(seed: int) -> GatewayParameters:
-    """The parameters of decisions that only admit: they send nothing, and a request costs one unit."""
+    """Returns parameters for a decision logic that only admits: it makes no attempts, and a request costs one unit."""
     any_method = Method(
         idempotency=Idempotency.NON_IDEMPOTENT,
         deduplication_scope=DeduplicationScope.CELL,
@@ -64,22 +66,22 @@
 
 
 class Admission(Quotas):
-    """Decides on each request of a tenant with a limited rate. Times are whole microseconds.
+    """Admits or rejects each request of a tenant with a limited rate. Times are whole microseconds.
 
     Attributes:
-        heard_at: When the lease holder was last heard.
-        indices: The number of each tenant that has come; no more than the configuration names.
+        heard_at: When the lease holder last responded.
+        indices: The index of each tenant that has sent a request; no more than the configuration names.
         local_quotas: The units that this gateway holds, by tenant.
-        cut_off_at: Since when a tenant, by number, is served from this gateway's share.
+        cut_off_at: Since when each tenant, by index, is served from this gateway's share.
     """
 
     def __init__(self, seed: int, now: int, bounds: ServiceBounds) -> None:
-        """Starts as one that has heard no lease holder.
+        """Starts without a response from any lease holder.
 
         Args:
-            seed: The seed of the decisions.
-            now: The time, in microseconds.
-            bounds: The figures of the service's rules.
+            seed: The random seed of the decision logic.
+            now: The current time, in microseconds.
+            bounds: The operators' bounds, which contain those on quotas.
         """
         super().__init__(DecisionContext(admission_parameters(seed), now))
         self.bounds, self.heard_at = bounds, now - LONG_AGO_US
@@ -89,11 +91,11 @@
         self.cut_off_at: dict[int, int] = {}
 
     def arrival(self, tenant: Tenant, wait_us: int) -> Arrival:
-        """A request of a tenant, in the terms of the decisions.
+        """Converts a request of a tenant to an arrival event of the decision logic.
 
         Args:
-            tenant: Its quota in the configuration in force. Where that has changed, the new one holds from here on.
-            wait_us: How long its client still waits, in microseconds.
+            tenant: The tenant with its quota in the configuration in force. A changed quota takes effect here.
+            wait_us: How much longer the client waits, in microseconds.
         """
         index = self.indices.setdefault(tenant.label, len(self.indices))
         plan = Plan(
@@ -129,18 +131,19 @@
             customer.plan = plan
 
     def set_gateway_count(self, gateways: int) -> None:
-        """Sets how many gateways share what was granted to none."""
+        """Sets the number of gateways that share the part of each quota for which there is no grant."""
         self.context.parameters = replace(self.context.parameters, gateways=max(1, gateways))
 
     def lease_holder_answered(self, now: int) -> None:
-        """The lease holder was heard at this time, in microseconds."""
+        """Records that the lease holder responded at this time, in microseconds."""
         self.heard_at = now
 
     def try_admit(self, call: Arrival, local_quota: LocalQuota, now: int) -> int | None:
-        """Decides by what this gateway holds.
+        """Decides by the units that this gateway holds.
 
         Returns:
-            ADMITTED, or the time after which to retry, in microseconds; None: the lease holder has to be asked.
+            ADMITTED, or the time after which to retry, in microseconds, or None: units must be requested from the
+            lease holder first.
         """
         self.context.now = now
         customer = self.customer(call)
@@ -152,7 +155,7 @@
         return self.compute_retry_after(customer, closed_us) if closed_us > 0 else None
 
     def admit_after_reply(self, call: Arrival, local_quota: LocalQuota, now: int) -> int:
-        """Decides once the lease holder has answered, or has not in time.
+        """Decides after the lease holder has responded or the wait for it has timed out.
 
         Returns:
             ADMITTED, or the time after which to retry, in microseconds.
@@ -167,7 +170,7 @@
         return self.admit_cut_off(customer, call, local_quota)
 
     def admit_cut_off(self, customer: Customer, call: Arrival, local_quota: LocalQuota) -> int:
-        """Decides by this gateway's own share of the bucket: no lease holder was heard.
+        """Decides by this gateway's own share of the quota, since no lease holder responded.
 
         Returns:
             ADMITTED, or the time after which to retry, in microseconds.
@@ -187,21 +190,21 @@
         return ADMITTED
 
     def start_isolated_bucket(self, customer: Customer, reserve_units: float) -> None:
-        """Fills a tenant's own bucket for a silence that has just begun.
+        """Sets the initial level of a tenant's local bucket when an isolation from the lease holder begins.
 
-        Whole units are drawn at random: a fraction of a unit lets nothing through, and the sum over all gateways stays
-        the same.
+        The level is rounded up or down at random to whole units, because a fraction of a unit admits no request. The
+        expected sum over all gateways stays the same.
         """
         start = ISOLATED_START_RATIO * self.excess_units(customer.plan) / self.context.parameters.gateways
         drawn = min(ISOLATED_START_MAX, float(int(start + self.context.random_source.draw())))
         customer.bucket.level, customer.bucket.filled_at = max(reserve_units, drawn), self.context.now
 
     def ungranted_share(self, plan: Plan) -> float:
-        """The share of a tenant's rate that all gateways with no grant, or hardly any, use together.
+        """Returns the share of a tenant's rate that all gateways with little or no grant use together.
 
-        A process that has heard nobody takes an even share: all gateways may have started just now. The others stay
-        within what the rule allows beyond the bucket, which is an even share for a small tenant and little for a
-        large one.
+        A process that has had no response since its start uses its even part of the whole rate, because all gateways
+        may just have started. Others stay within the excess that the rule allows beyond the bucket: an even share for a
+        small tenant, and little for a large one.
         """
         now, heard_at, start_time = self.context.now / SECOND, self.heard_at / SECOND, self.context.start_time / SECOND
         excess = self.excess_units(plan)
@@ -212,5 +215,5 @@
         return 1.0
 
     def excess_units(self, plan: Plan) -> float:
-        """What the rule allows a tenant beyond its bucket in a window, in units."""
+        """Returns the units that the rule allows a tenant in a window in excess of its bucket."""
         return excess_units(plan.rate, plan.burst, self.bounds)
--- a/stoneyoke/gateway/config_sync.py
+++ b/stoneyoke/gateway/config_sync.py
@@ -1,7 +1,7 @@
-"""Keeps a gateway up to date: pulls from every controller what is new and fetches newer configurations.
+"""Keeps a gateway's state current: pulls changes from every controller and fetches newer configurations.
 
-A pull is a long poll, one at a time for each controller. It carries this gateway's heartbeat to those controllers that
-watch it.
+A pull is a long poll; at most one is pending at each controller. It also carries this gateway's heartbeat to the
+controllers that monitor this gateway.
 """
 
 import asyncio
@@ -20,23 +20,23 @@
 from stoneyoke.transport.peer_client import PeerClient
 
 CALL_TIMEOUT_S = 0.6
-FETCH_RETRY_TIMEOUT_S = CALL_TIMEOUT_S + 2.0  # from a controller that may be far away
-LONG_POLL_MS = 1000  # how long a controller may hold a pull until something is new
-RETRY_DELAY_S = 0.15
-FAILURE_DELAY_S = 1.0
+FETCH_RETRY_TIMEOUT_S = CALL_TIMEOUT_S + 2.0  # for a fetch from a controller that may be in another zone
+LONG_POLL_MS = 1000  # how long a controller may delay its response to a pull while nothing has changed
+RETRY_DELAY_S = 0.15  # after a pull without a valid response
+FAILURE_DELAY_S = 1.0  # after a pull that failed with an unexpected exception
 INCARNATION_BITS = 48
 
 
 class ConfigSync:
-    """Follows all controllers that are known.
+    """Pulls from all known controllers.
 
     Attributes:
         incarnation: Identifies this process among those of the same gateway.
         version: The version of the configuration in force here; number 0 before the first.
-        ready: This gateway is sure to have all that was acknowledged before it started. Set once by the control
-            client, and reported to controllers.
-        peer_clients: The client of each controller that is followed, by its address.
-        tasks: One task for each of them.
+        ready: Whether this gateway provably has every change that was acknowledged before it started. The control
+            client sets it once; it is reported to controllers.
+        peer_clients: The client for calls to each controller that is pulled from, by the controller's address.
+        tasks: The tasks that pull, one for each of these controllers.
     """
 
     def __init__(
@@ -46,13 +46,13 @@
         listener: ControlListener,
         environment: ControlEnvironment,
     ) -> None:
-        """Starts without a configuration; `follow_controllers` begins.
+        """Starts without a configuration; `follow_controllers` starts the pulls.
 
         Args:
-            settings: Who this gateway is.
-            instance_directory: Takes in what controllers report, and knows their addresses.
-            listener: Takes newer configurations and is notified after each pull.
-            environment: Clock, connections and random source.
+            settings: This gateway's identity and address.
+            instance_directory: Merges the controllers' reports, and has the controllers' addresses.
+            listener: Receives newer configurations and is notified after each pull.
+            environment: The clock, the connections and the random source.
         """
         self.settings, self.environment = settings, environment
         self.instance_directory, self.listener = instance_directory, listener
@@ -64,7 +64,7 @@
         self.fetch_lock = asyncio.Lock()
 
     def follow_controllers(self) -> None:
-        """Begins to follow each controller that is known and not followed yet."""
+        """Starts to pull from each known controller that is not pulled from yet."""
         for name in list(self.instance_directory.controllers):
             if name not in self.peer_clients:
                 self.peer_clients[name] = self.environment.dial((name, self.settings.port))
@@ -72,26 +72,26 @@
                 self.tasks.add(task)
 
     def close(self) -> None:
-        """Ends all pulls."""
+        """Cancels all pulls."""
         for task in self.tasks:
             task.cancel()
 
     async def follow_controller(self, name: str) -> None:
-        """Pulls from one controller until the process ends."""
+        """Pulls from one controller until the task is cancelled."""
         while True:
             try:
                 await self.pull(name)
             except PeerUnreachable:
                 await asyncio.sleep(RETRY_DELAY_S)
-            except Exception:  # outermost guard: a fault in one answer must not end the pulls from this controller
-                logger.exception("Pull from controller {} failed by a fault in this gateway; it is tried again", name)
+            except Exception:  # an unexpected failure to process one response must not stop pulls from this controller
+                logger.exception("pull from controller {} failed unexpectedly in this gateway; retrying", name)
                 await asyncio.sleep(FAILURE_DELAY_S)
 
     async def pull(self, name: str) -> None:
-        """Pulls once from one controller, and fetches the configuration if that is newer.
+        """Pulls once from one controller, and fetches the configuration if the controller reports a newer one.
 
         Raises:
-            PeerUnreachable: The controller gave no answer of the right kind in time.
+            PeerUnreachable: There was no response of the right kind in time.
         """
         answer = await self.peer_clients[name].call(self.pull_request(name), CALL_TIMEOUT_S + LONG_POLL_MS / 1000)
         if not isinstance(answer, PullResponse):
@@ -103,7 +103,7 @@
         self.listener.on_update()
 
     def pull_request(self, name: str) -> PullRequest:
-        """The request for what is new since the last answer of that controller."""
+        """Builds the request for changes since the last response of that controller."""
         view, settings = self.instance_directory.controllers[name], self.settings
         return PullRequest(
             name=settings.name,
@@ -121,10 +121,10 @@
         )
 
     async def fetch(self, name: str) -> None:
-        """Fetches the configuration that a controller has reported, from a near controller if one holds it.
+        """Fetches the configuration that a controller has reported, from a controller in this zone if one has it.
 
         Raises:
-            PeerUnreachable: No controller gave it in time.
+            PeerUnreachable: No controller returned it in time.
         """
         async with self.fetch_lock:
             last_pull = self.instance_directory.controllers[name].last_pull
@@ -142,11 +142,13 @@
         self.install(name, answer)
 
     def install(self, name: str, answer: FetchResponse) -> None:
-        """Hands a fetched configuration on if it is newer. Within one process nothing goes back."""
+        """Passes a fetched configuration to the listener if it is newer: a process never reverts to an older one."""
         try:
             configuration = read_configuration(zlib.decompress(answer.body))
         except (InvalidField, zlib.error) as error:
-            logger.error("Configuration fetched for controller {} is rejected, the old one stays: {}", name, error)
+            logger.error(
+                "configuration reported by controller {} is invalid, the current one stays in force: {}", name, error
+            )
             return
         if configuration.version > self.version:
             self.version = configuration.version
--- a/stoneyoke/gateway/control_client.py
+++ b/stoneyoke/gateway/control_client.py
@@ -1,6 +1,6 @@
-"""A gateway's side of the control plane: controllers, instances, other gateways, quota units, readiness.
+"""A gateway's client of the control plane: controllers, instances, other gateways, quota units, readiness.
 
-It holds no connection of a client or a backend, so the same code runs in the program and in the simulation.
+It uses no connections to clients or backends, so the same code runs in the program and in the simulation.
 """
 
 import asyncio
@@ -15,40 +15,40 @@
 from stoneyoke.limits.local_quota import ASSUMED_GATEWAYS
 from stoneyoke.transport.peer_client import PeerClient
 
-FORGET_FLEET_S = 10.0  # a smaller number of gateways is believed after it was reported for so long
-SETTLING_S = 1.5  # by then the controllers that watch gateways have had a heartbeat of each
+FORGET_FLEET_S = 10.0  # a smaller number of gateways takes effect once it has been reported for this long
+SETTLING_S = 1.5  # within this time from the start, the controllers that monitor gateways receive a heartbeat of each
 SEED_BITS = 63
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayFleet:
-    """How many gateways there are, and this one's number among them."""
+    """The number of gateways, and this gateway's index among them, from 0."""
 
     size: int = ASSUMED_GATEWAYS
     own_index: int = 0
 
 
 class ControlClient:
-    """What a gateway knows through the controllers.
+    """A gateway's state that comes from the controllers.
 
     Attributes:
-        seed: The seed of this process's decisions.
-        instance_directory: Controllers, instances and gateways that were reported.
-        admission: Decides on quotas.
-        config_sync: Follows the controllers.
-        quota_client: Asks the lease holder for units.
-        fleet: How many gateways to reckon with.
+        seed: The random seed of this process's decision logics.
+        instance_directory: The controllers, instances and gateways that controllers have reported.
+        admission: Admits or rejects requests by their tenant's quota.
+        config_sync: Pulls from the controllers.
+        quota_client: Requests units from the lease holder.
+        fleet: The assumed number of gateways, and this gateway's index.
     """
 
     def __init__(
         self, settings: ControlClientSettings, listener: ControlListener, environment: ControlEnvironment
     ) -> None:
-        """Makes the parts; `start` begins to talk to controllers.
+        """Creates the components; `start` starts communication with controllers.
 
         Args:
-            settings: Who this gateway is, and where its controllers are.
+            settings: This gateway's identity, and the addresses of its controllers.
             listener: Notified once `fleet` and `config_sync.ready` are up to date.
-            environment: Clock, connections and random source.
+            environment: The clock, the connections and the random source.
         """
         self.name, self.clock, self.listener = settings.name, environment.clock, listener
         self.seed = environment.random_source.getrandbits(SEED_BITS)
@@ -63,22 +63,22 @@
         self.fleet = GatewayFleet()
 
     def now_us(self) -> int:
-        """The clock in whole microseconds."""
+        """Returns the clock's time in whole microseconds."""
         return int(self.clock() * 1_000_000)
 
     def start(self) -> list[asyncio.Task[None]]:
-        """Begins to follow controllers and to ask for units; gives the tasks that `config_sync.close` doesn't end."""
+        """Starts pulls and quota rounds; returns the tasks that `config_sync.close` does not cancel."""
         self.config_sync.follow_controllers()
         return [asyncio.get_running_loop().create_task(self.quota_client.run())]
 
-    # ---- from the configuration sync ----
+    # ---- called by the configuration sync ----
 
     def take(self, configuration: Configuration) -> None:
-        """Hands a newer configuration on."""
+        """Passes a newer configuration to the listener."""
         self.listener.take(configuration)
 
     def on_update(self) -> None:
-        """Brings fleet and readiness up to date after a pull, then notifies the listener."""
+        """Updates the fleet and the readiness after a pull, then notifies the listener."""
         now = self.clock()
         self.update_fleet(now)
         if not self.config_sync.ready:
@@ -86,11 +86,14 @@
         self.listener.on_update()
 
     def update_fleet(self, now: float) -> None:
-        """Counts the gateways. Overestimates in doubt: quota shares are then too small, never too large."""
+        """Updates the number of gateways. In doubt it is overestimated: quota shares are then too small, not too large.
+
+        A decrease takes effect only after FORGET_FLEET_S.
+        """
         gateways = self.instance_directory.gateways(now)
         if self.name not in gateways:
             return
-        # Controllers that have just started may not have heard all gateways yet.
+        # Controllers that have just started may not have received a heartbeat of each gateway yet.
         if len(gateways) >= self.largest_fleet or now - self.largest_fleet_at > FORGET_FLEET_S:
             self.largest_fleet, self.largest_fleet_at = len(gateways), now
         is_settling = now - self.started_at < SETTLING_S
@@ -99,17 +102,17 @@
         self.admission.set_gateway_count(size)
 
     def is_caught_up(self, now: float) -> bool:
-        """Whether the configuration in force is sure to be no older than what was acknowledged before."""
+        """Whether the configuration in force is provably at least as new as any that was acknowledged before."""
         acknowledged = self.instance_directory.caught_up(now)
         return acknowledged is not None and acknowledged.number > 0 and self.config_sync.version >= acknowledged
 
-    # ---- from the quota client ----
+    # ---- called by the quota client ----
 
     def lease_holder_client(self) -> PeerClient | None:
-        """The client of the controller that holds the lease of the quotas; None if that is not known."""
+        """Returns the client for calls to the quota lease holder; None if the lease holder is not known."""
         lease_holder = self.instance_directory.lease_holder(self.clock())
         return self.config_sync.peer_clients.get(lease_holder) if lease_holder else None
 
     def lease_holder_answered(self, at: float) -> None:
-        """Admission counts silence from here, in seconds of the clock."""
+        """Records when the lease holder last responded, in seconds of the clock; isolation is measured from then."""
         self.admission.lease_holder_answered(int(at * 1_000_000))
--- a/stoneyoke/gateway/control_settings.py
+++ b/stoneyoke/gateway/control_settings.py
@@ -1,4 +1,4 @@
-"""What a gateway's control client is given at its start, and whom it notifies."""
+"""The settings and the environment of a gateway's control client, and the interface of its listener."""
 
 import random
 from collections.abc import Callable
@@ -12,15 +12,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControlClientSettings:
-    """Who this gateway is, and where its controllers are.
+    """This gateway's identity, and the addresses of its controllers.
 
     Attributes:
         name: This gateway's name.
-        ip: The address at which it serves.
-        zone: Its zone.
-        port: The port of the controllers' own protocol, the same on each of them.
-        seeds: Addresses of controllers, without ports. More of them are learned from these.
-        bounds: The figures of the service's rules.
+        ip: The IP address at which this gateway serves.
+        zone: This gateway's zone.
+        port: The port of the protocol between gateways and controllers, the same on every controller.
+        seeds: Addresses of some controllers, without ports, from which the others are learned.
+        bounds: The operators' bounds on retries, quotas and times.
     """
 
     name: str
@@ -33,12 +33,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControlEnvironment:
-    """What differs between a process and a simulation.
+    """The dependencies that differ between a real process and a simulation.
 
     Attributes:
-        clock: Seconds of a steady clock.
-        dial: Makes the client for a controller's address. It connects with its first call.
-        random_source: For identities and the decisions' seed.
+        clock: Returns the seconds of a monotonic clock.
+        dial: Creates the client for a controller's address. The client connects with its first call.
+        random_source: Generates the incarnation and the seed of the decision logics.
     """
 
     clock: Callable[[], float]
@@ -47,10 +47,10 @@
 
 
 class ControlListener(Protocol):
-    """Who uses what the controllers report."""
+    """Receives configurations and is notified of changes that controllers report."""
 
     def take(self, configuration: Configuration) -> None:
-        """Puts a configuration in force. Each is newer than the one before."""
+        """Puts a configuration in force. Each is newer than the previous one."""
 
     def on_update(self) -> None:
-        """A controller has answered: instances, gateways or readiness may have changed."""
+        """Called after a controller's response: instances, gateways or readiness may have changed."""
--- a/stoneyoke/gateway/forwarding.py
+++ b/stoneyoke/gateway/forwarding.py
@@ -1,7 +1,7 @@
-"""One admitted request on its way to the backends: its attempts, and the answer that comes of them.
+"""Forwards an admitted request: makes its attempts at backends and determines the response to the client.
 
-The decision logic chooses backends and retries (see `stoneyoke/control/gateway.py`). This module carries out what it
-decides and keeps what the answer to the client depends on: whether any attempt may have run.
+The decision logic chooses backends and retries (see `stoneyoke/control/gateway.py`). This module executes its decisions
+and tracks whether a backend may have run any of the attempts, since the response to the client depends on that.
 """
 
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ForwardingContext:
-    """What every forwarded request of one gateway shares.
+    """The components that all forwarded requests of a gateway share.
 
     Attributes:
         clock: The process's clock.
@@ -43,15 +43,15 @@
 
 
 class ForwardedRequest:
-    """A request that has a route, a tenant and a deadline, until its answer is known.
+    """A request with a route, a tenant and a deadline, until its response is determined.
 
     Attributes:
-        deadline_us: Until when an answer must be there.
-        may_have_run: An attempt has ended without proof that the backend did not run it. From then on the client is
-            never told that the request did not run. The decision logic keeps the same fact for retries
-            (`AttemptHistory.not_run`); this is a second, independent guard on the answer.
-        backend_error: The answer of the last attempt if that was the backend's own failure. It is passed on where
-            nothing better comes.
+        deadline_us: When the response must be determined, in microseconds of the clock.
+        may_have_run: Whether an attempt has ended without proof that the backend did not run it. From then on no
+            response says that the request did not run. The decision logic tracks the same fact for retries
+            (`AttemptHistory.not_run`); this flag is a second, independent guard on the response.
+        backend_error: The response of the last attempt if it reported a failure of the backend. The client gets it if
+            no later attempt has a better outcome.
     """
 
     __slots__ = (
@@ -69,7 +69,7 @@
     def __init__(
         self, context: ForwardingContext, message: Message, request: Request, route: Route, tenant: Tenant
     ) -> None:
-        """Takes a request that is admitted; `run` sends it."""
+        """Accepts an admitted request; `run` forwards it."""
         self.context, self.message, self.request = context, message, request
         self.route, self.tenant = route, tenant
         self.pending: PendingRequest
@@ -78,12 +78,12 @@
         self.backend_error: Message | None = None
 
     async def run(self, client: ClientConnection, service: str, deadline_us: int) -> Reply:
-        """Sends the request until there is an answer.
+        """Makes attempts until there is a response for the client, and returns that.
 
         Args:
-            client: The connection that the request came on.
-            service: The service of the route that is asked.
-            deadline_us: Until when an answer must be there.
+            client: The connection on which the request was received.
+            service: The service that was selected among those of the route.
+            deadline_us: When the response must be determined, in microseconds of the clock.
         """
         self.deadline_us = deadline_us
         upstreams = self.context.upstreams
@@ -99,7 +99,7 @@
             upstream.runtime.close_request(self.pending)
 
     async def follow_decisions(self, upstream: Upstream) -> Reply:
-        """Carries out one decision after another until one of them, or an attempt's outcome, gives the answer."""
+        """Executes one decision after another until a decision or the outcome of an attempt determines the response."""
         while True:
             decision = await self.pending.next_decision(self.deadline_us)
             if not isinstance(decision, StartAttempt):
@@ -109,7 +109,7 @@
                 return reply
 
     async def make_attempt(self, upstream: Upstream, backend: int) -> Reply | None:
-        """Makes one attempt and reports its outcome; None if the decision logic has to say what follows."""
+        """Makes one attempt and reports its outcome. Returns None if the decision logic has to choose the next step."""
         attempt = self.pending.attempts_started
         self.pending.attempts_started += 1
         outcome, answer = await self.send(backend, attempt)
@@ -145,23 +145,23 @@
         return outcome, answer
 
     def matches_response(self, answer: Message) -> bool:
-        """Whether a backend's answer belongs to this request. One that names two requests belongs to neither."""
+        """Whether a response has this request's attempt id. A response with two attempt ids matches no request."""
         return answer.headers.get(b"attempt-id") == self.request.id and b"attempt-id" not in answer.repeated
 
     def note_misdirected(self, instance: str, answer: Message) -> None:
-        """Drops an instance for good if another one answers at its address."""
+        """Removes an instance permanently if a different instance responded at its address."""
         answering = answer.headers.get(b"instance-id", b"").decode("latin-1")
         if answering != instance:
             self.context.instance_directory.mark_gone(instance, self.context.clock.now() / 1_000_000)
             self.context.upstreams.refresh()
 
     def final_reply(self, decision: Decision | None) -> Reply:
-        """The answer where no attempt has given one and none follows.
+        """Returns the response when no attempt has determined one and no further attempt follows.
 
-        A time for a retry is stated only while every attempt is proven not to have run.
+        A 503 with a Retry-After header is returned only while every attempt is proven not to have run.
 
         Args:
-            decision: What was decided; None if the client has gone or the time is up.
+            decision: The decision that ends the request; None if the client has disconnected or the deadline is over.
         """
         if decision is None and self.pending.client_gone:
             return CLIENT_GONE
@@ -178,5 +178,5 @@
         return self.local_reply(502, "it may have run, and no answer came")
 
     def local_reply(self, status: int, reason: str, retry_after_us: int = 0) -> Reply:
-        """An answer of this gateway's own to this request."""
+        """Returns a response that this gateway generates itself."""
         return local_reply(self.context.metrics, self.request, status, reason, retry_after_us)
--- a/stoneyoke/gateway/instance_directory.py
+++ b/stoneyoke/gateway/instance_directory.py
@@ -1,9 +1,10 @@
-"""What a gateway knows of instances, controllers and other gateways, merged from the controllers' answers. No I/O.
+"""A gateway's view of instances, controllers and other gateways, merged from the controllers' responses. No I/O.
 
-Each controller numbers its own changes. Of two reports of an instance the one with the higher call_seq wins, and "gone"
-wins over all, so the order of the answers does not matter. A drain is not undone by a later report. An instance counts
-its calls up, so its drain never comes with a lower call_seq than an earlier report. Nothing is forgotten because a
-controller is: only what was reported gone, or what every controller in touch has not heard for long.
+Each controller numbers its own changes. Of two reports of an instance the one with the higher call_seq wins, and GONE
+overrides any other phase, so the order of the responses does not matter. A later report does not undo a drain. An
+instance increments call_seq with each call, so its drain never has a lower call_seq than an earlier report. The loss of
+a controller removes no instance: an instance is removed only if it was reported gone, or if no reachable controller has
+heard from it for DROP_UNHEARD_S.
 """
 
 from dataclasses import dataclass, field
@@ -17,25 +18,27 @@
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.transport.messages import InstanceRow, PullResponse
 
-IN_TOUCH_S = 2.2  # longer than a pull may be held, and a new connection takes
-DROP_UNHEARD_S = 20.0  # an instance that no controller in touch has heard for so long is dropped
+# A controller counts as reachable this long after its last response. Longer than a controller may delay its response to
+# a pull, plus the time to open a new connection.
+IN_TOUCH_S = 2.2
+DROP_UNHEARD_S = 20.0  # an instance is removed once no reachable controller has heard from it for this long
 NEVER_S = -1e9
-GONE_MEMORY_S = 300.0  # longer than any controller remembers (instance_registry)
-GONE_MAX = 4096  # as many as a controller remembers
+GONE_MEMORY_S = 300.0  # gone instances are remembered longer than by any controller (instance_registry)
+GONE_MAX = 4096  # the most gone instances that are remembered, as many as by a controller
 
 
 @dataclass(slots=True)
 class ControllerView:
-    """One controller, as its last answer describes it.
+    """The state of one controller, according to its last response.
 
     Attributes:
         incarnation: Identifies its process.
-        seq: The number of its newest change that is known here.
-        heard_at: When it answered last, in seconds of the clock.
-        last_pull: That answer; None before the first.
-        phases: The phase of each instance, as this controller has it.
-        membership_version: The number of the gateways and controllers that it has reported.
-        gateways: The gateways whose heartbeats it has heard.
+        seq: The sequence number of its newest change that this gateway has.
+        heard_at: When it last responded, in seconds of the clock.
+        last_pull: Its last response; None before the first.
+        phases: The phase of each instance at this controller.
+        membership_version: The version of the sets of gateways and controllers that it has reported.
+        gateways: The gateways whose heartbeats it has received.
     """
 
     incarnation: str = ""
@@ -52,9 +55,9 @@
     """One instance of a service.
 
     Attributes:
-        row: The report in force.
-        warm_at: When it has warmed up, in seconds of the clock.
-        unheard_since: Since when no controller in touch hears it; None while one does.
+        row: The newest report of the instance.
+        warm_at: When its warm-up is complete, in seconds of the clock.
+        unheard_since: Since when no reachable controller receives its heartbeats; None while one does.
     """
 
     row: InstanceRow
@@ -63,17 +66,17 @@
 
 
 class InstanceDirectory:
-    """Merges what controllers report.
+    """Merges the reports of all controllers.
 
     Attributes:
-        controllers: What is known of each controller, by its address.
-        instances: Instances that may serve, by name.
-        gone_at: Instances that never come back, and when that was learned, the oldest first.
-        revision: Rises with each change that matters for the choice of a backend.
+        controllers: The state of each controller, by its address.
+        instances: Instances that are not gone, by name.
+        gone_at: Instances that are permanently removed, with the time at which this was learned, the oldest first.
+        revision: Incremented with each change that can affect the choice of a backend.
     """
 
     def __init__(self, seeds: tuple[str, ...]) -> None:
-        """Starts with the addresses of some controllers; others are learned from these."""
+        """Starts with the addresses of some controllers, from which the others are learned."""
         self.controllers: dict[str, ControllerView] = {name: ControllerView() for name in seeds}
         self.instances: dict[str, KnownInstance] = {}
         self.gone_at: dict[str, float] = {}
@@ -84,7 +87,7 @@
         self.controllers.setdefault(name, ControllerView())
 
     def apply_pull(self, name: str, answer: PullResponse, now: float) -> None:
-        """Takes in a controller's answer."""
+        """Merges a controller's response to a pull."""
         view = self.controllers.setdefault(name, ControllerView())
         if answer.complete or answer.incarnation != view.incarnation:
             view.phases = {}
@@ -98,7 +101,7 @@
             self.merge_row(row, now)
 
     def merge_row(self, row: InstanceRow, now: float) -> None:
-        """Takes in one report of an instance, unless a newer one is known."""
+        """Merges one report of an instance, unless a newer report is known."""
         if row.instance in self.gone_at:
             return
         if row.phase == Phase.GONE:
@@ -107,7 +110,7 @@
         old = self.instances.get(row.instance)
         if old and row.call_seq < old.row.call_seq:
             return
-        # Draining is for good: an instance never takes work again.
+        # Draining is permanent: the instance never accepts requests again.
         phase = max(row.phase, old.row.phase) if old and old.row.phase == Phase.DRAINING else row.phase
         row = row._replace(phase=Phase.READY if phase == Phase.SILENT else phase)
         if old and old.row._replace(call_seq=0, warmup_left_s=0.0) == row._replace(call_seq=0, warmup_left_s=0.0):
@@ -117,17 +120,17 @@
         self.revision += 1
 
     def mark_gone(self, instance: str, now: float) -> None:
-        """Drops an instance for good: it was reported gone, or another one answers at its address."""
+        """Removes an instance permanently: it was reported gone, or a different instance responded at its address."""
         self.gone_at[instance] = now
         if self.instances.pop(instance, None):
             self.revision += 1
 
     def in_touch(self, now: float) -> list[ControllerView]:
-        """Controllers that have answered of late."""
+        """Returns the controllers that have responded in the last IN_TOUCH_S seconds."""
         return [view for view in self.controllers.values() if now - view.heard_at < IN_TOUCH_S]
 
     def sweep(self, now: float) -> None:
-        """Marks instances that no controller hears and drops what is out of date; called several times a second."""
+        """Marks instances that no controller hears from, and removes stale entries; called several times a second."""
         synced = [view for view in self.in_touch(now) if view.last_pull and view.last_pull.instances_synced]
         voters = len(self.voters().members) or 1
         if synced and len(synced) >= min(majority(voters), voters):
@@ -139,7 +142,7 @@
         self.forget_gone(now)
 
     def mark_unheard(self, synced: list[ControllerView], now: float) -> None:
-        """Notes for each instance since when none of these controllers hears it."""
+        """Updates for each instance since when none of these controllers receives its heartbeats."""
         for name, instance_known in self.instances.items():
             is_heard = any(view.phases.get(name, Phase.SILENT) in (Phase.READY, Phase.DRAINING) for view in synced)
             was_heard = instance_known.unheard_since is None
@@ -148,7 +151,7 @@
                 self.revision += 1
 
     def forget_gone(self, now: float) -> None:
-        """Forgets instances that left long ago, and the oldest of those that are too many."""
+        """Drops records of gone instances that are older than GONE_MEMORY_S, and the oldest beyond GONE_MAX."""
         excess = len(self.gone_at) - GONE_MAX
         outdated = [
             name
@@ -161,7 +164,7 @@
     # ---- controllers and gateways ----
 
     def controllers_holding(self, version: Version, zone: str) -> list[str]:
-        """Controllers that hold this version or a higher one, those of a zone first."""
+        """Returns the controllers that have this version or a higher one, those of the given zone first."""
         held = [
             name
             for name, one in self.controllers.items()
@@ -172,10 +175,10 @@
         )
 
     def register_views(self, now: float | None = None) -> dict[ReplicaId, Proposal]:
-        """What each replica last reported of the replicated register.
+        """Returns the value of the replicated register that each replica reported last.
 
         Args:
-            now: Counts only controllers that are in touch at this time and have their instances in step; None: all.
+            now: Includes only controllers that are reachable at this time and know every acknowledged drain; None: all.
         """
         reporting = [one for one in self.controllers.values() if one.last_pull]
         if now is not None:
@@ -193,29 +196,33 @@
         }
 
     def voters(self) -> VoterSet:
-        """Who votes, by the newest value that was reported."""
+        """Returns the voter set of the newest register value that was reported."""
         newest = max(self.register_views().values(), key=lambda view: view.ballot, default=None)
         return newest.value.voters if newest else VoterSet()
 
     def newest(self) -> tuple[Version, str]:
-        """The highest version that any controller has reported, and its address."""
+        """Returns the highest version that any controller has reported, and that controller's address."""
         reporting = [(Version(*one.last_pull.version), name) for name, one in self.controllers.items() if one.last_pull]
         return max(reporting, default=(Version(), ""))
 
     def caught_up(self, now: float) -> Version | None:
-        """The version that is sure to be no older than what was acknowledged; None: too few voters are heard.
+        """Returns a version at least as new as any acknowledged one; None: too few voters are reachable to tell.
 
-        Those voters know every acknowledged drain too: it is acknowledged once a majority of them knows it.
+        These voters also know every acknowledged drain, because a drain is acknowledged once a majority of the voters
+        knows it.
         """
         newest = newest_view(self.register_views(now))
         return newest.value.version if newest else None
 
     def gateways(self, now: float) -> list[str]:
-        """Gateways whose heartbeats the controllers in touch have heard, sorted."""
+        """Returns the gateways whose heartbeats the reachable controllers have received, sorted by name."""
         return sorted({name for one in self.in_touch(now) for name in one.gateways})
 
     def lease_holder(self, now: float) -> str:
-        """The controller that holds the lease of the quotas, by what most in touch report; "" if none is known."""
+        """Returns the address of the quota lease holder; "" if it is not known.
+
+        A controller that reports itself as the holder goes before the most frequent report of the others.
+        """
         reported = [
             one.last_pull.lease_holder for one in self.in_touch(now) if one.last_pull and one.last_pull.lease_holder
         ]
@@ -224,17 +231,17 @@
             for name, one in self.controllers.items()
             if now - one.heard_at < IN_TOUCH_S and one.last_pull and one.last_pull.lease_holder == name
         ]
-        if own:  # what the holder says of itself is newer than what others have heard
+        if own:  # the holder's own report is newer than what other controllers have learned of it
             return max(own, key=lambda name: self.controllers[name].heard_at)
         return max(sorted(set(reported)), key=reported.count) if reported else ""
 
     # ---- instances ----
 
     def unheard_instances(self, service: str) -> frozenset[str]:
-        """Instances of a service that no controller hears.
+        """Returns the instances of a service whose heartbeats no reachable controller receives.
 
-        Empty if they are more than half of the service: then the controllers are more likely cut off than the instances
-        gone.
+        Returns an empty set if these are more than half of the service: a network partition between the controllers and
+        the instances is then more likely than a failure of the instances.
         """
         all_of = [one for one in self.instances.values() if one.row.service == service]
         silent = frozenset(one.row.instance for one in all_of if one.unheard_since is not None)
--- a/stoneyoke/gateway/local_reply.py
+++ b/stoneyoke/gateway/local_reply.py
@@ -1,4 +1,4 @@
-"""Answers that the gateway gives itself, without one of a backend."""
+"""Responses that the gateway generates itself, without a backend."""
 
 from stoneyoke.gateway.request_head import Request
 from stoneyoke.net.reply import Reply
@@ -6,14 +6,14 @@
 
 
 def local_reply(metrics: Metrics, request: Request, status: int, reason: str, retry_after_us: int = 0) -> Reply:
-    """Builds an answer of this gateway's own and counts it by status.
+    """Builds a response that this gateway generates itself, and counts it by status.
 
     Args:
         metrics: The counters of this process.
-        request: The request that is answered; the answer carries its attempt id.
+        request: The request; the response carries its attempt id.
         status: The HTTP status.
-        reason: The body, a few words for whoever reads the client's log.
-        retry_after_us: When the client may come back, in microseconds from now; 0 says nothing about it.
+        reason: The body: a few words for readers of the client's log.
+        retry_after_us: The time after which the client may retry, in microseconds; 0: no Retry-After header.
     """
     metrics.add(f"answers: {status}")
     headers = b"Content-Type: text/plain\r\nAttempt-Id: %s\r\n" % request.id
--- a/stoneyoke/gateway/quota_client.py
+++ b/stoneyoke/gateway/quota_client.py
@@ -1,4 +1,4 @@
-"""Asks the lease holder for units of tenants' quotas: all that is wanted in one message, one message at a time."""
+"""Requests units of tenants' quotas from the lease holder: one message at a time, for all tenants together."""
 
 import asyncio
 import contextlib
@@ -11,44 +11,45 @@
 from stoneyoke.transport.messages import QuotaDemand, QuotaRequest, QuotaResponse
 from stoneyoke.transport.peer_client import PeerClient
 
-REQUEST_WAIT_S = 0.1  # the longest that a client's request waits for units
-ANSWER_TIMEOUT_S = SILENCE_TIMEOUT_S / 2  # a later answer counts as none
-ROUND_INTERVAL_S = 0.25  # the longest time between two messages: they report demand, and that this gateway is there
-RETRY_DELAY_S = 0.05  # after no answer, or with no lease holder known
-REFUSED_DELAY_S = 0.02  # after an answer that can't be used: the controller holds the lease no longer, say
-SINCE_ANSWER_MAX_S = 60.0
+REQUEST_WAIT_S = 0.1  # the longest time that a client's request waits for units
+ANSWER_TIMEOUT_S = SILENCE_TIMEOUT_S / 2  # a later response counts as none
+ROUND_INTERVAL_S = 0.25  # the longest time between messages, which report demand and that this gateway is alive
+RETRY_DELAY_S = 0.05  # after a call without a response, or while no lease holder is known
+REFUSED_DELAY_S = 0.02  # after an unusable response, for example because the controller no longer holds the lease
+SINCE_ANSWER_MAX_S = 60.0  # the longest time since the last response that a message reports
 LONG_AGO_S = 1e9
 USABLE_UNITS = 1  # one request takes one unit
 
 
 class LeaseHolderAccess(Protocol):
-    """How the quota client reaches the lease holder."""
+    """Gives the quota client access to the lease holder."""
 
     def lease_holder_client(self) -> PeerClient | None:
-        """The client of the lease holder; None if it is not known."""
+        """Returns the client for calls to the lease holder; None if the lease holder is not known."""
 
     def lease_holder_answered(self, at: float) -> None:
-        """The lease holder has answered; it counts as heard at this time, in seconds of the clock."""
+        """Records a response of the lease holder, with its time in seconds of the clock."""
 
 
 def grants_only_demanded(response: QuotaResponse, demands: list[QuotaDemand]) -> bool:
-    """Whether each grant is for a tenant in the demands, and none is there twice."""
+    """Whether each grant is for a tenant in the demands, and no tenant has two grants."""
     granted = [grant.tenant for grant in response.grants]
     return len(set(granted)) == len(granted) and set(granted) <= {demand.tenant for demand in demands}
 
 
 class QuotaClient:
-    """Keeps this gateway's local quotas supplied.
+    """Replenishes this gateway's local quotas from the lease holder.
 
     Attributes:
         local_quotas: The units that this gateway holds, by tenant.
-        heard_at: When the lease holder was last heard, in seconds of the clock.
-        unanswered: The last message had no answer: requests don't wait for the next one's.
-        report_all: The next message reports every share that is held. Whoever answers next may know nothing of this
-            gateway.
-        waiting_requests: The number of requests that wait for units, by tenant.
-        request_due: Set when a message should leave before its interval is over.
-        round_ended: Set, and replaced, when a message was answered or was not in time.
+        heard_at: When the lease holder last responded, in seconds of the clock.
+        unanswered: Whether the last message had no usable response. Clients' requests then don't wait for the next
+            round.
+        report_all: Whether the next message reports every share that this gateway holds, because the next lease holder
+            to respond may know nothing of this gateway.
+        waiting_requests: The number of clients' requests that wait for units, by tenant.
+        request_due: Set when the next message must be sent before its interval has passed.
+        round_ended: Set, and replaced by a new event, when a round ends with a response or without one.
     """
 
     def __init__(
@@ -59,14 +60,14 @@
         access: LeaseHolderAccess,
         clock: Callable[[], float],
     ) -> None:
-        """Starts as one that has heard nobody; `run` begins.
+        """Starts without a response from any lease holder; `run` starts the rounds.
 
         Args:
             name: This gateway's name.
             incarnation: Identifies this process among those of the same gateway.
-            local_quotas: The units that this gateway holds, by tenant; filled by grants.
-            access: Reaches the lease holder.
-            clock: Seconds of a steady clock.
+            local_quotas: The units that this gateway holds, by tenant; grants add to them.
+            access: Gives access to the lease holder.
+            clock: Returns the seconds of a monotonic clock.
         """
         self.name, self.incarnation, self.local_quotas = name, incarnation, local_quotas
         self.access, self.clock = access, clock
@@ -78,9 +79,9 @@
         self.round_ended = asyncio.Event()
 
     async def wait_for_units(self, tenant: str) -> None:
-        """Waits until the lease holder has answered for a tenant, or has not in time.
+        """Waits until the lease holder has responded for a tenant, at most REQUEST_WAIT_S.
 
-        Returns at once while it gives no answers.
+        Returns at once while the lease holder does not respond.
         """
         if self.unanswered:
             return
@@ -88,7 +89,7 @@
         self.request_due.set()
         try:
             async with asyncio.timeout(REQUEST_WAIT_S):
-                # The round under way may have begun before this request came, and bring nothing for it.
+                # The current round may have started before this request arrived, and then grants nothing for it.
                 for _ in range(2):
                     await self.round_ended.wait()
                     if self.is_decided(tenant):
@@ -101,12 +102,12 @@
                 del self.waiting_requests[tenant]
 
     def is_decided(self, tenant: str) -> bool:
-        """Whether a further round would change nothing for a request of this tenant."""
+        """Whether a further round would not change the decision on a request of this tenant."""
         local_quota = self.local_quotas[tenant]
         return self.unanswered or local_quota.level >= USABLE_UNITS or local_quota.closed_until > self.clock()
 
     async def run(self) -> None:
-        """Sends one message after another until the process ends."""
+        """Runs one round after another until the task is cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(ROUND_INTERVAL_S):
@@ -127,19 +128,20 @@
         ended.set()
 
     def end_round_unanswered(self) -> None:
-        """Requests that wait go on without the lease holder."""
+        """Ends a round without a usable response; requests that wait are decided without the lease holder."""
         self.unanswered = self.report_all = True
         self.end_round()
 
     async def request_units(self, lease_holder: PeerClient) -> None:
-        """Sends one message and takes in its answer.
+        """Sends one message and applies its response.
 
         Raises:
-            PeerUnreachable: There was no answer in time.
+            PeerUnreachable: There was no response in time.
         """
         sent_at = self.clock()
         since_answer_s = min(SINCE_ANSWER_MAX_S, sent_at - self.heard_at)
-        # A lease holder that may not know that this gateway hears it grants nothing, and takes no report as made.
+        # After a longer silence the lease holder can't know that its responses reach this gateway: it grants nothing,
+        # and a report in this message would not count as made. So the message carries no demands.
         is_in_touch = since_answer_s <= SILENCE_TIMEOUT_S
         report_all = self.report_all
         demands: list[QuotaDemand] = []
@@ -158,15 +160,15 @@
             await asyncio.sleep(REFUSED_DELAY_S)
             return
         self.unanswered = False
-        # This process may have been suspended between the answer and this line: the answer is no newer than its
-        # time-out allows.
+        # This process may have been suspended between the response and this line. The response arrived before its
+        # time-out, so it can't be newer than that.
         self.heard_at = min(self.clock(), sent_at + ANSWER_TIMEOUT_S)
         self.access.lease_holder_answered(self.heard_at)
         self.apply(response, demands, is_in_touch)
         self.end_round()
 
     def apply(self, response: QuotaResponse, demands: list[QuotaDemand], is_in_touch: bool) -> None:
-        """Takes in a usable answer. After a silence the next message follows at once: that one may be granted."""
+        """Applies a usable response. After a silence, the next message is sent at once: that one can get a grant."""
         if is_in_touch:
             self.report_all = False
             for demand in demands:
--- a/stoneyoke/gateway/request_handler.py
+++ b/stoneyoke/gateway/request_handler.py
@@ -1,6 +1,6 @@
-"""A request's way through a gateway: route, tenant, deadline, quota, backend, answer.
+"""Processes a client's request in a gateway: route, tenant, deadline, quota, backend, response.
 
-`RequestHandler.handle` reads from top to bottom in that order. `forwarding.py` holds the attempts at backends.
+`RequestHandler.handle` performs these steps in this order. `forwarding.py` makes the attempts at backends.
 """
 
 import asyncio
@@ -24,29 +24,30 @@
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
 
-# An answer is decided this long before the client's deadline, so that it arrives in time.
+# The response is determined this long before the client's deadline, so that it arrives in time.
 ANSWER_MARGIN_US = 15_000
 RETRY_AFTER_NO_CONFIGURATION_US = 500_000
-# After SIGTERM the platform checks readiness once a second, and takes a gateway out after two misses. Requests that
-# were routed here until then are still under way. At most half of the grace period.
+# How long the gateway accepts new requests after SIGTERM; at most half of the grace period. The platform checks
+# readiness once a second and stops sending clients to a gateway after two failed checks. Requests that were sent to
+# this gateway before that may still be on their way.
 DRAIN_S = 3.2
-EXIT_MARGIN_S = 0.4  # all requests are answered so long before the grace period ends
+EXIT_MARGIN_S = 0.4  # all responses are sent this long before the grace period ends with SIGKILL
 FINISH_MIN_S = 0.1
 NO_TENANT = Tenant("", 0, 0.0, 0.0)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestServices:
-    """The parts of the gateway that handle a request.
+    """The components that process a request.
 
     Attributes:
-        admission: Decides on quotas.
-        quota_client: Asks the lease holder for units where admission has none.
+        admission: Admits or rejects requests by their tenant's quota.
+        quota_client: Requests units from the lease holder when this gateway has none left for a tenant.
         backends: The connections to backends.
         upstreams: The services, each with its decision logic.
         instance_directory: The backend instances that controllers have reported.
-        random_point: Draws a number from 0 to 1, which chooses among the services of a route.
-        body_limit_bytes: The longest body that the process's memory allows, whatever a configuration says.
+        random_point: Draws a number from 0 to 1, which selects one of a route's services.
+        body_limit_bytes: The maximum body size that the process's memory allows; a configuration can only lower it.
     """
 
     admission: Admission
@@ -59,11 +60,11 @@
 
 
 class RequestHandler(HttpServer):
-    """Serves clients' connections by the configuration in force.
+    """Serves clients' connections according to the configuration in force.
 
     Attributes:
         table: The routing table in force, replaced as a whole; None before the first configuration.
-        draining: SIGTERM has come: each answer says that its connection closes.
+        draining: Whether SIGTERM was received. Each connection is then closed after a response that announces it.
     """
 
     def __init__(
@@ -79,9 +80,9 @@
         Args:
             clock: The process's clock.
             metrics: The process's counters.
-            descriptor_budget: The budget that clients' and backends' connections share.
-            descriptors: The descriptors that connections may use.
-            services: The parts of the gateway that handle a request.
+            descriptor_budget: The file descriptor budget that connections to clients and backends share.
+            descriptors: The number of file descriptors that connections may use.
+            services: The components that process a request.
         """
         super().__init__(clock, metrics, clock.now, descriptor_budget, descriptors)
         self.services = services
@@ -96,7 +97,7 @@
         self.draining = False
 
     def install(self, table: RoutingTable) -> None:
-        """Puts a newer configuration in force. An older one is ignored: within one process nothing goes back."""
+        """Puts a newer configuration in force. An older one is ignored: a process never reverts to an older version."""
         if self.table is not None and table.version <= self.table.version:
             return
         self.table = table
@@ -106,11 +107,11 @@
         self.connections.message_timeout_us = table.head_timeout_us
 
     async def drain(self, grace_s: float, stop_listening: Callable[[], None]) -> None:
-        """Ends after SIGTERM: serves on while clients may still be sent here, then answers what is pending.
+        """Drains after SIGTERM: accepts requests while clients may still be sent here, then completes pending ones.
 
-        From here on no attempt is cancelled because its backend is silent. There may be no other backend to take the
-        request, and this gateway would give its own error in place of an answer that is still being worked on (RULES,
-        LOST).
+        From this call on, no attempt is cancelled because its backend is silent. There may be no other backend to
+        retry at, and this gateway would respond with an error of its own although the backend is still producing the
+        response (RULES, LOST).
 
         Args:
             grace_s: The time from SIGTERM to SIGKILL, in seconds.
@@ -125,14 +126,14 @@
         await self.finish_pending(max(FINISH_MIN_S, grace_s - drain_s - IN_TRANSIT_S - EXIT_MARGIN_S))
 
     async def respond(self, client: ClientConnection, message: Message) -> None:
-        """Answers one message of a connection, which closes after it while the gateway drains."""
-        # A request of which something has been read already is answered before the connection closes.
+        """Responds to one message of a connection, and closes the connection after it while the gateway drains."""
+        # The connection stays open if part of a further request has been read: that request gets a response first.
         if self.draining and not client.has_unanswered_input():
             message.keep_alive = False
         await super().respond(client, message)
 
     async def handle(self, client: ClientConnection, message: Message) -> Reply:
-        """One request, from its head to its answer."""
+        """Processes one request, from its head to its response."""
         request, table = Request(message), self.table
         self.metrics.add("requests")
         if table is None:
@@ -148,7 +149,7 @@
     async def admit_and_forward(
         self, client: ClientConnection, message: Message, request: Request, route: Route, tenant: Tenant
     ) -> Reply:
-        """A request whose route and tenant are known: deadline and quota first, then the backends."""
+        """Checks the deadline and the quota of a request with a route and a tenant, then forwards it."""
         now, deadline_us = self.clock.now(), answer_deadline_us(client, request, route)
         if deadline_us <= now:
             return local_reply(self.metrics, request, 503, "its time is up", route.target_us)
@@ -165,10 +166,11 @@
         return await forwarded.run(client, service, deadline_us)
 
     async def check_quota(self, client: ClientConnection, tenant: Tenant, remaining_us: int) -> int:
-        """Takes a unit of the tenant's quota, unless the client leaves meanwhile.
+        """Takes a unit of the tenant's quota, unless the client disconnects meanwhile.
 
         Returns:
-            0 if the request is admitted or its client has left, else the time after which to retry, in microseconds.
+            0 if the request is admitted or its client has disconnected, else the time after which to retry, in
+            microseconds.
         """
         admission = self.services.admission
         arrival = admission.arrival(tenant, remaining_us)
@@ -183,7 +185,7 @@
 
 
 def identify_tenant(table: RoutingTable, route: Route, request: Request) -> Tenant | None:
-    """The tenant whose key a request carries, NO_TENANT where none is needed; None: the key is unknown."""
+    """Returns the tenant of the request's API key, NO_TENANT where no key is needed, or None for an unknown key."""
     if table.tenants_by_key is None:
         return NO_TENANT
     tenant = table.tenants_by_key.get(request.key)
@@ -193,6 +195,6 @@
 
 
 def answer_deadline_us(client: ClientConnection, request: Request, route: Route) -> int:
-    """Until when the answer to a request must be decided: the client's time or the route's, whichever ends first."""
+    """Returns when the response must be determined: by the client's or the route's time-out, whichever is shorter."""
     timeout_us = route.timeout_us if request.wait_us is None else min(request.wait_us, route.timeout_us)
     return client.since_us + timeout_us - ANSWER_MARGIN_US
--- a/stoneyoke/gateway/request_head.py
+++ b/stoneyoke/gateway/request_head.py
@@ -1,4 +1,4 @@
-"""The head of a client's request, and the heads that go on to a backend and back to the client. No I/O.
+"""Parses the head of a client's request, and builds the request head for a backend and the client's headers. No I/O.
 
 Source: PROTOCOL, Requests.
 """
@@ -22,7 +22,7 @@
         b"proxy-authenticate",
     )
 )
-# The API key, and headers that only this system sets: never passed on as the client sent them.
+# The API key, and headers that only this system sets: they are never forwarded as the client sent them.
 NEVER_FORWARDED = frozenset((b"api-key", b"tenant", b"expect-instance", b"deadline-ms"))
 SINGLE_VALUED = frozenset((b"host", b"attempt-id", b"deadline-ms", b"api-key"))
 VISIBLE_TOKEN = re.compile(rb"[!-~]{1,255}").fullmatch
@@ -33,23 +33,23 @@
 
 
 class Request:
-    """What a request's head says, read strictly.
+    """The head of a client's request, parsed strictly.
 
     Attributes:
         host: The host in lower case, without its port.
-        id: The attempt id, which the answer repeats.
+        id: The attempt id, which the response repeats.
         key: The API key; empty if there is none.
         path: The path of the target, without its query.
-        wait_us: How long the client waits, in microseconds; None if it doesn't say.
+        wait_us: How long the client waits for a response, in microseconds; None if the request has no Deadline-Ms.
     """
 
     __slots__ = ("host", "id", "key", "path", "wait_us")
 
     def __init__(self, message: Message) -> None:
-        """Reads a request's head.
+        """Parses a request's head.
 
         Raises:
-            MalformedMessage: A field is missing, comes twice or can't be read.
+            MalformedMessage: A header is missing, repeated or invalid, or the method is HEAD.
         """
         if message.repeated and (repeated := message.repeated & SINGLE_VALUED):
             raise MalformedMessage(f"{min(repeated).decode()} comes twice")
@@ -75,15 +75,15 @@
 
 
 def upstream_request_head(message: Message, instance: str, tenant: str, wait_us: int) -> list[bytes]:
-    """Builds the head of an attempt at a backend, in pieces.
+    """Builds the request head of an attempt at a backend, in pieces.
 
-    Headers of one connection and those that only this system sets are left out; its own are added.
+    Hop-by-hop headers and headers that only this system sets are removed; this gateway's own headers are added.
 
     Args:
         message: The client's request.
-        instance: The instance that is meant. Another one that answers at the address refuses the request.
+        instance: The instance that the attempt is meant for. A different instance at the address rejects the request.
         tenant: The tenant's label; empty if there is none.
-        wait_us: How long this gateway waits for the answer, in microseconds.
+        wait_us: How long this gateway waits for the response, in microseconds.
     """
     connection_headers = {name.strip().lower() for name in message.headers.get(b"connection", b"").split(b",")}
     lines = [message.method, b" ", message.target, b" HTTP/1.1\r\n"]
@@ -104,7 +104,7 @@
 
 
 def client_answer_headers(answer: Message) -> bytes:
-    """The headers of a backend's answer that go to the client. Whoever writes the answer adds its length."""
+    """Returns the headers of a backend's response for the client. The writer of the response adds Content-Length."""
     connection_headers = {name.strip().lower() for name in answer.headers.get(b"connection", b"").split(b",")}
     return b"".join(
         b"%s: %s\r\n" % (name, value)
--- a/stoneyoke/gateway/routes.py
+++ b/stoneyoke/gateway/routes.py
@@ -1,4 +1,4 @@
-"""Routes and API keys of one configuration, as an immutable table that is replaced as a whole. No I/O."""
+"""The routes and API keys of one configuration, in an immutable table that is replaced as a whole. No I/O."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -12,13 +12,13 @@
     """One route of a host.
 
     Attributes:
-        label: The operator's name for it.
-        is_idempotent: Its requests may run more than once.
-        timeout_us: The longest time for an answer, in microseconds.
-        target_us: The time that an answer should take, in microseconds.
-        rank: The operator's priority; 0 comes first.
+        label: The operator's name for the route.
+        is_idempotent: Whether its requests may run more than once.
+        timeout_us: The maximum response time, in microseconds.
+        target_us: The operator's target for the response time, in microseconds.
+        rank: The operator's priority; 0 is the highest.
         attempts_max: The most attempts at backends for one request.
-        is_public: Its requests need no key.
+        is_public: Whether its requests need no API key.
         cumulative_weights: Its services, each with the running sum of the weights up to it; the last sum is 1.
     """
 
@@ -32,7 +32,7 @@
     cumulative_weights: tuple[tuple[str, float], ...]
 
     def choose_service(self, point: float) -> str:
-        """The service whose part of the weights holds a point from 0 to 1."""
+        """Returns the service whose interval of the cumulative weights contains a point from 0 to 1."""
         last_service = self.cumulative_weights[-1][0]
         return next((service for service, upper in self.cumulative_weights if point < upper), last_service)
 
@@ -42,10 +42,10 @@
     """One tenant's quota.
 
     Attributes:
-        label: The operator's name for it.
-        rank: The operator's priority; 0 comes first.
-        rate_per_s: Requests a second; 0: not limited.
-        burst: The most requests at once.
+        label: The operator's name for the tenant.
+        rank: The operator's priority; 0 is the highest.
+        rate_per_s: The rate limit in requests per second; 0: no limit.
+        burst: The burst size of the rate limit, in requests.
     """
 
     label: str
@@ -56,19 +56,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """What one version of the configuration allows.
+    """The routes, tenants and limits of one version of the configuration.
 
     Attributes:
         version: The configuration's version.
         hosts: The routes of each host with their path prefixes, the longest prefix first.
-        tenants_by_key: The tenant of each API key; None where requests carry no keys.
+        tenants_by_key: The tenant of each API key; None if the configuration has no tenants and requests need no key.
         tenants: All tenants.
-        max_connections: For each service, the connections that one backend takes from all callers.
+        max_connections: For each service, the connections that one backend accepts from all callers.
         health_paths: For each service, the path of its health check.
-        head_max_bytes: The longest head of a request.
-        body_max_bytes: The longest body of a request.
-        head_timeout_us: The time within which a head must have come, in microseconds.
-        idle_timeout_us: How long a connection may be idle, in microseconds.
+        head_max_bytes: The maximum size of a request's head.
+        body_max_bytes: The maximum size of a request's body.
+        head_timeout_us: The time within which a request's head must be received, in microseconds.
+        idle_timeout_us: The time after which an idle connection is closed, in microseconds.
     """
 
     version: Version
@@ -83,7 +83,7 @@
     idle_timeout_us: int
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix of the path among those of a host; None if there is none."""
+        """Returns the host's route with the longest prefix that matches the path; None if no route matches."""
         for prefix, route in self.hosts.get(host, ()):
             if path.startswith(prefix):
                 return route
@@ -91,7 +91,7 @@
 
 
 def build_routing_table(configuration: Configuration) -> RoutingTable:
-    """Builds the table of a configuration that was checked."""
+    """Builds the routing table of a validated configuration."""
     limits, services = configuration.limits, configuration.services
     tenants, tenants_by_key = read_tenants(configuration)
     return RoutingTable(
@@ -109,7 +109,7 @@
 
 
 def read_hosts(configuration: Configuration) -> dict[str, tuple[tuple[str, Route], ...]]:
-    """The routes of each host, the longest prefix first."""
+    """Returns the routes of each host, the longest prefix first."""
     hosts: dict[str, list[tuple[str, Route]]] = {}
     for host, settings in configuration.routes():
         hosts.setdefault(host, []).append((settings["path_prefix"], read_route(settings)))
@@ -117,7 +117,7 @@
 
 
 def read_route(settings: RouteSettings) -> Route:
-    """One route out of its settings."""
+    """Converts the settings of one route."""
     return Route(
         label=settings["label"],
         is_idempotent=settings["route_kind"] == "pure",
@@ -131,7 +131,7 @@
 
 
 def cumulative_weights(targets: Sequence[tuple[str, float]]) -> tuple[tuple[str, float], ...]:
-    """Services with the running sum of their weights, as parts of the whole. A service of no weight is left out."""
+    """Returns services with the running sum of their normalized weights. Services of weight 0 are omitted."""
     total = sum(weight for _, weight in targets)
     cumulative, upper = [], 0.0
     for service, weight in targets:
@@ -142,7 +142,7 @@
 
 
 def read_tenants(configuration: Configuration) -> tuple[tuple[Tenant, ...], dict[str, Tenant] | None]:
-    """All tenants, and the tenant of each key; None in place of the keys where requests carry none."""
+    """Returns all tenants and the tenant of each API key; the latter is None if requests carry no keys."""
     if configuration.tenants is None:
         return (), None
     tenants, tenants_by_key = [], {}
@@ -154,5 +154,5 @@
 
 
 def microseconds(seconds: float) -> int:
-    """A time in whole microseconds."""
+    """Converts seconds to whole microseconds, rounded towards 0."""
     return int(seconds * 1_000_000)
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -1,6 +1,6 @@
-"""The services behind a gateway: one decision logic for each, over one pool of connections.
+"""The services behind a gateway: each service has its own decision logic, and all share one connection pool.
 
-What controllers report of instances and gateways is handed on to every decision logic as its own events.
+Changes of instances and gateways that controllers report are passed to every decision logic as events.
 """
 
 from dataclasses import dataclass
@@ -27,29 +27,33 @@
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.runtime import Runtime
 
-WARM_UP_US = 3_000_000  # an instance reports how much longer it warms up; all are taken to need this in all
-# Operators' latency targets are three to four times the work. The decisions hold a service's mean time at a third of
-# the soft deadline, so the target itself as soft deadline would leave the work alone. With factor 1 a third of one
-# zone's requests was refused on a calm day (journal 61a76ece).
+# An instance reports only its remaining warm-up time. Its start is computed as if every instance warms up this long.
+WARM_UP_US = 3_000_000
+# An operator's latency target is three to four times the processing time of a request. The decision logic limits
+# concurrency so that a service's mean response time stays at a third of the soft deadline. With the target itself as
+# the soft deadline, that third would be the bare processing time, with no room for queueing: a trial with factor 1
+# rejected a third of one zone's requests on a day without faults (journal 61a76ece).
 SOFT_DEADLINE_FACTOR = 2
-RANKS_MAX = 8  # of tenants and routes; all beyond weigh the same
-# Of the system's slack for retries. The rest covers gateways that count each other differently, and restarts.
+RANKS_MAX = 8  # ranks of tenants and routes that differ in weight; all higher ranks weigh the same
+# Fraction of the system's slack for retries that the gateways use. The rest covers restarts, and gateways that disagree
+# on the number of gateways.
 RETRY_BUDGET_FRACTION = 0.5
-ATTEMPTS_MAX = 1000  # each route sets its own
+ATTEMPTS_MAX = 1000  # upper bound for all routes; each route sets its own, lower limit
 MISDIRECTED_REQUEST = 421
 
 
 class Upstream:
-    """A service as this gateway serves it.
+    """A service to which this gateway forwards requests.
 
     Attributes:
-        service: The operator's name for it.
-        runtime: Its decision logic.
-        methods: The number of each kind of route that was asked for. A process sees few kinds.
+        service: The operator's name for the service.
+        runtime: Runs the service's decision logic.
+        methods: The index of the decision logic's method for each kind of route that was requested. It is never
+            pruned: a process sees few kinds.
     """
 
     def __init__(self, service: str, parameters: GatewayParameters, clock: Clock, metrics: Metrics) -> None:
-        """Starts the decision logic of a service, without instances."""
+        """Creates the decision logic of a service, without instances."""
         self.service = service
         self.runtime = Runtime(parameters, clock, metrics)
         self.methods: dict[tuple[bool, int, int, int], int] = {}
@@ -57,13 +61,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UpstreamSettings:
-    """What the decisions of every service share.
+    """Settings that the decision logics of all services share.
 
     Attributes:
-        zones: All zones by name; their order gives their numbers.
+        zones: The names of all zones. A zone's position is its index.
         zone: This gateway's zone.
-        seed: The seed of the decisions.
-        bounds: The figures of the service's rules.
+        seed: The random seed of the decision logics.
+        bounds: The operators' bounds on retries, quotas and times.
     """
 
     zones: tuple[str, ...]
@@ -73,14 +77,14 @@
 
 
 class Upstreams:
-    """All services that were asked for or have instances.
+    """All services that were requested or have instances.
 
     Attributes:
         upstreams: The services by name.
-        indices: The number of each instance, as the decisions and the connection pool have it.
-        instances: The instances that are listed, by that number.
-        fleet: How many gateways share the retry budget.
-        directory_revision: The revision of the instance directory that the services have.
+        indices: The index of each instance, by which the decision logics and the connection pool identify it.
+        instances: The instances in the directory, by index.
+        fleet: The number of gateways that share the retry budget, and this gateway's index.
+        directory_revision: The revision of the instance directory that the services were last updated to.
     """
 
     def __init__(
@@ -96,9 +100,9 @@
         Args:
             clock: The process's clock.
             metrics: The process's counters.
-            backends: The connections to backends; asks here whether a backend takes new work.
+            backends: The connections to backends. It calls `accepts_work` before it sends a request.
             instance_directory: The instances that controllers have reported.
-            settings: What the decisions of every service share.
+            settings: Settings that the decision logics of all services share.
         """
         self.clock, self.metrics, self.backends, self.instance_directory = clock, metrics, backends, instance_directory
         self.zones, self.zone, self.seed = list(settings.zones), settings.zone, settings.seed
@@ -110,20 +114,20 @@
         self.backends.accepts_new_work = self.accepts_work
 
     def accepts_work(self, backend: int) -> bool:
-        """Whether an instance may be sent new requests, by what is known now."""
+        """Whether new requests may be sent to an instance: it is listed, and neither draining nor gone."""
         known = self.instances.get(backend)
         if known is None or known.row.phase == Phase.DRAINING:
             return False
         return known.row.instance not in self.instance_directory.gone_at
 
     def zone_of(self, name: str) -> int:
-        """A zone's number; a new zone gets the next one."""
+        """Returns the index of a zone; an unknown zone is appended."""
         if name not in self.zones:
             self.zones.append(name)
         return self.zones.index(name)
 
     def parameters(self, methods: tuple[Method, ...]) -> GatewayParameters:
-        """The parameters of a service's decisions, with this gateway's part of the retry budget."""
+        """Returns the parameters of a service's decision logic, with this gateway's part of the retry budget."""
         ratio, window = self.bounds.retry_ratio, self.bounds.retry_window_s
         slack = self.bounds.retry_slack_attempts * RETRY_BUDGET_FRACTION / self.fleet.size
         return GatewayParameters(
@@ -154,7 +158,7 @@
         )
 
     def get(self, service: str) -> Upstream:
-        """The service of this name; made at its first request or instance."""
+        """Returns the service of this name, which is created at its first request or instance."""
         upstream = self.upstreams.get(service)
         if upstream is None:
             first = (
@@ -173,7 +177,7 @@
         return upstream
 
     def method_number(self, upstream: Upstream, route: Route) -> int:
-        """The number by which the decisions of a service know requests of this kind of route."""
+        """Returns the index of the decision logic's method for this kind of route; a new kind adds a method."""
         kind = (
             route.is_idempotent,
             route.target_us,
@@ -197,7 +201,7 @@
         return number
 
     def set_fleet(self, fleet: GatewayFleet) -> None:
-        """Tells every service how many gateways there are, if that has changed."""
+        """Updates the retry budget of every service if the number of gateways or this gateway's index has changed."""
         if fleet != self.fleet:
             self.fleet = fleet
             for upstream in self.upstreams.values():
@@ -206,7 +210,7 @@
                 )
 
     def refresh(self) -> None:
-        """Tells every service of its instances, if anything has changed in the directory."""
+        """Passes the instances to every service if the directory has changed."""
         if self.directory_revision == self.instance_directory.revision:
             return
         self.directory_revision = self.instance_directory.revision
@@ -218,7 +222,7 @@
             self.send_endpoints(upstream)
 
     def update_instances(self) -> None:
-        """Numbers the instances of the directory and sets their addresses."""
+        """Assigns an index to each instance of the directory and sets its address in the connection pool."""
         self.instances = {}
         for known in self.instance_directory.instances.values():
             index = self.indices.acquire(known.row.instance)
@@ -227,7 +231,7 @@
             self.backends.set_address(index, (host, int(port)))
 
     def release_unlisted(self) -> None:
-        """Closes connections to instances that are listed no more; frees their numbers once no service uses them."""
+        """Closes connections to instances that left the directory, and frees each index once no service uses it."""
         for index in list(self.indices.index_by_id.values()):
             if index not in self.instances:
                 self.backends.remove(index)
@@ -235,7 +239,7 @@
                     self.indices.release(index)
 
     def send_endpoints(self, upstream: Upstream) -> None:
-        """Tells one service of its instances, and of those that no controller hears."""
+        """Passes its instances to a service, and marks as ejected those that no reachable controller hears from."""
         now = self.clock.now()
         entries = [
             self.endpoint(index, known, now)
@@ -248,7 +252,7 @@
         upstream.runtime.dispatch(PeerEvidence(ejected_backends, frozenset()))
 
     def endpoint(self, index: int, known: KnownInstance, now: int) -> Endpoint:
-        """An instance in the terms of the decisions."""
+        """Converts an instance to an endpoint of the decision logic."""
         warm_up_left_us = int(known.warm_at * 1_000_000 - now)
         started_us = now + warm_up_left_us - WARM_UP_US if warm_up_left_us > 0 else 0
         state = BackendState.DRAINING if known.row.phase == Phase.DRAINING else BackendState.READY
@@ -256,10 +260,10 @@
 
 
 def classify_response(answer: Message | None) -> AttemptOutcome:
-    """What a backend's answer tells of its attempt; None: the connection ended without one.
+    """Returns the outcome of an attempt from the backend's response; None: the connection ended without a response.
 
-    Only Not-Run and 421 prove that the request has not run. A success without its stamp, with two of them, or with
-    Not-Run is none.
+    Only the Not-Run header and status 421 prove that the backend did not run the request. A 2xx response counts as
+    BROKEN if it has no Server-Stamp, more than one, or a Not-Run header.
 
     Source: PROTOCOL, Answers and Backends.
     """
@@ -271,6 +275,6 @@
         return AttemptOutcome.OK if has_one_stamp and not says_not_run else AttemptOutcome.BROKEN
     if says_not_run or answer.status == MISDIRECTED_REQUEST:
         return AttemptOutcome.REJECTED
-    if answer.status in (408, 429, 503):  # they promise that it has not run, which only Not-Run proves
+    if answer.status in (408, 429, 503):  # by their definition it did not run, but only Not-Run proves that
         return AttemptOutcome.BROKEN
     return AttemptOutcome.ERROR if answer.status >= 500 else AttemptOutcome.OK
