--- a/stoneyoke/gateway/config_sync.py
+++ b/stoneyoke/gateway/config_sync.py
@@ -95,7 +95,7 @@
         """
         answer = await self.peer_clients[name].call(self.pull_request(name), CALL_TIMEOUT_S + LONG_POLL_MS / 1000)
         if not isinstance(answer, PullResponse):
-            raise PeerUnreachable("an answer of another kind")
+            raise PeerUnreachable(f"{name}: expected a PullResponse, got a {type(answer).__name__}")
         self.instance_directory.apply_pull(name, answer, self.environment.clock())
         self.follow_controllers()
         if Version(*answer.version) > self.version:
@@ -138,7 +138,7 @@
             except PeerUnreachable:
                 answer = await self.peer_clients[name].call(FetchRequest(), FETCH_RETRY_TIMEOUT_S)
         if not isinstance(answer, FetchResponse):
-            raise PeerUnreachable("an answer of another kind")
+            raise PeerUnreachable(f"{name}: expected a FetchResponse, got a {type(answer).__name__}")
         self.install(name, answer)
 
     def install(self, name: str, answer: FetchResponse) -> None:
--- a/stoneyoke/transport/__init__.py
+++ b/stoneyoke/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Connections, messages and their codec between the system's own processes: controllers and gateways."""
+"""The protocol between controllers and gateways: connections, messages and their codec."""
--- a/stoneyoke/transport/errors.py
+++ b/stoneyoke/transport/errors.py
@@ -6,11 +6,11 @@
 
 
 class MalformedMessage(TransportError):
-    """Bytes that are not a message of this system, or a message that is not expected where it came."""
+    """The bytes are not a valid message of this protocol, or the message is not expected at this point."""
 
 
 class PeerUnreachable(TransportError):
-    """A call without a valid response in time; the text names the peer and the cause.
+    """A call had no valid response in time; the text names the peer and the cause.
 
-    Whether the peer has processed the call is not known.
+    The peer may or may not have processed the call.
     """
--- a/stoneyoke/transport/messages/__init__.py
+++ b/stoneyoke/transport/messages/__init__.py
@@ -1,8 +1,8 @@
-"""The messages between the system's own processes, and the codec that turns them into frames. No I/O.
+"""The messages between the system's own processes, and the codec that encodes them as frames. No I/O.
 
-Each message is a keyword-only frozen dataclass; the rows inside a message are named tuples, which msgpack packs as
-arrays at no cost. The order of the fields in a class is their order on the wire: a field is only ever appended, and
-only together with a new `FORMAT_VERSION`.
+Each message is a keyword-only frozen dataclass. The rows in a message are named tuples, which msgpack packs as arrays
+without a conversion. The order of the fields in a class is their order on the wire, so a new field must be appended,
+together with a new `FORMAT_VERSION`.
 """
 
 from stoneyoke.transport.errors import MalformedMessage
--- a/stoneyoke/transport/messages/codec.py
+++ b/stoneyoke/transport/messages/codec.py
@@ -1,7 +1,7 @@
-"""Packs messages into frames and unpacks them.
+"""Encodes messages as frames and decodes them.
 
-A frame is four bytes of length and a msgpack array: the message's tag, the number of the call, the message's fields in
-the order of its class. Rows are arrays in their fields' order. Anything else raises MalformedMessage.
+A frame is a length of four bytes and a msgpack array: the message's tag, the call number, and the message's fields in
+the order of its class. Rows are arrays of their fields in order. Any other input raises MalformedMessage.
 """
 
 from collections.abc import Callable
@@ -29,14 +29,14 @@
 from stoneyoke.transport.messages.pull import FetchRequest, FetchResponse, PullRequest, PullResponse
 from stoneyoke.transport.messages.quota import QuotaRequest, QuotaResponse
 
-# Of the tags and of each message's fields. It is not on the wire: all processes of a system speak the same version.
+# The version of the tags and of each message's fields. It is not sent: all processes of a system use the same version.
 FORMAT_VERSION = 1
 LENGTH_BYTES = 4
 FRAME_BYTES_MAX = 1 << 26
 FLOAT_LIMIT = 1e15
 INT_LIMIT = 1 << 62
 
-# A message's tag is its place here: new kinds are appended.
+# A message's tag is its index here, so new kinds must be appended.
 KINDS: tuple[type, ...] = (
     PullRequest,
     PullResponse,
@@ -83,7 +83,7 @@
     | QuotaRequest
     | QuotaResponse
 )
-# The response to each request; a caller takes no other kind. A kind that is not a key is a response itself.
+# The response to each request; a caller accepts no other kind. A kind that is not a key is itself a response.
 RESPONSES: dict[type, type] = {
     PullRequest: PullResponse,
     FetchRequest: FetchResponse,
@@ -102,7 +102,7 @@
 
 
 def pack(call_number: int, message: Message) -> bytes:
-    """A frame with this message."""
+    """Encodes a message as a frame."""
     kind = type(message)
     body: bytes = msgpack.packb(
         [TAGS[kind], call_number, *(getattr(message, name) for name, _ in FIELD_DECODERS[kind])]
@@ -111,38 +111,38 @@
 
 
 def unpack(body: bytes) -> tuple[int, Message]:
-    """The call number and the message of a frame without its length.
+    """Decodes a frame without its length, and returns the call number and the message.
 
     Raises:
-        MalformedMessage: The bytes are no msgpack, or no message of this format.
+        MalformedMessage: The bytes are not msgpack, or not a message of this format.
     """
     try:
         parts = msgpack.unpackb(body, use_list=False, strict_map_key=True, max_ext_len=0)
-    except Exception as error:  # msgpack raises a dozen types of its own, and ValueError besides
-        raise MalformedMessage(f"no msgpack: {error}"[:100]) from error
+    except Exception as error:  # msgpack raises a dozen exception types of its own, and ValueError
+        raise MalformedMessage(f"invalid msgpack: {error}"[:100]) from error
     if not isinstance(parts, tuple) or len(parts) < 2 or not all(type(one) is int for one in parts[:2]):
-        raise MalformedMessage("no frame of this system")
+        raise MalformedMessage("a frame does not begin with a tag and a call number")
     tag, call_number, *values = parts
     if not 0 <= tag < len(KINDS) or not 0 <= call_number < INT_LIMIT:
-        raise MalformedMessage(f"a message of unknown kind {tag}, call {call_number}")
+        raise MalformedMessage(f"unknown message tag {tag} or invalid call number {call_number}")
     kind = KINDS[tag]
     decoders = FIELD_DECODERS[kind]
     if len(values) != len(decoders):
-        raise MalformedMessage(f"a {kind.__name__} with {len(values)} fields")
+        raise MalformedMessage(f"a {kind.__name__} has {len(values)} fields, expected {len(decoders)}")
     decoded = zip(decoders, values, strict=True)
     message: Message = kind(**{name: decode(value) for (name, decode), value in decoded})
     return call_number, message
 
 
 def decoder_of(expected: Any, kind: type) -> Decoder:
-    """A function that checks and returns an unpacked value.
+    """Builds the decoder of a field's type.
 
     Args:
         expected: str, bytes, bool, int, float, a named tuple of these, or a list of one of these.
-        kind: The message that the value belongs to, for the error's text.
+        kind: The message type that contains the field, for error messages.
 
     Returns:
-        A function of the value that raises MalformedMessage if it is not of the expected type.
+        A function that returns an unpacked value, or raises MalformedMessage if it is not of the expected type.
     """
     if isinstance(expected, GenericAlias):
         return list_decoder(decoder_of(get_args(expected)[0], kind), kind)
@@ -156,32 +156,32 @@
 
 
 def list_decoder(decode_item: Decoder, kind: type) -> Decoder:
-    """A decoder of a list whose items are all decoded by `decode_item`."""
+    """Builds the decoder of a list whose items are decoded by `decode_item`."""
 
     def decode(value: Any) -> Any:
         if type(value) is not tuple:
-            raise MalformedMessage(f"a {kind.__name__} without its list")
+            raise MalformedMessage(f"a {kind.__name__} has a value that is not a list where a list is expected")
         return [decode_item(item) for item in value]
 
     return decode
 
 
 def row_decoder(row_type: Any, kind: type) -> Decoder:
-    """A decoder of a named tuple."""
+    """Builds the decoder of a named tuple."""
     decoders = tuple(decoder_of(expected, kind) for expected in row_type.__annotations__.values())
     make = row_type._make
     length = len(decoders)
 
     def decode(value: Any) -> Any:
         if type(value) is not tuple or len(value) != length:
-            raise MalformedMessage(f"a {kind.__name__} without its {row_type.__name__}")
+            raise MalformedMessage(f"a {kind.__name__} has an invalid {row_type.__name__}")
         return make([decode_field(item) for decode_field, item in zip(decoders, value, strict=True)])
 
     return decode
 
 
 def float_decoder(kind: type) -> Decoder:
-    """A decoder of a bounded number; msgpack peers may send a whole one as an integer."""
+    """Builds the decoder of a float below FLOAT_LIMIT; a msgpack peer may send a whole number as an integer."""
 
     def decode(value: Any) -> float:
         if type(value) is int:
@@ -194,7 +194,7 @@
 
 
 def int_decoder(kind: type) -> Decoder:
-    """A decoder of a bounded integer; a bool is none."""
+    """Builds the decoder of an integer below INT_LIMIT; a bool is rejected."""
 
     def decode(value: Any) -> int:
         if type(value) is not int or not -INT_LIMIT < value < INT_LIMIT:
@@ -205,7 +205,7 @@
 
 
 def exact_decoder(expected: type, kind: type) -> Decoder:
-    """A decoder of a value of exactly one type."""
+    """Builds the decoder of a value of exactly one type."""
 
     def decode(value: Any) -> Any:
         if type(value) is not expected:
@@ -216,12 +216,12 @@
 
 
 def wrong_type(kind: type, value: Any, expected: type) -> MalformedMessage:
-    """The error for a value that does not fit its field."""
-    return MalformedMessage(f"a {kind.__name__} with {str(value)[:40]!r} where {expected.__name__} belongs")
+    """Builds the error for a value of the wrong type or out of range."""
+    return MalformedMessage(f"a {kind.__name__} has {str(value)[:40]!r} where a valid {expected.__name__} is expected")
 
 
 def field_decoders(kind: type) -> tuple[tuple[str, Decoder], ...]:
-    """Name and decoder of each field of a message, in the order on the wire."""
+    """Returns the name and the decoder of each field of a message, in the order on the wire."""
     return tuple((field.name, decoder_of(field.type, kind)) for field in fields(kind))
 
 
--- a/stoneyoke/transport/messages/consensus.py
+++ b/stoneyoke/transport/messages/consensus.py
@@ -1,4 +1,4 @@
-"""Messages of the replicated register: a proposer's two phases, reads, and what is known to be chosen."""
+"""Messages of the replicated register: a proposer's two phases, reads, and notices of chosen values."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -42,8 +42,8 @@
 class PrepareRequest:
     """Phase 1: asks an acceptor to promise a ballot.
 
-    `known_ballot` is the ballot of a value that the proposer already has with its text; the acceptor then leaves the
-    text out.
+    `known_ballot` is the ballot of a value that the proposer already has with its text. The acceptor omits the text of
+    that value.
     """
 
     ballot: BallotRow
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PrepareResponse:
-    """An acceptor's promise, or its refusal with the higher ballot that it has promised.
+    """An acceptor's promise, or its rejection with the higher ballot that it has promised.
 
     `accepted` is the value accepted under `accepted_ballot`; both are empty unless `has_accepted`.
     """
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AcceptRequest:
-    """Phase 2: asks an acceptor to accept a value. The acceptor stores it on disk before it answers."""
+    """Phase 2: asks an acceptor to accept a value. The acceptor stores the value on disk before it responds."""
 
     ballot: BallotRow
     value: ValueRow
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChosenNotice:
-    """Tells a controller that the value under a ballot is chosen; `address` is a controller that has the value."""
+    """Notifies a controller that the value under a ballot is chosen; `address` is a controller that has the value."""
 
     address: str
     ballot: BallotRow
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ValueResponse:
-    """A value with its text deflated; `chosen` says that the sender knows it to be chosen."""
+    """A value with its text deflated. `chosen`: the sender knows that the value is chosen."""
 
     found: bool
     chosen: bool
--- a/stoneyoke/transport/messages/instances.py
+++ b/stoneyoke/transport/messages/instances.py
@@ -1,14 +1,15 @@
-"""Messages by which controllers pass on the heartbeats of backend instances."""
+"""Messages by which controllers forward the heartbeats of backend instances to each other."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
 
 class InstanceRow(NamedTuple):
-    """A backend instance as one controller knows it.
+    """The state of a backend instance at one controller.
 
-    `phase` is a value of `instance_registry.Phase`. `call_seq` rises with each call of the instance, so of two rows
-    the one with the higher number is newer. `warmup_left_s` counts from when the row was sent.
+    `phase` is a value of `instance_registry.Phase`. `call_seq` increases with each call of the instance, so of two rows
+    the one with the higher number is newer. `warmup_left_s` is the remaining warm-up time, in seconds from when the row
+    was sent.
     """
 
     instance: str
@@ -31,23 +32,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstanceUpdate:
-    """Instances whose heartbeats changed what the sending controller knew of them."""
+    """Instances whose heartbeats changed their state at the sending controller."""
 
     instances: list[InstanceRow]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstanceRefresh:
-    """Heartbeats that changed nothing but the call numbers: a fifth of the bytes of full rows."""
+    """Heartbeats that changed nothing but the call numbers. They take a fifth of the bytes of full rows."""
 
     heartbeats: list[HeartbeatRow]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstanceUpdateResponse:
-    """Whether the receiver now has what an update or a refresh brought.
+    """Whether the receiver has applied an update or a refresh.
 
-    It refuses while the message may have waited for its process to be resumed, since it may then be stale.
+    The receiver rejects a message that may have waited while the receiver's process was suspended, because the message
+    may be stale.
     """
 
     accepted: bool = True
--- a/stoneyoke/transport/messages/lease.py
+++ b/stoneyoke/transport/messages/lease.py
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseRequest:
-    """Asks a voter to grant or renew a lease for `ttl_ms`; 0 releases it.
+    """Asks a voter to grant or renew a lease for `ttl_ms` milliseconds; 0 releases the lease.
 
-    `round_number` rises with each of the holder's rounds, so that a late message can't undo a newer one.
-    `voter_set_number` names the voter set that is asked.
+    `round_number` increases with each of the holder's rounds, so that a late message can't undo a newer one.
+    `voter_set_number` is the number of the voter set that is asked.
     """
 
     lease_name: str
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseResponse:
-    """Whether the voter has granted the lease to the asker, and who holds it by its word.
+    """Whether the voter has granted the lease to the caller, and the holder according to this voter.
 
-    `voter_set_number` names the voter set for which the voter grants.
+    `voter_set_number` is the number of the voter set for which the voter grants the lease.
     """
 
     ok: bool
--- a/stoneyoke/transport/messages/pull.py
+++ b/stoneyoke/transport/messages/pull.py
@@ -1,4 +1,4 @@
-"""Messages by which gateways and controllers follow a controller's state, and fetch the configuration."""
+"""Messages by which gateways and controllers pull a controller's state and fetch the configuration."""
 
 from dataclasses import dataclass
 
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PullRequest:
-    """Asks a controller for what has changed since (`incarnation`, `seq`) of that controller.
+    """Asks a controller for its changes since (`incarnation`, `seq`) of that controller.
 
     Attributes:
-        name: Name of the asking process.
-        ip: Its address.
+        name: Name of the caller's process.
+        ip: The caller's IP address.
         kind: `GATEWAY_KIND` or `CONTROLLER_KIND`.
-        zone: Its zone.
-        incarnation: Incarnation of the asked controller that the asker knows; empty for none.
-        seq: Sequence number of that incarnation up to which the asker has its changes.
-        version: Version of the configuration in force at the asker.
-        ready: Whether the asking gateway takes traffic.
-        heartbeat: Whether the asked controller is one of those that watch the asker for failures.
-        wait_ms: How long the controller may hold the request while nothing has changed.
-        own_incarnation: Incarnation of the asking process.
-        membership_version: Version of the asked controller's membership that the asker has.
+        zone: The caller's zone.
+        incarnation: Incarnation of the controller that the caller knows; empty for none.
+        seq: Sequence number in that incarnation up to which the caller has the controller's changes.
+        version: Version of the configuration in force at the caller.
+        ready: Whether the caller, if it is a gateway, is ready for traffic.
+        heartbeat: Whether the controller is one of those that monitor the caller for failures.
+        wait_ms: How long the controller may delay the response while nothing has changed, in milliseconds.
+        own_incarnation: Incarnation of the caller's process.
+        membership_version: Version of the controller's membership that the caller has.
     """
 
     name: str
@@ -44,25 +44,25 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PullResponse:
-    """What a controller knows, as far as the asker lacks it.
+    """The part of a controller's state that the caller lacks.
 
     Attributes:
         incarnation: The controller's incarnation.
-        seq: Its sequence number, up to which `instances` has all changes.
+        seq: The controller's sequence number, up to which `instances` has all changes.
         complete: Whether `instances` holds all instances, not only those that have changed.
         instances: Instances that have changed since the request's `seq`.
         replica: The controller as a member of the register.
         view_ballot: Ballot of `view`.
         view: Newest value of the register that the controller knows, chosen or not, without its text.
         chosen_ballot: Ballot of the newest value that the controller knows to be chosen.
-        version: Version of that value's configuration: the one that may be put in force.
+        version: Version of that value's configuration, which may be put in force.
         instances_synced: Whether the controller knows every acknowledged drain (see `controlplane/startup_sync.py`).
-        lease_holder: Address of the holder of the quota lease; empty if not known.
-        leaving: Whether the controller was told to end.
-        zone: Its zone.
-        membership_version: Rises with each change of the controllers and gateways that the controller knows.
-        controllers: Their addresses; empty if the asker has this version of the membership.
-        gateways: Names of the gateways whose heartbeats the controller has heard; empty as above.
+        lease_holder: Address of the quota lease holder; empty if not known.
+        leaving: Whether the controller is shutting down.
+        zone: The controller's zone.
+        membership_version: Increases with each change of the controllers and gateways that the controller knows.
+        controllers: The addresses of these controllers; empty if the caller has this version of the membership.
+        gateways: Names of the gateways whose heartbeats the controller has received; empty in the same case.
     """
 
     incarnation: str
@@ -92,7 +92,8 @@
 class FetchResponse:
     """The newest chosen configuration.
 
-    `body` is the operator's text, deflated: gateways' links are thin, and all gateways fetch at once.
+    `body` is the operator's text, deflated, because gateways' links have little bandwidth and all gateways fetch at
+    once.
     """
 
     version: VersionRow
--- a/stoneyoke/transport/messages/quota.py
+++ b/stoneyoke/transport/messages/quota.py
@@ -1,17 +1,17 @@
-"""Messages by which gateways draw units of tenants' quotas from the holder of the quota lease."""
+"""Messages by which gateways request units of tenants' quotas from the quota lease holder."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
 
 class QuotaDemand(NamedTuple):
-    """What a gateway asks and reports for one tenant.
+    """A gateway's request and report for one tenant.
 
     Attributes:
         tenant: The tenant's label.
-        wanted_units: Units that the gateway asks for.
-        demand_units: Units that requests have asked for since the last message.
-        isolated_units: Units used, in all this incarnation, while no lease holder answered.
+        wanted_units: Units that the gateway requests.
+        demand_units: Units that clients' requests have needed since the last message.
+        isolated_units: Total units used by this incarnation while no lease holder responded.
         share: Share of the tenant's rate that the gateway holds, 0 to 1.
     """
 
@@ -23,14 +23,14 @@
 
 
 class QuotaGrant(NamedTuple):
-    """What the lease holder grants for one tenant.
+    """The lease holder's grant for one tenant.
 
     Attributes:
         tenant: The tenant's label.
         units: Units granted now.
-        wait_s: Time until a unit is there, if none was granted.
-        share: Share of the tenant's rate that the gateway may use while it hears no lease holder, 0 to 1.
-        reserve_units: Units of the tenant's bucket that it may use then, besides the share.
+        wait_s: Time until a unit is available if none was granted, in seconds.
+        share: Share of the tenant's rate that the gateway may use while no lease holder responds, 0 to 1.
+        reserve_units: Units of the tenant's bucket that the gateway may use then, in addition to the share.
     """
 
     tenant: str
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class QuotaRequest:
-    """A gateway's draw, for all its tenants at once.
+    """A gateway's request for units, for all its tenants at once.
 
     Attributes:
         name: Name of the gateway.
-        incarnation: Its incarnation.
-        since_answer_ms: Time since it last heard an answer.
-        complete: Whether `demands` has a row for each share that it holds.
-        demands: What it asks and reports, a row a tenant.
+        incarnation: Incarnation of the gateway's process.
+        since_answer_ms: Time since the gateway last received a response, in milliseconds.
+        complete: Whether `demands` has a row for each share that the gateway holds.
+        demands: The gateway's requests and reports, one row per tenant.
     """
 
     name: str
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class QuotaResponse:
-    """The grants, a row for each demand; not `ok` where the receiver does not hold the lease."""
+    """The grants, one row per demand; `ok` is false if the receiver of the request does not hold the lease."""
 
     ok: bool
     grants: list[QuotaGrant]
--- a/stoneyoke/transport/peer_client.py
+++ b/stoneyoke/transport/peer_client.py
@@ -1,4 +1,4 @@
-"""Calls to one peer, over a connection that is opened when it is needed and replaced after any fault."""
+"""Calls to one peer, over a connection that is opened on demand and replaced after any error."""
 
 import asyncio
 import itertools
@@ -12,13 +12,13 @@
 
 
 class PeerClient:
-    """The way to one peer. Any number of calls may be pending at once."""
+    """A client for calls to one peer. Any number of calls may be pending at once."""
 
     def __init__(self, address: tuple[str, int]) -> None:
-        """Connects nothing yet; `address` is host and port of the peer."""
+        """Opens no connection yet; `address` is the host and the port of the peer."""
         self.address = address
         self.call_numbers = itertools.count(1)
-        self.connection: PeerConnection | None = None  # the last one opened; it may be closed
+        self.connection: PeerConnection | None = None  # the last connection that was opened; it may be closed
         self.connecting: asyncio.Task[None] | None = None
 
     async def call(self, request: Message, timeout_s: float) -> Message:
@@ -26,13 +26,13 @@
 
         Args:
             request: A message that has a response.
-            timeout_s: Time for connecting, sending and the response together.
+            timeout_s: The total time for connecting, sending and receiving the response.
 
         Returns:
-            The peer's response, made after this call began.
+            The peer's response, which was created after this call began.
 
         Raises:
-            PeerUnreachable: No valid response came in time.
+            PeerUnreachable: No valid response was received in time.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
@@ -41,34 +41,34 @@
             async with asyncio.timeout_at(deadline):
                 connection = await self.open_connection()
                 response = await connection.call(request)
-            # A process that was suspended may find the response and the timer due in the same turn of the loop, and
-            # then runs the response first. Such a response is too old.
+            # After a suspension of this process, the response and the time-out can be due in the same turn of the event
+            # loop, and the response is then processed first. Such a response is stale.
             if loop.time() > deadline:
                 raise TimeoutError
             return response
         except TimeoutError as error:
             reason = f"no response in {timeout_s:.2f} s"
             if connection:
-                connection.close(reason)  # the other calls on it would fare no better
+                connection.close(reason)  # the other calls on it would time out too
             raise PeerUnreachable(f"{self.address[0]}: {reason}") from error
 
     async def open_connection(self) -> PeerConnection:
-        """The connection that is open, or a new one. All that need one at the same time wait for the same one.
+        """Returns the open connection, or opens one. Concurrent callers share one attempt to connect.
 
         Raises:
-            PeerUnreachable: The peer can't be connected to.
+            PeerUnreachable: The connection could not be opened.
         """
         if self.connection is None or self.connection.closed:
             if self.connecting is None or self.connecting.done():
                 self.connecting = asyncio.get_running_loop().create_task(self.connect())
-            # Shielded: one caller's time-out must not end the attempt that others wait for.
+            # Shielded: the time-out of one caller must not cancel the attempt to connect that others wait for.
             await asyncio.shield(self.connecting)
         if self.connection is None or self.connection.closed:
             raise PeerUnreachable(f"{self.address[0]}: no connection")
         return self.connection
 
     async def connect(self) -> None:
-        """Tries once to open a connection; a failure leaves the last one in place."""
+        """Tries once to open a connection; after a failure, `connection` is unchanged."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self.address)
--- a/stoneyoke/transport/peer_connection.py
+++ b/stoneyoke/transport/peer_connection.py
@@ -1,12 +1,12 @@
-"""The calling end of one connection: matches responses to pending calls.
+"""The client side of one connection: matches responses to pending calls.
 
-A call carries a number that rises from call to call; responses come back in any order. A response is accepted only for
-a call that is pending on the connection that it came on, only if it is of the kind that answers this request, and only
-within the call's time. A process that was suspended in the middle of a call thus accepts nothing from before.
+Each call has a number that increases from call to call; responses arrive in any order. A response is accepted only for
+a call that is pending on the same connection, only if its kind is the one for the request, and only before the call
+times out. So a process that was suspended during a call accepts no response from before the suspension.
 
-Any doubt closes the connection: a response to a number that is not pending, one of another kind, bytes that make no
-message, or a call without a response in time (a peer that is cut off sends nothing). All calls pending on it fail, and
-the next call opens a new connection.
+Any protocol violation or time-out closes the connection: a response to a number that is not pending, a response of the
+wrong kind, bytes that are not a message, or a call without a response in time (an unreachable peer sends nothing). All
+calls pending on the connection fail, and the next call opens a new connection.
 """
 
 import asyncio
@@ -21,17 +21,17 @@
 
 
 class PendingCall(NamedTuple):
-    """A call that waits for its response, and the kind of message that answers it."""
+    """A call that waits for its response, and the expected type of the response."""
 
     response_kind: type
     response: asyncio.Future[Message]
 
 
 class PeerConnection:
-    """One connection to a peer, from when it is established until its first fault.
+    """One connection to a peer, from when it is established until its first error.
 
-    A connection is open until `close` is called: by its reader when the stream ends or turns out malformed, by the
-    client when a call times out. A closed connection is never used again.
+    A connection is open until `close` is called: by its reader when the stream ends or contains a malformed message, or
+    by the client when a call times out. A closed connection is never used again.
     """
 
     def __init__(
@@ -41,24 +41,24 @@
 
         Args:
             host: The peer's address, for the errors' text.
-            call_numbers: Numbers for calls. They keep rising across the connections to one peer, so that a late
-                response to a call of an earlier connection never fits a call of this one.
+            call_numbers: Numbers for calls. They increase across all connections to a peer, so that a late response to
+                a call on an earlier connection never matches a call on this one.
             reader: The stream of responses.
             writer: The stream of calls.
         """
         self.host = host
         self.call_numbers = call_numbers
         self.writer = writer
-        self.pending: dict[int, PendingCall] = {}  # until the response, the caller's cancellation or the close
-        self.abandoned: set[int] = set()  # numbers of cancelled calls whose response has not come yet
+        self.pending: dict[int, PendingCall] = {}  # by number, until the response, a cancellation or `close`
+        self.abandoned: set[int] = set()  # numbers of cancelled calls whose response has not been received yet
         self.closed = False
         self.reader_task = asyncio.get_running_loop().create_task(self.read_responses(reader))
 
     async def call(self, request: Message) -> Message:
-        """Sends a request and waits for its response, without a limit of time.
+        """Sends a request and waits for its response, without a time-out.
 
         Raises:
-            PeerUnreachable: The connection was closed before the response came.
+            PeerUnreachable: The connection was closed before the response was received.
         """
         if self.writer.is_closing():
             self.close("closed")
@@ -71,18 +71,18 @@
             self.writer.write(pack(number, request))
             return await response
         finally:
-            # Still pending: the caller was cancelled. Its response may yet come and is then dropped, once.
+            # Still pending: the caller was cancelled. If its response is received later, it is dropped, but only once.
             if self.pending.pop(number, None):
                 self.abandon(number)
 
     def abandon(self, number: int) -> None:
-        """Notes a call whose caller no longer waits. A peer that answers none of them is not worth keeping."""
+        """Records a call whose caller was cancelled. Closes the connection if too many of these have no response."""
         self.abandoned.add(number)
         if len(self.abandoned) > ABANDONED_CALLS_MAX:
             self.close("too many calls without a response")
 
     async def read_responses(self, reader: asyncio.StreamReader) -> None:
-        """Runs until the connection is closed, by either end or by a fault."""
+        """Reads responses until the connection is closed by either end or fails."""
         reason = "closed"
         try:
             while not self.closed and (body := await read_frame(reader)) is not None:
@@ -93,26 +93,28 @@
             self.close(reason)
 
     def accept_response(self, number: int, response: Message) -> None:
-        """Gives a response to the caller that waits for it.
+        """Delivers a response to the caller that waits for it; drops the response to a cancelled call.
 
         Raises:
-            MalformedMessage: No call of this connection waits for this response.
+            MalformedMessage: No call on this connection waits for a response of this number and kind.
         """
         if number in self.abandoned:
             self.abandoned.discard(number)
             return
         call = self.pending.get(number)
         if call is None:
-            raise MalformedMessage(f"a response to call {number}, which is not pending")
+            raise MalformedMessage(f"response to call {number}, which is not pending")
         if type(response) is not call.response_kind:
-            raise MalformedMessage(f"a {type(response).__name__} where a {call.response_kind.__name__} is due")
+            raise MalformedMessage(
+                f"response to call {number} is a {type(response).__name__}, expected a {call.response_kind.__name__}"
+            )
         del self.pending[number]
-        # The caller may have been cancelled in this turn of the event loop, before `call` could abandon the number.
+        # The caller may have been cancelled in this turn of the event loop, before `call` could record that.
         if not call.response.cancelled():
             call.response.set_result(response)
 
     def close(self, reason: str) -> None:
-        """Closes the connection and fails all pending calls. What is still in its buffers is read by nobody."""
+        """Closes the connection and fails all pending calls. Data left in its buffers is discarded."""
         if self.closed:
             return
         self.closed = True
@@ -121,4 +123,5 @@
         for call in waiting.values():
             if not call.response.done():
                 call.response.set_exception(PeerUnreachable(f"{self.host}: {reason}"))
-                call.response.exception()  # marks it as retrieved: the caller may have been cancelled
+                # Marks the exception as retrieved: a cancelled caller doesn't, and asyncio would log an error.
+                call.response.exception()
--- a/stoneyoke/transport/peer_server.py
+++ b/stoneyoke/transport/peer_server.py
@@ -1,4 +1,4 @@
-"""The answering end of connections between the system's own processes."""
+"""The server side of connections between the system's own processes."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,67 +15,67 @@
 
 
 class PeerServer:
-    """Accepts connections of peers and answers their requests, each in a task of its own."""
+    """Accepts connections of peers and handles each of their requests in a separate task."""
 
     def __init__(self, handle_request: RequestHandler) -> None:
-        """Listens nowhere yet.
+        """Does not listen until `open`.
 
         Args:
             handle_request: Returns the response to a request, or None: then none is sent and the call times out.
         """
         self.handle_request = handle_request
         self.server: asyncio.Server
-        self.answering: set[asyncio.Task[None]] = set()  # kept until they are done
+        self.answering: set[asyncio.Task[None]] = set()  # keeps a reference to each task until it is done
 
     async def open(self, address: tuple[str, int]) -> None:
-        """Listens on this host and port. Raises OSError if they can't be used."""
+        """Listens on a host and port. Raises OSError if that is not possible."""
         self.server = await asyncio.start_server(self.serve_connection, *address, backlog=ACCEPT_BACKLOG)
 
     def bound_address(self) -> tuple[str, int]:
-        """Host and port on which it listens: the port is the kernel's choice where 0 was asked for."""
+        """Returns the host and port on which the server listens; if port 0 was opened, the kernel chose the port."""
         host, port = self.server.sockets[0].getsockname()[:2]
         return host, port
 
     def close(self) -> None:
-        """Stops listening, and cancels the requests that are not answered yet."""
+        """Stops listening, and cancels the requests without a response."""
         self.server.close()
         for task in self.answering:
             task.cancel()
 
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Reads requests until the stream ends or holds a malformed one; then closes the connection."""
+        """Reads requests until the stream ends or a request is malformed, then closes the connection."""
         set_socket_options(writer)
         try:
             await self.read_requests(reader, writer)
         except MalformedMessage as error:
-            logger.warning("closed a peer's connection for a malformed request: {}", error)
+            logger.warning("closed the connection of a peer after a malformed request: {}", error)
         except (OSError, asyncio.CancelledError):
-            pass  # the peer's end or this process's: the connection is closed either way
+            pass  # the peer has disconnected, or this process shuts down: the connection is closed either way
         finally:
             writer.transport.abort()
 
     async def read_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Starts an answer to each request.
+        """Starts a task for each request.
 
         Raises:
-            MalformedMessage: A call's number does not rise, or the message is not a request.
+            MalformedMessage: A call's number is not higher than the previous one, or the message is not a request.
         """
         last_number = 0
         while (body := await read_frame(reader)) is not None:
             number, request = unpack(body)
             if number <= last_number or type(request) not in RESPONSES:
-                raise MalformedMessage(f"call {number} after {last_number}: {type(request).__name__}")
+                raise MalformedMessage(f"unexpected {type(request).__name__} as call {number} after call {last_number}")
             last_number = number
             task = asyncio.get_running_loop().create_task(self.answer(writer, number, request))
             self.answering.add(task)
             task.add_done_callback(self.answering.discard)
 
     async def answer(self, writer: asyncio.StreamWriter, number: int, request: Message) -> None:
-        """Sends the response to one request, if there is one and the peer is still there."""
+        """Handles one request, and sends its response if there is one and the connection is still open."""
         try:
             response = await self.handle_request(request)
-        except Exception:  # outermost guard of one request: a fault costs one response, never the process
-            logger.exception("a {} of a peer got no response: its handler failed", type(request).__name__)
+        except Exception:  # an unexpected failure must cost only this response, not the process
+            logger.exception("the handler of a {} failed: the peer gets no response", type(request).__name__)
             return
         if response is not None and not writer.is_closing():
             writer.write(pack(number, response))
