--- a/stoneyoke/programs/__init__.py
+++ b/stoneyoke/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The programs that are started: they compose the parts of the other packages and hold no logic of their own."""
+"""The entry points of the programs. They compose the components of other packages and contain no logic of their own."""
--- a/stoneyoke/programs/commands/__init__.py
+++ b/stoneyoke/programs/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of stoneyokectl, by what they work on: a configuration, the running system, a controller's disk."""
+"""The commands of stoneyokectl, one module each for configurations, the running system and data folders."""
--- a/stoneyoke/programs/commands/configuration.py
+++ b/stoneyoke/programs/commands/configuration.py
@@ -1,4 +1,4 @@
-"""Commands on configurations: check one, compare two, replace the one in force, read it back."""
+"""Commands on configurations: validate one, compare two, replace the one in force, read it."""
 
 from collections.abc import Iterable, Iterator
 from typing import Any
@@ -13,18 +13,18 @@
 
 
 def load_configuration(path: str) -> Configuration:
-    """Reads a configuration from a file. Raises CommandError that names the file and the field."""
+    """Reads a configuration from a file. Raises CommandError, which names the file and any invalid field."""
     try:
         with open(path, "rb") as file:
             return read_configuration(file.read())
     except OSError as error:
-        raise CommandError(f"{path} can't be read: {error}") from error
+        raise CommandError(f"{path}: can't be read: {error}") from error
     except InvalidField as error:
         raise CommandError(f"{path}: {error.field}: {error.reason}") from error
 
 
 def check(path: str) -> None:
-    """Tells whether a file is a valid configuration, by the table of settings that controllers use."""
+    """Validates a configuration file with the same schema that controllers use, and prints a summary."""
     configuration = load_configuration(path)
     routes = sum(1 for _ in configuration.routes())
     services, tenants = len(configuration.services), configuration.tenants
@@ -40,7 +40,7 @@
 
 
 def diff(old_path: str, new_path: str) -> None:
-    """Tells what changes from one file to another."""
+    """Prints the differences between two configuration files."""
     old, new = load_configuration(old_path), load_configuration(new_path)
     lines = differences(old, new)
     result = {"from": str(old.version), "to": str(new.version), "lines": lines}
@@ -48,7 +48,7 @@
 
 
 def put(path: str) -> None:
-    """Replaces the configuration by a file's. Returns once it is acknowledged."""
+    """Replaces the configuration by the one in a file. Returns once it is acknowledged."""
     configuration = load_configuration(path)
     call_controllers("POST", "/config/replace", configuration.body)
     print_result([f"{configuration.version} is acknowledged"], {"acknowledged": str(configuration.version)})
@@ -60,7 +60,7 @@
 
 
 def differences(old: Configuration, new: Configuration) -> list[str]:
-    """A line for each service, route, tenant or limit that was dropped, added or changed, by its name."""
+    """Returns a line for each service, route or tenant that was removed or added, and for each changed field."""
     old_parts, new_parts = named_parts(old), named_parts(new)
     lines = [f"- {name}" for name in old_parts if name not in new_parts]
     lines += [f"+ {name}" for name in new_parts if name not in old_parts]
@@ -71,7 +71,7 @@
 
 
 def named_parts(configuration: Configuration) -> dict[str, Any]:
-    """The parts of a configuration by names that people know them by."""
+    """Returns the parts of a configuration, keyed by kind and name, such as "tenant anna"."""
     services: Iterable[tuple[str, Any]] = configuration.services.items()
     parts: dict[str, Any] = {f"service {name}": settings for name, settings in services}
     parts |= {f"route {host}{route['path_prefix']}": route for host, route in configuration.routes()}
@@ -80,7 +80,7 @@
 
 
 def changed_fields(name: str, old: dict[str, Any], new: dict[str, Any]) -> Iterator[str]:
-    """Yields a line for each field whose value changed. Secret values are left out."""
+    """Yields a line for each field whose value changed. The values of secret fields are omitted."""
     for field in old:
         if old[field] != new.get(field):
             values = "" if field in SECRET_FIELDS else f" {old[field]!r} -> {new[field]!r}"
--- a/stoneyoke/programs/commands/controller_client.py
+++ b/stoneyoke/programs/commands/controller_client.py
@@ -1,4 +1,4 @@
-"""Calls of an operator to the controllers: the same call to one after another until one answers."""
+"""An operator's calls to the controllers: each call is sent to one controller after another until one responds."""
 
 import http.client
 import time
@@ -10,40 +10,43 @@
 from stoneyoke.api.checks import address_error
 from stoneyoke.programs.commands.errors import CommandError
 
-CONTROLLERS = flags.DEFINE_list("controllers", [], "Addresses of controllers (control_addr), asked in turn.")
-flags.DEFINE_alias("core", "controllers")  # the flag's name until December 2026
-WITHIN = flags.DEFINE_float("within", 10.0, "Seconds to go on trying.", lower_bound=0.1)
+CONTROLLERS = flags.DEFINE_list("controllers", [], "Addresses of controllers (control_addr), tried in turn.")
+flags.DEFINE_alias("core", "controllers")  # the name of --controllers until December 2026
+WITHIN = flags.DEFINE_float("within", 10.0, "Seconds after which the command gives up.", lower_bound=0.1)
 
 CALL_TIMEOUT_S = 2.0
-BYTES_PER_S = 1 << 20  # a body gets a second more for each so many bytes
+BYTES_PER_S = 1 << 20  # the time-out of a call is one second longer for each 1 MiB of its body
 RETRY_PAUSE_S = 0.2
 MAX_ERROR_CHARACTERS = 300
 
 
 class Response(NamedTuple):
-    """What a controller answered."""
+    """A controller's HTTP response."""
 
     status: int
     body: bytes
 
 
 def call_controllers(method: str, path: str, body: bytes = b"") -> bytes:
-    """Calls the controllers in turn until one answers 200. The call stays the same, so repeating it is safe.
+    """Calls the controllers in turn until one responds with status 200.
+
+    The same call is repeated, which is safe because the calls are idempotent.
 
     Args:
-        method: Of HTTP.
-        path: Of the control API.
-        body: JSON, or nothing.
+        method: The HTTP method.
+        path: The path in the control API.
+        body: The JSON body, or nothing.
 
     Returns:
-        The body of the first answer with status 200.
+        The body of the first response with status 200.
 
     Raises:
-        CommandError: No address is given, an answer is a refusal (4xx), or none came within `--within`.
+        CommandError: No address is given, a controller rejects the call (4xx), or the call had no success within
+            `--within` seconds.
     """
     addresses = controller_addresses()
     deadline = time.monotonic() + WITHIN.value
-    last_failure = "no controller was asked"
+    last_failure = "no controller was called"
     while time.monotonic() < deadline:
         for address in addresses:
             try:
@@ -59,13 +62,13 @@
             if response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
                 raise CommandError(last_failure)
         time.sleep(RETRY_PAUSE_S)
-    raise CommandError(f"no answer in {WITHIN.value:g} s; last: {last_failure}")
+    raise CommandError(f"no controller accepted the call within {WITHIN.value:g} s; last failure: {last_failure}")
 
 
 def controller_addresses() -> list[str]:
-    """The addresses given on the command line. Raises CommandError where there is none, or one is malformed."""
+    """Returns the addresses given on the command line. Raises CommandError if there is none, or one is malformed."""
     if not CONTROLLERS.value:
-        raise CommandError("--controllers names no address")
+        raise CommandError("no controller address: --controllers is required")
     for address in CONTROLLERS.value:
         if reason := address_error(address):
             raise CommandError(f"--controllers: {reason}")
@@ -73,11 +76,11 @@
 
 
 def call_controller(address: str, method: str, path: str, body: bytes) -> Response:
-    """Makes one call on a connection of its own.
+    """Makes one call on a new connection.
 
     Raises:
-        OSError: No connection, or no answer in time.
-        http.client.HTTPException: The answer is not HTTP.
+        OSError: The connection failed, or there was no response in time.
+        http.client.HTTPException: The response is not valid HTTP.
     """
     host, _, port = address.rpartition(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_S + len(body) / BYTES_PER_S)
--- a/stoneyoke/programs/commands/data_folder.py
+++ b/stoneyoke/programs/commands/data_folder.py
@@ -1,4 +1,4 @@
-"""Commands on a controller's data folder: tell what it holds, or begin again from it."""
+"""Commands on a controller's data folder: list its records, or recover the cluster from it."""
 
 import os
 from collections.abc import Callable
@@ -28,19 +28,19 @@
 from stoneyoke.storage.record_file import Record
 from stoneyoke.storage.record_store import RecordStore
 
-CONFIRMED = flags.DEFINE_bool("confirm", False, "For recover: what only lost disks held is given up.")
+CONFIRMED = flags.DEFINE_bool("confirm", False, "For recover: accept the loss of changes stored only on lost disks.")
 INDEX_SUFFIX = ".dir"  # each record has one file with this suffix
 
 
 def open_folder(folder: str) -> RecordStore:
-    """Opens a data folder. Raises CommandError where it is none."""
+    """Opens a data folder. Raises CommandError if it does not exist."""
     if not os.path.isdir(folder):
-        raise CommandError(f"{folder} is no folder")
+        raise CommandError(f"{folder} is not a folder")
     return RecordStore(folder)
 
 
 def records(folder: str) -> None:
-    """Prints which records a data folder holds, and which of them are torn."""
+    """Prints the records in a data folder, and which of them are torn."""
     store = open_folder(folder)
     lines, results = [], []
     for family, number, name in sorted(store.record_files()):
@@ -59,7 +59,7 @@
 
 
 def describe(family: str, record: Record) -> str:
-    """What a whole record holds, in a few words. Raises InvalidRecord, InvalidField or KeyError."""
+    """Summarizes the content of a valid record. Raises InvalidRecord, InvalidField or KeyError."""
     descriptions: dict[str, Callable[[Record], str]] = {
         IDENTITY: lambda record: f"disk {read_identity(record)}",
         PROMISE: lambda record: f"ballot {read_promise(record).counter}",
@@ -68,12 +68,12 @@
         LEGACY_VOTERS: lambda record: f"voters {record[b'names'].decode()}, of an earlier release",
     }
     if family not in descriptions:
-        return "of no family that is known here"
+        return "of an unknown record family"
     return descriptions[family](record)
 
 
 def describe_register(record: Record) -> str:
-    """Version, ballot and voters of a register's record. Raises InvalidRecord."""
+    """Summarizes the version, ballot and voters of a register record. Raises InvalidRecord."""
     accepted = read_register(record)
     voters = accepted.value.voters
     members = ", ".join(f"{member.address}/{member.disk}" for member in voters.members)
@@ -81,24 +81,26 @@
 
 
 def recover(folder: str, address: str) -> None:
-    """Makes one disk the only voter, after a majority of the voters was lost for good.
+    """Makes the controller with this disk the only voter, after the permanent loss of a majority of the voters.
 
-    The controller there must be stopped. The folder is changed only by adding a newer record.
+    This controller must be stopped. The command only adds a newer record to the folder.
 
     Args:
         folder: The data folder of the surviving controller.
-        address: The address at which it will run.
+        address: The address at which this controller will run.
 
     Raises:
-        CommandError: `--confirm` is missing, or the folder holds no register that can be read.
+        CommandError: `--confirm` is missing, or the folder has no readable register.
     """
     if not CONFIRMED.value:
-        raise CommandError("acknowledged changes that only lost disks held are lost by this: say so with --confirm")
+        raise CommandError(
+            "recovery loses acknowledged changes that are only on lost disks: accept this with --confirm"
+        )
     store = open_folder(folder)
     try:
         held, identity, promise = (store.load(family).record for family in (REGISTER, IDENTITY, PROMISE))
         if held is None or identity is None:
-            raise CommandError(f"{folder} holds no register")
+            raise CommandError(f"{folder} contains no register")
         promised = read_promise(promise) if promise else NO_BALLOT
         survivor = ReplicaId(address, read_identity(identity))
         register = recovered_register(read_register(held), promised, survivor)
--- a/stoneyoke/programs/commands/errors.py
+++ b/stoneyoke/programs/commands/errors.py
@@ -2,4 +2,4 @@
 
 
 class CommandError(Exception):
-    """A command could not do what it was asked for. The text is the one line that the operator reads."""
+    """A command failed. The text is the one line that the operator sees."""
--- a/stoneyoke/programs/commands/running_system.py
+++ b/stoneyoke/programs/commands/running_system.py
@@ -1,4 +1,4 @@
-"""Commands on the running system: look at a controller's view of it, wait until a version is everywhere."""
+"""Commands on the running system: show a controller's view of it, wait until all gateways have a version."""
 
 import json
 import time
@@ -9,23 +9,23 @@
 from stoneyoke.programs.commands.errors import CommandError
 from stoneyoke.programs.commands.output import print_result
 
-IN_TOUCH_S = 3.0  # a gateway that is silent for longer is not waited for
+IN_TOUCH_S = 3.0  # `watch` ignores gateways that have been silent for longer
 
 
 def read_status() -> dict[str, Any]:
-    """The status of the first controller that answers (controlplane/status.py)."""
+    """Returns the status of the first controller that responds (controlplane/status.py)."""
     status: dict[str, Any] = json.loads(call_controllers("GET", "/status"))
     return status
 
 
 def look() -> None:
-    """Prints versions, voters, gateways and backends as one controller sees them."""
+    """Prints one controller's view of versions, voters, gateways and backends."""
     status = read_status()
     print_result([*controller_lines(status), *gateway_lines(status), *backend_lines(status)], status)
 
 
 def controller_lines(status: dict[str, Any]) -> list[str]:
-    """The controller that answers, the voters, and the other controllers."""
+    """Returns lines for the controller that responded, for the voters, and for the other controllers."""
     votes = "votes" if status["votes"] else "does not vote"
     touch = "in touch" if status["in_touch"] else "NOT in touch"
     voters = f"voters {status['voters']['number']}: {', '.join(status['voters']['members'])}"
@@ -40,7 +40,7 @@
 
 
 def gateway_lines(status: dict[str, Any]) -> list[str]:
-    """A line for each gateway."""
+    """Returns a line for each gateway."""
     lines = []
     for name, gateway in sorted(status["gateways"].items()):
         ready = "ready" if gateway["ready"] else "not ready"
@@ -49,7 +49,7 @@
 
 
 def backend_lines(status: dict[str, Any]) -> list[str]:
-    """A line for each backend."""
+    """Returns a line for each backend."""
     return [
         f"backend {name}: {backend['service']} at {backend['address']}, {backend['phase']}, "
         f"silent {backend['silent_s']} s"
@@ -58,13 +58,13 @@
 
 
 def watch(version: str) -> None:
-    """Waits until all gateways in touch have a version, or a newer one.
+    """Waits until all reachable gateways have a version or a newer one.
 
     Args:
-        version: As the control API writes it: r and a number.
+        version: The version as in the control API: the letter r and a number.
 
     Raises:
-        CommandError: The version is malformed, or some gateway does not have it within `--within`.
+        CommandError: The version is malformed, or a gateway does not have it within `--within` seconds.
     """
     match = match_version(version)
     if not match:
@@ -82,7 +82,7 @@
 
 
 def gateways_in_touch(status: dict[str, Any]) -> dict[str, int]:
-    """The number of the configuration in force at each gateway that was heard lately, by the gateway's name."""
+    """Returns the version number in force at each gateway that has been silent for less than IN_TOUCH_S, by name."""
     return {
         name: int(gateway["version"].removeprefix("r"))
         for name, gateway in status["gateways"].items()
--- a/stoneyoke/programs/controller.py
+++ b/stoneyoke/programs/controller.py
@@ -1,4 +1,4 @@
-"""The controller program of a core machine: composes the control plane, reloads settings, ends."""
+"""The controller program of a core machine: composes the control plane, reloads settings, shuts down."""
 
 import asyncio
 import signal
@@ -19,23 +19,25 @@
 from stoneyoke.storage.record_store import RecordStore
 from stoneyoke.transport.peer_server import PeerServer
 
-SETTINGS = flags.DEFINE_string("settings", None, "The settings file; else the one that the environment names.")
-BODY_MEMORY_DIVISOR = 16  # one configuration's text takes at most this part of the memory
-MISSED_HEARTBEATS = 2.4  # after which a backend counts as silent
+SETTINGS = flags.DEFINE_string(
+    "settings", None, "The settings file. Default: the file that the environment variable STONEYOKE_NODE_FILE names."
+)
+BODY_MEMORY_DIVISOR = 16  # the text of one configuration uses at most 1/16 of the memory
+MISSED_HEARTBEATS = 2.4  # a backend counts as silent after this many heartbeat intervals, plus SILENCE_MARGIN_S
 SILENCE_MARGIN_S = 0.5
-LINGER_S = 0.3  # peers' last calls are answered for so long after the operators' API has closed
+LINGER_S = 0.3  # how long the last calls of peers are still served after the operators' API has closed
 
 
 async def serve(settings: Settings, log_buffer: LogBuffer) -> None:
     """Runs a controller until SIGTERM or SIGINT.
 
     Raises:
-        BadSettings: An address or the folder that a controller needs is missing.
+        BadSettings: An address or the data folder that a controller needs is missing.
     """
     if settings.control_address is None:
         raise BadSettings("network.binds.control_addr is missing")
     if not settings.data_dir:
-        raise BadSettings("self.data_dir is missing: the configuration needs a disk")
+        raise BadSettings("self.data_dir is missing: a controller stores the configuration on disk")
     loop, ended = asyncio.get_running_loop(), asyncio.Event()
     controller_settings = ControllerSettings(
         name=settings.name,
@@ -56,7 +58,7 @@
         try:
             controller.add_peers(*read_settings(SETTINGS.value).seeds)
         except BadSettings as error:
-            logger.error("reload: the settings file can't be used, the old settings stay in force: {}", error)
+            logger.error("reload: the settings file is invalid, the current settings stay in force: {}", error)
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
@@ -67,7 +69,7 @@
     await http_api.open(settings.control_address)
     await MetricsServer(lambda: figures(controller)).open((settings.ip, METRICS_PORT.value))
     logger.info(
-        "Controller {} serves; the cluster has {} voters", settings.name, len(controller.replica.voters().members)
+        "controller {} is serving; the cluster has {} voters", settings.name, len(controller.replica.voters().members)
     )
     await ended.wait()
     await controller.leave(0.5 * settings.bounds.grace_s)
@@ -77,12 +79,12 @@
 
 
 def figures(controller: Controller) -> str:
-    """What the controller holds now, as text. It counts no events of its own yet."""
+    """Returns the controller's current gauges as text. The controller has no event counters yet."""
     return metrics_text(Metrics(), controller.gauges() | {"process_cpu_seconds": time.process_time()})
 
 
 def run(_: list[str]) -> None:
-    """Runs the program; absl calls it with the command line's words."""
+    """Runs the program; absl calls it with the command-line arguments."""
     log_buffer = set_up()
     try:
         asyncio.run(serve(read_settings(SETTINGS.value), log_buffer))
--- a/stoneyoke/programs/gateway.py
+++ b/stoneyoke/programs/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway program of an edge machine: composes the parts, serves readiness, reloads settings, ends."""
+"""The gateway program of an edge machine: composes the components, serves readiness, reloads settings, drains."""
 
 import asyncio
 import gc
@@ -30,19 +30,21 @@
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.metrics_text import metrics_text
 
-SETTINGS = flags.DEFINE_string("settings", None, "The settings file; else the one that the environment names.")
-CONNECT_TIMEOUT_US = 300_000
+SETTINGS = flags.DEFINE_string(
+    "settings", None, "The settings file. Default: the file that the environment variable STONEYOKE_NODE_FILE names."
+)
+CONNECT_TIMEOUT_US = 300_000  # for a connection to a backend
 IDLE_TIMEOUT_US = 4_000_000  # for a connection to a backend
-RESERVED_DESCRIPTORS = 300  # files, the event loop, listeners, connections to controllers
+RESERVED_DESCRIPTORS = 300  # for files, the event loop, listeners and connections to controllers
 SWEEP_S = 0.25
-BODY_MEMORY_DIVISOR = 32  # one body takes at most this part of the memory
+BODY_MEMORY_DIVISOR = 32  # one request or response body uses at most 1/32 of the memory
 
 
 class GatewayProgram:
-    """A gateway's parts, put together from its settings."""
+    """A gateway's components, created from its settings."""
 
     def __init__(self, settings: Settings) -> None:
-        """Puts the parts together; `serve` runs them.
+        """Creates and connects the components; `serve` runs them.
 
         Raises:
             BadSettings: An address that a gateway needs is missing.
@@ -88,21 +90,24 @@
         self.draining = False
         self.settings_stamp = self.read_stamp()
 
-    # ---- from the control client ----
+    # ---- called by the control client ----
 
     def take(self, configuration: Configuration) -> None:
         """Puts a newer configuration in force."""
         self.front.install(build_routing_table(configuration))
 
     def on_update(self) -> None:
-        """Tells the services what a controller's answer has changed."""
+        """Updates the services after a controller's response."""
         self.upstreams.set_fleet(self.control_client.fleet)
         self.upstreams.refresh()
 
     # ---- readiness ----
 
     async def serve_readiness(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answers readiness checks: 200 once all that was acknowledged is here, 503 before and from SIGTERM on."""
+        """Serves a connection of readiness checks.
+
+        The status is 200 once the gateway has every acknowledged change, and 503 before that and from SIGTERM on.
+        """
         messages = MessageReader(reader, responses=False)
         try:
             while message := await messages.next():
@@ -111,7 +116,7 @@
                 write_message(writer, [status_line(status), b"Content-Length: %d\r\n" % len(body)], body)
                 if not message.keep_alive:
                     break
-        except Exception:  # outermost guard of one connection: input that can't be used gets no answer
+        except Exception:  # an error on one connection, such as malformed input, only closes that connection
             pass
         finally:
             writer.close()
@@ -119,7 +124,7 @@
     # ---- the program ----
 
     def read_stamp(self) -> tuple[float, int]:
-        """The settings file's time and size, which tell that it has changed."""
+        """Returns the settings file's modification time and size, by which a change is detected."""
         try:
             found = os.stat(os.environ.get("STONEYOKE_NODE_FILE", ""))
             return found.st_mtime, found.st_size
@@ -127,19 +132,19 @@
             return 0.0, 0
 
     def reload(self) -> None:
-        """Reads the settings file again and follows controllers that are new in it; by SIGHUP or a changed file."""
+        """Reloads the settings file after SIGHUP or a change of the file, and pulls from new controllers in it."""
         self.settings_stamp = self.read_stamp()
         try:
             settings = read_settings(SETTINGS.value)
         except BadSettings as error:
-            logger.error("reload: the settings file can't be used, the old settings stay in force: {}", error)
+            logger.error("reload: the settings file is invalid, the current settings stay in force: {}", error)
             return
         for seed in settings.seeds:
             self.instance_directory.add_controller(seed)
         self.control_client.config_sync.follow_controllers()
 
     async def sweep(self) -> None:
-        """Closes and drops what is out of date, and looks at the settings file once a second, until the end."""
+        """Closes expired connections, removes stale state, and checks the settings file for changes once a second."""
         sweeps = 0
         while True:
             await asyncio.sleep(SWEEP_S)
@@ -177,7 +182,7 @@
         logger.info("counts: {}", self.metrics.summary())
 
     def figures(self) -> str:
-        """The counters and what the gateway holds now, as text."""
+        """Returns the counters and the current gauges as text."""
         runtimes = [upstream.runtime for upstream in self.upstreams.upstreams.values()]
         gauges = {
             "ready": float(self.control_client.config_sync.ready and not self.draining),
@@ -194,13 +199,13 @@
         return metrics_text(self.metrics, gauges)
 
     def report(self, log_buffer: LogBuffer) -> None:
-        """Writes the counters and all buffered log lines, for SIGUSR1."""
+        """Logs the counters and writes all buffered log lines to standard error; on SIGUSR1."""
         logger.info("counts: {}", self.metrics.summary())
         log_buffer.dump()
 
 
 def run(_: list[str]) -> None:
-    """Runs the program; absl calls it with the command line's words."""
+    """Runs the program; absl calls it with the command-line arguments."""
     log_buffer = set_up()
     try:
         asyncio.run(GatewayProgram(read_settings(SETTINGS.value)).serve(log_buffer))
--- a/stoneyoke/programs/log_buffer.py
+++ b/stoneyoke/programs/log_buffer.py
@@ -1,4 +1,4 @@
-"""Log lines, buffered in memory and written to standard error when something goes wrong."""
+"""Buffers log lines in memory, and writes them to standard error after an error or on request."""
 
 import sys
 from collections import deque
@@ -12,14 +12,14 @@
 
 
 class LogBuffer:
-    """Keeps the last lines; a warning or worse writes out those that led to it."""
+    """Buffers the latest log lines. An error writes the lines before it to standard error too, a warning only itself."""
 
     def __init__(self) -> None:
         """Starts empty."""
         self.lines: deque[str] = deque(maxlen=BUFFERED_LINES)
 
     def sink(self, message: Any) -> None:
-        """Takes a line from loguru: an error writes the lines before it too, a warning only itself."""
+        """Receives a line from loguru. An error writes up to LINES_BEFORE_ERROR lines, a warning only its own."""
         self.lines.append(str(message))
         if message.record["level"].no >= ERROR_LEVEL:
             self.dump(LINES_BEFORE_ERROR)
@@ -27,13 +27,13 @@
             sys.stderr.write(self.lines.pop())
 
     def dump(self, lines_max: int = BUFFERED_LINES) -> None:
-        """Writes the newest lines out and empties the buffer."""
+        """Writes the latest lines to standard error and clears the buffer."""
         sys.stderr.write("".join(list(self.lines)[-lines_max:]))
         self.lines.clear()
 
 
 def set_up() -> LogBuffer:
-    """Sends log lines to standard error and into a buffer of the latest."""
+    """Configures loguru to log to a buffer, and returns the buffer."""
     log_buffer = LogBuffer()
     logger.remove()
     logger.add(
--- a/stoneyoke/programs/metrics_server.py
+++ b/stoneyoke/programs/metrics_server.py
@@ -1,4 +1,4 @@
-"""Serves a program's figures over HTTP: one small listener beside the program's own."""
+"""Serves a program's metrics over HTTP on a separate listener."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,30 +13,30 @@
 from stoneyoke.runtime.metrics_text import CONTENT_TYPE
 
 METRICS_PORT = flags.DEFINE_integer(
-    "metrics_port", 0, "Where the figures are served as text; 0: nowhere.", lower_bound=0, upper_bound=65_535
+    "metrics_port", 0, "The port that serves the metrics as text; 0: none.", lower_bound=0, upper_bound=65_535
 )
 METRICS_TARGET = b"/metrics"
 BACKLOG = 16
 IDLE_TIMEOUT_S = 10.0
-CONNECTIONS_MAX = 16  # descriptors are for clients and backends; whoever looks at figures has a few
+CONNECTIONS_MAX = 16  # few, because file descriptors are needed for clients and backends
 
 
 class MetricsServer:
-    """Answers GET /metrics with the program's figures, as they are at that moment."""
+    """Responds to requests for /metrics with the program's current metrics."""
 
     def __init__(self, render: Callable[[], str]) -> None:
-        """Does not listen yet.
+        """Does not listen until `open`.
 
         Args:
-            render: Gives all figures as text.
+            render: Returns all metrics as text.
         """
         self.render = render
         self.connections = 0
 
     async def open(self, address: tuple[str, int]) -> None:
-        """Listens at an IP address and port; port 0 opens nothing. An address that can't be had costs the figures only.
+        """Listens on an IP address and port; port 0 opens no listener.
 
-        The process itself serves on without them: it must not fail for the sake of being looked at.
+        If the address is not available, the process runs without metrics: monitoring must not make a program fail.
         """
         if not address[1]:
             return
@@ -44,10 +44,10 @@
         try:
             await loop.create_server(lambda: StreamProtocol(self.serve), *address, backlog=BACKLOG)
         except OSError as error:
-            logger.warning("metrics: {}:{} can't be opened, no figures are served: {}", *address, error)
+            logger.warning("metrics: can't listen on {}:{}, metrics are not served: {}", *address, error)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves one connection until it ends, is idle for too long, or sends what is not HTTP."""
+        """Serves one connection until it is closed, is idle for IDLE_TIMEOUT_S, or sends malformed HTTP."""
         if self.connections >= CONNECTIONS_MAX:
             writer.transport.abort()
             return
@@ -69,7 +69,7 @@
             writer.close()
 
     def respond(self, writer: asyncio.StreamWriter, target: bytes) -> None:
-        """Writes the figures, or 404 for any other target."""
+        """Writes the metrics, or a 404 for any other target."""
         found = target.partition(b"?")[0] == METRICS_TARGET
         body = self.render().encode() if found else b"no such path\n"
         headers = b"Content-Type: %s\r\nContent-Length: %d\r\n" % (CONTENT_TYPE.encode(), len(body))
--- a/stoneyoke/programs/settings.py
+++ b/stoneyoke/programs/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: its schema, and the typed settings read from it.
+"""The settings file of a process: its schema, and the dataclass that is read from it.
 
 Source: DEPLOY, What a process is told.
 """
@@ -17,17 +17,17 @@
 
 
 class BadSettings(Exception):
-    """The file that says how to start can't be used; the text names the field."""
+    """The settings file is missing or invalid; the text names the file or the field."""
 
 
 def port_range_error(value: list[int]) -> str:
-    """What is wrong with a range of ports, which is two of them, the lower first; "" if nothing is."""
+    """Checks a port range, which consists of two ports, the lower one first."""
     fits = len(value) == 2 and 0 < value[0] <= value[1] < 65_536
-    return "" if fits else f"{value!r} is no range of ports"
+    return "" if fits else f"{value!r} is not a port range (two ports, the lower one first)"
 
 
 def optional_address_error(value: str) -> str:
-    """What is wrong with an address that may be left out; "" if nothing is."""
+    """Checks an address that may be empty."""
     return address_error(value) if value else ""
 
 
@@ -89,25 +89,25 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
-    """How a process starts. Addresses are a host and a port; None where the process has none.
+    """The settings of a process. Addresses are a host and a port; None if the process does not have this address.
 
     Attributes:
         name: This process's name.
-        ip: The machine's address.
-        zone: Its zone.
-        first_start: The cluster starts for the first time: there is no data to wait for.
-        data_dir: The folder on disk; "" if there is none.
+        ip: The machine's IP address.
+        zone: The machine's zone.
+        first_start: Whether the cluster starts for the first time, so that there is no existing data to wait for.
+        data_dir: The data folder; "" if there is none.
         memory_bytes: The memory that the process may use.
-        descriptors: The file descriptors that it may open.
-        port: The first port that is free for the system's own protocol.
-        seeds: Addresses of machines that run controllers, without ports.
-        front_address: Where clients connect.
-        ready_address: Where readiness is asked.
-        control_address: Where operators and backends connect.
-        zones: All zones, sorted.
+        descriptors: The number of file descriptors that the process may open.
+        port: The port of the protocol between the system's processes: the first of the machine's port range.
+        seeds: IP addresses of machines that run controllers, without ports.
+        front_address: The address to which clients connect.
+        ready_address: The address of the readiness check.
+        control_address: The address to which operators and backends connect.
+        zones: The names of all zones, sorted.
         heartbeat_interval_s: The time between two heartbeats of a backend, in seconds.
-        machine_losses: The machines that may be lost at once.
-        bounds: The figures of the service's rules.
+        machine_losses: The number of machines that may be lost at the same time.
+        bounds: The operators' bounds on retries, quotas and times.
     """
 
     name: str
@@ -129,7 +129,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int] | None:
-    """HOST:PORT as a pair; None for an empty text."""
+    """Parses HOST:PORT; returns None for an empty text."""
     host, _, port = text.rpartition(":")
     return (host, int(port)) if host else None
 
@@ -138,28 +138,28 @@
     """Reads a settings file.
 
     Args:
-        path: The file; None: the one that the environment variable STONEYOKE_NODE_FILE names.
+        path: The file; None: the file that the environment variable STONEYOKE_NODE_FILE names.
 
     Raises:
-        BadSettings: There is none, or it can't be used. The text names the file, and the field if one is wrong.
+        BadSettings: There is no file, or it is invalid. The text names the file, and the field if one is invalid.
     """
     path = path or os.environ.get(PATH_VARIABLE)
     if not path:
-        raise BadSettings(f"{PATH_VARIABLE} names no file")
+        raise BadSettings(f"no settings file: {PATH_VARIABLE} is not set")
     try:
         with open(path, "rb") as file:
             return parse_settings(tomllib.load(file))
     except (OSError, ValueError) as error:
-        raise BadSettings(f"{path} can't be read: {error}") from error
+        raise BadSettings(f"{path}: can't be read: {error}") from error
     except InvalidField as error:
         raise BadSettings(f"{path}: {error}") from error
 
 
 def parse_settings(content: dict[str, Any]) -> Settings:
-    """Checks a whole file's content.
+    """Validates the content of a settings file.
 
     Raises:
-        InvalidField: A field can't be used; it is named by its path.
+        InvalidField: A field is invalid; the error names its path.
     """
     tables = read_table(content, SETTINGS)
     process, network, limits = tables["self"], tables["network"], tables["self"]["limits"]
--- a/stoneyoke/programs/stoneyokectl.py
+++ b/stoneyoke/programs/stoneyokectl.py
@@ -1,15 +1,15 @@
-"""stoneyokectl: an operator's command line for the running system. One command a call.
+"""stoneyokectl: an operator's command line for the running system. Each call runs one command.
 
-stoneyokectl check FILE                        a configuration, offline, by the controllers' table of settings
-stoneyokectl diff FILE FILE                    what the second changes
+stoneyokectl check FILE                        validate a configuration offline, as controllers do
+stoneyokectl diff FILE FILE                    show the differences between two configurations
 stoneyokectl --controllers ADDRESS put FILE    replace the configuration
-stoneyokectl --controllers ADDRESS read        read it back
-stoneyokectl --controllers ADDRESS look        a controller's view: versions, voters, lease, gateways, backends
-stoneyokectl --controllers ADDRESS watch r12   wait until every gateway in touch has a version
-stoneyokectl records FOLDER                    what a controller's data folder holds, and what in it is torn
-stoneyokectl --confirm recover FOLDER ADDRESS  a majority of the voters is gone for good: begin again from this disk
+stoneyokectl --controllers ADDRESS read        print the configuration
+stoneyokectl --controllers ADDRESS look        show a controller's view: versions, voters, lease, gateways, backends
+stoneyokectl --controllers ADDRESS watch r12   wait until every reachable gateway has a version
+stoneyokectl records FOLDER                    list the records in a controller's data folder, and which are torn
+stoneyokectl --confirm recover FOLDER ADDRESS  after the permanent loss of a majority of the voters: recover from a disk
 
-Exit status: 0 done, 1 not done (one line says why), 2 the call was not understood.
+Exit status: 0 success, 1 failure (the reason is printed on one line), 2 usage error.
 """
 
 import sys
@@ -25,7 +25,7 @@
 
 
 class Command(NamedTuple):
-    """A command, and how many words follow its name."""
+    """A command, and its number of arguments."""
 
     run: Callable[..., None]
     arguments: int
@@ -39,13 +39,13 @@
     "look": Command(running_system.look, 0),
     "watch": Command(running_system.watch, 1),
     "records": Command(data_folder.records, 1),
-    "hold": Command(data_folder.records, 1),  # its name until December 2026
+    "hold": Command(data_folder.records, 1),  # the name of `records` until December 2026
     "recover": Command(data_folder.recover, 2),
 }
 
 
 def run(words: list[str]) -> None:
-    """Runs the command that the words name, the program's own name being the first of them."""
+    """Runs the command given by the arguments, of which the first is the program's own name."""
     name, arguments = words[1] if len(words) > 1 else "", words[2:]
     command = COMMANDS.get(name)
     if command is None or len(arguments) != command.arguments:
