--- a/stoneyoke/programs/log_buffer.py
+++ b/stoneyoke/programs/log_buffer.py
@@ -12,7 +12,7 @@
 
 
 class LogBuffer:
-    """Buffers the latest log lines. An error writes the lines before it to standard error too, a warning only itself."""
+    """Buffers the latest log lines. An error writes the preceding ones to standard error too, a warning only itself."""
 
     def __init__(self) -> None:
         """Starts empty."""
