--- a/stoneyoke/api/configuration.py
+++ b/stoneyoke/api/configuration.py
@@ -143,27 +143,27 @@
 def check_keys(configuration: Configuration) -> None:
     """Raises InvalidField if two tenants share a key or a label."""
     tenants = configuration.tenants or []
-    holders: dict[str, str] = {}
+    tenant_by_key: dict[str, str] = {}
     labels = Counter(tenant["label"] for tenant in tenants)
-    for tenant_at, tenant in enumerate(tenants):
-        for key_at, key in enumerate(tenant["api_keys"]):
-            field = f"tenant_list[{tenant_at}].api_keys[{key_at}]"
+    for tenant_index, tenant in enumerate(tenants):
+        for key_index, key in enumerate(tenant["api_keys"]):
+            field = f"tenant_list[{tenant_index}].api_keys[{key_index}]"
             if reason := visible_text_error(key):
                 raise InvalidField(field, reason)
-            if holders.setdefault(key, tenant["label"]) != tenant["label"] or labels[tenant["label"]] > 1:
+            if tenant_by_key.setdefault(key, tenant["label"]) != tenant["label"] or labels[tenant["label"]] > 1:
                 raise InvalidField(field, f"two tenants share a key or a label ({tenant['label']})")
 
 
 def check_routes(configuration: Configuration) -> None:
     """Raises InvalidField if two routes share a host and a prefix, or the services of a route are invalid."""
-    places = set()
-    for host_at, host in enumerate(configuration.hosts):
-        for route_at, route in enumerate(host["path_map"]):
-            field = f"host_map[{host_at}].path_map[{route_at}]"
-            place = (host["hostname"].lower(), route["path_prefix"])
-            if place in places:
-                raise InvalidField(f"{field}.path_prefix", f"two routes share {''.join(place)}")
-            places.add(place)
+    seen = set()
+    for host_index, host in enumerate(configuration.hosts):
+        for route_index, route in enumerate(host["path_map"]):
+            field = f"host_map[{host_index}].path_map[{route_index}]"
+            host_and_prefix = (host["hostname"].lower(), route["path_prefix"])
+            if host_and_prefix in seen:
+                raise InvalidField(f"{field}.path_prefix", f"two routes share {''.join(host_and_prefix)}")
+            seen.add(host_and_prefix)
             check_targets(configuration, route, field)
 
 
@@ -172,9 +172,9 @@
     if (route["target_service"] is None) == (route["weighted"] is None):
         raise InvalidField(f"{field}.target_service", "either this or weighted is needed")
     targets = weighted_targets(route)
-    for target_at, target in enumerate(targets):
+    for target_index, target in enumerate(targets):
         if target.service not in configuration.services:
-            name = f"weighted[{target_at}].target_service" if route["weighted"] else "target_service"
+            name = f"weighted[{target_index}].target_service" if route["weighted"] else "target_service"
             raise InvalidField(f"{field}.{name}", f"unknown service {target.service[:60]!r}")
     if sum(target.share for target in targets) <= 0:
         raise InvalidField(f"{field}.weighted", "the shares add up to 0")
--- a/stoneyoke/api/http_mapping.py
+++ b/stoneyoke/api/http_mapping.py
@@ -56,7 +56,7 @@
     read: Callable[[str, bytes], ApiCall]
 
 
-class HttpReply(NamedTuple):
+class HttpResponse(NamedTuple):
     """An HTTP response: its status and its JSON body."""
 
     status: HTTPStatus
@@ -126,14 +126,14 @@
         return Rejected(HTTPStatus.BAD_REQUEST, error.field, error.reason)
 
 
-def reply_to(result: ApiResult) -> HttpReply:
+def reply_to(result: ApiResult) -> HttpResponse:
     """Returns the HTTP response for the result of a call."""
     match result:
         case Acknowledged():
-            return HttpReply(HTTPStatus.OK, b"{}")
+            return HttpResponse(HTTPStatus.OK, b"{}")
         case Document(body):
-            return HttpReply(HTTPStatus.OK, body)
+            return HttpResponse(HTTPStatus.OK, body)
         case Rejected(status, field, reason):
-            return HttpReply(status, json.dumps({"field": field, "error": reason}).encode())
+            return HttpResponse(status, json.dumps({"field": field, "error": reason}).encode())
         case Unavailable(reason):
-            return HttpReply(HTTPStatus.SERVICE_UNAVAILABLE, json.dumps({"error": reason}).encode())
+            return HttpResponse(HTTPStatus.SERVICE_UNAVAILABLE, json.dumps({"error": reason}).encode())
--- a/stoneyoke/gateway/admission.py
+++ b/stoneyoke/gateway/admission.py
@@ -30,7 +30,7 @@
 ADMITTED = 0  # returned instead of a time after which to retry
 ISOLATED_START_MAX = 2.0  # units, the most that are drawn into a local bucket at the start of an isolation
 # Fraction of the excess that the rule allows, for a tenant without a grant once an isolation lasts UNGRANTED_S.
-UNGRANTED_LONG_RATIO = 0.25
+UNGRANTED_LATE_RATIO = 0.25
 
 
 def admission_parameters(seed: int) -> GatewayParameters:
@@ -69,10 +69,10 @@
     """Admits or rejects each request of a tenant with a limited rate. Times are whole microseconds.
 
     Attributes:
-        heard_at: When the lease holder last responded.
+        last_response_at: When the lease holder last responded.
         indices: The index of each tenant that has sent a request; no more than the configuration names.
         local_quotas: The units that this gateway holds, by tenant.
-        cut_off_at: Since when each tenant, by index, is served from this gateway's share.
+        isolated_since: Since when each tenant, by index, is served from this gateway's share.
     """
 
     def __init__(self, seed: int, now: int, bounds: ServiceBounds) -> None:
@@ -84,11 +84,11 @@
             bounds: The operators' bounds, which contain those on quotas.
         """
         super().__init__(DecisionContext(admission_parameters(seed), now))
-        self.bounds, self.heard_at = bounds, now - LONG_AGO_US
+        self.bounds, self.last_response_at = bounds, now - LONG_AGO_US
         self.set_gateway_count(ASSUMED_GATEWAYS)
         self.indices: dict[str, int] = {}
         self.local_quotas: dict[str, LocalQuota] = {}
-        self.cut_off_at: dict[int, int] = {}
+        self.isolated_since: dict[int, int] = {}
 
     def arrival(self, tenant: Tenant, wait_us: int) -> Arrival:
         """Converts a request of a tenant to an arrival event of the decision logic.
@@ -134,9 +134,9 @@
         """Sets the number of gateways that share the part of each quota for which there is no grant."""
         self.context.parameters = replace(self.context.parameters, gateways=max(1, gateways))
 
-    def lease_holder_answered(self, now: int) -> None:
+    def lease_holder_responded(self, now: int) -> None:
         """Records that the lease holder responded at this time, in microseconds."""
-        self.heard_at = now
+        self.last_response_at = now
 
     def try_admit(self, call: Arrival, local_quota: LocalQuota, now: int) -> int | None:
         """Decides by the units that this gateway holds.
@@ -154,7 +154,7 @@
         closed_us = int(local_quota.closed_until * SECOND) - now
         return self.compute_retry_after(customer, closed_us) if closed_us > 0 else None
 
-    def admit_after_reply(self, call: Arrival, local_quota: LocalQuota, now: int) -> int:
+    def admit_after_response(self, call: Arrival, local_quota: LocalQuota, now: int) -> int:
         """Decides after the lease holder has responded or the wait for it has timed out.
 
         Returns:
@@ -167,17 +167,17 @@
         closed_us = int(local_quota.closed_until * SECOND) - now
         if closed_us > 0:
             return self.compute_retry_after(customer, closed_us)
-        return self.admit_cut_off(customer, call, local_quota)
+        return self.admit_isolated(customer, call, local_quota)
 
-    def admit_cut_off(self, customer: Customer, call: Arrival, local_quota: LocalQuota) -> int:
+    def admit_isolated(self, customer: Customer, call: Arrival, local_quota: LocalQuota) -> int:
         """Decides by this gateway's own share of the quota, since no lease holder responded.
 
         Returns:
             ADMITTED, or the time after which to retry, in microseconds.
         """
-        share, reserve_units = local_quota.isolated_allowance(self.heard_at / SECOND, self.context.now / SECOND)
-        if self.cut_off_at.get(call.customer, -LONG_AGO_US) < self.heard_at:
-            self.cut_off_at[call.customer] = self.context.now
+        share, reserve_units = local_quota.isolated_allowance(self.last_response_at / SECOND, self.context.now / SECOND)
+        if self.isolated_since.get(call.customer, -LONG_AGO_US) < self.last_response_at:
+            self.isolated_since[call.customer] = self.context.now
             self.start_isolated_bucket(customer, reserve_units)
         customer.share = max(share, min(1.0, self.ungranted_share(customer.plan)) / self.context.parameters.gateways)
         depth = max(customer.depth(), reserve_units)
@@ -206,11 +206,15 @@
         may just have started. Others stay within the excess that the rule allows beyond the bucket: an even share for a
         small tenant, and little for a large one.
         """
-        now, heard_at, start_time = self.context.now / SECOND, self.heard_at / SECOND, self.context.start_time / SECOND
+        now, last_response_at, start_time = (
+            self.context.now / SECOND,
+            self.last_response_at / SECOND,
+            self.context.start_time / SECOND,
+        )
         excess = self.excess_units(plan)
-        if now - max(heard_at, start_time) >= UNGRANTED_S:
-            return UNGRANTED_LONG_RATIO * excess / (plan.rate * self.bounds.quota_window_s)
-        if heard_at > start_time:
+        if now - max(last_response_at, start_time) >= UNGRANTED_S:
+            return UNGRANTED_LATE_RATIO * excess / (plan.rate * self.bounds.quota_window_s)
+        if last_response_at > start_time:
             return UNGRANTED_RATIO * excess / (plan.rate * UNGRANTED_S)
         return 1.0
 
--- a/stoneyoke/gateway/config_sync.py
+++ b/stoneyoke/gateway/config_sync.py
@@ -132,7 +132,7 @@
             if not last_pull or Version(*last_pull.version) <= self.version:
                 return
             version = Version(*last_pull.version)
-            nearest = self.instance_directory.controllers_holding(version, self.settings.zone)[0]
+            nearest = self.instance_directory.controllers_with_version(version, self.settings.zone)[0]
             try:
                 answer = await self.peer_clients[nearest].call(FetchRequest(), CALL_TIMEOUT_S)
             except PeerUnreachable:
@@ -152,4 +152,4 @@
             return
         if configuration.version > self.version:
             self.version = configuration.version
-            self.listener.take(configuration)
+            self.listener.apply_configuration(configuration)
--- a/stoneyoke/gateway/control_client.py
+++ b/stoneyoke/gateway/control_client.py
@@ -15,8 +15,10 @@
 from stoneyoke.limits.local_quota import ASSUMED_GATEWAYS
 from stoneyoke.transport.peer_client import PeerClient
 
-FORGET_FLEET_S = 10.0  # a smaller number of gateways takes effect once it has been reported for this long
-SETTLING_S = 1.5  # within this time from the start, the controllers that monitor gateways receive a heartbeat of each
+FLEET_SHRINK_DELAY_S = 10.0  # a smaller number of gateways takes effect once it has been reported for this long
+STARTUP_SETTLING_S = (
+    1.5  # within this time from the start, the controllers that monitor gateways receive a heartbeat of each
+)
 SEED_BITS = 63
 
 
@@ -73,9 +75,9 @@
 
     # ---- called by the configuration sync ----
 
-    def take(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Passes a newer configuration to the listener."""
-        self.listener.take(configuration)
+        self.listener.apply_configuration(configuration)
 
     def on_update(self) -> None:
         """Updates the fleet and the readiness after a pull, then notifies the listener."""
@@ -88,15 +90,15 @@
     def update_fleet(self, now: float) -> None:
         """Updates the number of gateways. In doubt it is overestimated: quota shares are then too small, not too large.
 
-        A decrease takes effect only after FORGET_FLEET_S.
+        A decrease takes effect only after FLEET_SHRINK_DELAY_S.
         """
         gateways = self.instance_directory.gateways(now)
         if self.name not in gateways:
             return
         # Controllers that have just started may not have received a heartbeat of each gateway yet.
-        if len(gateways) >= self.largest_fleet or now - self.largest_fleet_at > FORGET_FLEET_S:
+        if len(gateways) >= self.largest_fleet or now - self.largest_fleet_at > FLEET_SHRINK_DELAY_S:
             self.largest_fleet, self.largest_fleet_at = len(gateways), now
-        is_settling = now - self.started_at < SETTLING_S
+        is_settling = now - self.started_at < STARTUP_SETTLING_S
         size = max(self.largest_fleet, ASSUMED_GATEWAYS if is_settling else 1)
         self.fleet = GatewayFleet(size, gateways.index(self.name))
         self.admission.set_gateway_count(size)
@@ -113,6 +115,6 @@
         lease_holder = self.instance_directory.lease_holder(self.clock())
         return self.config_sync.peer_clients.get(lease_holder) if lease_holder else None
 
-    def lease_holder_answered(self, at: float) -> None:
+    def lease_holder_responded(self, at: float) -> None:
         """Records when the lease holder last responded, in seconds of the clock; isolation is measured from then."""
-        self.admission.lease_holder_answered(int(at * 1_000_000))
+        self.admission.lease_holder_responded(int(at * 1_000_000))
--- a/stoneyoke/gateway/control_settings.py
+++ b/stoneyoke/gateway/control_settings.py
@@ -49,7 +49,7 @@
 class ControlListener(Protocol):
     """Receives configurations and is notified of changes that controllers report."""
 
-    def take(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Puts a configuration in force. Each is newer than the previous one."""
 
     def on_update(self) -> None:
--- a/stoneyoke/gateway/forwarding.py
+++ b/stoneyoke/gateway/forwarding.py
@@ -9,8 +9,8 @@
 from stoneyoke.control.actions import FailRpc, Reject, StartAttempt
 from stoneyoke.control.parameters import PROVEN_NOT_RUN, AttemptOutcome
 from stoneyoke.gateway.instance_directory import InstanceDirectory
-from stoneyoke.gateway.local_reply import local_reply
-from stoneyoke.gateway.request_head import Request, client_answer_headers, upstream_request_head
+from stoneyoke.gateway.local_response import local_response
+from stoneyoke.gateway.request_head import Request, client_response_headers, upstream_request_head
 from stoneyoke.gateway.routes import Route, Tenant
 from stoneyoke.gateway.upstreams import MISDIRECTED_REQUEST, RANKS_MAX, Upstream, Upstreams
 from stoneyoke.net.attempt import OutgoingRequest
@@ -89,21 +89,21 @@
         upstreams = self.context.upstreams
         upstream = upstreams.get(service)
         description = RequestDescription(
-            method=upstreams.method_number(upstream, self.route), plan=min(self.tenant.rank, RANKS_MAX - 1)
+            method=upstreams.method_index(upstream, self.route), plan=min(self.tenant.rank, RANKS_MAX - 1)
         )
         self.pending = client.pending = upstream.runtime.open_request(description, deadline_us)
         try:
-            return await self.follow_decisions(upstream)
+            return await self.execute_decisions(upstream)
         finally:
             client.pending = None
             upstream.runtime.close_request(self.pending)
 
-    async def follow_decisions(self, upstream: Upstream) -> Reply:
+    async def execute_decisions(self, upstream: Upstream) -> Reply:
         """Executes one decision after another until a decision or the outcome of an attempt determines the response."""
         while True:
             decision = await self.pending.next_decision(self.deadline_us)
             if not isinstance(decision, StartAttempt):
-                return self.final_reply(decision)
+                return self.final_response(decision)
             reply = await self.make_attempt(upstream, decision.backend)
             if reply is not None:
                 return reply
@@ -120,9 +120,9 @@
         if self.pending.client_gone:
             return CLIENT_GONE
         if outcome is AttemptOutcome.OK and answer:
-            return Reply(answer.status, answer.body, client_answer_headers(answer))
+            return Reply(answer.status, answer.body, client_response_headers(answer))
         if outcome is AttemptOutcome.TIMED_OUT:
-            return self.local_reply(504, "no answer in time")
+            return self.local_response(504, "no answer in time")
         return None
 
     async def send(self, backend: int, attempt: int) -> tuple[AttemptOutcome, Message | None]:
@@ -141,21 +141,21 @@
         outcome, answer = await context.backends.send_attempt(self.pending, attempt, backend, outgoing)
         context.metrics.add(f"attempts: {outcome.value}")
         if outcome is AttemptOutcome.REJECTED and answer and answer.status == MISDIRECTED_REQUEST:
-            self.note_misdirected(instance, answer)
+            self.remove_misdirected(instance, answer)
         return outcome, answer
 
     def matches_response(self, answer: Message) -> bool:
         """Whether a response has this request's attempt id. A response with two attempt ids matches no request."""
         return answer.headers.get(b"attempt-id") == self.request.id and b"attempt-id" not in answer.repeated
 
-    def note_misdirected(self, instance: str, answer: Message) -> None:
+    def remove_misdirected(self, instance: str, answer: Message) -> None:
         """Removes an instance permanently if a different instance responded at its address."""
         answering = answer.headers.get(b"instance-id", b"").decode("latin-1")
         if answering != instance:
             self.context.instance_directory.mark_gone(instance, self.context.clock.now() / 1_000_000)
             self.context.upstreams.refresh()
 
-    def final_reply(self, decision: Decision | None) -> Reply:
+    def final_response(self, decision: Decision | None) -> Reply:
         """Returns the response when no attempt has determined one and no further attempt follows.
 
         A 503 with a Retry-After header is returned only while every attempt is proven not to have run.
@@ -167,16 +167,16 @@
             return CLIENT_GONE
         if not self.may_have_run:
             if decision is None:
-                return self.local_reply(503, "no backend in time", self.route.target_us)
+                return self.local_response(503, "no backend in time", self.route.target_us)
             if isinstance(decision, Reject):
                 self.context.metrics.add("requests: overloaded")
-                return self.local_reply(503, "the service is full", decision.retry_after_us)
+                return self.local_response(503, "the service is full", decision.retry_after_us)
         self.context.metrics.check_invariant(isinstance(decision, FailRpc | Reject | None), "unknown decision")
         if self.backend_error:
             answer = self.backend_error
-            return Reply(answer.status, answer.body, client_answer_headers(answer))
-        return self.local_reply(502, "it may have run, and no answer came")
+            return Reply(answer.status, answer.body, client_response_headers(answer))
+        return self.local_response(502, "it may have run, and no answer came")
 
-    def local_reply(self, status: int, reason: str, retry_after_us: int = 0) -> Reply:
+    def local_response(self, status: int, reason: str, retry_after_us: int = 0) -> Reply:
         """Returns a response that this gateway generates itself."""
-        return local_reply(self.context.metrics, self.request, status, reason, retry_after_us)
+        return local_response(self.context.metrics, self.request, status, reason, retry_after_us)
--- a/stoneyoke/gateway/instance_directory.py
+++ b/stoneyoke/gateway/instance_directory.py
@@ -4,7 +4,7 @@
 overrides any other phase, so the order of the responses does not matter. A later report does not undo a drain. An
 instance increments call_seq with each call, so its drain never has a lower call_seq than an earlier report. The loss of
 a controller removes no instance: an instance is removed only if it was reported gone, or if no reachable controller has
-heard from it for DROP_UNHEARD_S.
+heard from it for REMOVE_SILENT_S.
 """
 
 from dataclasses import dataclass, field
@@ -20,10 +20,10 @@
 
 # A controller counts as reachable this long after its last response. Longer than a controller may delay its response to
 # a pull, plus the time to open a new connection.
-IN_TOUCH_S = 2.2
-DROP_UNHEARD_S = 20.0  # an instance is removed once no reachable controller has heard from it for this long
+REACHABLE_S = 2.2
+REMOVE_SILENT_S = 20.0  # an instance is removed once no reachable controller has heard from it for this long
 NEVER_S = -1e9
-GONE_MEMORY_S = 300.0  # gone instances are remembered longer than by any controller (instance_registry)
+GONE_TTL_S = 300.0  # gone instances are remembered longer than by any controller (instance_registry)
 GONE_MAX = 4096  # the most gone instances that are remembered, as many as by a controller
 
 
@@ -34,7 +34,7 @@
     Attributes:
         incarnation: Identifies its process.
         seq: The sequence number of its newest change that this gateway has.
-        heard_at: When it last responded, in seconds of the clock.
+        last_response_at: When it last responded, in seconds of the clock.
         last_pull: Its last response; None before the first.
         phases: The phase of each instance at this controller.
         membership_version: The version of the sets of gateways and controllers that it has reported.
@@ -43,7 +43,7 @@
 
     incarnation: str = ""
     seq: int = 0
-    heard_at: float = NEVER_S
+    last_response_at: float = NEVER_S
     last_pull: PullResponse | None = None
     phases: dict[str, int] = field(default_factory=dict)
     membership_version: int = -1
@@ -56,13 +56,13 @@
 
     Attributes:
         row: The newest report of the instance.
-        warm_at: When its warm-up is complete, in seconds of the clock.
-        unheard_since: Since when no reachable controller receives its heartbeats; None while one does.
+        warmed_up_at: When its warm-up is complete, in seconds of the clock.
+        silent_since: Since when no reachable controller receives its heartbeats; None while one does.
     """
 
     row: InstanceRow
-    warm_at: float
-    unheard_since: float | None = None
+    warmed_up_at: float
+    silent_since: float | None = None
 
 
 class InstanceDirectory:
@@ -91,7 +91,7 @@
         view = self.controllers.setdefault(name, ControllerView())
         if answer.complete or answer.incarnation != view.incarnation:
             view.phases = {}
-        view.incarnation, view.seq, view.heard_at, view.last_pull = answer.incarnation, answer.seq, now, answer
+        view.incarnation, view.seq, view.last_response_at, view.last_pull = answer.incarnation, answer.seq, now, answer
         if answer.complete or answer.membership_version != view.membership_version:
             view.membership_version, view.gateways = answer.membership_version, tuple(answer.gateways)
         for other in answer.controllers:
@@ -126,44 +126,44 @@
             self.revision += 1
 
     def in_touch(self, now: float) -> list[ControllerView]:
-        """Returns the controllers that have responded in the last IN_TOUCH_S seconds."""
-        return [view for view in self.controllers.values() if now - view.heard_at < IN_TOUCH_S]
+        """Returns the controllers that have responded in the last REACHABLE_S seconds."""
+        return [view for view in self.controllers.values() if now - view.last_response_at < REACHABLE_S]
 
     def sweep(self, now: float) -> None:
         """Marks instances that no controller hears from, and removes stale entries; called several times a second."""
         synced = [view for view in self.in_touch(now) if view.last_pull and view.last_pull.instances_synced]
         voters = len(self.voters().members) or 1
         if synced and len(synced) >= min(majority(voters), voters):
-            self.mark_unheard(synced, now)
-        for name, instance_known in list(self.instances.items()):
-            if instance_known.unheard_since is not None and now - instance_known.unheard_since > DROP_UNHEARD_S:
+            self.mark_silent(synced, now)
+        for name, known in list(self.instances.items()):
+            if known.silent_since is not None and now - known.silent_since > REMOVE_SILENT_S:
                 del self.instances[name]
                 self.revision += 1
-        self.forget_gone(now)
+        self.expire_gone(now)
 
-    def mark_unheard(self, synced: list[ControllerView], now: float) -> None:
+    def mark_silent(self, synced: list[ControllerView], now: float) -> None:
         """Updates for each instance since when none of these controllers receives its heartbeats."""
-        for name, instance_known in self.instances.items():
-            is_heard = any(view.phases.get(name, Phase.SILENT) in (Phase.READY, Phase.DRAINING) for view in synced)
-            was_heard = instance_known.unheard_since is None
-            if is_heard != was_heard:
-                instance_known.unheard_since = None if is_heard else now
+        for name, known in self.instances.items():
+            is_alive = any(view.phases.get(name, Phase.SILENT) in (Phase.READY, Phase.DRAINING) for view in synced)
+            was_alive = known.silent_since is None
+            if is_alive != was_alive:
+                known.silent_since = None if is_alive else now
                 self.revision += 1
 
-    def forget_gone(self, now: float) -> None:
-        """Drops records of gone instances that are older than GONE_MEMORY_S, and the oldest beyond GONE_MAX."""
+    def expire_gone(self, now: float) -> None:
+        """Drops records of gone instances that are older than GONE_TTL_S, and the oldest beyond GONE_MAX."""
         excess = len(self.gone_at) - GONE_MAX
         outdated = [
             name
             for number, (name, gone_at) in enumerate(self.gone_at.items())
-            if number < excess or now - gone_at > GONE_MEMORY_S
+            if number < excess or now - gone_at > GONE_TTL_S
         ]
         for name in outdated:
             del self.gone_at[name]
 
     # ---- controllers and gateways ----
 
-    def controllers_holding(self, version: Version, zone: str) -> list[str]:
+    def controllers_with_version(self, version: Version, zone: str) -> list[str]:
         """Returns the controllers that have this version or a higher one, those of the given zone first."""
         held = [
             name
@@ -185,7 +185,7 @@
             reporting = [
                 one
                 for one in reporting
-                if now - one.heard_at < IN_TOUCH_S and one.last_pull and one.last_pull.instances_synced
+                if now - one.last_response_at < REACHABLE_S and one.last_pull and one.last_pull.instances_synced
             ]
         return {
             ReplicaId(*one.last_pull.replica): Proposal(
@@ -229,20 +229,20 @@
         own = [
             name
             for name, one in self.controllers.items()
-            if now - one.heard_at < IN_TOUCH_S and one.last_pull and one.last_pull.lease_holder == name
+            if now - one.last_response_at < REACHABLE_S and one.last_pull and one.last_pull.lease_holder == name
         ]
         if own:  # the holder's own report is newer than what other controllers have learned of it
-            return max(own, key=lambda name: self.controllers[name].heard_at)
+            return max(own, key=lambda name: self.controllers[name].last_response_at)
         return max(sorted(set(reported)), key=reported.count) if reported else ""
 
     # ---- instances ----
 
-    def unheard_instances(self, service: str) -> frozenset[str]:
+    def silent_instances(self, service: str) -> frozenset[str]:
         """Returns the instances of a service whose heartbeats no reachable controller receives.
 
         Returns an empty set if these are more than half of the service: a network partition between the controllers and
         the instances is then more likely than a failure of the instances.
         """
-        all_of = [one for one in self.instances.values() if one.row.service == service]
-        silent = frozenset(one.row.instance for one in all_of if one.unheard_since is not None)
-        return silent if 2 * len(silent) <= len(all_of) else frozenset()
+        listed = [one for one in self.instances.values() if one.row.service == service]
+        silent = frozenset(one.row.instance for one in listed if one.silent_since is not None)
+        return silent if 2 * len(silent) <= len(listed) else frozenset()
--- a/stoneyoke/gateway/local_reply.py
+++ b/stoneyoke/gateway/local_response.py
@@ -5,7 +5,7 @@
 from stoneyoke.runtime.metrics import Metrics
 
 
-def local_reply(metrics: Metrics, request: Request, status: int, reason: str, retry_after_us: int = 0) -> Reply:
+def local_response(metrics: Metrics, request: Request, status: int, reason: str, retry_after_us: int = 0) -> Reply:
     """Builds a response that this gateway generates itself, and counts it by status.
 
     Args:
--- a/stoneyoke/gateway/quota_client.py
+++ b/stoneyoke/gateway/quota_client.py
@@ -12,11 +12,11 @@
 from stoneyoke.transport.peer_client import PeerClient
 
 REQUEST_WAIT_S = 0.1  # the longest time that a client's request waits for units
-ANSWER_TIMEOUT_S = SILENCE_TIMEOUT_S / 2  # a later response counts as none
+RESPONSE_TIMEOUT_S = SILENCE_TIMEOUT_S / 2  # a later response counts as none
 ROUND_INTERVAL_S = 0.25  # the longest time between messages, which report demand and that this gateway is alive
 RETRY_DELAY_S = 0.05  # after a call without a response, or while no lease holder is known
-REFUSED_DELAY_S = 0.02  # after an unusable response, for example because the controller no longer holds the lease
-SINCE_ANSWER_MAX_S = 60.0  # the longest time since the last response that a message reports
+REJECTED_DELAY_S = 0.02  # after an unusable response, for example because the controller no longer holds the lease
+SINCE_RESPONSE_MAX_S = 60.0  # the longest time since the last response that a message reports
 LONG_AGO_S = 1e9
 USABLE_UNITS = 1  # one request takes one unit
 
@@ -27,11 +27,11 @@
     def lease_holder_client(self) -> PeerClient | None:
         """Returns the client for calls to the lease holder; None if the lease holder is not known."""
 
-    def lease_holder_answered(self, at: float) -> None:
+    def lease_holder_responded(self, at: float) -> None:
         """Records a response of the lease holder, with its time in seconds of the clock."""
 
 
-def grants_only_demanded(response: QuotaResponse, demands: list[QuotaDemand]) -> bool:
+def grants_match_demands(response: QuotaResponse, demands: list[QuotaDemand]) -> bool:
     """Whether each grant is for a tenant in the demands, and no tenant has two grants."""
     granted = [grant.tenant for grant in response.grants]
     return len(set(granted)) == len(granted) and set(granted) <= {demand.tenant for demand in demands}
@@ -42,8 +42,8 @@
 
     Attributes:
         local_quotas: The units that this gateway holds, by tenant.
-        heard_at: When the lease holder last responded, in seconds of the clock.
-        unanswered: Whether the last message had no usable response. Clients' requests then don't wait for the next
+        last_response_at: When the lease holder last responded, in seconds of the clock.
+        is_unresponsive: Whether the last message had no usable response. Clients' requests then don't wait for the next
             round.
         report_all: Whether the next message reports every share that this gateway holds, because the next lease holder
             to respond may know nothing of this gateway.
@@ -71,8 +71,8 @@
         """
         self.name, self.incarnation, self.local_quotas = name, incarnation, local_quotas
         self.access, self.clock = access, clock
-        self.heard_at = -LONG_AGO_S
-        self.unanswered = False
+        self.last_response_at = -LONG_AGO_S
+        self.is_unresponsive = False
         self.report_all = True
         self.waiting_requests: dict[str, int] = {}
         self.request_due = asyncio.Event()
@@ -83,7 +83,7 @@
 
         Returns at once while the lease holder does not respond.
         """
-        if self.unanswered:
+        if self.is_unresponsive:
             return
         self.waiting_requests[tenant] = self.waiting_requests.get(tenant, 0) + 1
         self.request_due.set()
@@ -104,7 +104,7 @@
     def is_decided(self, tenant: str) -> bool:
         """Whether a further round would not change the decision on a request of this tenant."""
         local_quota = self.local_quotas[tenant]
-        return self.unanswered or local_quota.level >= USABLE_UNITS or local_quota.closed_until > self.clock()
+        return self.is_unresponsive or local_quota.level >= USABLE_UNITS or local_quota.closed_until > self.clock()
 
     async def run(self) -> None:
         """Runs one round after another until the task is cancelled."""
@@ -119,7 +119,7 @@
                     raise PeerUnreachable("no lease holder is known")
                 await self.request_units(lease_holder)
             except PeerUnreachable:
-                self.end_round_unanswered()
+                self.fail_round()
                 await asyncio.sleep(RETRY_DELAY_S)
 
     def end_round(self) -> None:
@@ -127,9 +127,9 @@
         ended, self.round_ended = self.round_ended, asyncio.Event()
         ended.set()
 
-    def end_round_unanswered(self) -> None:
+    def fail_round(self) -> None:
         """Ends a round without a usable response; requests that wait are decided without the lease holder."""
-        self.unanswered = self.report_all = True
+        self.is_unresponsive = self.report_all = True
         self.end_round()
 
     async def request_units(self, lease_holder: PeerClient) -> None:
@@ -139,37 +139,37 @@
             PeerUnreachable: There was no response in time.
         """
         sent_at = self.clock()
-        since_answer_s = min(SINCE_ANSWER_MAX_S, sent_at - self.heard_at)
+        since_response_s = min(SINCE_RESPONSE_MAX_S, sent_at - self.last_response_at)
         # After a longer silence the lease holder can't know that its responses reach this gateway: it grants nothing,
         # and a report in this message would not count as made. So the message carries no demands.
-        is_in_touch = since_answer_s <= SILENCE_TIMEOUT_S
+        has_recent_response = since_response_s <= SILENCE_TIMEOUT_S
         report_all = self.report_all
         demands: list[QuotaDemand] = []
-        if is_in_touch:
-            demands = take_demands(self.local_quotas, self.waiting_requests, self.heard_at, report_all, sent_at)
+        if has_recent_response:
+            demands = take_demands(self.local_quotas, self.waiting_requests, self.last_response_at, report_all, sent_at)
         request = QuotaRequest(
             name=self.name,
             incarnation=self.incarnation,
-            since_answer_ms=int(since_answer_s * 1000),
+            since_answer_ms=int(since_response_s * 1000),
             complete=report_all,
             demands=demands,
         )
-        response = await lease_holder.call(request, ANSWER_TIMEOUT_S)
-        if not isinstance(response, QuotaResponse) or not response.ok or not grants_only_demanded(response, demands):
-            self.end_round_unanswered()
-            await asyncio.sleep(REFUSED_DELAY_S)
+        response = await lease_holder.call(request, RESPONSE_TIMEOUT_S)
+        if not isinstance(response, QuotaResponse) or not response.ok or not grants_match_demands(response, demands):
+            self.fail_round()
+            await asyncio.sleep(REJECTED_DELAY_S)
             return
-        self.unanswered = False
+        self.is_unresponsive = False
         # This process may have been suspended between the response and this line. The response arrived before its
         # time-out, so it can't be newer than that.
-        self.heard_at = min(self.clock(), sent_at + ANSWER_TIMEOUT_S)
-        self.access.lease_holder_answered(self.heard_at)
-        self.apply(response, demands, is_in_touch)
+        self.last_response_at = min(self.clock(), sent_at + RESPONSE_TIMEOUT_S)
+        self.access.lease_holder_responded(self.last_response_at)
+        self.apply(response, demands, has_recent_response)
         self.end_round()
 
-    def apply(self, response: QuotaResponse, demands: list[QuotaDemand], is_in_touch: bool) -> None:
+    def apply(self, response: QuotaResponse, demands: list[QuotaDemand], has_recent_response: bool) -> None:
         """Applies a usable response. After a silence, the next message is sent at once: that one can get a grant."""
-        if is_in_touch:
+        if has_recent_response:
             self.report_all = False
             for demand in demands:
                 self.local_quotas[demand.tenant].reported_isolated_units = demand.isolated_units
@@ -177,4 +177,4 @@
             self.request_due.set()
         for grant in response.grants:
             if local_quota := self.local_quotas.get(grant.tenant):
-                local_quota.apply_grant(grant, self.heard_at)
+                local_quota.apply_grant(grant, self.last_response_at)
--- a/stoneyoke/gateway/request_handler.py
+++ b/stoneyoke/gateway/request_handler.py
@@ -10,7 +10,7 @@
 from stoneyoke.gateway.admission import ADMITTED, Admission
 from stoneyoke.gateway.forwarding import ForwardedRequest, ForwardingContext
 from stoneyoke.gateway.instance_directory import InstanceDirectory
-from stoneyoke.gateway.local_reply import local_reply
+from stoneyoke.gateway.local_response import local_response
 from stoneyoke.gateway.quota_client import QuotaClient
 from stoneyoke.gateway.request_head import Request
 from stoneyoke.gateway.routes import Route, RoutingTable, Tenant
@@ -25,7 +25,7 @@
 from stoneyoke.runtime.metrics import Metrics
 
 # The response is determined this long before the client's deadline, so that it arrives in time.
-ANSWER_MARGIN_US = 15_000
+RESPONSE_MARGIN_US = 15_000
 RETRY_AFTER_NO_CONFIGURATION_US = 500_000
 # How long the gateway accepts new requests after SIGTERM; at most half of the grace period. The platform checks
 # readiness once a second and stops sending clients to a gateway after two failed checks. Requests that were sent to
@@ -137,28 +137,28 @@
         request, table = Request(message), self.table
         self.metrics.add("requests")
         if table is None:
-            return local_reply(self.metrics, request, 503, "no configuration yet", RETRY_AFTER_NO_CONFIGURATION_US)
+            return local_response(self.metrics, request, 503, "no configuration yet", RETRY_AFTER_NO_CONFIGURATION_US)
         route = table.find_route(request.host, request.path)
         if route is None:
-            return local_reply(self.metrics, request, 404, "no such route")
+            return local_response(self.metrics, request, 404, "no such route")
         tenant = identify_tenant(table, route, request)
         if tenant is None:
-            return local_reply(self.metrics, request, 401, "unknown key")
+            return local_response(self.metrics, request, 401, "unknown key")
         return await self.admit_and_forward(client, message, request, route, tenant)
 
     async def admit_and_forward(
         self, client: ClientConnection, message: Message, request: Request, route: Route, tenant: Tenant
     ) -> Reply:
         """Checks the deadline and the quota of a request with a route and a tenant, then forwards it."""
-        now, deadline_us = self.clock.now(), answer_deadline_us(client, request, route)
+        now, deadline_us = self.clock.now(), response_deadline_us(client, request, route)
         if deadline_us <= now:
-            return local_reply(self.metrics, request, 503, "its time is up", route.target_us)
+            return local_response(self.metrics, request, 503, "its time is up", route.target_us)
         if tenant.rate_per_s > 0:
             retry_after_us = await self.check_quota(client, tenant, deadline_us - now)
             if retry_after_us:
                 self.metrics.add("requests: over quota")
                 reason = f"over the quota of {tenant.label}"
-                return local_reply(self.metrics, request, 429, reason, retry_after_us)
+                return local_response(self.metrics, request, 429, reason, retry_after_us)
         if client.disconnected:
             return CLIENT_GONE
         service = route.choose_service(self.services.random_point())
@@ -180,7 +180,7 @@
             await self.services.quota_client.wait_for_units(tenant.label)
             if client.disconnected:
                 return ADMITTED
-            retry_after_us = admission.admit_after_reply(arrival, local_quota, self.clock.now())
+            retry_after_us = admission.admit_after_response(arrival, local_quota, self.clock.now())
         return retry_after_us
 
 
@@ -194,7 +194,7 @@
     return tenant
 
 
-def answer_deadline_us(client: ClientConnection, request: Request, route: Route) -> int:
+def response_deadline_us(client: ClientConnection, request: Request, route: Route) -> int:
     """Returns when the response must be determined: by the client's or the route's time-out, whichever is shorter."""
     timeout_us = route.timeout_us if request.wait_us is None else min(request.wait_us, route.timeout_us)
-    return client.since_us + timeout_us - ANSWER_MARGIN_US
+    return client.since_us + timeout_us - RESPONSE_MARGIN_US
--- a/stoneyoke/gateway/request_head.py
+++ b/stoneyoke/gateway/request_head.py
@@ -103,7 +103,7 @@
     return lines
 
 
-def client_answer_headers(answer: Message) -> bytes:
+def client_response_headers(answer: Message) -> bytes:
     """Returns the headers of a backend's response for the client. The writer of the response adds Content-Length."""
     connection_headers = {name.strip().lower() for name in answer.headers.get(b"connection", b"").split(b",")}
     return b"".join(
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -120,7 +120,7 @@
             return False
         return known.row.instance not in self.instance_directory.gone_at
 
-    def zone_of(self, name: str) -> int:
+    def zone_index(self, name: str) -> int:
         """Returns the index of a zone; an unknown zone is appended."""
         if name not in self.zones:
             self.zones.append(name)
@@ -134,7 +134,7 @@
             seed=self.seed,
             gateways=self.fleet.size,
             own_index=self.fleet.own_index,
-            zone=self.zone_of(self.zone),
+            zone=self.zone_index(self.zone),
             methods=methods,
             plans=tuple(
                 Plan(rate=0.0, burst=0.0, price=1 / (1 + rank), concurrency_max=0, ceiling_rate=0.0, ceiling_burst=0.0)
@@ -176,7 +176,7 @@
             self.send_endpoints(upstream)
         return upstream
 
-    def method_number(self, upstream: Upstream, route: Route) -> int:
+    def method_index(self, upstream: Upstream, route: Route) -> int:
         """Returns the index of the decision logic's method for this kind of route; a new kind adds a method."""
         kind = (
             route.is_idempotent,
@@ -215,7 +215,7 @@
             return
         self.directory_revision = self.instance_directory.revision
         self.update_instances()
-        self.release_unlisted()
+        self.remove_unlisted()
         for service in {known.row.service for known in self.instances.values()}:
             self.get(service)
         for upstream in self.upstreams.values():
@@ -230,7 +230,7 @@
             host, _, port = known.row.address.rpartition(":")
             self.backends.set_address(index, (host, int(port)))
 
-    def release_unlisted(self) -> None:
+    def remove_unlisted(self) -> None:
         """Closes connections to instances that left the directory, and frees each index once no service uses it."""
         for index in list(self.indices.index_by_id.values()):
             if index not in self.instances:
@@ -247,16 +247,16 @@
             if known.row.service == upstream.service
         ]
         upstream.runtime.endpoints_changed(EndpointsChanged(True, False, entries))
-        unheard = self.instance_directory.unheard_instances(upstream.service)
-        ejected_backends = frozenset(self.indices.index_by_id[name] for name in unheard)
+        silent = self.instance_directory.silent_instances(upstream.service)
+        ejected_backends = frozenset(self.indices.index_by_id[name] for name in silent)
         upstream.runtime.dispatch(PeerEvidence(ejected_backends, frozenset()))
 
     def endpoint(self, index: int, known: KnownInstance, now: int) -> Endpoint:
         """Converts an instance to an endpoint of the decision logic."""
-        warm_up_left_us = int(known.warm_at * 1_000_000 - now)
+        warm_up_left_us = int(known.warmed_up_at * 1_000_000 - now)
         started_us = now + warm_up_left_us - WARM_UP_US if warm_up_left_us > 0 else 0
         state = BackendState.DRAINING if known.row.phase == Phase.DRAINING else BackendState.READY
-        return Endpoint(index, self.zone_of(known.row.zone), 0, started_us, state)
+        return Endpoint(index, self.zone_index(known.row.zone), 0, started_us, state)
 
 
 def classify_response(answer: Message | None) -> AttemptOutcome:
--- a/stoneyoke/lab/capacity/hollow_fleet.py
+++ b/stoneyoke/lab/capacity/hollow_fleet.py
@@ -50,7 +50,7 @@
     def on_update(self) -> None:
         """Does nothing: `has` reads what is known."""
 
-    def take(self, new_configuration: Configuration) -> None:
+    def apply_configuration(self, new_configuration: Configuration) -> None:
         """Puts a configuration in force."""
         self.table = build_routing_table(new_configuration)
 
--- a/stoneyoke/lab/simulation/defects/gateways.py
+++ b/stoneyoke/lab/simulation/defects/gateways.py
@@ -29,7 +29,7 @@
         if isinstance(answer, FetchResponse) and answer.body:
             configuration = read_configuration(zlib.decompress(answer.body))
             self.version = configuration.version
-            self.listener.take(configuration)
+            self.listener.apply_configuration(configuration)
 
     async def pull(self: config_sync.ConfigSync, name: str) -> None:
         await real(self, name)
--- a/stoneyoke/lab/simulation/machines.py
+++ b/stoneyoke/lab/simulation/machines.py
@@ -178,7 +178,7 @@
             await asyncio.sleep(SWEEP_S)
             client.instance_directory.sweep(client.clock())
 
-    def take(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Puts a configuration in force. It must be newer than the one before, and one that was sent."""
         checker, now = self.environment.checker, self.environment.now()
         checker.record(now, f"{self.name} takes {configuration.version}")
--- a/stoneyoke/lab/simulation/tenants.py
+++ b/stoneyoke/lab/simulation/tenants.py
@@ -86,7 +86,7 @@
         async def settle_after_draw() -> None:
             await client.quota_client.wait_for_units(tenant.label)
             if gateway.client is client:
-                settle(client.admission.admit_after_reply(call, local_quota, client.now_us()))
+                settle(client.admission.admit_after_response(call, local_quota, client.now_us()))
 
         if decision is None:
             self.environment.network.run_on(gateway.name, settle_after_draw())
--- a/stoneyoke/programs/commands/running_system.py
+++ b/stoneyoke/programs/commands/running_system.py
@@ -9,7 +9,7 @@
 from stoneyoke.programs.commands.errors import CommandError
 from stoneyoke.programs.commands.output import print_result
 
-IN_TOUCH_S = 3.0  # `watch` ignores gateways that have been silent for longer
+MAX_SILENCE_S = 3.0  # `watch` ignores gateways that have been silent for longer
 
 
 def read_status() -> dict[str, Any]:
@@ -72,8 +72,8 @@
     number, deadline = int(match[1]), time.monotonic() + WITHIN.value
     behind = ["no gateway is known"]
     while time.monotonic() < deadline:
-        in_touch = gateways_in_touch(read_status())
-        behind = [name for name, its_number in in_touch.items() if its_number < number]
+        in_touch = reachable_versions(read_status())
+        behind = [name for name, gateway_version in in_touch.items() if gateway_version < number]
         if in_touch and not behind:
             line = f"{version} is at all {len(in_touch)} gateways in touch"
             return print_result([line], {"version": version, "gateways": len(in_touch)})
@@ -81,10 +81,10 @@
     raise CommandError(f"{version} is not yet at: {', '.join(sorted(behind))}")
 
 
-def gateways_in_touch(status: dict[str, Any]) -> dict[str, int]:
-    """Returns the version number in force at each gateway that has been silent for less than IN_TOUCH_S, by name."""
+def reachable_versions(status: dict[str, Any]) -> dict[str, int]:
+    """Returns the version number in force at each gateway that has been silent for less than MAX_SILENCE_S, by name."""
     return {
         name: int(gateway["version"].removeprefix("r"))
         for name, gateway in status["gateways"].items()
-        if gateway["silent_s"] < IN_TOUCH_S
+        if gateway["silent_s"] < MAX_SILENCE_S
     }
--- a/stoneyoke/programs/controller.py
+++ b/stoneyoke/programs/controller.py
@@ -11,9 +11,9 @@
 from stoneyoke.controlplane.controller import Controller
 from stoneyoke.controlplane.http_api import HttpApi
 from stoneyoke.controlplane.settings import ControllerEnvironment, ControllerSettings
-from stoneyoke.programs.log_buffer import LogBuffer, set_up
+from stoneyoke.programs.log_buffer import LogBuffer, configure_logging
 from stoneyoke.programs.metrics_server import METRICS_PORT, MetricsServer
-from stoneyoke.programs.settings import BadSettings, Settings, read_settings
+from stoneyoke.programs.settings import InvalidSettings, Settings, read_settings
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.metrics_text import metrics_text
 from stoneyoke.storage.record_store import RecordStore
@@ -32,12 +32,12 @@
     """Runs a controller until SIGTERM or SIGINT.
 
     Raises:
-        BadSettings: An address or the data folder that a controller needs is missing.
+        InvalidSettings: An address or the data folder that a controller needs is missing.
     """
     if settings.control_address is None:
-        raise BadSettings("network.binds.control_addr is missing")
+        raise InvalidSettings("network.binds.control_addr is missing")
     if not settings.data_dir:
-        raise BadSettings("self.data_dir is missing: a controller stores the configuration on disk")
+        raise InvalidSettings("self.data_dir is missing: a controller stores the configuration on disk")
     loop, ended = asyncio.get_running_loop(), asyncio.Event()
     controller_settings = ControllerSettings(
         name=settings.name,
@@ -57,7 +57,7 @@
     def reload() -> None:
         try:
             controller.add_peers(*read_settings(SETTINGS.value).seeds)
-        except BadSettings as error:
+        except InvalidSettings as error:
             logger.error("reload: the settings file is invalid, the current settings stay in force: {}", error)
 
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -85,10 +85,10 @@
 
 def run(_: list[str]) -> None:
     """Runs the program; absl calls it with the command-line arguments."""
-    log_buffer = set_up()
+    log_buffer = configure_logging()
     try:
         asyncio.run(serve(read_settings(SETTINGS.value), log_buffer))
-    except BadSettings as error:
+    except InvalidSettings as error:
         print(f"controller: {error}", file=sys.stderr)
         sys.exit(2)
 
--- a/stoneyoke/programs/gateway.py
+++ b/stoneyoke/programs/gateway.py
@@ -23,9 +23,9 @@
 from stoneyoke.net.message_reader import MessageReader
 from stoneyoke.net.message_writer import status_line, write_message
 from stoneyoke.net.stream import StreamProtocol
-from stoneyoke.programs.log_buffer import LogBuffer, set_up
+from stoneyoke.programs.log_buffer import LogBuffer, configure_logging
 from stoneyoke.programs.metrics_server import METRICS_PORT, MetricsServer
-from stoneyoke.programs.settings import BadSettings, Settings, read_settings
+from stoneyoke.programs.settings import InvalidSettings, Settings, read_settings
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.metrics_text import metrics_text
@@ -47,11 +47,15 @@
         """Creates and connects the components; `serve` runs them.
 
         Raises:
-            BadSettings: An address that a gateway needs is missing.
+            InvalidSettings: An address that a gateway needs is missing.
         """
         if settings.front_address is None or settings.ready_address is None:
-            raise BadSettings("network.binds.front_addr or ready_addr is missing")
-        self.settings, self.front_at, self.ready_at = settings, settings.front_address, settings.ready_address
+            raise InvalidSettings("network.binds.front_addr or ready_addr is missing")
+        self.settings, self.listen_address, self.readiness_address = (
+            settings,
+            settings.front_address,
+            settings.ready_address,
+        )
         self.clock, self.metrics = Clock(), Metrics()
         free = settings.descriptors - RESERVED_DESCRIPTORS
         part = max(1, free // 8)
@@ -88,11 +92,11 @@
         )
         self.front = RequestHandler(self.clock, self.metrics, descriptor_budget, free, services)
         self.draining = False
-        self.settings_stamp = self.read_stamp()
+        self.settings_file_signature = self.read_file_signature()
 
     # ---- called by the control client ----
 
-    def take(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Puts a newer configuration in force."""
         self.front.install(build_routing_table(configuration))
 
@@ -123,7 +127,7 @@
 
     # ---- the program ----
 
-    def read_stamp(self) -> tuple[float, int]:
+    def read_file_signature(self) -> tuple[float, int]:
         """Returns the settings file's modification time and size, by which a change is detected."""
         try:
             found = os.stat(os.environ.get("STONEYOKE_NODE_FILE", ""))
@@ -133,10 +137,10 @@
 
     def reload(self) -> None:
         """Reloads the settings file after SIGHUP or a change of the file, and pulls from new controllers in it."""
-        self.settings_stamp = self.read_stamp()
+        self.settings_file_signature = self.read_file_signature()
         try:
             settings = read_settings(SETTINGS.value)
-        except BadSettings as error:
+        except InvalidSettings as error:
             logger.error("reload: the settings file is invalid, the current settings stay in force: {}", error)
             return
         for seed in settings.seeds:
@@ -155,7 +159,7 @@
             self.upstreams.refresh()
             for upstream in self.upstreams.upstreams.values():
                 upstream.runtime.departures.sweep()
-            if sweeps % 4 == 0 and self.read_stamp() != self.settings_stamp:
+            if sweeps % 4 == 0 and self.read_file_signature() != self.settings_file_signature:
                 self.reload()
 
     async def serve(self, log_buffer: LogBuffer) -> None:
@@ -165,8 +169,10 @@
             loop.add_signal_handler(number, ended.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         loop.add_signal_handler(signal.SIGUSR1, lambda: self.report(log_buffer))
-        ready = await loop.create_server(lambda: StreamProtocol(self.serve_readiness), *self.ready_at, backlog=64)
-        listener = socket.create_server(self.front_at)
+        ready = await loop.create_server(
+            lambda: StreamProtocol(self.serve_readiness), *self.readiness_address, backlog=64
+        )
+        listener = socket.create_server(self.listen_address)
         front = await loop.create_server(self.front.make_protocol, sock=listener, backlog=256)
         await MetricsServer(self.figures).open((self.settings.ip, METRICS_PORT.value))
         tasks = [loop.create_task(self.sweep()), *self.control_client.start()]
@@ -206,10 +212,10 @@
 
 def run(_: list[str]) -> None:
     """Runs the program; absl calls it with the command-line arguments."""
-    log_buffer = set_up()
+    log_buffer = configure_logging()
     try:
         asyncio.run(GatewayProgram(read_settings(SETTINGS.value)).serve(log_buffer))
-    except BadSettings as error:
+    except InvalidSettings as error:
         print(f"gateway: {error}", file=sys.stderr)
         sys.exit(2)
 
--- a/stoneyoke/programs/log_buffer.py
+++ b/stoneyoke/programs/log_buffer.py
@@ -32,7 +32,7 @@
         self.lines.clear()
 
 
-def set_up() -> LogBuffer:
+def configure_logging() -> LogBuffer:
     """Configures loguru to log to a buffer, and returns the buffer."""
     log_buffer = LogBuffer()
     logger.remove()
--- a/stoneyoke/programs/settings.py
+++ b/stoneyoke/programs/settings.py
@@ -16,7 +16,7 @@
 PATH_VARIABLE = "STONEYOKE_NODE_FILE"
 
 
-class BadSettings(Exception):
+class InvalidSettings(Exception):
     """The settings file is missing or invalid; the text names the file or the field."""
 
 
@@ -141,18 +141,18 @@
         path: The file; None: the file that the environment variable STONEYOKE_NODE_FILE names.
 
     Raises:
-        BadSettings: There is no file, or it is invalid. The text names the file, and the field if one is invalid.
+        InvalidSettings: There is no file, or it is invalid. The text names the file, and the field if one is invalid.
     """
     path = path or os.environ.get(PATH_VARIABLE)
     if not path:
-        raise BadSettings(f"no settings file: {PATH_VARIABLE} is not set")
+        raise InvalidSettings(f"no settings file: {PATH_VARIABLE} is not set")
     try:
         with open(path, "rb") as file:
             return parse_settings(tomllib.load(file))
     except (OSError, ValueError) as error:
-        raise BadSettings(f"{path}: can't be read: {error}") from error
+        raise InvalidSettings(f"{path}: can't be read: {error}") from error
     except InvalidField as error:
-        raise BadSettings(f"{path}: {error}") from error
+        raise InvalidSettings(f"{path}: {error}") from error
 
 
 def parse_settings(content: dict[str, Any]) -> Settings:
--- a/stoneyoke/transport/peer_server.py
+++ b/stoneyoke/transport/peer_server.py
@@ -25,7 +25,7 @@
         """
         self.handle_request = handle_request
         self.server: asyncio.Server
-        self.answering: set[asyncio.Task[None]] = set()  # keeps a reference to each task until it is done
+        self.request_tasks: set[asyncio.Task[None]] = set()  # keeps a reference to each task until it is done
 
     async def open(self, address: tuple[str, int]) -> None:
         """Listens on a host and port. Raises OSError if that is not possible."""
@@ -39,7 +39,7 @@
     def close(self) -> None:
         """Stops listening, and cancels the requests without a response."""
         self.server.close()
-        for task in self.answering:
+        for task in self.request_tasks:
             task.cancel()
 
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -67,8 +67,8 @@
                 raise MalformedMessage(f"unexpected {type(request).__name__} as call {number} after call {last_number}")
             last_number = number
             task = asyncio.get_running_loop().create_task(self.answer(writer, number, request))
-            self.answering.add(task)
-            task.add_done_callback(self.answering.discard)
+            self.request_tasks.add(task)
+            task.add_done_callback(self.request_tasks.discard)
 
     async def answer(self, writer: asyncio.StreamWriter, number: int, request: Message) -> None:
         """Handles one request, and sends its response if there is one and the connection is still open."""
--- a/tests/system/gateway_fixture.py
+++ b/tests/system/gateway_fixture.py
@@ -124,7 +124,7 @@
         settings = UpstreamSettings(zones=("east",), zone="east", seed=7, bounds=BOUNDS)
         self.upstreams = Upstreams(self.clock, self.metrics, self.backends, self.instance_directory, settings)
         self.admission = Admission(7, self.clock.now(), BOUNDS)
-        self.admission.lease_holder_answered(self.clock.now() + HOUR_US)
+        self.admission.lease_holder_responded(self.clock.now() + HOUR_US)
         self.quota_client = GrantingQuotaClient(self.admission.local_quotas)
         services = RequestServices(
             admission=self.admission,
--- a/tests/system/test_instance_directory.py
+++ b/tests/system/test_instance_directory.py
@@ -2,7 +2,7 @@
 
 from stoneyoke.api.configuration import Version
 from stoneyoke.controlplane.instance_registry import Phase
-from stoneyoke.gateway.instance_directory import DROP_UNHEARD_S, IN_TOUCH_S, InstanceDirectory
+from stoneyoke.gateway.instance_directory import REACHABLE_S, REMOVE_SILENT_S, InstanceDirectory
 from stoneyoke.transport.messages import BallotRow, InstanceRow, MemberRow, PullResponse, ValueRow, VersionRow
 
 VOTERS = ("a", "b", "c")
@@ -65,7 +65,7 @@
     assert directory.caught_up(0.1) is None  # it may lack a drain
     directory.apply_pull("b", pull_response(5, name="b"), 0.1)
     assert directory.caught_up(0.1) == Version(5, b"x") and directory.newest()[1] == "b"
-    assert directory.caught_up(0.1 + IN_TOUCH_S) is None
+    assert directory.caught_up(0.1 + REACHABLE_S) is None
 
 
 @test("who is not among the newest voters does not count; while a change is not settled both sets are asked")
@@ -104,11 +104,11 @@
     for name in "ab":
         directory.apply_pull(name, pull_response(name=name, rows=[row(phase=Phase.SILENT)], seq=2), 1.0)
     directory.sweep(1.0)
-    assert not directory.unheard_instances("tide")  # c still hears it
+    assert not directory.silent_instances("tide")  # c still hears it
     directory.apply_pull("c", pull_response(name="c", rows=[row(phase=Phase.SILENT)], seq=2), 1.1)
     directory.sweep(1.2)
-    assert directory.unheard_instances("tide") == {"i-1"}
-    directory.sweep(1.2 + DROP_UNHEARD_S + IN_TOUCH_S)
+    assert directory.silent_instances("tide") == {"i-1"}
+    directory.sweep(1.2 + REMOVE_SILENT_S + REACHABLE_S)
     assert set(directory.instances) == {"i-2"}
     directory.sweep(90.0)  # no controller is in touch
     assert set(directory.instances) == {"i-2"}
@@ -122,7 +122,7 @@
         "a", pull_response(complete=True, incarnation="new", voters=("a",)), 1.0
     )  # started again, knows nobody yet
     directory.sweep(1.0)
-    assert directory.unheard_instances("tide") == frozenset() and len(directory.instances) == 2
+    assert directory.silent_instances("tide") == frozenset() and len(directory.instances) == 2
 
 
 @test("what the lease holder says of itself goes before what others heard; gateways stay until the membership changes")
--- a/tests/system/test_instance_registry.py
+++ b/tests/system/test_instance_registry.py
@@ -143,7 +143,7 @@
 @test("a gateway remembers as many instances that left as a controller, the last ones, for longer")
 def _():
     assert instance_directory.GONE_MAX >= instance_registry.MAX_ENDED_RECORDS
-    assert instance_directory.GONE_MEMORY_S > instance_registry.TOMBSTONE_TTL_S
+    assert instance_directory.GONE_TTL_S > instance_registry.TOMBSTONE_TTL_S
     directory = InstanceDirectory(())
     for at in range(10_000):
         directory.merge_row(row(f"i-{at}"), at * 0.002)
@@ -152,7 +152,7 @@
     assert len(directory.gone_at) == instance_directory.GONE_MAX
     directory.merge_row(row("i-9999", 9), 20.1)
     assert not directory.instances
-    directory.sweep(21.0 + instance_directory.GONE_MEMORY_S)
+    directory.sweep(21.0 + instance_directory.GONE_TTL_S)
     assert not directory.gone_at
 
 
--- a/tests/system/test_programs.py
+++ b/tests/system/test_programs.py
@@ -12,7 +12,7 @@
 from stoneyoke.api.errors import InvalidField
 from stoneyoke.programs.commands.configuration import differences
 from stoneyoke.programs.log_buffer import LogBuffer
-from stoneyoke.programs.settings import BadSettings, parse_settings, read_settings
+from stoneyoke.programs.settings import InvalidSettings, parse_settings, read_settings
 from stoneyoke.storage.record_store import RecordStore
 
 GIVEN = {
@@ -74,7 +74,7 @@
 
 @test("a settings file that is missing can't be read")
 def _(folder=folder):
-    with raises(BadSettings):
+    with raises(InvalidSettings):
         read_settings(os.path.join(folder, "none.toml"))
 
 
--- a/tests/system/test_quota_allocator.py
+++ b/tests/system/test_quota_allocator.py
@@ -59,7 +59,7 @@
             self.complete[at] = True
             return
         admission = self.admissions[at]
-        heard_at = admission.heard_at / SECOND
+        heard_at = admission.last_response_at / SECOND
         self.allocator.set_tenants(TENANT_ROWS)
         since_answer_s = min(60.0, self.now - heard_at)
         is_late = since_answer_s > SILENCE_TIMEOUT_S
@@ -76,7 +76,7 @@
             local_quota = admission.local_quotas[grant.tenant]
             local_quota.apply_grant(grant, self.now)
             local_quota.reported_isolated_units = local_quota.isolated_units
-        admission.lease_holder_answered(int(self.now * SECOND))
+        admission.lease_holder_responded(int(self.now * SECOND))
         if is_late:
             self.exchange(at, waiting)
 
@@ -84,7 +84,7 @@
         admission = self.admissions[at]
         waiting_by_tenant = {"anna": waiting} if waiting else {}
         return take_demands(
-            admission.local_quotas, waiting_by_tenant, admission.heard_at / SECOND, self.complete[at], self.now
+            admission.local_quotas, waiting_by_tenant, admission.last_response_at / SECOND, self.complete[at], self.now
         )
 
     def request(self, at: int) -> None:
@@ -95,7 +95,7 @@
         wait_us = admission.try_admit(call, local_quota, now)
         if wait_us is None:
             self.exchange(at, 1)
-            wait_us = admission.admit_after_reply(call, local_quota, now)
+            wait_us = admission.admit_after_response(call, local_quota, now)
         if wait_us == 0:
             self.sent_at.append(self.now)
         else:
@@ -308,7 +308,7 @@
     admission = Admission(7, 0, BOUNDS)
     call = admission.arrival(TENANT, SECOND)
     local_quota = admission.local_quotas["anna"]
-    admission.lease_holder_answered(1 * SECOND)
+    admission.lease_holder_responded(1 * SECOND)
     local_quota.apply_grant(QuotaGrant("anna", units=0.0, wait_s=0.5, share=0.2, reserve_units=0.0), 1.0)
     waits = [admission.try_admit(call, local_quota, 1 * SECOND) or 0 for _ in range(30)]
     assert 0.5 * SECOND <= waits[0] <= 1.5 * SECOND + 1
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -2,7 +2,7 @@
 
 from ward import each, test
 
-from stoneyoke.gateway.quota_client import ANSWER_TIMEOUT_S, QuotaClient
+from stoneyoke.gateway.quota_client import RESPONSE_TIMEOUT_S, QuotaClient
 from stoneyoke.limits.local_quota import LocalQuota
 from stoneyoke.transport.errors import PeerUnreachable
 from stoneyoke.transport.messages import QuotaGrant, QuotaResponse
@@ -32,7 +32,7 @@
     def lease_holder_client(self):
         return self.client
 
-    def lease_holder_answered(self, at):
+    def lease_holder_responded(self, at):
         self.heard.append(at)
 
 
@@ -84,14 +84,14 @@
 
     async def story(quota_client, heard):
         await quota_client.wait_for_units("anna")
-        assert quota_client.unanswered and not heard
+        assert quota_client.is_unresponsive and not heard
         for _ in range(100):
-            if not quota_client.unanswered:
+            if not quota_client.is_unresponsive:
                 break
             quota_client.request_due.set()
             quota_client.local_quotas["anna"].demand_units = 1.0
             await asyncio.wait_for(quota_client.round_ended.wait(), 2)
-        assert not quota_client.unanswered and heard and len(peer_client.asked) >= 3
+        assert not quota_client.is_unresponsive and heard and len(peer_client.asked) >= 3
 
     play(peer_client, story)
 
@@ -121,7 +121,7 @@
     async def story(quota_client, heard):
         quota_client.local_quotas["bert"] = LocalQuota()
         await quota_client.wait_for_units("anna")
-        assert quota_client.unanswered
+        assert quota_client.is_unresponsive
         assert len(peer_client.asked) == 2
         assert len(heard) == 1
         assert quota_client.local_quotas["anna"].level == quota_client.local_quotas["bert"].level == 0
@@ -147,9 +147,9 @@
         await quota_client.request_units(peer_client)
         assert (
             asked_at
-            < quota_client.heard_at
+            < quota_client.last_response_at
             == quota_client.local_quotas["anna"].granted_at
-            < asked_at + 1 + ANSWER_TIMEOUT_S
+            < asked_at + 1 + RESPONSE_TIMEOUT_S
         )
 
     play(peer_client, story)
