--- a/tests/system/configurations.py
+++ b/tests/system/configurations.py
@@ -65,11 +65,11 @@
 
 
 def example(number: int = 7, change: Callable[[dict[str, Any]], object] | None = None) -> bytes:
-    """The example's text.
+    """Returns the text of the example.
 
     Args:
-        number: of its generation.
-        change: changes the configuration before it is written.
+        number: The number of its version.
+        change: Changes the configuration before it is encoded.
     """
     configuration = copy.deepcopy(EXAMPLE)
     configuration["generation"] = f"r{number}"
@@ -79,6 +79,6 @@
 
 
 def route(configuration: dict[str, Any], host: int = 0, at: int = 0) -> dict[str, Any]:
-    """One route of a configuration, by its places in the lists."""
+    """Returns one route of a configuration by its indices in the lists."""
     found: dict[str, Any] = configuration["host_map"][host]["path_map"][at]
     return found
--- a/tests/system/departures.py
+++ b/tests/system/departures.py
@@ -1,4 +1,4 @@
-"""Requests that are at work at a backend when their client leaves, and what must be left of them."""
+"""Helpers for tests in which a client disconnects while its request is in flight at a backend."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -11,27 +11,27 @@
 from raw_backend import until
 
 WAYS_TO_LEAVE = (LeavingClient.close, LeavingClient.half_close, LeavingClient.reset)
-TURNS = 50  # of the event loop: far more than a close takes to pass through this process
+TURNS = 50  # turns of the event loop, far more than this process needs to handle a closed connection
 
 
 def repeatable(configuration: dict[str, Any]) -> None:
-    """Makes the requests that a LeavingClient sends repeatable: reads."""
+    """Makes the route of a LeavingClient's requests idempotent."""
     route(configuration, 0, 1).update(route_kind="pure")
 
 
 async def turn_loop() -> None:
-    """Lets all that is under way in this process take its course."""
+    """Runs the event loop until this process has handled all pending events."""
     for _ in range(TURNS):
         await asyncio.sleep(0)
 
 
 def orphaned_attempts(gateway: GatewayUnderTest) -> int:
-    """Attempts in flight whose client has gone."""
+    """Returns the number of attempts in flight whose client has disconnected."""
     return sum(upstream.runtime.orphaned_attempts() for upstream in gateway.upstreams.upstreams.values())
 
 
 def clients_gone(gateway: GatewayUnderTest) -> int:
-    """Clients that the gateway has seen leave before their answer."""
+    """Returns the number of clients whose disconnection before their response the gateway has detected."""
     return sum(count for name, count in gateway.metrics.counts.items() if name.startswith("clients gone: "))
 
 
@@ -39,7 +39,7 @@
 async def request_at_backend(
     change: Callable[[dict[str, Any]], Any] | None = repeatable, backend: HoldingBackend | None = None
 ) -> AsyncIterator[tuple[GatewayUnderTest, HoldingBackend, LeavingClient]]:
-    """A gateway, its backend, and a client whose request is at work there: a read, unless `change` is None."""
+    """Yields a gateway, a backend, and a client with a request in flight there: idempotent unless `change` is None."""
     backend = backend or HoldingBackend()
     async with GatewayUnderTest([backend], change=change) as gateway:
         client = LeavingClient(gateway.port)
@@ -49,7 +49,7 @@
 
 
 def assert_nothing_held(gateway: GatewayUnderTest, idle_connections: int = 0) -> None:
-    """No request, attempt, slot or descriptor is held for anybody, and no invariant was violated."""
+    """Checks that no request, attempt, slot or descriptor is in use, and that no invariant was violated."""
     assert not gateway.handler.connections.open
     for upstream in gateway.upstreams.upstreams.values():
         decisions = upstream.runtime.gateway
@@ -65,6 +65,6 @@
 async def leave_and_wait(
     gateway: GatewayUnderTest, client: LeavingClient, leave: Callable[[LeavingClient], None] = LeavingClient.close
 ) -> None:
-    """Ends a client's connection and waits until the gateway holds nothing of it."""
+    """Ends a client's connection and waits until the gateway has closed its end."""
     leave(client)
     await until(lambda: not gateway.handler.connections.open)
--- a/tests/system/event_loop.py
+++ b/tests/system/event_loop.py
@@ -1,4 +1,4 @@
-"""Runs a test's coroutine on an event loop of its own."""
+"""Runs a test's coroutine on a new event loop."""
 
 import asyncio
 import functools
@@ -7,7 +7,7 @@
 
 
 def on_loop(story: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Makes a plain test function of a coroutine function; its parameters stay those of the test."""
+    """Converts a coroutine function to a plain test function with the same parameters."""
 
     @functools.wraps(story)
     def run(**parameters: Any) -> None:
--- a/tests/system/gateway_fixture.py
+++ b/tests/system/gateway_fixture.py
@@ -1,4 +1,4 @@
-"""A gateway's request handler on loopback sockets, with scripted backends and without controllers."""
+"""Runs a gateway's request handler on loopback sockets, with scripted backends and without controllers."""
 
 import asyncio
 import time
@@ -34,7 +34,7 @@
 
 
 def ok(request: Head, body: bytes = b"yes", more: bytes = b"") -> bytes:
-    """A stamped success for this request."""
+    """Returns a 200 response with a stamp for this request."""
     return (
         b"HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Stamp: s1\r\n%sContent-Length: %d\r\n\r\n"
         % (request["attempt-id"], more, len(body))
@@ -42,9 +42,9 @@
 
 
 class ScriptedBackend:
-    """A backend that answers by a function of the request: bytes, None for silence, or b"" to close.
+    """A backend that responds with the result of a function of the request: bytes, None for no response, b"" to close.
 
-    `requests` keeps what came.
+    `requests` records the requests that it received.
     """
 
     def __init__(self, answer: Answer = ok) -> None:
@@ -76,7 +76,7 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> Head:
-    """The head of a request or an answer."""
+    """Reads the head of a request or a response."""
     lines = (await reader.readuntil(b"\r\n\r\n")).split(b"\r\n")
     headers = {name.decode().lower(): value.strip() for name, _, value in (line.partition(b":") for line in lines[1:])}
     headers["line"] = lines[0]
@@ -84,7 +84,7 @@
 
 
 class GrantingQuotaClient:
-    """In place of the quota client: a lease holder answers at once, with `grant` (units, wait, share, reserve)."""
+    """A fake quota client whose lease holder responds at once with `grant` (units, wait, share, reserve)."""
 
     def __init__(self, local_quotas: dict[str, LocalQuota]) -> None:
         self.local_quotas = local_quotas
@@ -97,7 +97,7 @@
 
 
 class GatewayUnderTest:
-    """A request handler with its parts, as an asynchronous context.
+    """A request handler with its components, as an asynchronous context manager.
 
     Args:
         scripted_backends: The instances i-0, i-1, ... of the service.
@@ -152,7 +152,7 @@
             task.cancel()
 
     def report_instance(self, instance: str, port: int, phase: Phase = Phase.READY, call_seq: int = 1) -> None:
-        """What a controller would report of an instance."""
+        """Merges a report of an instance, as if from a controller."""
         address = f"{HOST}:{port}"
         row = InstanceRow(instance, address, self.service, "east", "v1", 2, int(phase), call_seq, 0.0)
         self.instance_directory.merge_row(row, self.clock.now() / 1_000_000)
@@ -168,7 +168,7 @@
         wait_ms: bytes = b"3000",
         raw: bytes | None = None,
     ) -> tuple[int, Head, bytes]:
-        """Status, headers and body of the answer to one request on a connection of its own."""
+        """Sends one request on a new connection, and returns the status, headers and body of the response."""
         self.requests_sent += 1
         key_line = b"Api-Key: %s\r\n" % key if key else b""
         request = raw or (
--- a/tests/system/holding_backend.py
+++ b/tests/system/holding_backend.py
@@ -1,4 +1,4 @@
-"""A backend that holds each request until the test releases it, and notices at once when a connection ends."""
+"""A backend that delays each response until the test releases it, and a client that disconnects on demand."""
 
 import asyncio
 import socket
@@ -9,13 +9,14 @@
 
 
 class HoldingBackend(ScriptedBackend):
-    """Begins to run each request, and drops the run when the connection closes, as most backends do.
+    """Starts to run each request, and cancels the run when the connection closes, as most backends do.
 
-    `requests` keeps what came whole. `cut` and `finished` keep the attempt ids of runs by how they ended.
+    `requests` records the requests that were received completely; `cut` and `finished` record the attempt ids of runs
+    that were cancelled and completed.
     """
 
     def __init__(self, answer: Callable[[Head], bytes] = ok, first_part: bytes = b"") -> None:
-        """`first_part` is written when a run begins: an answer that has begun and stalls."""
+        """`first_part` is written when a run starts, as the start of a response that then stalls."""
         super().__init__()
         self.answer, self.first_part = answer, first_part
         self.released = asyncio.Event()
@@ -41,7 +42,7 @@
             writer.transport.abort()
 
     async def is_cut(self, reader: asyncio.StreamReader) -> bool:
-        """Waits for the release or the connection's end, whichever comes first; true for the end."""
+        """Waits for the release or the connection's end, whichever comes first. Returns True for the end."""
         released = asyncio.ensure_future(self.released.wait())
         ended = asyncio.ensure_future(reader.read(1))
         done, pending = await asyncio.wait((released, ended), return_when=asyncio.FIRST_COMPLETED)
@@ -52,7 +53,7 @@
 
 
 class LeavingClient:
-    """A client's socket that the test ends as it likes. `attempt_id` is of the last request that it sent."""
+    """A client whose connection the test can end in several ways. `attempt_id` belongs to the last request sent."""
 
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection((HOST, port))
@@ -70,14 +71,14 @@
         return self.attempt_id
 
     def close(self) -> None:
-        """FIN: closes its socket."""
+        """Closes the socket, which sends a FIN."""
         self.socket.close()
 
     def half_close(self) -> None:
-        """FIN: ends its sending, and could still read."""
+        """Shuts down the sending direction, which sends a FIN; the client could still read."""
         self.socket.shutdown(socket.SHUT_WR)
 
     def reset(self) -> None:
-        """RST."""
+        """Resets the connection with an RST."""
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.socket.close()
--- a/tests/system/raw_backend.py
+++ b/tests/system/raw_backend.py
@@ -1,4 +1,4 @@
-"""A backend at the level of its socket, moved step by step by the test: nothing happens on it by itself."""
+"""A backend as a bare socket, which does nothing on its own: the test performs each step."""
 
 import asyncio
 import select
@@ -17,8 +17,8 @@
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.pending_request import PendingRequest, RequestOwner
 
-RECEIVE_BUFFER_BYTES = 4096  # the peer's kernel takes so much of what is not read, or little more
-LARGE = b"x" * 30_000_000  # a body of which a part stays in the sender
+RECEIVE_BUFFER_BYTES = 4096  # about the number of unread bytes that the backend's kernel buffers
+LARGE = b"x" * 30_000_000  # a body too large for the sockets' buffers, so that a part of it stays in the sender
 SHORT_US = 20_000
 LONG_US = 5_000_000
 HOUR_S = 3600
@@ -58,13 +58,13 @@
 
 
 def reset(connection: socket.socket) -> None:
-    """Ends it with an RST, whatever is unread."""
+    """Closes a connection with an RST, whether or not it has unread data."""
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     connection.close()
 
 
 def arrived(connection: socket.socket) -> bytes:
-    """All that has come on the peer's side, without waiting."""
+    """Returns all data that has arrived at the peer, without waiting."""
     connection.setblocking(False)
     data = b""
     try:
@@ -76,26 +76,26 @@
 
 
 def wait_for_kernel_input(writer: asyncio.StreamWriter) -> None:
-    """Waits, outside the event loop, until something has come on the sender's socket that the loop has not seen.
+    """Blocks the event loop until the sender's socket has input that the loop has not processed.
 
     Raises:
-        TimeoutError: Nothing came.
+        TimeoutError: No input arrived.
     """
     poll = select.poll()
     poll.register(writer.get_extra_info("socket").fileno(), select.POLLIN)
     if not poll.poll(1000):
-        raise TimeoutError("nothing has come on the socket")
+        raise TimeoutError("no input has arrived on the socket")
 
 
 async def until(holds: Callable[[], object]) -> None:
-    """Turns the event loop until the condition holds."""
+    """Runs the event loop until the condition holds."""
     async with asyncio.timeout(5):
-        while not holds():  # noqa: ASYNC110 -- the condition is the socket's or the loop's: nobody sets an event
+        while not holds():  # noqa: ASYNC110 -- the state of a socket or of the loop has no event to wait for
             await asyncio.sleep(0)
 
 
 async def after_all_timers(task: "asyncio.Future[Any]") -> None:
-    """Waits for a task with every timer of the loop due at once."""
+    """Waits for a task while all timers of the event loop are due."""
     loop = cast(Any, asyncio.get_running_loop())
     now = loop.time
     loop.time = lambda: now() + HOUR_S
@@ -104,12 +104,12 @@
 
 
 class Sender:
-    """Attempts at one backend, with no gateway around them. `connections` keeps each connection made."""
+    """Makes attempts at one backend without a gateway. `connections` records each connection that was opened."""
 
     def __init__(self, address: Address, connect_timeout_us: int = LONG_US, descriptors: int = 9) -> None:
         self.clock, self.metrics = Clock(), Metrics()
         self.connections: list[BackendConnection] = []
-        self.pending = PendingRequest(1, self.clock, cast(RequestOwner, None))  # no client goes here
+        self.pending = PendingRequest(1, self.clock, cast(RequestOwner, None))  # no client disconnects in these tests
         limits = BackendLimits(connect_timeout_us=connect_timeout_us, idle_timeout_us=30_000_000)
         self.backends = Backends(self.clock, self.metrics, DescriptorBudget(descriptors, 0), limits)
         self.backends.set_address(0, address)
@@ -130,13 +130,13 @@
     async def send(
         self, body: bytes = b"order", within: int = LONG_US, matches_response: Callable[[Message], bool] | None = None
     ) -> Result:
-        """Makes an attempt; gives its outcome and the answer. `within`: in microseconds."""
+        """Makes an attempt with a deadline in `within` microseconds, and returns its outcome and the response."""
         head = [b"POST /x HTTP/1.1\r\nContent-Length: %d\r\n" % len(body)]
         deadline_us = self.clock.now() + within
         request = OutgoingRequest(head=head, body=body, deadline_us=deadline_us, matches_response=matches_response)
         return await self.backends.send_attempt(self.pending, 0, 0, request)
 
     def all_closed(self) -> bool:
-        """Whether no connection is open, in use or idle."""
+        """Returns whether no connection is open, neither in use nor idle."""
         pool = self.backends.pools[0]
         return self.backends.descriptor_budget.used == pool.busy == len(pool.idle) == 0
--- a/tests/system/test_api.py
+++ b/tests/system/test_api.py
@@ -1,4 +1,4 @@
-"""Configurations and calls from outside: what is read, and what is rejected with the field that is wrong."""
+"""The configuration and the API calls: which are accepted, and which field the rejection of others names."""
 
 import copy
 import json
@@ -25,7 +25,7 @@
 CONFIGURATION_MUTATIONS = (None, -1, 0, "", "x y", [], {}, 1e308, [[]], True, "é" * 10, 10**40)
 HEARTBEAT_MUTATIONS = (None, -1, "", [], {}, "10.0.0.9", "10.0.0.999:1", True, 1e400)
 
-# What is wrong, the change that makes it so, and the field that the rejection names.
+# The fault, the change that introduces it, and the field that the rejection names.
 INVALID: list[tuple[str, Callable[[dict[str, Any]], object], str]] = [
     (
         "an unknown service",
@@ -66,7 +66,7 @@
         lambda c: route(c).update(target_service="tide"),
         "host_map[0].path_map[0].target_service",
     ),
-    ("a truth value for a number", lambda c: route(c).update(max_tries=True), "host_map[0].path_map[0].max_tries"),
+    ("a bool for a number", lambda c: route(c).update(max_tries=True), "host_map[0].path_map[0].max_tries"),
     ("NaN for a number", lambda c: c["limits"].update(idle_timeout_s=float("nan")), "body"),
     ("a version without its r", lambda c: c.update(generation="7"), "generation"),
     ("version 0", lambda c: c.update(generation="r0"), "generation"),
@@ -94,7 +94,7 @@
     assert result.field == field
 
 
-@test("a configuration cut short anywhere is rejected")
+@test("a truncated configuration is rejected")
 def _() -> None:
     body = example()
     for end in range(0, len(body), 7):
@@ -102,7 +102,7 @@
 
 
 def json_paths(value: Any, path: JsonPath = ()) -> Iterator[JsonPath]:
-    """The path of every value inside a JSON value, without that of the whole."""
+    """Yields the path of every value nested in a JSON value."""
     keys = value if isinstance(value, dict) else range(len(value)) if isinstance(value, list) else ()
     for key in keys:
         yield (*path, key)
@@ -110,7 +110,7 @@
 
 
 def mutated(original: dict[str, Any], path: JsonPath, value: Any) -> bytes:
-    """The text of an object in which one value is replaced."""
+    """Returns the JSON text of an object with one value replaced."""
     changed = copy.deepcopy(original)
     parent: Any = changed
     for key in path[:-1]:
@@ -119,7 +119,7 @@
     return json.dumps(changed).encode()
 
 
-@test("no mutation of one value of a configuration is half accepted or ends in another error")
+@test("a configuration with one mutated value is either valid and usable, or rejected with InvalidField")
 def _() -> None:
     accepted = 0
     for path in json_paths(EXAMPLE):
@@ -133,10 +133,10 @@
             for _, one in configuration.routes():
                 assert all(target.service in configuration.services for target in weighted_targets(one))
             build_routing_table(configuration)
-    assert accepted > 20  # an optional value may be null
+    assert accepted > 20  # some mutations are valid: an optional value may be null
 
 
-@test("the longest prefix wins, hosts match in any case, keys name their tenant")
+@test("the longest path prefix wins, hosts match in any case, and each API key maps to its tenant")
 def _() -> None:
     table = build_routing_table(read_configuration(example()))
     assert table.find_route("one.example", "/a/b/c").label == "r-2"
@@ -148,7 +148,7 @@
     assert "key-x" not in table.tenants_by_key
 
 
-@test("the services of a route are drawn by their shares")
+@test("the services of a route are selected in proportion to their shares")
 def _() -> None:
     found = build_routing_table(read_configuration(example())).find_route("one.example", "/a/")
     drawn = [found.choose_service(at / 1000) for at in range(1000)]
@@ -156,7 +156,7 @@
     assert drawn.count("quay") == 100
 
 
-@test("a higher number wins, then the digest: two texts under one number end as one")
+@test("versions are ordered by number and then by digest, so two texts with one number are ordered too")
 def _() -> None:
     one = read_configuration(example(7)).version
     other = read_configuration(example(7, lambda c: c.update(limits=None))).version
@@ -165,7 +165,7 @@
     assert read_configuration(example(8)).version > max(one, other)
 
 
-@test("calls are told apart by method and path")
+@test("calls are identified by their method and path")
 def _() -> None:
     heartbeat = read_call("POST", HEARTBEAT_PATH, json.dumps(HEARTBEAT).encode())
     assert heartbeat == Heartbeat(
@@ -197,7 +197,7 @@
 EACH_HEARTBEAT_PATH = each(*json_paths(HEARTBEAT))
 
 
-@test("a heartbeat with {path} mutated is rejected or read, never an error of another kind")
+@test("a heartbeat with {path} mutated is rejected or read, and raises no other error")
 def _(path: JsonPath = EACH_HEARTBEAT_PATH) -> None:
     for value in HEARTBEAT_MUTATIONS:
         result = read_call("POST", HEARTBEAT_PATH, mutated(HEARTBEAT, path, value))
--- a/tests/system/test_backend_at_work.py
+++ b/tests/system/test_backend_at_work.py
@@ -1,4 +1,4 @@
-"""What a backend is at work on when SIGTERM comes, and answers that name another request, through a whole gateway."""
+"""Requests in flight at a backend when the gateway receives SIGTERM, and responses with wrong attempt ids or stamps."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 from stoneyoke.net.message_reader import Message
 
 GRACE_S = 60.0
-TICKS = 100  # of the decisions: 5 s, well beyond their patience with a quiet backend
+TICKS = 100  # of the decision logic: 5 s, much longer than it waits for a silent backend before it cancels an attempt
 
 
 def pure(given):
@@ -23,7 +23,7 @@
 
 
 async def at_a_quiet_backend(gateway, peer):
-    """A repeatable request that the only backend is at work on, and the backend's end of its connection."""
+    """Returns an idempotent request in flight at the only backend, and the backend's end of its connection."""
     gateway.report_instance("i-0", peer.address[1])
     gateway.upstreams.refresh()
     asked = asyncio.ensure_future(gateway.send(method=b"GET", body=b"", wait_ms=b"60000"))
@@ -34,24 +34,24 @@
 
 
 def let_decisions_wait(gateway):
-    """Time passes for the decisions alone, beat by beat."""
+    """Advances the clock and the timer of the decision logic tick by tick, without real time passing."""
     runtime = gateway.upstreams.get(gateway.service).runtime
     for _ in range(TICKS):
         gateway.clock.monotonic_to_unix_us += TICK_US
         runtime.dispatch(TimerFired(0))
 
 
-@test("before SIGTERM the only backend's attempt may be cancelled")
+@test("before SIGTERM an attempt at a silent backend is cancelled, even if there is no other backend")
 @on_loop
 async def _():
     with RawBackend() as peer:
         async with GatewayUnderTest([], change=pure) as gateway:
             asked, _ = await at_a_quiet_backend(gateway, peer)
             let_decisions_wait(gateway)
-            assert (await asked)[0] == 502  # what the next test rests on
+            assert (await asked)[0] == 502  # the next test relies on this cancellation without a drain
 
 
-@test("after SIGTERM a backend at work is not cancelled, and its answer reaches the client")
+@test("after SIGTERM an attempt at a silent backend is not cancelled, and its response reaches the client")
 @on_loop
 async def _():
     with RawBackend() as peer:
@@ -68,7 +68,7 @@
             assert not draining.done()
 
 
-@test("after SIGTERM a request that has been read behind another one is answered before its connection closes")
+@test("after SIGTERM a pipelined request that has been read gets its response before the connection closes")
 @on_loop
 async def _():
     backend = ScriptedBackend()
@@ -88,7 +88,7 @@
         writer.transport.abort()
 
 
-@test("an answer that names two requests is taken for neither")
+@test("a response with two attempt ids matches no request")
 @on_loop
 async def _():
     backend = ScriptedBackend(lambda request: ok(request, more=b"Attempt-Id: %s\r\n" % request["attempt-id"]))
@@ -96,7 +96,7 @@
         assert (await gateway.send(wait_ms=b"200"))[0] == 504 and len(backend.requests) == 1
 
 
-@test("a success with Not-Run, or with two stamps, is no success and no proof that it has not run")
+@test("a 200 response with Not-Run or two stamps is not a success, and does not prove that the request has not run")
 def _(case=each(({b"not-run": b"1"}, ()), ({}, (b"server-stamp",)))):
     headers, repeated = case
     message = Message()
--- a/tests/system/test_client_left.py
+++ b/tests/system/test_client_left.py
@@ -1,4 +1,9 @@
-"""Work must not outlive the client that it is done for: attempts at backends after their client has left."""
+"""Attempts at backends whose client has disconnected.
+
+An attempt of an idempotent request is cancelled when its client disconnects, so that no backend works for a client that
+is gone. An attempt of a non-idempotent request is left to finish. Whenever the client disconnects, no request, slot,
+connection or file descriptor stays in use.
+"""
 
 import asyncio
 from itertools import product
@@ -26,11 +31,11 @@
 
 LEAVES = each(*WAYS_TO_LEAVE)
 WAYS_AND_FLAG = each(*product(WAYS_TO_LEAVE, (True, False)))
-WAYS_AND_PART = each(*product(WAYS_TO_LEAVE, (10, 60, -1)))  # bytes of a request that were sent
+WAYS_AND_PART = each(*product(WAYS_TO_LEAVE, (10, 60, -1)))  # end of the part of the request that is sent
 KIND_AND_FLAG = each(*product((repeatable, None), (True, False)))
 
 
-@test("a read ends at its backend once its client has left")
+@test("an attempt of an idempotent request is cancelled once its client has disconnected")
 @on_loop
 async def _(leave=LEAVES):
     async with request_at_backend() as (gateway, backend, client):
@@ -43,12 +48,13 @@
         assert backend.cut == [attempt_id] and not backend.finished
 
 
-# Of the next request: more than the gateway reads while it owes an answer (48 KiB at most), and less than the kernel
-# takes besides (some 77 KiB). Behind a full receive window no FIN arrives: with 150,000 it did 38 times in 40.
+# Size of the next request's body. It must be more than the gateway reads while a response is pending (48 KiB at most),
+# and less than these and the kernel's receive buffer (about 77 KiB) together: behind a full receive window no FIN
+# arrives. With 150,000 it did 38 times in 40.
 UNREAD_BYTES = 80_000
 
 
-@test("a client that leaves while input of it waits unread is noticed at the next sweep")
+@test("the disconnection of a client with unread input is detected at the next sweep")
 @on_loop
 async def _(leave=LEAVES):
     async with request_at_backend() as (gateway, backend, client):
@@ -66,7 +72,7 @@
         assert backend.cut == [attempt_id] and len(backend.requests) == 1
 
 
-@test("an order that has been sent is let finish after its client has left, also while the gateway drains")
+@test("a non-idempotent request that was sent may finish after its client has disconnected, also during a drain")
 @on_loop
 async def _(case=WAYS_AND_FLAG):
     leave, draining = case
@@ -76,14 +82,14 @@
         leave(client)
         await until(lambda: clients_gone(gateway))
         await turn_loop()
-        assert not backend.cut and gateway.handler.has_work(), "the end of the process would cut the run"
+        assert not backend.cut and gateway.handler.has_work(), "the process could exit and break off the attempt"
         backend.released.set()
         await until(lambda: not gateway.handler.connections.open)
         assert backend.finished == [attempt_id] and not gateway.handler.has_work()
         assert_nothing_held(gateway, idle_connections=1)
 
 
-@test("a read ends with its client while the gateway drains, and when its instance is listed no more")
+@test("an idempotent attempt is cancelled with its client also during a drain, or if its instance has been removed")
 @on_loop
 async def _(draining=each(True, False)):
     async with request_at_backend() as (gateway, backend, client):
@@ -102,7 +108,7 @@
 )
 
 
-@test("a client that leaves within its request begins nothing and costs no quota")
+@test("a client that disconnects before its request is complete starts no attempt and uses no quota")
 @on_loop
 async def _(case=WAYS_AND_PART):
     leave, part = case
@@ -116,7 +122,7 @@
         assert_nothing_held(gateway)
 
 
-@test("a client that leaves with the last byte of its request has nothing run on for it")
+@test("no attempt keeps running for a client that disconnects right after the last byte of its request")
 @on_loop
 async def _(leave=LEAVES):
     backend = HoldingBackend()
@@ -130,7 +136,7 @@
         assert_nothing_held(gateway)
 
 
-@test("a client that leaves while the lease holder is asked takes no unit, and nothing is begun for it")
+@test("a client that disconnects while units are requested for it uses no unit, and no attempt is made")
 @on_loop
 async def _(leave=LEAVES):
     backend = HoldingBackend()
@@ -157,7 +163,7 @@
         assert_nothing_held(gateway)
 
 
-@test("a client that leaves while a connection comes up has nothing sent for it, read or order")
+@test("no request is sent for a client that disconnects while the connection to the backend is being opened")
 @on_loop
 async def _(case=KIND_AND_FLAG):
     change, same_turn = case
@@ -178,7 +184,8 @@
         await connecting.wait()
         (serving,) = gateway.handler.connections.open.values()
         if same_turn:
-            serving.protocol.eof_received()  # what the loop would call; the connection comes up before it turns again
+            # As the event loop calls it; the connection to the backend is opened in the same turn of the loop.
+            serving.protocol.eof_received()
             connected.set()
         await leave_and_wait(gateway, client)
         connected.set()
@@ -188,12 +195,15 @@
 
 
 def assert_nothing_held_but_connecting(gateway):
-    """As above; a connection that was given up while it came up is closed by its stand-in, not by the pool."""
+    """Like assert_nothing_held, but allows a descriptor of a connection that was cancelled while it was being opened.
+
+    This test's replacement of `connect` holds that connection, so the pool does not close it.
+    """
     assert all(not upstream.runtime.pending for upstream in gateway.upstreams.upstreams.values())
     assert gateway.backends.descriptor_budget.used in (0, 1) and not gateway.metrics.violations
 
 
-@test("a client that leaves during a second attempt ends that one, and no third begins")
+@test("if the client disconnects during a second attempt, that attempt is cancelled and no third one starts")
 @on_loop
 async def _(leave=LEAVES):
     first = []
@@ -216,7 +226,7 @@
         assert_nothing_held(gateway)
 
 
-@test("an order that a backend turns away after its client has left is not sent again")
+@test("a non-idempotent request that a backend rejects after its client has disconnected is not retried")
 @on_loop
 async def _(status=each(503, 421)):
     def turn_away(request):
@@ -239,7 +249,7 @@
         assert not gateway.metrics.violations
 
 
-@test("a read ends with its client while its answer has begun and stalls")
+@test("an idempotent attempt whose response has started and stalls is cancelled with its client")
 @on_loop
 async def _(
     part=each(b"HTTP/1.1 200 OK\r\nSer", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nServer-Stamp: s\r\n\r\nhalf"),
@@ -256,7 +266,7 @@
         assert_nothing_held(gateway)
 
 
-@test("a read ends with its client while its body is held up by a backend that does not read")
+@test("an idempotent attempt whose body the backend does not read is cancelled with its client")
 @on_loop
 async def _():
     reading = asyncio.Event()
@@ -282,7 +292,7 @@
         assert_nothing_held(gateway)
 
 
-@test("of requests on one connection the one in flight ends with the client, and the one behind never begins")
+@test("of two pipelined requests, the one in flight is cancelled with its client and the other never starts")
 @on_loop
 async def _(leave=LEAVES):
     backend = HoldingBackend()
@@ -302,7 +312,7 @@
         assert_nothing_held(gateway)
 
 
-@test("a client's close and the backend's answer that come together leave nothing behind, whichever is seen first")
+@test("a disconnection and a backend response at the same time leave nothing in use, whichever is processed first")
 @on_loop
 async def _(case=WAYS_AND_FLAG):
     leave, client_first = case
@@ -316,7 +326,7 @@
         assert_nothing_held(gateway, idle_connections=idle)
 
 
-@test("an attempt that ends with its client is no failure of its backend, and teaches no better latency than was known")
+@test("an attempt cancelled with its client does not count as a backend failure and does not improve its latency")
 @on_loop
 async def _():
     backend = HoldingBackend()
@@ -339,12 +349,12 @@
 async def _():
     async with request_at_backend() as (gateway, backend, client):
         (upstream,) = gateway.upstreams.upstreams.values()
-        upstream.runtime.gateway.rpcs.cancel_attempts = lambda rpc: None  # the mend undone
+        upstream.runtime.gateway.rpcs.cancel_attempts = lambda rpc: None  # disables the cancellation
         client.close()
         await until(lambda: clients_gone(gateway))
         upstream.runtime.departures.sweep()
         assert not gateway.metrics.violations
-        with raises(AssertionError):  # a debug build fails on it
+        with raises(AssertionError):  # without -O, a violated invariant raises
             upstream.runtime.departures.sweep()
         upstream.runtime.departures.sweep()
         assert gateway.metrics.violations == {OUTLIVED: 1}
@@ -352,7 +362,7 @@
         await until(lambda: not gateway.handler.connections.open)
 
 
-@test("an attempt that would start for a client that has gone is counted, and not made in a release build")
+@test("an attempt that would start for a disconnected client is counted as a violation, and with -O not made")
 @on_loop
 async def _():
     backend = HoldingBackend()
--- a/tests/system/test_departures_in_any_order.py
+++ b/tests/system/test_departures_in_any_order.py
@@ -1,4 +1,4 @@
-"""Clients that leave at any moment, among answers, drains and sweeps: drawn orders, each kept by its seed."""
+"""Clients that disconnect at any moment, among responses, drains and sweeps, in random orders, each given by a seed."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 
 
 def drawn_steps(seed, backend, gateway, clients):
-    """Sixty steps in an order drawn from the seed: requests, departures, answers, drains, sweeps, loop turns."""
+    """Returns 70 or 71 steps in a random order: requests, disconnections, responses, sweeps; for odd seeds a drain."""
     draw = random.Random(seed)
 
     def send():
@@ -43,7 +43,7 @@
     return [draw.choice(steps) for _ in range(60)] + [drain] * (seed % 2) + [draw.choice(steps) for _ in range(10)]
 
 
-@test("drawn orders of requests, departures, answers, drains and sweeps leave nothing behind and no invariant violated")
+@test("random orders of requests, disconnections, responses, drains and sweeps leave no resource in use")
 @on_loop
 async def _(first_seed=each(0, 10, 20, 30)):
     def mixed(configuration):
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -29,7 +29,7 @@
     )
 
 
-@test("a request passes unchanged but for the key, with the tenant and the instance that is meant")
+@test("a request is forwarded unchanged but for the API key, with the tenant and the expected instance added")
 @on_loop
 async def _():
     backend = ScriptedBackend()
@@ -44,7 +44,7 @@
         assert "api-key" not in got and "x-hop" not in got and got["attempt-id"] == b"a-1"
 
 
-@test("no route is a 404, an unknown key a 401, and a public route needs none")
+@test("a request without a route gets 404, one with an unknown key 401, and a public route needs no key")
 @on_loop
 async def _():
     backend = ScriptedBackend()
@@ -55,7 +55,7 @@
         assert status == 200 and "tenant" not in backend.requests[0]
 
 
-@test("a newer table is taken whole, an older one never")
+@test("a newer routing table replaces the whole current one, and an older one is ignored")
 @on_loop
 async def _():
     async with GatewayUnderTest([ScriptedBackend()]) as gateway:
@@ -69,7 +69,7 @@
         assert (await gateway.send())[0] == 401
 
 
-@test("a request that a backend proves not to have run is retried at another; 421 drops the instance for good")
+@test("a request proven not to have run is retried at another backend; a 421 removes the instance permanently")
 @on_loop
 async def _(refusal=each((503, b"Not-Run: 1\r\n"), (421, b"Instance-Id: i-other\r\n"))):
     status, more = refusal
@@ -95,7 +95,7 @@
 TOO_MANY = refusing(429, b"")({"attempt-id": b"a-1"})
 
 
-@test("a request that may have run is not retried, and its answer carries no stamp")
+@test("a non-idempotent request that may have run is not retried, and its response has no stamp")
 @on_loop
 async def _(
     data=each(
@@ -120,7 +120,7 @@
         assert "server-stamp" not in headers
 
 
-@test("a read that failed at one backend is asked of another, within the route's tries")
+@test("an idempotent request that failed at one backend is retried at another, up to the route's maximum of attempts")
 @on_loop
 async def _():
     failed = []
@@ -143,7 +143,7 @@
         assert sum(len(one.requests) for one in gateway.scripted_backends) == 1
 
 
-@test("further tries stay within this gateway's part of the budget, and are refused at once beyond it")
+@test("retries stay within this gateway's part of the retry budget, and requests beyond it are rejected at once")
 @on_loop
 async def _():
     backends = [ScriptedBackend(refusing(503)) for _ in range(4)]
@@ -156,7 +156,7 @@
         assert 30 < arrivals <= 30 + 0.2 * 30 + 4
 
 
-@test("a backend's own failure is passed on as it is, for an order that ran")
+@test("a backend's 500 response to a non-idempotent request that ran is forwarded unchanged")
 @on_loop
 async def _():
     async with GatewayUnderTest(
@@ -171,7 +171,7 @@
         assert (status, body, headers["server-stamp"]) == (500, b"oops", b"s9")
 
 
-@test("an answer to something else, late or sent twice, is never taken for this one's")
+@test("a response to another request, or a second response, is never returned for this request")
 @on_loop
 async def _():
     def twice(request):
@@ -183,7 +183,7 @@
             assert (await gateway.send())[2] == b"yours"
 
 
-@test("an answer in chunks is passed on whole")
+@test("a chunked response is forwarded completely")
 @on_loop
 async def _():
     chunked = (
@@ -194,7 +194,7 @@
         assert (await gateway.send())[2] == b"abcde"
 
 
-@test("a draining instance gets no more requests, and one that is gone never comes back by a late report")
+@test("a draining instance gets no more requests, and a late report does not restore an instance that is gone")
 @on_loop
 async def _():
     drains, stays = ScriptedBackend(), ScriptedBackend()
@@ -213,7 +213,7 @@
         assert "i-0" not in gateway.instance_directory.instances
 
 
-@test("over quota is a 429 with a time, at once and without a backend; with units it passes")
+@test("a request over quota gets a 429 with Retry-After and reaches no backend; with units it is forwarded")
 @on_loop
 async def _():
     backend = ScriptedBackend()
@@ -227,7 +227,7 @@
         assert (await gateway.send(key=b"key-c"))[0] == 200  # bert has no limit
 
 
-@test("without backends a request is refused at once with a time to come back")
+@test("without backends a request is rejected at once with a 503 and Retry-After")
 @on_loop
 async def _():
     async with GatewayUnderTest([]) as gateway:
@@ -235,14 +235,14 @@
         assert status == 503 and float(headers["retry-after"]) > 0
 
 
-@test("a silent backend: at the deadline the client gets a 504, no promise")
+@test("if a backend does not respond, the client gets a 504 at its deadline")
 @on_loop
 async def _():
     async with GatewayUnderTest([ScriptedBackend(lambda _: None)]) as gateway:
         assert (await gateway.send(wait_ms=b"150"))[0] == 504
 
 
-@test("no mutation of one request's head brings the gateway down or reaches a backend changed")
+@test("malformed request heads are rejected, reach no backend, and the gateway keeps serving")
 @on_loop
 async def _():
     head = (
@@ -280,7 +280,7 @@
         assert (await gateway.send())[0] == 200
 
 
-@test("after SIGTERM answers close their connection, and what is owed is answered before the end")
+@test("after SIGTERM each response closes its connection, and draining ends with no connection open")
 @on_loop
 async def _():
     backend = ScriptedBackend()
@@ -294,7 +294,7 @@
         assert ended and not gateway.handler.connections.open
 
 
-@test("the outcome of each answer of a backend")
+@test("each kind of backend response is classified by its status and its headers")
 def _():
     from stoneyoke.gateway.upstreams import classify_response
     from stoneyoke.net.message_reader import Message
@@ -318,7 +318,7 @@
 @test("retries stay within this gateway's part of the retry budget, and only attempts that reached a backend count")
 def _():
     def call_outs(outcome, depth):
-        """Of ten requests at nine backends, each of which ends that way."""
+        """Returns the number of attempts for ten requests at nine backends if each attempt has this outcome."""
         method = Method(
             idempotency=Idempotency.IDEMPOTENT,
             deduplication_scope=DeduplicationScope.CELL,
@@ -392,6 +392,7 @@
         return count
 
     free = call_outs(AttemptOutcome.ERROR, 0.0)
-    assert free > 14  # without a budget, up to three each, while backends don't rest
+    assert free > 14  # without a budget: up to three attempts per request while backends are not ejected
     assert call_outs(AttemptOutcome.ERROR, 2.0) <= 10 + 1 + 0.1 * 10
-    assert call_outs(AttemptOutcome.NO_CONNECTION, 2.0) == 9  # nothing arrived: all are tried, then all rest
+    # No attempt reached a backend, so none uses the budget: each backend is tried once, and then all are ejected.
+    assert call_outs(AttemptOutcome.NO_CONNECTION, 2.0) == 9
--- a/tests/system/test_instance_directory.py
+++ b/tests/system/test_instance_directory.py
@@ -24,7 +24,10 @@
     voters=VOTERS,
     previous=(),
 ):
-    """From the controller `name`, whose newest value holds the configuration `number`, under a ballot as high."""
+    """Returns a response of the controller `name`.
+
+    Its newest value has configuration `number` and voter set `voters_number`, and its ballot increases with both.
+    """
     members = [MemberRow(one, "first") for one in voters]
     before = [MemberRow(one, "first") for one in previous]
     ballot = BallotRow(number + 10 * voters_number, "p")
@@ -53,22 +56,22 @@
     return InstanceRow(instance, "10.0.0.9:80", "tide", "east", "v1", 2, int(phase), seq, 0.0)
 
 
-@test("one stale controller does not make a gateway ready; enough voters that have settled do")
+@test("a gateway is not caught up from one controller, but from a majority of synced voters")
 def _():
     directory = InstanceDirectory(("a", "b", "c"))
     assert directory.caught_up(0.0) is None
     directory.apply_pull("a", pull_response(3), 0.0)
     assert directory.caught_up(0.1) is None
     directory.apply_pull("b", pull_response(5, name="b", disk="5e"), 0.1)
-    assert directory.caught_up(0.1) is None  # it lost its disk: it is another member
+    assert directory.caught_up(0.1) is None  # with another disk it is another member, and not a voter
     directory.apply_pull("b", pull_response(5, name="b", instances_synced=False), 0.1)
-    assert directory.caught_up(0.1) is None  # it may lack a drain
+    assert directory.caught_up(0.1) is None  # it may lack an acknowledged drain
     directory.apply_pull("b", pull_response(5, name="b"), 0.1)
     assert directory.caught_up(0.1) == Version(5, b"x") and directory.newest()[1] == "b"
     assert directory.caught_up(0.1 + REACHABLE_S) is None
 
 
-@test("who is not among the newest voters does not count; while a change is not settled both sets are asked")
+@test("only the newest voters count, and during a voter change a majority of both voter sets is needed")
 def _():
     directory = InstanceDirectory(("a", "d"))
     directory.apply_pull("a", pull_response(3), 0.0)
@@ -79,12 +82,12 @@
     directory.apply_pull(
         "d", pull_response(3, name="d", voters_number=3, voters=("a", "d", "e"), previous=("b", "c", "d")), 0.0
     )
-    assert directory.caught_up(0.0) is None  # of the voters before only d is heard
+    assert directory.caught_up(0.0) is None  # of the previous voters, only d is reachable
     directory.apply_pull("c", pull_response(3, name="c", voters_number=2, voters=("a", "c", "d")), 0.0)
     assert directory.caught_up(0.0) == Version(3, b"x")
 
 
-@test("a drain reported by one controller wins over older reports of others, and an instance that is gone stays gone")
+@test("a drain reported by one controller overrides reports of others, and an instance that is gone stays gone")
 def _():
     directory = InstanceDirectory(("a", "b"))
     directory.apply_pull("a", pull_response(rows=[row(5, Phase.DRAINING)]), 0.0)
@@ -96,7 +99,7 @@
     assert not directory.instances
 
 
-@test("an instance that no controller in touch hears is marked, then dropped; not while no controller is in touch")
+@test("an instance that is silent at all reachable controllers is marked, then removed, but only if any is reachable")
 def _():
     directory = InstanceDirectory(("a", "b", "c"))
     for name in "abc":
@@ -104,28 +107,28 @@
     for name in "ab":
         directory.apply_pull(name, pull_response(name=name, rows=[row(phase=Phase.SILENT)], seq=2), 1.0)
     directory.sweep(1.0)
-    assert not directory.silent_instances("tide")  # c still hears it
+    assert not directory.silent_instances("tide")  # c still receives its heartbeats
     directory.apply_pull("c", pull_response(name="c", rows=[row(phase=Phase.SILENT)], seq=2), 1.1)
     directory.sweep(1.2)
     assert directory.silent_instances("tide") == {"i-1"}
     directory.sweep(1.2 + REMOVE_SILENT_S + REACHABLE_S)
     assert set(directory.instances) == {"i-2"}
-    directory.sweep(90.0)  # no controller is in touch
+    directory.sweep(90.0)  # no controller is reachable
     assert set(directory.instances) == {"i-2"}
 
 
-@test("if more than half of a service is unheard, the controllers are cut off, and none of it is left out")
+@test("if more than half of a service is silent, a network partition is assumed and no instance is marked")
 def _():
     directory = InstanceDirectory(("a",))
     directory.apply_pull("a", pull_response(rows=[row(), row(instance="i-2")], voters=("a",)), 0.0)
     directory.apply_pull(
         "a", pull_response(complete=True, incarnation="new", voters=("a",)), 1.0
-    )  # started again, knows nobody yet
+    )  # restarted: it knows no instance yet
     directory.sweep(1.0)
     assert directory.silent_instances("tide") == frozenset() and len(directory.instances) == 2
 
 
-@test("what the lease holder says of itself goes before what others heard; gateways stay until the membership changes")
+@test("the lease holder's own report overrides others'; gateways stay until the membership version changes")
 def _():
     directory = InstanceDirectory(("a", "b", "c"))
     for name in "ab":
--- a/tests/system/test_messages.py
+++ b/tests/system/test_messages.py
@@ -1,4 +1,4 @@
-"""The codec: every message comes back as it was sent, and nothing else is taken for a message."""
+"""The codec: every message is decoded as it was encoded, and any other input is rejected as malformed."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -17,29 +17,29 @@
 
 
 def body_of(message: Message) -> bytes:
-    """A frame without its length."""
+    """Returns a frame without its length."""
     return pack(CALL_NUMBER, message)[LENGTH_BYTES:]
 
 
-@test("there is an example of each kind of message")
+@test("there is an example of each message type")
 def _() -> None:
     assert [type(example) for example in EXAMPLES] == list(KINDS)
 
 
-@test("a {message.__class__.__name__} comes back as it was sent")
+@test("a {message.__class__.__name__} is decoded as it was encoded")
 def _(message: Message = EACH_EXAMPLE) -> None:
     assert unpack(body_of(message)) == (CALL_NUMBER, message)
 
 
 def byte_mutations(body: bytes) -> Iterator[bytes]:
-    """The body cut short, with bits flipped, and with nothing in place of a byte, at each of its bytes."""
+    """Yields the body truncated, with bits flipped, and with nil instead of a byte, at each of its bytes."""
     for at in range(len(body)):
         yield body[:at]
         yield body[:at] + bytes([body[at] ^ 0x81]) + body[at + 1 :]
         yield body[:at] + MSGPACK_NIL + body[at + 1 :]
 
 
-@test("no mutation of one message raises anything but MalformedMessage")
+@test("decoding a mutated message raises no exception but MalformedMessage")
 def _() -> None:
     malformed = 0
     for message in EXAMPLES:
@@ -52,7 +52,7 @@
 
 
 def values_of_other_types(value: Any) -> list[Any]:
-    """Values that don't fit where this one does."""
+    """Returns values of types that are not valid for the field of this value."""
     others: list[Any] = [None, {}, -(1 << 63), [[1]], 3 if isinstance(value, str) else "x"]
     return others if isinstance(value, float) else [*others, 3.5]
 
@@ -66,7 +66,7 @@
                 unpack(msgpack.packb([tag, number, *values[:at], other, *values[at + 1 :]]))
 
 
-@test("a {message.__class__.__name__} with a value too many or too few is malformed")
+@test("a {message.__class__.__name__} with an extra or a missing value is malformed")
 def _(message: Message = EACH_EXAMPLE) -> None:
     tag, number, *values = msgpack.unpackb(body_of(message))
     with raises(MalformedMessage):
@@ -76,7 +76,7 @@
             unpack(msgpack.packb([tag, number, *values[:-1]]))
 
 
-@test("a message of an unknown kind is malformed")
+@test("a message with an unknown tag is malformed")
 def _() -> None:
     with raises(MalformedMessage):
         unpack(msgpack.packb([len(KINDS), 0]))
--- a/tests/system/test_metrics.py
+++ b/tests/system/test_metrics.py
@@ -10,9 +10,7 @@
 from stoneyoke.runtime.metrics_text import metrics_text, read_metrics_text
 
 
-@test(
-    "figures are told as text: counters and violated invariants by name, gauges, and the sum of violations from zero on"
-)
+@test("metrics are rendered as text: counters and violated invariants by name, gauges, and total violations even if 0")
 def _():
     metrics = Metrics()
     text = metrics_text(metrics, {"ready": 1.0})
@@ -29,7 +27,7 @@
 
 
 @test(
-    "the metrics server answers its path and no other, again and again on one connection, and ends with what is no HTTP"
+    "the metrics server serves only its path, repeatedly on one connection, and closes the connection on malformed HTTP"
 )
 @on_loop
 async def _(target=each((b"/metrics", b"200"), (b"/metrics?x=1", b"200"), (b"/", b"404"))):
@@ -49,7 +47,7 @@
     listener.close()
 
 
-@test("connections beyond a few are closed, and taken again once others have ended")
+@test("connections beyond the maximum are closed, and accepted again once others have been closed")
 @on_loop
 async def _():
     server = MetricsServer(lambda: "figure 1\n")
@@ -69,7 +67,7 @@
     listener.close()
 
 
-@test("a port that is taken costs the figures and not the program")
+@test("if its port is in use, the metrics server does not listen and raises no error")
 @on_loop
 async def _():
     listener = await asyncio.start_server(lambda *_: None, HOST, 0)
--- a/tests/system/test_peers.py
+++ b/tests/system/test_peers.py
@@ -1,4 +1,4 @@
-"""Calls between processes over real sockets: which response is accepted for which call, and what ends a connection."""
+"""Calls between processes over real sockets: which response is accepted for a call, and what closes a connection."""
 
 import asyncio
 import contextlib
@@ -37,12 +37,12 @@
 CALL_TIMEOUT_S = 5.0
 ANY_PORT = ("127.0.0.1", 0)
 
-# From the connection's number (from 1), the call's number and the request to the bytes written; None: a close.
+# Maps the connection's number (from 1), the call's number and the request to the bytes to write; None: close.
 Script = Callable[[int, int, Message], bytes | None]
 
 
 def on_loop(story: Callable[..., Coroutine[None, None, None]]) -> Callable[..., None]:
-    """Runs a test on an event loop of its own."""
+    """Runs a test on a new event loop."""
 
     @functools.wraps(story)
     def run(*args: object, **kwargs: object) -> None:
@@ -52,12 +52,12 @@
 
 
 class ScriptedPeer:
-    """A peer that answers by a script, and a client that calls it."""
+    """A peer that responds according to a script, and a client that calls it."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
         self.connections = 0
-        self.received: list[tuple[int, Message]] = []  # numbers and requests
+        self.received: list[tuple[int, Message]] = []  # call numbers and requests
         self.writers: list[asyncio.StreamWriter] = []
 
     async def __aenter__(self) -> "ScriptedPeer":
@@ -94,18 +94,18 @@
         return asyncio.ensure_future(self.client.call(request, CALL_TIMEOUT_S))
 
     def connection(self) -> PeerConnection:
-        """The client's last connection."""
+        """Returns the client's last connection."""
         assert self.client.connection
         return self.client.connection
 
 
 def answer_all(_: int, number: int, __: Message) -> bytes:
-    """A script: every call gets its response."""
+    """A script that responds to every call."""
     return pack(number, RESPONSE)
 
 
 def answer_nothing(*_: object) -> bytes:
-    """A script: the peer stays silent."""
+    """A script that never responds."""
     return b""
 
 
@@ -120,7 +120,7 @@
 
 
 async def is_unreachable(call: Awaitable[Message]) -> bool:
-    """Whether a call fails, as it should; what it returns else is in the error."""
+    """Returns True if a call fails with PeerUnreachable; raises AssertionError with its response otherwise."""
     try:
         response = await call
     except PeerUnreachable:
@@ -128,13 +128,13 @@
     raise AssertionError(f"accepted: {response}")
 
 
-@test("each kind of message is a request with its response, or a response")
+@test("each message type is either a request with a response type, or a response")
 def _() -> None:
     assert set(RESPONSES) | set(RESPONSES.values()) == set(KINDS)
     assert not set(RESPONSES) & set(RESPONSES.values())
 
 
-@test("responses find their calls in any order, and calls that need a connection at once open one")
+@test("responses are matched to calls in any order, and concurrent calls open a single connection")
 @on_loop
 async def _() -> None:
     calls: list[tuple[int, Message]] = []
@@ -161,19 +161,19 @@
     "that is a request": lambda number: pack(number, REQUEST),
     "to a call that was never made": lambda number: pack(number + 1, RESPONSE),
     "to call 0": lambda _: pack(0, RESPONSE),
-    "that is no message": lambda _: b"\x00\x00\x00\x01x",
-    "of an impossible length": lambda _: b"\xff\xff\xff\xff",
-    "to a call that has its response": lambda _: pack(1, RESPONSE),
+    "that is not a message": lambda _: b"\x00\x00\x00\x01x",
+    "of an excessive length": lambda _: b"\xff\xff\xff\xff",
+    "to a call that already has its response": lambda _: pack(1, RESPONSE),
 }
 EACH_FAULT = each(*UNEXPECTED)
 
 
-@test("a response {fault} closes its connection and fails whoever waits on it")
+@test("a response {fault} closes its connection and fails all calls pending on it")
 @on_loop
 async def _(fault: str = EACH_FAULT) -> None:
     def answer_second_call_wrongly(connection: int, number: int, _: Message) -> bytes:
         if connection == 1 and number == 2:
-            return UNEXPECTED[fault](number) + pack(number, RESPONSE)  # what comes behind it is not read
+            return UNEXPECTED[fault](number) + pack(number, RESPONSE)  # the valid response after the fault is not read
         return pack(number, RESPONSE)
 
     async with ScriptedPeer(answer_second_call_wrongly) as peer:
@@ -183,7 +183,7 @@
         assert peer.connections == 2
 
 
-@test("a response that is sent twice closes its connection")
+@test("a repeated response closes its connection")
 @on_loop
 async def _() -> None:
     async with ScriptedPeer(lambda connection, number, _: pack(number, RESPONSE) * (1 + (connection == 1))) as peer:
@@ -193,7 +193,7 @@
         assert peer.connections == 2
 
 
-@test("a response to a call of an earlier connection is accepted for no call of this one")
+@test("a response to a call on an earlier connection is not accepted for a call on a later one")
 @on_loop
 async def _() -> None:
     def answer_earlier_call(connection: int, number: int, _: Message) -> bytes | None:
@@ -203,12 +203,12 @@
 
     async with ScriptedPeer(answer_earlier_call) as peer:
         assert await is_unreachable(peer.call())
-        assert await is_unreachable(peer.call())  # number 1 was the earlier connection's
+        assert await is_unreachable(peer.call())  # call number 1 was used on the earlier connection
         assert await peer.call() == RESPONSE
         assert peer.received[-1][0] == 3
 
 
-@test("what a closed connection still holds is read by nobody")
+@test("data left in the buffers of a closed connection is not read")
 @on_loop
 async def _() -> None:
     async with ScriptedPeer(answer_nothing) as peer:
@@ -218,7 +218,9 @@
         peer.writers[0].write(pack(1, RESPONSE))
         old.close("in doubt")
         try:
-            old.accept_response(1, RESPONSE)  # had been read in the turn of the loop in which it was closed
+            old.accept_response(
+                1, RESPONSE
+            )  # as if it had been read in the turn of the loop that closed the connection
             raise AssertionError("a closed connection accepts responses")
         except MalformedMessage:
             assert await is_unreachable(call)
@@ -231,7 +233,7 @@
         assert await renewed == RESPONSE
 
 
-@test("the response to a cancelled call is dropped, and only a second one closes the connection")
+@test("the response to a cancelled call is dropped, and a second response to it closes the connection")
 @on_loop
 async def _() -> None:
     async with ScriptedPeer(lambda _, number, __: b"" if number == 1 else pack(number, RESPONSE)) as peer:
@@ -247,7 +249,7 @@
         await until(lambda: peer.connection().closed)
 
 
-@test("a process that was suspended with the response in hand does not accept it, and goes on on another connection")
+@test("a response that was received before a suspension of the process is rejected, and a new connection is opened")
 @on_loop
 async def _() -> None:
     async with ScriptedPeer(answer_all) as peer:
@@ -269,7 +271,7 @@
         assert peer.connections == 2
 
 
-@test("a silent peer: the call fails in time, and so do the others on that connection")
+@test("a call to an unresponsive peer times out, and so do the other calls on that connection")
 @on_loop
 async def _() -> None:
     async with ScriptedPeer(answer_nothing) as peer:
@@ -280,14 +282,14 @@
 
 
 def mutations(data: bytes) -> Iterator[bytes]:
-    """The data cut short, and with a low or a high bit flipped, at each byte."""
+    """Yields the data truncated, and with a low or a high bit flipped, at each byte."""
     for at in range(len(data)):
         yield data[:at]
         for bit in (1, 128):
             yield data[:at] + bytes([data[at] ^ bit]) + data[at + 1 :]
 
 
-@test("no mutation of one response is accepted for another call's, and the next call has its own")
+@test("a mutated response is never accepted for another call, and the next call gets its own response")
 @on_loop
 async def _() -> None:
     request = QuotaRequest(name="edge", incarnation="l", since_answer_ms=0, complete=False, demands=[])
@@ -299,7 +301,7 @@
             if connection > 1:
                 return pack(number, response)
             peer.writers[0].write(data)
-            return None  # it hangs up behind it
+            return None  # closes the connection after the mutated response
 
         async with ScriptedPeer(answer_first_call_mutated) as peer:
             try:
@@ -314,7 +316,7 @@
 
 
 async def response_after_hang_up(peer: ScriptedPeer, request: Message) -> Message:
-    """The first response of a peer that may still be hanging up."""
+    """Returns the first response of a peer that may still be closing its connection."""
     async with asyncio.timeout(5):
         while True:
             try:
--- a/tests/system/test_programs.py
+++ b/tests/system/test_programs.py
@@ -35,7 +35,7 @@
 }
 
 
-@test("settings take what the file gives, defaults for the rest, and ignore unknown fields")
+@test("settings are read from the file, with defaults for missing fields, and unknown fields are ignored")
 def _():
     settings = parse_settings(GIVEN)
     assert settings.seeds == ("10.1.0.33", "10.2.0.25") and settings.port == 7340 and settings.machine_losses == 2
@@ -56,7 +56,7 @@
 )
 
 
-@test("settings that can't be used name the field")
+@test("the error for invalid settings names the field")
 def _(wrong=WRONG):
     path, change = wrong
     given = json.loads(json.dumps(GIVEN))
@@ -72,13 +72,13 @@
         yield name
 
 
-@test("a settings file that is missing can't be read")
+@test("a missing settings file raises InvalidSettings")
 def _(folder=folder):
     with raises(InvalidSettings):
         read_settings(os.path.join(folder, "none.toml"))
 
 
-@test("a settings file that is cut short ends a program with 2 and one line that names the file")
+@test("with a truncated settings file a program exits with status 2 and one line that names the file")
 def _(folder=folder, program=each("gateway", "controller")):
     path = os.path.join(folder, "cut.toml")
     Path(path).write_text("[self]\nnode_name = ")
@@ -93,7 +93,7 @@
     assert path in done.stderr
 
 
-@test("stoneyokectl tells what a configuration changes, and never a key")
+@test("stoneyokectl diff prints the changes of a configuration without API keys")
 def _():
     def change(given):
         given["host_map"][0]["path_map"].pop()
@@ -106,7 +106,7 @@
     assert len(lines) == 4
 
 
-@test("stoneyokectl reads a data folder: what it holds, and what is torn")
+@test("stoneyokectl lists the records of a data folder, and which of them are torn")
 def _(folder=folder):
     hold = RecordStore(folder)
     hold.save("word", {b"body": example(7)})
@@ -122,7 +122,7 @@
     assert done.returncode == 0 and "word-1: whole, r7" in done.stdout and "word-2 is torn" in done.stdout
 
 
-@test("log lines stay in memory; an error writes out those before it")
+@test("log lines are buffered in memory, and an error writes out the preceding ones")
 def _():
     class Line(str):
         level = 20
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -9,7 +9,7 @@
 
 
 class PeerClient:
-    """Answers each message with the next of these; an exception is raised."""
+    """A fake peer client that returns the next of its responses for each message; exceptions are raised."""
 
     def __init__(self, answers):
         self.answers, self.asked = list(answers), []
@@ -24,7 +24,7 @@
 
 
 class LeaseHolderAccess:
-    """Reaches one lease holder, and records when it was heard."""
+    """Gives access to one lease holder, and records the times of its responses."""
 
     def __init__(self, client, heard):
         self.client, self.heard = client, heard
@@ -53,14 +53,14 @@
 
 GREETED = QuotaResponse(
     ok=True, grants=[]
-)  # a first message asks for nothing: the lease holder can't know that it is heard
+)  # the first message requests nothing: the lease holder can't know yet that its responses reach this gateway
 
 
 def given(units, wait=0.0):
     return QuotaResponse(ok=True, grants=[QuotaGrant("anna", units, wait, 0.5, 2.0)])
 
 
-@test("requests that wait are asked for together, and share what comes")
+@test("units for all waiting requests are requested in one message, and the requests share the grant")
 def _():
     peer_client = PeerClient([GREETED, given(3.0)])
 
@@ -76,9 +76,7 @@
     play(peer_client, story)
 
 
-@test(
-    "while the lease holder gives no answer, or holds the lease no longer, no request waits; its next answer ends that"
-)
+@test("while the lease holder does not respond or no longer holds the lease, no request waits, until its next response")
 def _():
     peer_client = PeerClient([PeerUnreachable("cut"), QuotaResponse(ok=False, grants=[]), GREETED, given(1.0)])
 
@@ -96,7 +94,7 @@
     play(peer_client, story)
 
 
-@test("the demand of a tenant without units is reported, but none are asked for before its time")
+@test("the demand of a tenant without units is reported, but no units are requested before its wait is over")
 def _():
     peer_client = PeerClient([GREETED, given(0.0, 5.0), given(0.0, 5.0)])
 
@@ -114,7 +112,7 @@
 FOR_BERT = QuotaGrant("bert", 3.0, 0.0, 0.5, 2.0)
 
 
-@test("an answer with a tenant that was not asked for, or one twice, grants nothing to anybody")
+@test("a response with a grant for a tenant without a demand, or with two for one tenant, is rejected completely")
 def _(grants=each([FOR_BERT], [FOR_ANNA, FOR_ANNA])):
     peer_client = PeerClient([GREETED, QuotaResponse(ok=True, grants=grants)])
 
@@ -129,9 +127,7 @@
     play(peer_client, story)
 
 
-@test(
-    "the lease holder counts as heard within an answer's time from the request, however long this process was suspended"
-)
+@test("the lease holder's response counts as received within its time-out, however long this process was suspended")
 def _():
     peer_client = PeerClient([GREETED, given(3.0)])
 
@@ -141,7 +137,7 @@
         asked_at, now = loop.time(), loop.time
         quota_client.clock = lambda: now() + (
             100.0 if len(peer_client.asked) > 2 else 0.0
-        )  # from the third one's asking on
+        )  # jumps from the third message on, as after a suspension
         peer_client.answers.append(given(1.0))
         quota_client.local_quotas["anna"].demand_units = 1.0
         await quota_client.request_units(peer_client)
--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -1,6 +1,8 @@
-"""What an upstream attempt's outcome tells, at each await, and which connection may be used again.
+"""The outcome of an attempt that fails at each of its await points, and which connections may be reused.
 
-An order is sent again after an outcome of PROVEN_NOT_RUN: that one must not come once a byte can have left."""
+A non-idempotent request is retried after an outcome in PROVEN_NOT_RUN, so an attempt must not end with one once a byte
+of its request may have been sent.
+"""
 
 import asyncio
 import errno
@@ -34,7 +36,7 @@
 
 
 async def whole_request(peer, sender, **more):
-    """An attempt whose request has arrived whole, and the peer's end of its connection."""
+    """Returns an attempt whose request the peer has received completely, and the peer's end of its connection."""
     out = sender.begin(**more)
     await until(peer.waiting)
     connection, got = peer.accept(), b""
@@ -56,10 +58,10 @@
     return out, connection
 
 
-# ---- before a byte can have left ----
+# ---- before a byte may have been sent ----
 
 
-@test("before a connection is asked for: an unknown backend or a time that is up leaves nothing")
+@test("before connecting: an unknown backend or a deadline that has passed ends an attempt as NOT_SENT")
 @on_loop
 async def _():
     with RawBackend() as peer:
@@ -69,14 +71,17 @@
         assert (await sender.send())[0] is AttemptOutcome.NOT_SENT
 
 
-@test("while it connects: refusal, silence, the deadline and cancellation all leave nothing sent")
+@test("while connecting: a refused connection, a time-out, the deadline and a cancellation prove that nothing was sent")
 @on_loop
 async def _():
     with RawBackend() as peer:
         full = socket.socket()
         full.bind(("127.0.0.1", 0))
         full.listen(0)
-        with full, socket.create_connection(full.getsockname()):  # what comes beyond that gets no answer
+        with (
+            full,
+            socket.create_connection(full.getsockname()),
+        ):  # fills the backlog: later connections get no response
             assert (await Sender(full.getsockname(), connect_timeout_us=SHORT_US).send())[
                 0
             ] is AttemptOutcome.NO_CONNECTION
@@ -96,7 +101,7 @@
         assert (await refused.send())[0] is AttemptOutcome.NO_CONNECTION and refused.all_closed()
 
 
-@test("connected, not written: a backend that has left or moved meanwhile gets no byte")
+@test("connected, nothing written: no byte is sent to a backend that was removed or moved meanwhile")
 @on_loop
 async def _(leaves=each(True, False)):
     with RawBackend() as peer:
@@ -113,13 +118,13 @@
         assert arrived(peer.accept()) == b""
 
 
-@test("a write that is refused at once leaves nothing, and says so")
+@test("connected, nothing written: a reset before the first write proves that nothing was sent")
 @on_loop
 async def _():
     with RawBackend() as peer:
         sender = Sender(peer.address)
 
-        def accepts_new_work(_):  # the connection is up, the next step is the write: the loop doesn't turn before
+        def accepts_new_work(_):  # called once connected; the write follows in the same turn of the event loop
             reset(peer.accept())
             wait_for_kernel_input(sender.connections[0].writer)
             return True
@@ -128,7 +133,7 @@
         assert (await sender.send())[0] is AttemptOutcome.CUT and sender.all_closed()
 
 
-@test("a backend that speaks before it was asked is asked nothing")
+@test("connected, nothing written: no request is sent to a backend that sends data before it")
 @on_loop
 async def _():
     with RawBackend() as peer:
@@ -144,7 +149,7 @@
 
 
 class Transport:
-    """A transport as RequestWrite sees it: what the first send leaves in the buffer, and whether it is closing."""
+    """A fake transport for RequestWrite: the bytes that a write leaves in the buffer, and whether it is closing."""
 
     def __init__(self, closing=False, closes=False, sends_at_once=0):
         self.closing, self.closes, self.sends_at_once, self.buffered = closing, closes, sends_at_once, 0
@@ -167,7 +172,7 @@
         self.closing = True
 
 
-@test("of a request that is begun, none has left only while the open transport holds every byte of it")
+@test("a request provably has not been sent only while the open transport buffers every byte of it")
 @on_loop
 async def _():
     for transport, refused, left in (
@@ -188,18 +193,18 @@
     request.start([b"POST / HTTP/1.1\r\n"], b"order")
     attempt = Attempt(BackendPool(("127.0.0.1", 1)), asyncio.timeout(None))
     attempt.request = request
-    attempt.cancelled_as = AttemptOutcome.CANCELLED  # with every byte still here
+    attempt.cancelled_as = AttemptOutcome.CANCELLED  # while every byte is still in the buffer
     assert attempt.failure_outcome(TimeoutError(), deadline_passed=True) is AttemptOutcome.NOT_SENT
     attempt.cancelled_as = None
     try:
-        await request.finish()  # it ends without an error, as a transport does that was closed from this side
-        raise AssertionError("a request that was not written whole passes for one that was")
+        await request.finish()  # drain() returns without an error, as for a transport that was closed locally
+        raise AssertionError("a request that was not written completely is reported as written")
     except ConnectionResetError as bad:
-        assert request.may_have_left(), "a transport that has closed meanwhile proves nothing"
+        assert request.may_have_left(), "a transport that was closed meanwhile does not prove that nothing was sent"
         assert attempt.failure_outcome(bad, deadline_passed=False) is AttemptOutcome.BROKEN
 
 
-# ---- once a byte can have left ----
+# ---- once a byte may have been sent ----
 
 
 def cancel(sender, _):
@@ -207,12 +212,12 @@
 
 
 def kernel_gives_up(sender, _):
-    """ETIMEDOUT is a TimeoutError, as that of a connection's set-up is."""
+    """Reports ETIMEDOUT, which is a TimeoutError like a time-out while connecting."""
     sender.connections[0].protocol.connection_lost(TimeoutError(errno.ETIMEDOUT, "timed out"))
 
 
 async def end_attempt(task, end, sender, connection):
-    """Ends an attempt in one way, or by its deadline where `end` is None; gives its outcome and answer."""
+    """Ends an attempt by `end`, or by its deadline if `end` is None, and returns its outcome and response."""
     if end:
         end(sender, connection)
     else:
@@ -220,7 +225,7 @@
     return await task
 
 
-@test("partly written: neither a reset, a close, the deadline nor a cancellation proves that it has not run")
+@test("partly written: no reset, close, deadline or cancellation proves that the request has not run")
 @on_loop
 async def _(
     case=each(
@@ -241,7 +246,7 @@
         assert sender.all_closed()
 
 
-@test("partly written: a cancelled task closes its connection and sends no more")
+@test("partly written: the cancellation of the task closes its connection, and no more is sent")
 @on_loop
 async def _():
     with RawBackend() as peer:
@@ -253,7 +258,7 @@
         assert len(arrived(connection)) < len(LARGE)
 
 
-@test("wholly written: after a reset, a close, silence, a cancellation or the kernel's time-out it may have run")
+@test("completely written: after a reset, close, time-out, cancellation or ETIMEDOUT the request may have run")
 @on_loop
 async def _(
     case=each(
@@ -274,7 +279,7 @@
         assert sender.all_closed()
 
 
-@test("wholly written: a cancelled task closes its connection")
+@test("completely written: the cancellation of the task closes its connection")
 @on_loop
 async def _():
     with RawBackend() as peer:
@@ -286,7 +291,7 @@
         assert sender.all_closed()
 
 
-@test("no attempt is cancelled once the process is to end")
+@test("no attempt is cancelled once the process shuts down")
 @on_loop
 async def _():
     with RawBackend() as peer:
@@ -298,11 +303,11 @@
         assert (await out)[0] is AttemptOutcome.OK
 
 
-# ---- connections that may be used again ----
+# ---- reuse of connections ----
 
 
 async def served(peer, sender, connection=None, answer=OK, made=1):
-    """One attempt, answered whole. Without a connection to answer on it must make a new one."""
+    """Makes an attempt that gets a complete response. If `connection` is None, the attempt must open a new one."""
     out = sender.begin(matches_response=is_own_answer)
     if connection is None:
         await until(peer.waiting)
@@ -314,7 +319,7 @@
     return connection
 
 
-@test("a connection with a whole answer is reused, but not if a reset, a close or a byte has come unseen by the loop")
+@test("a connection is reused after a complete response, but not if unprocessed input, a FIN or an RST has arrived")
 @on_loop
 async def _(spoil=each(reset, lambda connection: connection.close(), lambda connection: connection.sendall(OK))):
     with RawBackend() as peer:
@@ -322,12 +327,12 @@
         connection = await served(peer, sender)
         assert await served(peer, sender, connection) is connection
         spoil(connection)
-        wait_for_kernel_input(sender.connections[0].writer)  # and the loop has not turned since
+        wait_for_kernel_input(sender.connections[0].writer)  # the event loop does not run meanwhile
         await served(peer, sender, made=2)
         assert sender.backends.descriptor_budget.used == 1
 
 
-@test("a connection with extra bytes, or an answer to something else, is not reused")
+@test("a connection with extra bytes or a response to another request is not reused")
 @on_loop
 async def _(answer=each(OTHER + OK, OK + OK, OK + b"x", OTHER + OTHER + OK)):
     with RawBackend() as peer:
@@ -337,14 +342,14 @@
         await served(peer, sender, made=2)
 
 
-@test("bytes that came with an answer and were not parsed yet are extra bytes")
+@test("a connection is not reused if bytes after the response have been received but not parsed yet")
 @on_loop
 async def _():
     with RawBackend() as peer:
         sender = Sender(peer.address)
 
         def spoken_on(answer):
-            sender.connections[0].protocol.data_received(OK)  # behind the answer that is being looked at
+            sender.connections[0].protocol.data_received(OK)  # after the response that is being checked
             return is_own_answer(answer)
 
         out, connection = await whole_request(peer, sender, matches_response=spoken_on)
@@ -352,7 +357,7 @@
         assert (await out)[0] is AttemptOutcome.OK and sender.all_closed()
 
 
-@test("a connection with an answer to something else and then silence is closed")
+@test("a connection with a response to another request and no further response is closed")
 @on_loop
 async def _(outcome=each(AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)):
     with RawBackend() as peer:
@@ -368,15 +373,15 @@
         assert sender.all_closed()
 
 
-@test("no mutation of one answer passes for another request's, or leaves anything for the next")
+@test("a mutated response is never accepted for another request, and leaves no data for the next request")
 @on_loop
 async def _():
     with RawBackend() as peer:
-        mutations = [OK[:at] for at in range(len(OK))]  # cut
-        mutations += [OK[:at] + bytes([OK[at] ^ 0x11]) + OK[at + 1 :] for at in range(len(OK))]  # garbled
-        mutations += [OK[:at] + b"7" + OK[at:] for at in range(len(OK))]  # longer
-        mutations += [OK + OK[:at] for at in range(1, len(OK) + 1)]  # with a part of a second one, or all
-        mutations += [OTHER + OK[:at] for at in range(len(OK))]  # behind one to something else
+        mutations = [OK[:at] for at in range(len(OK))]  # truncated
+        mutations += [OK[:at] + bytes([OK[at] ^ 0x11]) + OK[at + 1 :] for at in range(len(OK))]  # with flipped bits
+        mutations += [OK[:at] + b"7" + OK[at:] for at in range(len(OK))]  # with an inserted byte
+        mutations += [OK + OK[:at] for at in range(1, len(OK) + 1)]  # followed by a second one, truncated or complete
+        mutations += [OTHER + OK[:at] for at in range(len(OK))]  # truncated, after a response to another request
         wrong = 0
         for answer in mutations:
             sender = Sender(peer.address)
