--- a/tests/system/departures.py
+++ b/tests/system/departures.py
@@ -7,19 +7,19 @@
 
 from configurations import route
 from gateway_fixture import GatewayUnderTest
-from holding_backend import HoldingBackend, LeavingClient
+from holding_backend import DelayingBackend, DisconnectingClient
 from raw_backend import until
 
-WAYS_TO_LEAVE = (LeavingClient.close, LeavingClient.half_close, LeavingClient.reset)
+WAYS_TO_DISCONNECT = (DisconnectingClient.close, DisconnectingClient.half_close, DisconnectingClient.reset)
 TURNS = 50  # turns of the event loop, far more than this process needs to handle a closed connection
 
 
-def repeatable(configuration: dict[str, Any]) -> None:
-    """Makes the route of a LeavingClient's requests idempotent."""
+def make_idempotent(configuration: dict[str, Any]) -> None:
+    """Makes the route of a DisconnectingClient's requests idempotent."""
     route(configuration, 0, 1).update(route_kind="pure")
 
 
-async def turn_loop() -> None:
+async def run_loop_turns() -> None:
     """Runs the event loop until this process has handled all pending events."""
     for _ in range(TURNS):
         await asyncio.sleep(0)
@@ -37,18 +37,18 @@
 
 @asynccontextmanager
 async def request_at_backend(
-    change: Callable[[dict[str, Any]], Any] | None = repeatable, backend: HoldingBackend | None = None
-) -> AsyncIterator[tuple[GatewayUnderTest, HoldingBackend, LeavingClient]]:
+    change: Callable[[dict[str, Any]], Any] | None = make_idempotent, backend: DelayingBackend | None = None
+) -> AsyncIterator[tuple[GatewayUnderTest, DelayingBackend, DisconnectingClient]]:
     """Yields a gateway, a backend, and a client with a request in flight there: idempotent unless `change` is None."""
-    backend = backend or HoldingBackend()
+    backend = backend or DelayingBackend()
     async with GatewayUnderTest([backend], change=change) as gateway:
-        client = LeavingClient(gateway.port)
+        client = DisconnectingClient(gateway.port)
         client.send()
         await until(lambda: backend.requests)
         yield gateway, backend, client
 
 
-def assert_nothing_held(gateway: GatewayUnderTest, idle_connections: int = 0) -> None:
+def assert_nothing_in_use(gateway: GatewayUnderTest, idle_connections: int = 0) -> None:
     """Checks that no request, attempt, slot or descriptor is in use, and that no invariant was violated."""
     assert not gateway.handler.connections.open
     for upstream in gateway.upstreams.upstreams.values():
@@ -62,8 +62,10 @@
     assert not gateway.metrics.violations
 
 
-async def leave_and_wait(
-    gateway: GatewayUnderTest, client: LeavingClient, leave: Callable[[LeavingClient], None] = LeavingClient.close
+async def disconnect_and_wait(
+    gateway: GatewayUnderTest,
+    client: DisconnectingClient,
+    leave: Callable[[DisconnectingClient], None] = DisconnectingClient.close,
 ) -> None:
     """Ends a client's connection and waits until the gateway has closed its end."""
     leave(client)
--- a/tests/system/event_loop.py
+++ b/tests/system/event_loop.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 
-def on_loop(story: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
+def on_loop(test_coroutine: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
     """Converts a coroutine function to a plain test function with the same parameters."""
 
-    @functools.wraps(story)
+    @functools.wraps(test_coroutine)
     def run(**parameters: Any) -> None:
-        asyncio.run(story(**parameters))
+        asyncio.run(test_coroutine(**parameters))
 
     return run
--- a/tests/system/holding_backend.py
+++ b/tests/system/holding_backend.py
@@ -8,7 +8,7 @@
 from gateway_fixture import HOST, Head, ScriptedBackend, ok, read_head
 
 
-class HoldingBackend(ScriptedBackend):
+class DelayingBackend(ScriptedBackend):
     """Starts to run each request, and cancels the run when the connection closes, as most backends do.
 
     `requests` records the requests that were received completely; `cut` and `finished` record the attempt ids of runs
@@ -31,7 +31,7 @@
                 request["body"] = await reader.readexactly(int(request.get("content-length", b"0")))
                 self.requests.append(request)
                 writer.write(self.first_part)
-                if await self.is_cut(reader):
+                if await self.is_disconnected(reader):
                     self.cut.append(request["attempt-id"])
                     return
                 writer.write(self.answer(request) or b"")
@@ -41,7 +41,7 @@
         finally:
             writer.transport.abort()
 
-    async def is_cut(self, reader: asyncio.StreamReader) -> bool:
+    async def is_disconnected(self, reader: asyncio.StreamReader) -> bool:
         """Waits for the release or the connection's end, whichever comes first. Returns True for the end."""
         released = asyncio.ensure_future(self.released.wait())
         ended = asyncio.ensure_future(reader.read(1))
@@ -52,7 +52,7 @@
         return released not in done
 
 
-class LeavingClient:
+class DisconnectingClient:
     """A client whose connection the test can end in several ways. `attempt_id` belongs to the last request sent."""
 
     def __init__(self, port: int) -> None:
--- a/tests/system/raw_backend.py
+++ b/tests/system/raw_backend.py
@@ -44,7 +44,7 @@
     def __exit__(self, *_: object) -> None:
         self.close()
 
-    def waiting(self) -> bool:
+    def has_waiting_connection(self) -> bool:
         """Whether a connection waits to be accepted."""
         return bool(select.select([self.listener], [], [], 0)[0])
 
@@ -63,7 +63,7 @@
     connection.close()
 
 
-def arrived(connection: socket.socket) -> bytes:
+def read_available(connection: socket.socket) -> bytes:
     """Returns all data that has arrived at the peer, without waiting."""
     connection.setblocking(False)
     data = b""
@@ -79,7 +79,7 @@
     """Blocks the event loop until the sender's socket has input that the loop has not processed.
 
     Raises:
-        TimeoutError: No input arrived.
+        TimeoutError: No input read_available.
     """
     poll = select.poll()
     poll.register(writer.get_extra_info("socket").fileno(), select.POLLIN)
@@ -115,11 +115,11 @@
         self.backends.set_address(0, address)
         connect = self.backends.connect
 
-        async def connect_and_keep(pool: BackendPool) -> BackendConnection:
+        async def connect_and_record(pool: BackendPool) -> BackendConnection:
             self.connections.append(await connect(pool))
             return self.connections[-1]
 
-        cast(Any, self.backends).connect = connect_and_keep
+        cast(Any, self.backends).connect = connect_and_record
 
     def begin(
         self, body: bytes = b"order", within: int = LONG_US, matches_response: Callable[[Message], bool] | None = None
--- a/tests/system/test_backend_at_work.py
+++ b/tests/system/test_backend_at_work.py
@@ -5,7 +5,7 @@
 from configurations import route
 from event_loop import on_loop
 from gateway_fixture import GatewayUnderTest, ScriptedBackend, ok, read_head
-from raw_backend import RawBackend, arrived, until
+from raw_backend import RawBackend, read_available, until
 from ward import each, test
 
 from stoneyoke.control.context import TICK_US
@@ -22,18 +22,18 @@
     route(given, 0, 1).update(route_kind="pure", timeout_s=60)
 
 
-async def at_a_quiet_backend(gateway, peer):
+async def request_at_silent_backend(gateway, peer):
     """Returns an idempotent request in flight at the only backend, and the backend's end of its connection."""
     gateway.report_instance("i-0", peer.address[1])
     gateway.upstreams.refresh()
     asked = asyncio.ensure_future(gateway.send(method=b"GET", body=b"", wait_ms=b"60000"))
-    await until(peer.waiting)
+    await until(peer.has_waiting_connection)
     connection = peer.accept()
-    await until(lambda: arrived(connection))
+    await until(lambda: read_available(connection))
     return asked, connection
 
 
-def let_decisions_wait(gateway):
+def advance_decision_time(gateway):
     """Advances the clock and the timer of the decision logic tick by tick, without real time passing."""
     runtime = gateway.upstreams.get(gateway.service).runtime
     for _ in range(TICKS):
@@ -46,8 +46,8 @@
 async def _():
     with RawBackend() as peer:
         async with GatewayUnderTest([], change=pure) as gateway:
-            asked, _ = await at_a_quiet_backend(gateway, peer)
-            let_decisions_wait(gateway)
+            asked, _ = await request_at_silent_backend(gateway, peer)
+            advance_decision_time(gateway)
             assert (await asked)[0] == 502  # the next test relies on this cancellation without a drain
 
 
@@ -56,10 +56,10 @@
 async def _():
     with RawBackend() as peer:
         async with GatewayUnderTest([], change=pure) as gateway:
-            asked, connection = await at_a_quiet_backend(gateway, peer)
+            asked, connection = await request_at_silent_backend(gateway, peer)
             draining = asyncio.ensure_future(gateway.handler.drain(GRACE_S, lambda: None))
             await asyncio.sleep(0)
-            let_decisions_wait(gateway)
+            advance_decision_time(gateway)
             for _ in range(5):
                 await asyncio.sleep(0)
             connection.sendall(ok({"attempt-id": b"a-1"}, more=b"Connection: close\r\n"))
--- a/tests/system/test_client_left.py
+++ b/tests/system/test_client_left.py
@@ -9,18 +9,18 @@
 from itertools import product
 
 from departures import (
-    WAYS_TO_LEAVE,
-    assert_nothing_held,
+    WAYS_TO_DISCONNECT,
+    assert_nothing_in_use,
     clients_gone,
-    leave_and_wait,
+    disconnect_and_wait,
+    make_idempotent,
     orphaned_attempts,
-    repeatable,
     request_at_backend,
-    turn_loop,
+    run_loop_turns,
 )
 from event_loop import on_loop
 from gateway_fixture import GatewayUnderTest
-from holding_backend import HoldingBackend, LeavingClient
+from holding_backend import DelayingBackend, DisconnectingClient
 from raw_backend import until
 from ward import each, raises, test
 
@@ -29,20 +29,20 @@
 from stoneyoke.runtime.client_departures import OUTLIVED
 from stoneyoke.runtime.pending_request import RequestDescription
 
-LEAVES = each(*WAYS_TO_LEAVE)
-WAYS_AND_FLAG = each(*product(WAYS_TO_LEAVE, (True, False)))
-WAYS_AND_PART = each(*product(WAYS_TO_LEAVE, (10, 60, -1)))  # end of the part of the request that is sent
-KIND_AND_FLAG = each(*product((repeatable, None), (True, False)))
+EACH_WAY = each(*WAYS_TO_DISCONNECT)
+EACH_WAY_AND_FLAG = each(*product(WAYS_TO_DISCONNECT, (True, False)))
+EACH_WAY_AND_LENGTH = each(*product(WAYS_TO_DISCONNECT, (10, 60, -1)))  # end of the part of the request that is sent
+EACH_KIND_AND_FLAG = each(*product((make_idempotent, None), (True, False)))
 
 
 @test("an attempt of an idempotent request is cancelled once its client has disconnected")
 @on_loop
-async def _(leave=LEAVES):
+async def _(leave=EACH_WAY):
     async with request_at_backend() as (gateway, backend, client):
         attempt_id = client.attempt_id
         leave(client)
         await until(lambda: clients_gone(gateway))
-        await turn_loop()
+        await run_loop_turns()
         assert orphaned_attempts(gateway) == 0
         await until(lambda: backend.cut)
         assert backend.cut == [attempt_id] and not backend.finished
@@ -56,16 +56,16 @@
 
 @test("the disconnection of a client with unread input is detected at the next sweep")
 @on_loop
-async def _(leave=LEAVES):
+async def _(leave=EACH_WAY):
     async with request_at_backend() as (gateway, backend, client):
         attempt_id = client.attempt_id
         (connection,) = gateway.handler.connections.open.values()
         client.send(body=b"x" * UNREAD_BYTES)
         await until(lambda: not connection.writer.transport.is_reading())
         leave(client)
-        await turn_loop()
+        await run_loop_turns()
         gateway.handler.connections.close_expired()
-        await turn_loop()
+        await run_loop_turns()
         assert clients_gone(gateway) == 1
         assert orphaned_attempts(gateway) == 0
         await until(lambda: backend.cut)
@@ -74,19 +74,19 @@
 
 @test("a non-idempotent request that was sent may finish after its client has disconnected, also during a drain")
 @on_loop
-async def _(case=WAYS_AND_FLAG):
+async def _(case=EACH_WAY_AND_FLAG):
     leave, draining = case
     async with request_at_backend(change=None) as (gateway, backend, client):
         attempt_id = client.attempt_id
         gateway.handler.draining, gateway.backends.may_cancel_attempts = draining, not draining
         leave(client)
         await until(lambda: clients_gone(gateway))
-        await turn_loop()
+        await run_loop_turns()
         assert not backend.cut and gateway.handler.has_work(), "the process could exit and break off the attempt"
         backend.released.set()
         await until(lambda: not gateway.handler.connections.open)
         assert backend.finished == [attempt_id] and not gateway.handler.has_work()
-        assert_nothing_held(gateway, idle_connections=1)
+        assert_nothing_in_use(gateway, idle_connections=1)
 
 
 @test("an idempotent attempt is cancelled with its client also during a drain, or if its instance has been removed")
@@ -98,9 +98,9 @@
         else:
             gateway.instance_directory.mark_gone("i-0", gateway.clock.now() / 1_000_000)
             gateway.upstreams.refresh()
-        await leave_and_wait(gateway, client)
+        await disconnect_and_wait(gateway, client)
         await until(lambda: backend.cut)
-        assert_nothing_held(gateway)
+        assert_nothing_in_use(gateway)
 
 
 WHOLE_REQUEST = (
@@ -110,37 +110,37 @@
 
 @test("a client that disconnects before its request is complete starts no attempt and uses no quota")
 @on_loop
-async def _(case=WAYS_AND_PART):
+async def _(case=EACH_WAY_AND_LENGTH):
     leave, part = case
-    backend = HoldingBackend()
-    async with GatewayUnderTest([backend], change=repeatable) as gateway:
-        client = LeavingClient(gateway.port)
+    backend = DelayingBackend()
+    async with GatewayUnderTest([backend], change=make_idempotent) as gateway:
+        client = DisconnectingClient(gateway.port)
         client.socket.sendall(WHOLE_REQUEST[:part])
         await until(lambda: gateway.handler.connections.open)
-        await leave_and_wait(gateway, client, leave)
+        await disconnect_and_wait(gateway, client, leave)
         assert not backend.requests and not gateway.quota_client.asked and gateway.metrics.counts["requests"] == 0
-        assert_nothing_held(gateway)
+        assert_nothing_in_use(gateway)
 
 
 @test("no attempt keeps running for a client that disconnects right after the last byte of its request")
 @on_loop
-async def _(leave=LEAVES):
-    backend = HoldingBackend()
-    async with GatewayUnderTest([backend], change=repeatable) as gateway:
-        client = LeavingClient(gateway.port)
+async def _(leave=EACH_WAY):
+    backend = DelayingBackend()
+    async with GatewayUnderTest([backend], change=make_idempotent) as gateway:
+        client = DisconnectingClient(gateway.port)
         client.socket.sendall(WHOLE_REQUEST)
         leave(client)
         await until(lambda: gateway.metrics.counts["client connections"] and not gateway.handler.connections.open)
         await until(lambda: len(backend.requests) == len(backend.cut))
         assert not backend.finished
-        assert_nothing_held(gateway)
+        assert_nothing_in_use(gateway)
 
 
 @test("a client that disconnects while units are requested for it uses no unit, and no attempt is made")
 @on_loop
-async def _(leave=LEAVES):
-    backend = HoldingBackend()
-    async with GatewayUnderTest([backend], change=repeatable) as gateway:
+async def _(leave=EACH_WAY):
+    backend = DelayingBackend()
+    async with GatewayUnderTest([backend], change=make_idempotent) as gateway:
         asked, answered = asyncio.Event(), asyncio.Event()
         grant = gateway.quota_client.wait_for_units
 
@@ -150,7 +150,7 @@
             await grant(tenant)
 
         gateway.quota_client.wait_for_units = grant_late
-        client = LeavingClient(gateway.port)
+        client = DisconnectingClient(gateway.port)
         client.send()
         await asked.wait()
         leave(client)
@@ -160,14 +160,14 @@
         await until(lambda: not gateway.handler.connections.open)
         units, _, _, _ = gateway.quota_client.grant
         assert gateway.admission.local_quotas["anna"].level == units and not backend.requests
-        assert_nothing_held(gateway)
+        assert_nothing_in_use(gateway)
 
 
 @test("no request is sent for a client that disconnects while the connection to the backend is being opened")
 @on_loop
-async def _(case=KIND_AND_FLAG):
+async def _(case=EACH_KIND_AND_FLAG):
     change, same_turn = case
-    backend = HoldingBackend()
+    backend = DelayingBackend()
     async with GatewayUnderTest([backend], change=change) as gateway:
         connecting, connected = asyncio.Event(), asyncio.Event()
         connect = gateway.backends.connect
@@ -179,7 +179,7 @@
             return connection
 
         gateway.backends.connect = connect_late
-        client = LeavingClient(gateway.port)
+        client = DisconnectingClient(gateway.port)
         client.send()
         await connecting.wait()
         (serving,) = gateway.handler.connections.open.values()
@@ -187,15 +187,15 @@
             # As the event loop calls it; the connection to the backend is opened in the same turn of the loop.
             serving.protocol.eof_received()
             connected.set()
-        await leave_and_wait(gateway, client)
+        await disconnect_and_wait(gateway, client)
         connected.set()
-        await turn_loop()
+        await run_loop_turns()
         assert not backend.requests and gateway.metrics.counts["attempts: not sent"] == 1
-        assert_nothing_held_but_connecting(gateway)
+        assert_nothing_in_use_but_connecting(gateway)
 
 
-def assert_nothing_held_but_connecting(gateway):
-    """Like assert_nothing_held, but allows a descriptor of a connection that was cancelled while it was being opened.
+def assert_nothing_in_use_but_connecting(gateway):
+    """Like assert_nothing_in_use, but allows a descriptor of a connection that was cancelled while it was being opened.
 
     This test's replacement of `connect` holds that connection, so the pool does not close it.
     """
@@ -205,39 +205,39 @@
 
 @test("if the client disconnects during a second attempt, that attempt is cancelled and no third one starts")
 @on_loop
-async def _(leave=LEAVES):
+async def _(leave=EACH_WAY):
     first = []
 
-    class FailsOnce(HoldingBackend):
-        async def is_cut(self, reader):
+    class FailsOnce(DelayingBackend):
+        async def is_disconnected(self, reader):
             if not first:
                 first.append(self)
                 return True
-            return await super().is_cut(reader)
+            return await super().is_disconnected(reader)
 
     backends = [FailsOnce(), FailsOnce(), FailsOnce()]
-    async with GatewayUnderTest(backends, change=repeatable) as gateway:
-        client = LeavingClient(gateway.port)
+    async with GatewayUnderTest(backends, change=make_idempotent) as gateway:
+        client = DisconnectingClient(gateway.port)
         client.send()
         await until(lambda: sum(len(backend.requests) for backend in backends) == 2)
-        await leave_and_wait(gateway, client, leave)
+        await disconnect_and_wait(gateway, client, leave)
         await until(lambda: sum(len(backend.cut) for backend in backends) == 2)
         assert sum(len(backend.requests) for backend in backends) == 2
-        assert_nothing_held(gateway)
+        assert_nothing_in_use(gateway)
 
 
 @test("a non-idempotent request that a backend rejects after its client has disconnected is not retried")
 @on_loop
 async def _(status=each(503, 421)):
-    def turn_away(request):
+    def reject(request):
         return b"HTTP/1.1 %d X\r\nAttempt-Id: %s\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n" % (
             status,
             request["attempt-id"],
         )
 
-    backends = [HoldingBackend(turn_away), HoldingBackend(turn_away)]
+    backends = [DelayingBackend(reject), DelayingBackend(reject)]
     async with GatewayUnderTest(backends) as gateway:
-        client = LeavingClient(gateway.port)
+        client = DisconnectingClient(gateway.port)
         client.send()
         await until(lambda: backends[0].requests or backends[1].requests)
         client.close()
@@ -254,16 +254,16 @@
 async def _(
     part=each(b"HTTP/1.1 200 OK\r\nSer", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nServer-Stamp: s\r\n\r\nhalf"),
 ):
-    backend = HoldingBackend(first_part=part)
-    async with GatewayUnderTest([backend], change=repeatable) as gateway:
-        client = LeavingClient(gateway.port)
+    backend = DelayingBackend(first_part=part)
+    async with GatewayUnderTest([backend], change=make_idempotent) as gateway:
+        client = DisconnectingClient(gateway.port)
         client.send()
         await until(lambda: gateway.backends.pools and any(pool.busy for pool in gateway.backends.pools.values()))
         await until(lambda: backend.requests)
-        await turn_loop()
-        await leave_and_wait(gateway, client)
+        await run_loop_turns()
+        await disconnect_and_wait(gateway, client)
         await until(lambda: backend.cut)
-        assert_nothing_held(gateway)
+        assert_nothing_in_use(gateway)
 
 
 @test("an idempotent attempt whose body the backend does not read is cancelled with its client")
@@ -272,7 +272,7 @@
     reading = asyncio.Event()
     ended = asyncio.Event()
 
-    class NotReading(HoldingBackend):
+    class NotReading(DelayingBackend):
         async def serve(self, reader, writer):
             writer.transport.pause_reading()
             reading.set()
@@ -280,24 +280,24 @@
             writer.transport.abort()
 
     body = b"x" * (1 << 20)
-    async with GatewayUnderTest([NotReading()], change=repeatable) as gateway:
-        client = LeavingClient(gateway.port)
+    async with GatewayUnderTest([NotReading()], change=make_idempotent) as gateway:
+        client = DisconnectingClient(gateway.port)
         sending = asyncio.ensure_future(asyncio.to_thread(client.send, body=body))
         await reading.wait()
         await sending
         await until(lambda: orphaned_attempts(gateway) == 0 and any(p.busy for p in gateway.backends.pools.values()))
-        await leave_and_wait(gateway, client)
+        await disconnect_and_wait(gateway, client)
         ended.set()
         assert gateway.metrics.counts["attempts: client gone"] == 1
-        assert_nothing_held(gateway)
+        assert_nothing_in_use(gateway)
 
 
 @test("of two pipelined requests, the one in flight is cancelled with its client and the other never starts")
 @on_loop
-async def _(leave=LEAVES):
-    backend = HoldingBackend()
-    async with GatewayUnderTest([backend], change=repeatable) as gateway:
-        client = LeavingClient(gateway.port)
+async def _(leave=EACH_WAY):
+    backend = DelayingBackend()
+    async with GatewayUnderTest([backend], change=make_idempotent) as gateway:
+        client = DisconnectingClient(gateway.port)
         backend.released.set()
         first = client.send()
         await until(lambda: backend.finished == [first])
@@ -306,36 +306,36 @@
         second = client.send()
         client.send()  # pipelined
         await until(lambda: len(backend.requests) == 2)
-        await leave_and_wait(gateway, client, leave)
+        await disconnect_and_wait(gateway, client, leave)
         await until(lambda: backend.cut == [second])
         assert len(backend.requests) == 2 and gateway.metrics.counts["requests"] == 2
-        assert_nothing_held(gateway)
+        assert_nothing_in_use(gateway)
 
 
 @test("a disconnection and a backend response at the same time leave nothing in use, whichever is processed first")
 @on_loop
-async def _(case=WAYS_AND_FLAG):
+async def _(case=EACH_WAY_AND_FLAG):
     leave, client_first = case
     async with request_at_backend() as (gateway, backend, client):
         steps = [lambda: leave(client), backend.released.set]
         for step in steps if client_first else reversed(steps):
             step()
         await until(lambda: not gateway.handler.connections.open)
-        await turn_loop()
+        await run_loop_turns()
         idle = sum(len(pool.idle) for pool in gateway.backends.pools.values())
-        assert_nothing_held(gateway, idle_connections=idle)
+        assert_nothing_in_use(gateway, idle_connections=idle)
 
 
 @test("an attempt cancelled with its client does not count as a backend failure and does not improve its latency")
 @on_loop
 async def _():
-    backend = HoldingBackend()
-    async with GatewayUnderTest([backend], change=repeatable) as gateway:
+    backend = DelayingBackend()
+    async with GatewayUnderTest([backend], change=make_idempotent) as gateway:
         for _ in range(8):
-            client = LeavingClient(gateway.port)
+            client = DisconnectingClient(gateway.port)
             client.send()
             await until(lambda: gateway.metrics.counts["requests"] and clients_gone(gateway) < len(backend.requests))
-            await leave_and_wait(gateway, client)
+            await disconnect_and_wait(gateway, client)
         (upstream,) = gateway.upstreams.upstreams.values()
         decisions = upstream.runtime.gateway
         (measured,) = decisions.backends.table.by_index.values()
@@ -365,8 +365,8 @@
 @test("an attempt that would start for a disconnected client is counted as a violation, and with -O not made")
 @on_loop
 async def _():
-    backend = HoldingBackend()
-    async with GatewayUnderTest([backend], change=repeatable) as gateway:
+    backend = DelayingBackend()
+    async with GatewayUnderTest([backend], change=make_idempotent) as gateway:
         gateway.upstreams.refresh()
         (upstream,) = gateway.upstreams.upstreams.values()
         request = upstream.runtime.open_request(RequestDescription(method=0, plan=0), gateway.clock.now() + 1_000_000)
--- a/tests/system/test_departures_in_any_order.py
+++ b/tests/system/test_departures_in_any_order.py
@@ -4,10 +4,10 @@
 import random
 
 from configurations import route
-from departures import WAYS_TO_LEAVE, assert_nothing_held, turn_loop
+from departures import WAYS_TO_DISCONNECT, assert_nothing_in_use, run_loop_turns
 from event_loop import on_loop
 from gateway_fixture import GatewayUnderTest
-from holding_backend import HoldingBackend, LeavingClient
+from holding_backend import DelayingBackend, DisconnectingClient
 from raw_backend import until
 from ward import each, test
 
@@ -18,12 +18,12 @@
 
     def send():
         if len(clients) < 8:
-            clients.append(LeavingClient(gateway.port))
+            clients.append(DisconnectingClient(gateway.port))
             clients[-1].send(path=draw.choice((b"/a/b/x", b"/a/x")))
 
     def leave():
         if clients:
-            draw.choice(WAYS_TO_LEAVE)(clients.pop(draw.randrange(len(clients))))
+            draw.choice(WAYS_TO_DISCONNECT)(clients.pop(draw.randrange(len(clients))))
 
     def answer():
         backend.released.set()
@@ -51,7 +51,7 @@
         route(configuration, 0, 0).pop("weighted")
 
     for seed in range(first_seed, first_seed + 10):
-        backend, clients = HoldingBackend(), []
+        backend, clients = DelayingBackend(), []
         async with GatewayUnderTest([backend], change=mixed) as gateway:
             turns = random.Random(-seed)
             for step in drawn_steps(seed, backend, gateway, clients):
@@ -60,9 +60,9 @@
                     await asyncio.sleep(0)
             for client in clients:
                 client.close()
-            await turn_loop()
+            await run_loop_turns()
             backend.released.set()
             await until(lambda gateway=gateway: not gateway.handler.connections.open)
             idle = sum(len(pool.idle) for pool in gateway.backends.pools.values())
-            assert_nothing_held(gateway, idle_connections=idle)
+            assert_nothing_in_use(gateway, idle_connections=idle)
             assert len(set(backend.cut)) == len(backend.cut) and not set(backend.cut) & set(backend.finished)
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -23,7 +23,7 @@
 from stoneyoke.gateway.routes import build_routing_table
 
 
-def refusing(status, more=b"Not-Run: 1\r\n"):
+def rejecting(status, more=b"Not-Run: 1\r\n"):
     return lambda request: (
         b"HTTP/1.1 %d X\r\nAttempt-Id: %s\r\n%sContent-Length: 0\r\n\r\n" % (status, request["attempt-id"], more)
     )
@@ -71,17 +71,17 @@
 
 @test("a request proven not to have run is retried at another backend; a 421 removes the instance permanently")
 @on_loop
-async def _(refusal=each((503, b"Not-Run: 1\r\n"), (421, b"Instance-Id: i-other\r\n"))):
-    status, more = refusal
+async def _(rejection=each((503, b"Not-Run: 1\r\n"), (421, b"Instance-Id: i-other\r\n"))):
+    status, more = rejection
     refused = []
 
-    def refuse_once(request):
+    def reject_once(request):
         if refused:
             return ok(request)
         refused.append(request["expect-instance"].decode())
-        return refusing(status, more)(request)
+        return rejecting(status, more)(request)
 
-    backends = [ScriptedBackend(refuse_once), ScriptedBackend(refuse_once)]
+    backends = [ScriptedBackend(reject_once), ScriptedBackend(reject_once)]
     async with GatewayUnderTest(backends) as gateway:
         assert (await gateway.send())[0] == 200
         assert [len(one.requests) for one in backends] == [1, 1]
@@ -91,8 +91,8 @@
 
 NO_STAMP = b"HTTP/1.1 200 OK\r\nAttempt-Id: a-1\r\nContent-Length: 3\r\n\r\nyes"
 CUT_SHORT = b"HTTP/1.1 200 OK\r\nAttempt-Id: a-1\r\nServer-Stamp: s\r\nContent-Length: 30\r\n\r\nyes\x00"
-BUSY = refusing(503, b"")({"attempt-id": b"a-1"})  # without Not-Run
-TOO_MANY = refusing(429, b"")({"attempt-id": b"a-1"})
+BUSY = rejecting(503, b"")({"attempt-id": b"a-1"})  # without Not-Run
+TOO_MANY = rejecting(429, b"")({"attempt-id": b"a-1"})
 
 
 @test("a non-idempotent request that may have run is not retried, and its response has no stamp")
@@ -125,13 +125,13 @@
 async def _():
     failed = []
 
-    def once(request):
+    def fail_once(request):
         if failed:
             return ok(request)
         failed.append(request)
         return b""
 
-    backends = [ScriptedBackend(once), ScriptedBackend(once)]
+    backends = [ScriptedBackend(fail_once), ScriptedBackend(fail_once)]
     async with GatewayUnderTest(backends, change=lambda c: route(c, 0, 1).update(route_kind="pure")) as gateway:
         assert (await gateway.send(method=b"GET", body=b""))[0] == 200
         assert [len(one.requests) for one in backends] == [1, 1]
@@ -146,7 +146,7 @@
 @test("retries stay within this gateway's part of the retry budget, and requests beyond it are rejected at once")
 @on_loop
 async def _():
-    backends = [ScriptedBackend(refusing(503)) for _ in range(4)]
+    backends = [ScriptedBackend(rejecting(503)) for _ in range(4)]
     async with GatewayUnderTest(backends) as gateway:
         gateway.upstreams.bounds = replace(gateway.upstreams.bounds, retry_slack_attempts=8.0)
         gateway.upstreams.set_fleet(GatewayFleet(2, 0))
@@ -317,7 +317,7 @@
 
 @test("retries stay within this gateway's part of the retry budget, and only attempts that reached a backend count")
 def _():
-    def call_outs(outcome, depth):
+    def count_attempts(outcome, depth):
         """Returns the number of attempts for ten requests at nine backends if each attempt has this outcome."""
         method = Method(
             idempotency=Idempotency.IDEMPOTENT,
@@ -391,8 +391,8 @@
             count += sent
         return count
 
-    free = call_outs(AttemptOutcome.ERROR, 0.0)
+    free = count_attempts(AttemptOutcome.ERROR, 0.0)
     assert free > 14  # without a budget: up to three attempts per request while backends are not ejected
-    assert call_outs(AttemptOutcome.ERROR, 2.0) <= 10 + 1 + 0.1 * 10
+    assert count_attempts(AttemptOutcome.ERROR, 2.0) <= 10 + 1 + 0.1 * 10
     # No attempt reached a backend, so none uses the budget: each backend is tried once, and then all are ejected.
-    assert call_outs(AttemptOutcome.NO_CONNECTION, 2.0) == 9
+    assert count_attempts(AttemptOutcome.NO_CONNECTION, 2.0) == 9
--- a/tests/system/test_peers.py
+++ b/tests/system/test_peers.py
@@ -41,12 +41,12 @@
 Script = Callable[[int, int, Message], bytes | None]
 
 
-def on_loop(story: Callable[..., Coroutine[None, None, None]]) -> Callable[..., None]:
+def on_loop(test_coroutine: Callable[..., Coroutine[None, None, None]]) -> Callable[..., None]:
     """Runs a test on a new event loop."""
 
-    @functools.wraps(story)
+    @functools.wraps(test_coroutine)
     def run(*args: object, **kwargs: object) -> None:
-        asyncio.run(story(*args, **kwargs))
+        asyncio.run(test_coroutine(*args, **kwargs))
 
     return run
 
@@ -99,12 +99,12 @@
         return self.client.connection
 
 
-def answer_all(_: int, number: int, __: Message) -> bytes:
+def respond_to_all(_: int, number: int, __: Message) -> bytes:
     """A script that responds to every call."""
     return pack(number, RESPONSE)
 
 
-def answer_nothing(*_: object) -> bytes:
+def respond_to_none(*_: object) -> bytes:
     """A script that never responds."""
     return b""
 
@@ -139,7 +139,7 @@
 async def _() -> None:
     calls: list[tuple[int, Message]] = []
 
-    def answer_third_call_first(_: int, number: int, request: Message) -> bytes:
+    def respond_after_third_call(_: int, number: int, request: Message) -> bytes:
         calls.append((number, request))
         if len(calls) < 3:
             return b""
@@ -148,7 +148,7 @@
             for number, request in reversed(calls)
         )
 
-    async with ScriptedPeer(answer_third_call_first) as peer:
+    async with ScriptedPeer(respond_after_third_call) as peer:
         first, second, third = peer.call(), peer.call(OTHER_REQUEST), peer.call()
         assert await first == fetched(1)
         assert await second == InstanceUpdateResponse()
@@ -171,12 +171,12 @@
 @test("a response {fault} closes its connection and fails all calls pending on it")
 @on_loop
 async def _(fault: str = EACH_FAULT) -> None:
-    def answer_second_call_wrongly(connection: int, number: int, _: Message) -> bytes:
+    def respond_wrongly_to_second_call(connection: int, number: int, _: Message) -> bytes:
         if connection == 1 and number == 2:
             return UNEXPECTED[fault](number) + pack(number, RESPONSE)  # the valid response after the fault is not read
         return pack(number, RESPONSE)
 
-    async with ScriptedPeer(answer_second_call_wrongly) as peer:
+    async with ScriptedPeer(respond_wrongly_to_second_call) as peer:
         assert await peer.call() == RESPONSE
         assert await is_unreachable(peer.call())
         assert await peer.call() == RESPONSE
@@ -196,12 +196,12 @@
 @test("a response to a call on an earlier connection is not accepted for a call on a later one")
 @on_loop
 async def _() -> None:
-    def answer_earlier_call(connection: int, number: int, _: Message) -> bytes | None:
+    def respond_to_earlier_call(connection: int, number: int, _: Message) -> bytes | None:
         if connection == 1:
             return None
         return pack(1, RESPONSE) if connection == 2 else pack(number, RESPONSE)
 
-    async with ScriptedPeer(answer_earlier_call) as peer:
+    async with ScriptedPeer(respond_to_earlier_call) as peer:
         assert await is_unreachable(peer.call())
         assert await is_unreachable(peer.call())  # call number 1 was used on the earlier connection
         assert await peer.call() == RESPONSE
@@ -211,7 +211,7 @@
 @test("data left in the buffers of a closed connection is not read")
 @on_loop
 async def _() -> None:
-    async with ScriptedPeer(answer_nothing) as peer:
+    async with ScriptedPeer(respond_to_none) as peer:
         call = peer.call()
         await until(lambda: peer.received)
         old = peer.connection()
@@ -252,7 +252,7 @@
 @test("a response that was received before a suspension of the process is rejected, and a new connection is opened")
 @on_loop
 async def _() -> None:
-    async with ScriptedPeer(answer_all) as peer:
+    async with ScriptedPeer(respond_to_all) as peer:
         loop = asyncio.get_running_loop()
         assert await peer.call() == RESPONSE
         connection, now = peer.connection(), loop.time
@@ -274,7 +274,7 @@
 @test("a call to an unresponsive peer times out, and so do the other calls on that connection")
 @on_loop
 async def _() -> None:
-    async with ScriptedPeer(answer_nothing) as peer:
+    async with ScriptedPeer(respond_to_none) as peer:
         other = peer.call()
         await until(lambda: peer.received)
         assert await is_unreachable(peer.client.call(REQUEST, 0.01))
@@ -297,13 +297,13 @@
     all_mutations, accepted = list(mutations(pack(1, response))), 0
     for mutated in all_mutations:
 
-        def answer_first_call_mutated(connection: int, number: int, _: Message, data: bytes = mutated) -> bytes | None:
+        def respond_with_mutation(connection: int, number: int, _: Message, data: bytes = mutated) -> bytes | None:
             if connection > 1:
                 return pack(number, response)
             peer.writers[0].write(data)
             return None  # closes the connection after the mutated response
 
-        async with ScriptedPeer(answer_first_call_mutated) as peer:
+        async with ScriptedPeer(respond_with_mutation) as peer:
             try:
                 received = await peer.call(request)
                 assert isinstance(received, QuotaResponse)
@@ -311,11 +311,11 @@
                 accepted += 1
             except PeerUnreachable:
                 pass
-            assert await response_after_hang_up(peer, request) == response
+            assert await response_after_close(peer, request) == response
     assert accepted < len(all_mutations) / 2
 
 
-async def response_after_hang_up(peer: ScriptedPeer, request: Message) -> Message:
+async def response_after_close(peer: ScriptedPeer, request: Message) -> Message:
     """Returns the first response of a peer that may still be closing its connection."""
     async with asyncio.timeout(5):
         while True:
--- a/tests/system/test_programs.py
+++ b/tests/system/test_programs.py
@@ -44,7 +44,7 @@
     assert parse_settings({"self": GIVEN["self"], "network": GIVEN["network"]}).bounds.grace_s == 6
 
 
-WRONG = each(
+EACH_INVALID_SETTING = each(
     ("self.ip_addr", lambda g: g["self"].update(ip_addr="x")),
     ("self.node_name", lambda g: g["self"].pop("node_name")),
     ("self.limits.max_fds", lambda g: g["self"]["limits"].update(max_fds=10)),
@@ -57,7 +57,7 @@
 
 
 @test("the error for invalid settings names the field")
-def _(wrong=WRONG):
+def _(wrong=EACH_INVALID_SETTING):
     path, change = wrong
     given = json.loads(json.dumps(GIVEN))
     change(given)
--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -15,7 +15,7 @@
     RawBackend,
     Sender,
     after_all_timers,
-    arrived,
+    read_available,
     reset,
     until,
     wait_for_kernel_input,
@@ -35,24 +35,24 @@
     return answer.headers.get(b"attempt-id") == b"a-1"
 
 
-async def whole_request(peer, sender, **more):
+async def completely_written_request(peer, sender, **more):
     """Returns an attempt whose request the peer has received completely, and the peer's end of its connection."""
     out = sender.begin(**more)
-    await until(peer.waiting)
+    await until(peer.has_waiting_connection)
     connection, got = peer.accept(), b""
 
     def read():
         nonlocal got
-        got += arrived(connection)
+        got += read_available(connection)
         return got.endswith(b"order")
 
     await until(read)
     return out, connection
 
 
-async def part_of_a_request(peer, sender, **more):
+async def partly_written_request(peer, sender, **more):
     out = sender.begin(body=LARGE, **more)
-    await until(peer.waiting)
+    await until(peer.has_waiting_connection)
     connection = peer.accept()
     await until(lambda: sender.connections and sender.connections[0].writer.transport.get_write_buffer_size())
     return out, connection
@@ -66,7 +66,7 @@
 async def _():
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        assert (await sender.send(within=0))[0] is AttemptOutcome.NOT_SENT and not peer.waiting()
+        assert (await sender.send(within=0))[0] is AttemptOutcome.NOT_SENT and not peer.has_waiting_connection()
         sender.backends.remove(0)
         assert (await sender.send())[0] is AttemptOutcome.NOT_SENT
 
@@ -78,10 +78,8 @@
         full = socket.socket()
         full.bind(("127.0.0.1", 0))
         full.listen(0)
-        with (
-            full,
-            socket.create_connection(full.getsockname()),
-        ):  # fills the backlog: later connections get no response
+        # A connection fills the backlog: later connections get no response.
+        with full, socket.create_connection(full.getsockname()):
             assert (await Sender(full.getsockname(), connect_timeout_us=SHORT_US).send())[
                 0
             ] is AttemptOutcome.NO_CONNECTION
@@ -115,7 +113,7 @@
         sender.backends.accepts_new_work = accepts_new_work
         assert (await sender.send())[0] is AttemptOutcome.NOT_SENT
         assert sender.backends.descriptor_budget.used == 0
-        assert arrived(peer.accept()) == b""
+        assert read_available(peer.accept()) == b""
 
 
 @test("connected, nothing written: a reset before the first write proves that nothing was sent")
@@ -145,7 +143,7 @@
 
         sender.backends.accepts_new_work = accepts_new_work
         assert (await sender.send())[0] is AttemptOutcome.CUT and sender.all_closed()
-        assert arrived(peer.accept()) == b""
+        assert read_available(peer.accept()) == b""
 
 
 class Transport:
@@ -211,7 +209,7 @@
     sender.pending.cancel_attempt(0, False)
 
 
-def kernel_gives_up(sender, _):
+def time_out_in_kernel(sender, _):
     """Reports ETIMEDOUT, which is a TimeoutError like a time-out while connecting."""
     sender.connections[0].protocol.connection_lost(TimeoutError(errno.ETIMEDOUT, "timed out"))
 
@@ -239,7 +237,7 @@
     end, expected = case
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        task, connection = await part_of_a_request(peer, sender)
+        task, connection = await partly_written_request(peer, sender)
         outcome, answer = await end_attempt(task, end, sender, connection)
         assert (outcome, answer) == (expected, None)
         assert outcome not in PROVEN_NOT_RUN
@@ -251,11 +249,11 @@
 async def _():
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        task, connection = await part_of_a_request(peer, sender)
+        task, connection = await partly_written_request(peer, sender)
         task.cancel()
         await asyncio.wait([task])
         assert sender.all_closed()
-        assert len(arrived(connection)) < len(LARGE)
+        assert len(read_available(connection)) < len(LARGE)
 
 
 @test("completely written: after a reset, close, time-out, cancellation or ETIMEDOUT the request may have run")
@@ -268,13 +266,13 @@
         (lambda _, connection: connection.sendall(b"no HTTP\r\n\r\n"), AttemptOutcome.BROKEN),
         (None, AttemptOutcome.TIMED_OUT),
         (cancel, AttemptOutcome.CANCELLED),
-        (kernel_gives_up, AttemptOutcome.BROKEN),
+        (time_out_in_kernel, AttemptOutcome.BROKEN),
     ),
 ):
     end, expected = case
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        task, connection = await whole_request(peer, sender)
+        task, connection = await completely_written_request(peer, sender)
         assert await end_attempt(task, end, sender, connection) == (expected, None)
         assert sender.all_closed()
 
@@ -284,7 +282,7 @@
 async def _():
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        task, _ = await whole_request(peer, sender)
+        task, _ = await completely_written_request(peer, sender)
         task.cancel()
         await asyncio.wait([task])
         assert task.cancelled()
@@ -296,7 +294,7 @@
 async def _():
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        out, connection = await whole_request(peer, sender)
+        out, connection = await completely_written_request(peer, sender)
         sender.backends.may_cancel_attempts = False
         sender.pending.cancel_attempt(0, False)
         connection.sendall(OK)
@@ -306,13 +304,13 @@
 # ---- reuse of connections ----
 
 
-async def served(peer, sender, connection=None, answer=OK, made=1):
+async def complete_attempt(peer, sender, connection=None, answer=OK, made=1):
     """Makes an attempt that gets a complete response. If `connection` is None, the attempt must open a new one."""
     out = sender.begin(matches_response=is_own_answer)
     if connection is None:
-        await until(peer.waiting)
+        await until(peer.has_waiting_connection)
         connection = peer.accept()
-    await until(lambda: arrived(connection))
+    await until(lambda: read_available(connection))
     connection.sendall(answer)
     outcome, message = await out
     assert outcome is AttemptOutcome.OK and message.body == b"yes" and len(sender.connections) == made
@@ -321,14 +319,14 @@
 
 @test("a connection is reused after a complete response, but not if unprocessed input, a FIN or an RST has arrived")
 @on_loop
-async def _(spoil=each(reset, lambda connection: connection.close(), lambda connection: connection.sendall(OK))):
+async def _(invalidate=each(reset, lambda connection: connection.close(), lambda connection: connection.sendall(OK))):
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        connection = await served(peer, sender)
-        assert await served(peer, sender, connection) is connection
-        spoil(connection)
+        connection = await complete_attempt(peer, sender)
+        assert await complete_attempt(peer, sender, connection) is connection
+        invalidate(connection)
         wait_for_kernel_input(sender.connections[0].writer)  # the event loop does not run meanwhile
-        await served(peer, sender, made=2)
+        await complete_attempt(peer, sender, made=2)
         assert sender.backends.descriptor_budget.used == 1
 
 
@@ -337,9 +335,9 @@
 async def _(answer=each(OTHER + OK, OK + OK, OK + b"x", OTHER + OTHER + OK)):
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        await served(peer, sender, answer=answer)
+        await complete_attempt(peer, sender, answer=answer)
         assert sender.all_closed()
-        await served(peer, sender, made=2)
+        await complete_attempt(peer, sender, made=2)
 
 
 @test("a connection is not reused if bytes after the response have been received but not parsed yet")
@@ -348,11 +346,11 @@
     with RawBackend() as peer:
         sender = Sender(peer.address)
 
-        def spoken_on(answer):
+        def receive_more(answer):
             sender.connections[0].protocol.data_received(OK)  # after the response that is being checked
             return is_own_answer(answer)
 
-        out, connection = await whole_request(peer, sender, matches_response=spoken_on)
+        out, connection = await completely_written_request(peer, sender, matches_response=receive_more)
         connection.sendall(OK)
         assert (await out)[0] is AttemptOutcome.OK and sender.all_closed()
 
@@ -362,7 +360,7 @@
 async def _(outcome=each(AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)):
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        task, connection = await whole_request(peer, sender, matches_response=is_own_answer)
+        task, connection = await completely_written_request(peer, sender, matches_response=is_own_answer)
         connection.sendall(OTHER)
         await until(lambda: sender.connections[0].out_of_step)
         if outcome is AttemptOutcome.CANCELLED:
@@ -385,7 +383,7 @@
         wrong = 0
         for answer in mutations:
             sender = Sender(peer.address)
-            out, connection = await whole_request(peer, sender, matches_response=is_own_answer)
+            out, connection = await completely_written_request(peer, sender, matches_response=is_own_answer)
             connection.sendall(answer)
             connection.shutdown(socket.SHUT_WR)
             outcome, message = await out
@@ -395,5 +393,5 @@
                 assert b"Attempt-Id: a-1\r\n" in head and len(message.body) == 3 and body.startswith(message.body)
             wrong += outcome is AttemptOutcome.BROKEN
             connection.close()
-            await served(peer, sender, made=2)
+            await complete_attempt(peer, sender, made=2)
         assert wrong > 150
