--- a/stoneyoke/gateway/control_client.py
+++ b/stoneyoke/gateway/control_client.py
@@ -31,7 +31,7 @@
 
 
 class ControlClient:
-    """A gateway's state that comes from the controllers.
+    """The part of a gateway's state that the controllers provide.
 
     Attributes:
         seed: The random seed of this process's decision logics.
--- a/stoneyoke/gateway/instance_directory.py
+++ b/stoneyoke/gateway/instance_directory.py
@@ -4,7 +4,7 @@
 overrides any other phase, so the order of the responses does not matter. A later report does not undo a drain. An
 instance increments call_seq with each call, so its drain never has a lower call_seq than an earlier report. The loss of
 a controller removes no instance: an instance is removed only if it was reported gone, or if no reachable controller has
-heard from it for REMOVE_SILENT_S.
+received its heartbeats for REMOVE_SILENT_S.
 """
 
 from dataclasses import dataclass, field
@@ -21,7 +21,7 @@
 # A controller counts as reachable this long after its last response. Longer than a controller may delay its response to
 # a pull, plus the time to open a new connection.
 REACHABLE_S = 2.2
-REMOVE_SILENT_S = 20.0  # an instance is removed once no reachable controller has heard from it for this long
+REMOVE_SILENT_S = 20.0  # an instance is removed once no reachable controller has received its heartbeats for this long
 NEVER_S = -1e9
 GONE_TTL_S = 300.0  # gone instances are remembered longer than by any controller (instance_registry)
 GONE_MAX = 4096  # the most gone instances that are remembered, as many as by a controller
@@ -130,7 +130,10 @@
         return [view for view in self.controllers.values() if now - view.last_response_at < REACHABLE_S]
 
     def sweep(self, now: float) -> None:
-        """Marks instances that no controller hears from, and removes stale entries; called several times a second."""
+        """Marks instances whose heartbeats no controller receives, and removes stale entries.
+
+        Called several times a second.
+        """
         synced = [view for view in self.in_touch(now) if view.last_pull and view.last_pull.instances_synced]
         voters = len(self.voters().members) or 1
         if synced and len(synced) >= min(majority(voters), voters):
@@ -221,7 +224,8 @@
     def lease_holder(self, now: float) -> str:
         """Returns the address of the quota lease holder; "" if it is not known.
 
-        A controller that reports itself as the holder goes before the most frequent report of the others.
+        A controller's report that it holds the lease itself overrides the reports of others. Among the latter, the most
+        frequent one counts.
         """
         reported = [
             one.last_pull.lease_holder for one in self.in_touch(now) if one.last_pull and one.last_pull.lease_holder
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -239,7 +239,7 @@
                     self.indices.release(index)
 
     def send_endpoints(self, upstream: Upstream) -> None:
-        """Passes its instances to a service, and marks as ejected those that no reachable controller hears from."""
+        """Passes its instances to a service, and marks as ejected those whose heartbeats no controller receives."""
         now = self.clock.now()
         entries = [
             self.endpoint(index, known, now)
