--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -161,7 +161,7 @@
         """Returns the service of this name, which is created at its first request or instance."""
         upstream = self.upstreams.get(service)
         if upstream is None:
-            first = (
+            initial_methods = (
                 Method(
                     idempotency=Idempotency.IDEMPOTENT,
                     deduplication_scope=DeduplicationScope.CELL,
@@ -172,7 +172,9 @@
                     attempts_max=1,
                 ),
             )
-            upstream = self.upstreams[service] = Upstream(service, self.parameters(first), self.clock, self.metrics)
+            upstream = self.upstreams[service] = Upstream(
+                service, self.parameters(initial_methods), self.clock, self.metrics
+            )
             self.send_endpoints(upstream)
         return upstream
 
--- a/tests/system/test_departures_in_any_order.py
+++ b/tests/system/test_departures_in_any_order.py
@@ -43,7 +43,7 @@
     return [draw.choice(steps) for _ in range(60)] + [drain] * (seed % 2) + [draw.choice(steps) for _ in range(10)]
 
 
-@test("random orders of requests, disconnections, responses, drains and sweeps leave no resource in use")
+@test("random orders of requests, disconnects, responses, drains and sweeps leak nothing and violate no invariant")
 @on_loop
 async def _(first_seed=each(0, 10, 20, 30)):
     def mixed(configuration):
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -90,7 +90,7 @@
 
 
 NO_STAMP = b"HTTP/1.1 200 OK\r\nAttempt-Id: a-1\r\nContent-Length: 3\r\n\r\nyes"
-CUT_SHORT = b"HTTP/1.1 200 OK\r\nAttempt-Id: a-1\r\nServer-Stamp: s\r\nContent-Length: 30\r\n\r\nyes\x00"
+TRUNCATED = b"HTTP/1.1 200 OK\r\nAttempt-Id: a-1\r\nServer-Stamp: s\r\nContent-Length: 30\r\n\r\nyes\x00"
 BUSY = rejecting(503, b"")({"attempt-id": b"a-1"})  # without Not-Run
 TOO_MANY = rejecting(429, b"")({"attempt-id": b"a-1"})
 
@@ -102,7 +102,7 @@
         b"",
         b"gibberish\r\n\r\n",
         NO_STAMP,
-        CUT_SHORT,
+        TRUNCATED,
         BUSY,
         TOO_MANY,
     ),
@@ -114,7 +114,7 @@
         return data
 
     async with GatewayUnderTest([ScriptedBackend(answer), ScriptedBackend(answer)]) as gateway:
-        status, headers, _ = await gateway.send(wait_ms=b"400" if data is CUT_SHORT else b"3000")
+        status, headers, _ = await gateway.send(wait_ms=b"400" if data is TRUNCATED else b"3000")
         assert len(sent) == 1
         assert status in (502, 504)
         assert "server-stamp" not in headers
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -79,7 +79,7 @@
 @test("while the lease holder does not respond or no longer holds the lease, no request waits, until its next response")
 def _():
     peer_client = PeerClient(
-        [PeerUnreachable("cut"), QuotaResponse(ok=False, grants=[]), EMPTY_RESPONSE, grant_response(1.0)]
+        [PeerUnreachable("no response"), QuotaResponse(ok=False, grants=[]), EMPTY_RESPONSE, grant_response(1.0)]
     )
 
     async def scenario(quota_client, response_times):
