--- a/stoneyoke/programs/controller.py
+++ b/stoneyoke/programs/controller.py
@@ -58,7 +58,7 @@
         try:
             controller.add_peers(*read_settings(SETTINGS.value).seeds)
         except InvalidSettings as error:
-            logger.error("reload: the settings file is invalid, the current settings stay in force: {}", error)
+            logger.error("reload: can't load the settings file, the current settings stay in force: {}", error)
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
--- a/stoneyoke/programs/gateway.py
+++ b/stoneyoke/programs/gateway.py
@@ -141,7 +141,7 @@
         try:
             settings = read_settings(SETTINGS.value)
         except InvalidSettings as error:
-            logger.error("reload: the settings file is invalid, the current settings stay in force: {}", error)
+            logger.error("reload: can't load the settings file, the current settings stay in force: {}", error)
             return
         for seed in settings.seeds:
             self.instance_directory.add_controller(seed)
