--- a/stoneyoke/gateway/quota_client.py
+++ b/stoneyoke/gateway/quota_client.py
@@ -43,8 +43,8 @@
     Attributes:
         local_quotas: The units that this gateway holds, by tenant.
         last_response_at: When the lease holder last responded, in seconds of the clock.
-        is_unresponsive: Whether the last message had no usable response. Clients' requests then don't wait for the next
-            round.
+        lease_holder_unresponsive: Whether the last message had no usable response. Clients' requests then don't wait
+            for the next round.
         report_all: Whether the next message reports every share that this gateway holds, because the next lease holder
             to respond may know nothing of this gateway.
         waiting_requests: The number of clients' requests that wait for units, by tenant.
@@ -72,7 +72,7 @@
         self.name, self.incarnation, self.local_quotas = name, incarnation, local_quotas
         self.access, self.clock = access, clock
         self.last_response_at = -LONG_AGO_S
-        self.is_unresponsive = False
+        self.lease_holder_unresponsive = False
         self.report_all = True
         self.waiting_requests: dict[str, int] = {}
         self.request_due = asyncio.Event()
@@ -83,7 +83,7 @@
 
         Returns at once while the lease holder does not respond.
         """
-        if self.is_unresponsive:
+        if self.lease_holder_unresponsive:
             return
         self.waiting_requests[tenant] = self.waiting_requests.get(tenant, 0) + 1
         self.request_due.set()
@@ -104,7 +104,11 @@
     def is_decided(self, tenant: str) -> bool:
         """Whether a further round would not change the decision on a request of this tenant."""
         local_quota = self.local_quotas[tenant]
-        return self.is_unresponsive or local_quota.level >= USABLE_UNITS or local_quota.closed_until > self.clock()
+        return (
+            self.lease_holder_unresponsive
+            or local_quota.level >= USABLE_UNITS
+            or local_quota.closed_until > self.clock()
+        )
 
     async def run(self) -> None:
         """Runs one round after another until the task is cancelled."""
@@ -129,7 +133,7 @@
 
     def fail_round(self) -> None:
         """Ends a round without a usable response; requests that wait are decided without the lease holder."""
-        self.is_unresponsive = self.report_all = True
+        self.lease_holder_unresponsive = self.report_all = True
         self.end_round()
 
     async def request_units(self, lease_holder: PeerClient) -> None:
@@ -140,8 +144,8 @@
         """
         sent_at = self.clock()
         since_response_s = min(SINCE_RESPONSE_MAX_S, sent_at - self.last_response_at)
-        # After a longer silence the lease holder can't know that its responses reach this gateway: it grants nothing,
-        # and a report in this message would not count as made. So the message carries no demands.
+        # After a longer silence the lease holder may not know that its responses reach this gateway. It then grants
+        # nothing and ignores reports, so the message carries no demands.
         has_recent_response = since_response_s <= SILENCE_TIMEOUT_S
         report_all = self.report_all
         demands: list[QuotaDemand] = []
@@ -159,7 +163,7 @@
             self.fail_round()
             await asyncio.sleep(REJECTED_DELAY_S)
             return
-        self.is_unresponsive = False
+        self.lease_holder_unresponsive = False
         # This process may have been suspended between the response and this line. The response arrived before its
         # time-out, so it can't be newer than that.
         self.last_response_at = min(self.clock(), sent_at + RESPONSE_TIMEOUT_S)
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -84,14 +84,14 @@
 
     async def scenario(quota_client, response_times):
         await quota_client.wait_for_units("anna")
-        assert quota_client.is_unresponsive and not response_times
+        assert quota_client.lease_holder_unresponsive and not response_times
         for _ in range(100):
-            if not quota_client.is_unresponsive:
+            if not quota_client.lease_holder_unresponsive:
                 break
             quota_client.request_due.set()
             quota_client.local_quotas["anna"].demand_units = 1.0
             await asyncio.wait_for(quota_client.round_ended.wait(), 2)
-        assert not quota_client.is_unresponsive and response_times and len(peer_client.asked) >= 3
+        assert not quota_client.lease_holder_unresponsive and response_times and len(peer_client.asked) >= 3
 
     run_scenario(peer_client, scenario)
 
@@ -121,7 +121,7 @@
     async def scenario(quota_client, response_times):
         quota_client.local_quotas["bert"] = LocalQuota()
         await quota_client.wait_for_units("anna")
-        assert quota_client.is_unresponsive
+        assert quota_client.lease_holder_unresponsive
         assert len(peer_client.asked) == 2
         assert len(response_times) == 1
         assert quota_client.local_quotas["anna"].level == quota_client.local_quotas["bert"].level == 0
