--- a/stoneyoke/programs/gateway.py
+++ b/stoneyoke/programs/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway program of an edge machine: composes the parts, serves readiness, reloads settings, ends."""
+"""The gateway program of an edge machine: composes the components, serves readiness, reloads settings, drains."""
 
 import asyncio
 import gc
@@ -23,33 +23,39 @@
 from stoneyoke.net.message_reader import MessageReader
 from stoneyoke.net.message_writer import status_line, write_message
 from stoneyoke.net.stream import StreamProtocol
-from stoneyoke.programs.log_buffer import LogBuffer, set_up
+from stoneyoke.programs.log_buffer import LogBuffer, configure_logging
 from stoneyoke.programs.metrics_server import METRICS_PORT, MetricsServer
-from stoneyoke.programs.settings import BadSettings, Settings, read_settings
+from stoneyoke.programs.settings import InvalidSettings, Settings, read_settings
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.metrics_text import metrics_text
 
-SETTINGS = flags.DEFINE_string("settings", None, "The settings file; else the one that the environment names.")
-CONNECT_TIMEOUT_US = 300_000
+SETTINGS = flags.DEFINE_string(
+    "settings", None, "The settings file. Default: the file that the environment variable STONEYOKE_NODE_FILE names."
+)
+CONNECT_TIMEOUT_US = 300_000  # for a connection to a backend
 IDLE_TIMEOUT_US = 4_000_000  # for a connection to a backend
-RESERVED_DESCRIPTORS = 300  # files, the event loop, listeners, connections to controllers
+RESERVED_DESCRIPTORS = 300  # for files, the event loop, listeners and connections to controllers
 SWEEP_S = 0.25
-BODY_MEMORY_DIVISOR = 32  # one body takes at most this part of the memory
+BODY_MEMORY_DIVISOR = 32  # one request or response body uses at most 1/32 of the memory
 
 
 class GatewayProgram:
-    """A gateway's parts, put together from its settings."""
+    """A gateway's components, created from its settings."""
 
     def __init__(self, settings: Settings) -> None:
-        """Puts the parts together; `serve` runs them.
+        """Creates and connects the components; `serve` runs them.
 
         Raises:
-            BadSettings: An address that a gateway needs is missing.
+            InvalidSettings: An address that a gateway needs is missing.
         """
         if settings.front_address is None or settings.ready_address is None:
-            raise BadSettings("network.binds.front_addr or ready_addr is missing")
-        self.settings, self.front_at, self.ready_at = settings, settings.front_address, settings.ready_address
+            raise InvalidSettings("network.binds.front_addr or ready_addr is missing")
+        self.settings, self.listen_address, self.readiness_address = (
+            settings,
+            settings.front_address,
+            settings.ready_address,
+        )
         self.clock, self.metrics = Clock(), Metrics()
         free = settings.descriptors - RESERVED_DESCRIPTORS
         part = max(1, free // 8)
@@ -86,23 +92,26 @@
         )
         self.front = RequestHandler(self.clock, self.metrics, descriptor_budget, free, services)
         self.draining = False
-        self.settings_stamp = self.read_stamp()
+        self.settings_file_signature = self.read_file_signature()
 
-    # ---- from the control client ----
+    # ---- called by the control client ----
 
-    def take(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Puts a newer configuration in force."""
         self.front.install(build_routing_table(configuration))
 
     def on_update(self) -> None:
-        """Tells the services what a controller's answer has changed."""
+        """Updates the services after a controller's response."""
         self.upstreams.set_fleet(self.control_client.fleet)
         self.upstreams.refresh()
 
     # ---- readiness ----
 
     async def serve_readiness(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answers readiness checks: 200 once all that was acknowledged is here, 503 before and from SIGTERM on."""
+        """Serves a connection of readiness checks.
+
+        The status is 200 once the gateway has every acknowledged change, and 503 before that and from SIGTERM on.
+        """
         messages = MessageReader(reader, responses=False)
         try:
             while message := await messages.next():
@@ -111,15 +120,15 @@
                 write_message(writer, [status_line(status), b"Content-Length: %d\r\n" % len(body)], body)
                 if not message.keep_alive:
                     break
-        except Exception:  # outermost guard of one connection: input that can't be used gets no answer
+        except Exception:  # an error on one connection, such as malformed input, only closes that connection
             pass
         finally:
             writer.close()
 
     # ---- the program ----
 
-    def read_stamp(self) -> tuple[float, int]:
-        """The settings file's time and size, which tell that it has changed."""
+    def read_file_signature(self) -> tuple[float, int]:
+        """Returns the settings file's modification time and size, by which a change is detected."""
         try:
             found = os.stat(os.environ.get("STONEYOKE_NODE_FILE", ""))
             return found.st_mtime, found.st_size
@@ -127,19 +136,19 @@
             return 0.0, 0
 
     def reload(self) -> None:
-        """Reads the settings file again and follows controllers that are new in it; by SIGHUP or a changed file."""
-        self.settings_stamp = self.read_stamp()
+        """Reloads the settings file after SIGHUP or a change of the file, and pulls from new controllers in it."""
+        self.settings_file_signature = self.read_file_signature()
         try:
             settings = read_settings(SETTINGS.value)
-        except BadSettings as error:
-            logger.error("reload: the settings file can't be used, the old settings stay in force: {}", error)
+        except InvalidSettings as error:
+            logger.error("reload: can't load the settings file, the current settings stay in force: {}", error)
             return
         for seed in settings.seeds:
             self.instance_directory.add_controller(seed)
         self.control_client.config_sync.follow_controllers()
 
     async def sweep(self) -> None:
-        """Closes and drops what is out of date, and looks at the settings file once a second, until the end."""
+        """Closes expired connections, removes stale state, and checks the settings file for changes once a second."""
         sweeps = 0
         while True:
             await asyncio.sleep(SWEEP_S)
@@ -150,7 +159,7 @@
             self.upstreams.refresh()
             for upstream in self.upstreams.upstreams.values():
                 upstream.runtime.departures.sweep()
-            if sweeps % 4 == 0 and self.read_stamp() != self.settings_stamp:
+            if sweeps % 4 == 0 and self.read_file_signature() != self.settings_file_signature:
                 self.reload()
 
     async def serve(self, log_buffer: LogBuffer) -> None:
@@ -160,8 +169,10 @@
             loop.add_signal_handler(number, ended.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         loop.add_signal_handler(signal.SIGUSR1, lambda: self.report(log_buffer))
-        ready = await loop.create_server(lambda: StreamProtocol(self.serve_readiness), *self.ready_at, backlog=64)
-        listener = socket.create_server(self.front_at)
+        ready = await loop.create_server(
+            lambda: StreamProtocol(self.serve_readiness), *self.readiness_address, backlog=64
+        )
+        listener = socket.create_server(self.listen_address)
         front = await loop.create_server(self.front.make_protocol, sock=listener, backlog=256)
         await MetricsServer(self.figures).open((self.settings.ip, METRICS_PORT.value))
         tasks = [loop.create_task(self.sweep()), *self.control_client.start()]
@@ -177,7 +188,7 @@
         logger.info("counts: {}", self.metrics.summary())
 
     def figures(self) -> str:
-        """The counters and what the gateway holds now, as text."""
+        """Returns the counters and the current gauges as text."""
         runtimes = [upstream.runtime for upstream in self.upstreams.upstreams.values()]
         gauges = {
             "ready": float(self.control_client.config_sync.ready and not self.draining),
@@ -194,17 +205,17 @@
         return metrics_text(self.metrics, gauges)
 
     def report(self, log_buffer: LogBuffer) -> None:
-        """Writes the counters and all buffered log lines, for SIGUSR1."""
+        """Logs the counters and writes all buffered log lines to standard error; on SIGUSR1."""
         logger.info("counts: {}", self.metrics.summary())
         log_buffer.dump()
 
 
 def run(_: list[str]) -> None:
-    """Runs the program; absl calls it with the command line's words."""
-    log_buffer = set_up()
+    """Runs the program; absl calls it with the command-line arguments."""
+    log_buffer = configure_logging()
     try:
         asyncio.run(GatewayProgram(read_settings(SETTINGS.value)).serve(log_buffer))
-    except BadSettings as error:
+    except InvalidSettings as error:
         print(f"gateway: {error}", file=sys.stderr)
         sys.exit(2)
 
--- a/tests/system/test_departures_in_any_order.py
+++ b/tests/system/test_departures_in_any_order.py
@@ -1,29 +1,29 @@
-"""Clients that leave at any moment, among answers, drains and sweeps: drawn orders, each kept by its seed."""
+"""Clients that disconnect at any moment, among responses, drains and sweeps, in random orders, each given by a seed."""
 
 import asyncio
 import random
 
 from configurations import route
-from departures import WAYS_TO_LEAVE, assert_nothing_held, turn_loop
+from departures import WAYS_TO_DISCONNECT, assert_nothing_in_use, run_loop_turns
 from event_loop import on_loop
 from gateway_fixture import GatewayUnderTest
-from holding_backend import HoldingBackend, LeavingClient
+from holding_backend import DelayingBackend, DisconnectingClient
 from raw_backend import until
 from ward import each, test
 
 
 def drawn_steps(seed, backend, gateway, clients):
-    """Sixty steps in an order drawn from the seed: requests, departures, answers, drains, sweeps, loop turns."""
+    """Returns 70 or 71 steps in a random order: requests, disconnections, responses, sweeps; for odd seeds a drain."""
     draw = random.Random(seed)
 
     def send():
         if len(clients) < 8:
-            clients.append(LeavingClient(gateway.port))
+            clients.append(DisconnectingClient(gateway.port))
             clients[-1].send(path=draw.choice((b"/a/b/x", b"/a/x")))
 
     def leave():
         if clients:
-            draw.choice(WAYS_TO_LEAVE)(clients.pop(draw.randrange(len(clients))))
+            draw.choice(WAYS_TO_DISCONNECT)(clients.pop(draw.randrange(len(clients))))
 
     def answer():
         backend.released.set()
@@ -43,7 +43,7 @@
     return [draw.choice(steps) for _ in range(60)] + [drain] * (seed % 2) + [draw.choice(steps) for _ in range(10)]
 
 
-@test("drawn orders of requests, departures, answers, drains and sweeps leave nothing behind and no invariant violated")
+@test("random orders of requests, disconnects, responses, drains and sweeps leak nothing and violate no invariant")
 @on_loop
 async def _(first_seed=each(0, 10, 20, 30)):
     def mixed(configuration):
@@ -51,7 +51,7 @@
         route(configuration, 0, 0).pop("weighted")
 
     for seed in range(first_seed, first_seed + 10):
-        backend, clients = HoldingBackend(), []
+        backend, clients = DelayingBackend(), []
         async with GatewayUnderTest([backend], change=mixed) as gateway:
             turns = random.Random(-seed)
             for step in drawn_steps(seed, backend, gateway, clients):
@@ -60,9 +60,9 @@
                     await asyncio.sleep(0)
             for client in clients:
                 client.close()
-            await turn_loop()
+            await run_loop_turns()
             backend.released.set()
             await until(lambda gateway=gateway: not gateway.handler.connections.open)
             idle = sum(len(pool.idle) for pool in gateway.backends.pools.values())
-            assert_nothing_held(gateway, idle_connections=idle)
+            assert_nothing_in_use(gateway, idle_connections=idle)
             assert len(set(backend.cut)) == len(backend.cut) and not set(backend.cut) & set(backend.finished)
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -23,13 +23,13 @@
 from stoneyoke.gateway.routes import build_routing_table
 
 
-def refusing(status, more=b"Not-Run: 1\r\n"):
+def rejecting(status, more=b"Not-Run: 1\r\n"):
     return lambda request: (
         b"HTTP/1.1 %d X\r\nAttempt-Id: %s\r\n%sContent-Length: 0\r\n\r\n" % (status, request["attempt-id"], more)
     )
 
 
-@test("a request passes unchanged but for the key, with the tenant and the instance that is meant")
+@test("a request is forwarded unchanged but for the API key, with the tenant and the expected instance added")
 @on_loop
 async def _():
     backend = ScriptedBackend()
@@ -44,7 +44,7 @@
         assert "api-key" not in got and "x-hop" not in got and got["attempt-id"] == b"a-1"
 
 
-@test("no route is a 404, an unknown key a 401, and a public route needs none")
+@test("a request without a route gets 404, one with an unknown key 401, and a public route needs no key")
 @on_loop
 async def _():
     backend = ScriptedBackend()
@@ -55,7 +55,7 @@
         assert status == 200 and "tenant" not in backend.requests[0]
 
 
-@test("a newer table is taken whole, an older one never")
+@test("a newer routing table replaces the whole current one, and an older one is ignored")
 @on_loop
 async def _():
     async with GatewayUnderTest([ScriptedBackend()]) as gateway:
@@ -69,19 +69,19 @@
         assert (await gateway.send())[0] == 401
 
 
-@test("a request that a backend proves not to have run is retried at another; 421 drops the instance for good")
+@test("a request proven not to have run is retried at another backend; a 421 removes the instance permanently")
 @on_loop
-async def _(refusal=each((503, b"Not-Run: 1\r\n"), (421, b"Instance-Id: i-other\r\n"))):
-    status, more = refusal
+async def _(rejection=each((503, b"Not-Run: 1\r\n"), (421, b"Instance-Id: i-other\r\n"))):
+    status, more = rejection
     refused = []
 
-    def refuse_once(request):
+    def reject_once(request):
         if refused:
             return ok(request)
         refused.append(request["expect-instance"].decode())
-        return refusing(status, more)(request)
+        return rejecting(status, more)(request)
 
-    backends = [ScriptedBackend(refuse_once), ScriptedBackend(refuse_once)]
+    backends = [ScriptedBackend(reject_once), ScriptedBackend(reject_once)]
     async with GatewayUnderTest(backends) as gateway:
         assert (await gateway.send())[0] == 200
         assert [len(one.requests) for one in backends] == [1, 1]
@@ -90,19 +90,19 @@
 
 
 NO_STAMP = b"HTTP/1.1 200 OK\r\nAttempt-Id: a-1\r\nContent-Length: 3\r\n\r\nyes"
-CUT_SHORT = b"HTTP/1.1 200 OK\r\nAttempt-Id: a-1\r\nServer-Stamp: s\r\nContent-Length: 30\r\n\r\nyes\x00"
-BUSY = refusing(503, b"")({"attempt-id": b"a-1"})  # without Not-Run
-TOO_MANY = refusing(429, b"")({"attempt-id": b"a-1"})
+TRUNCATED = b"HTTP/1.1 200 OK\r\nAttempt-Id: a-1\r\nServer-Stamp: s\r\nContent-Length: 30\r\n\r\nyes\x00"
+BUSY = rejecting(503, b"")({"attempt-id": b"a-1"})  # without Not-Run
+TOO_MANY = rejecting(429, b"")({"attempt-id": b"a-1"})
 
 
-@test("a request that may have run is not retried, and its answer carries no stamp")
+@test("a non-idempotent request that may have run is not retried, and its response has no stamp")
 @on_loop
 async def _(
     data=each(
         b"",
         b"gibberish\r\n\r\n",
         NO_STAMP,
-        CUT_SHORT,
+        TRUNCATED,
         BUSY,
         TOO_MANY,
     ),
@@ -114,24 +114,24 @@
         return data
 
     async with GatewayUnderTest([ScriptedBackend(answer), ScriptedBackend(answer)]) as gateway:
-        status, headers, _ = await gateway.send(wait_ms=b"400" if data is CUT_SHORT else b"3000")
+        status, headers, _ = await gateway.send(wait_ms=b"400" if data is TRUNCATED else b"3000")
         assert len(sent) == 1
         assert status in (502, 504)
         assert "server-stamp" not in headers
 
 
-@test("a read that failed at one backend is asked of another, within the route's tries")
+@test("an idempotent request that failed at one backend is retried at another, up to the route's maximum of attempts")
 @on_loop
 async def _():
     failed = []
 
-    def once(request):
+    def fail_once(request):
         if failed:
             return ok(request)
         failed.append(request)
         return b""
 
-    backends = [ScriptedBackend(once), ScriptedBackend(once)]
+    backends = [ScriptedBackend(fail_once), ScriptedBackend(fail_once)]
     async with GatewayUnderTest(backends, change=lambda c: route(c, 0, 1).update(route_kind="pure")) as gateway:
         assert (await gateway.send(method=b"GET", body=b""))[0] == 200
         assert [len(one.requests) for one in backends] == [1, 1]
@@ -143,10 +143,10 @@
         assert sum(len(one.requests) for one in gateway.scripted_backends) == 1
 
 
-@test("further tries stay within this gateway's part of the budget, and are refused at once beyond it")
+@test("retries stay within this gateway's part of the retry budget, and requests beyond it are rejected at once")
 @on_loop
 async def _():
-    backends = [ScriptedBackend(refusing(503)) for _ in range(4)]
+    backends = [ScriptedBackend(rejecting(503)) for _ in range(4)]
     async with GatewayUnderTest(backends) as gateway:
         gateway.upstreams.bounds = replace(gateway.upstreams.bounds, retry_slack_attempts=8.0)
         gateway.upstreams.set_fleet(GatewayFleet(2, 0))
@@ -156,7 +156,7 @@
         assert 30 < arrivals <= 30 + 0.2 * 30 + 4
 
 
-@test("a backend's own failure is passed on as it is, for an order that ran")
+@test("a backend's 500 response to a non-idempotent request that ran is forwarded unchanged")
 @on_loop
 async def _():
     async with GatewayUnderTest(
@@ -171,7 +171,7 @@
         assert (status, body, headers["server-stamp"]) == (500, b"oops", b"s9")
 
 
-@test("an answer to something else, late or sent twice, is never taken for this one's")
+@test("a response to another request, or a second response, is never returned for this request")
 @on_loop
 async def _():
     def twice(request):
@@ -183,7 +183,7 @@
             assert (await gateway.send())[2] == b"yours"
 
 
-@test("an answer in chunks is passed on whole")
+@test("a chunked response is forwarded completely")
 @on_loop
 async def _():
     chunked = (
@@ -194,7 +194,7 @@
         assert (await gateway.send())[2] == b"abcde"
 
 
-@test("a draining instance gets no more requests, and one that is gone never comes back by a late report")
+@test("a draining instance gets no more requests, and a late report does not restore an instance that is gone")
 @on_loop
 async def _():
     drains, stays = ScriptedBackend(), ScriptedBackend()
@@ -213,7 +213,7 @@
         assert "i-0" not in gateway.instance_directory.instances
 
 
-@test("over quota is a 429 with a time, at once and without a backend; with units it passes")
+@test("a request over quota gets a 429 with Retry-After and reaches no backend; with units it is forwarded")
 @on_loop
 async def _():
     backend = ScriptedBackend()
@@ -227,7 +227,7 @@
         assert (await gateway.send(key=b"key-c"))[0] == 200  # bert has no limit
 
 
-@test("without backends a request is refused at once with a time to come back")
+@test("without backends a request is rejected at once with a 503 and Retry-After")
 @on_loop
 async def _():
     async with GatewayUnderTest([]) as gateway:
@@ -235,14 +235,14 @@
         assert status == 503 and float(headers["retry-after"]) > 0
 
 
-@test("a silent backend: at the deadline the client gets a 504, no promise")
+@test("if a backend does not respond, the client gets a 504 at its deadline")
 @on_loop
 async def _():
     async with GatewayUnderTest([ScriptedBackend(lambda _: None)]) as gateway:
         assert (await gateway.send(wait_ms=b"150"))[0] == 504
 
 
-@test("no mutation of one request's head brings the gateway down or reaches a backend changed")
+@test("malformed request heads are rejected, reach no backend, and the gateway keeps serving")
 @on_loop
 async def _():
     head = (
@@ -280,7 +280,7 @@
         assert (await gateway.send())[0] == 200
 
 
-@test("after SIGTERM answers close their connection, and what is owed is answered before the end")
+@test("after SIGTERM each response closes its connection, and draining ends with no connection open")
 @on_loop
 async def _():
     backend = ScriptedBackend()
@@ -294,7 +294,7 @@
         assert ended and not gateway.handler.connections.open
 
 
-@test("the outcome of each answer of a backend")
+@test("each kind of backend response is classified by its status and its headers")
 def _():
     from stoneyoke.gateway.upstreams import classify_response
     from stoneyoke.net.message_reader import Message
@@ -317,8 +317,8 @@
 
 @test("retries stay within this gateway's part of the retry budget, and only attempts that reached a backend count")
 def _():
-    def call_outs(outcome, depth):
-        """Of ten requests at nine backends, each of which ends that way."""
+    def count_attempts(outcome, depth):
+        """Returns the number of attempts for ten requests at nine backends if each attempt has this outcome."""
         method = Method(
             idempotency=Idempotency.IDEMPOTENT,
             deduplication_scope=DeduplicationScope.CELL,
@@ -391,7 +391,8 @@
             count += sent
         return count
 
-    free = call_outs(AttemptOutcome.ERROR, 0.0)
-    assert free > 14  # without a budget, up to three each, while backends don't rest
-    assert call_outs(AttemptOutcome.ERROR, 2.0) <= 10 + 1 + 0.1 * 10
-    assert call_outs(AttemptOutcome.NO_CONNECTION, 2.0) == 9  # nothing arrived: all are tried, then all rest
+    free = count_attempts(AttemptOutcome.ERROR, 0.0)
+    assert free > 14  # without a budget: up to three attempts per request while backends are not ejected
+    assert count_attempts(AttemptOutcome.ERROR, 2.0) <= 10 + 1 + 0.1 * 10
+    # No attempt reached a backend, so none uses the budget: each backend is tried once, and then all are ejected.
+    assert count_attempts(AttemptOutcome.NO_CONNECTION, 2.0) == 9
--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -1,6 +1,8 @@
-"""What an upstream attempt's outcome tells, at each await, and which connection may be used again.
+"""The outcome of an attempt that fails at each of its await points, and which connections may be reused.
 
-An order is sent again after an outcome of PROVEN_NOT_RUN: that one must not come once a byte can have left."""
+A non-idempotent request is retried after an outcome in PROVEN_NOT_RUN, so an attempt must not end with one once a byte
+of its request may have been sent.
+"""
 
 import asyncio
 import errno
@@ -13,7 +15,7 @@
     RawBackend,
     Sender,
     after_all_timers,
-    arrived,
+    read_available,
     reset,
     until,
     wait_for_kernel_input,
@@ -33,50 +35,51 @@
     return answer.headers.get(b"attempt-id") == b"a-1"
 
 
-async def whole_request(peer, sender, **more):
-    """An attempt whose request has arrived whole, and the peer's end of its connection."""
+async def completely_written_request(peer, sender, **more):
+    """Returns an attempt whose request the peer has received completely, and the peer's end of its connection."""
     out = sender.begin(**more)
-    await until(peer.waiting)
+    await until(peer.has_waiting_connection)
     connection, got = peer.accept(), b""
 
     def read():
         nonlocal got
-        got += arrived(connection)
+        got += read_available(connection)
         return got.endswith(b"order")
 
     await until(read)
     return out, connection
 
 
-async def part_of_a_request(peer, sender, **more):
+async def partly_written_request(peer, sender, **more):
     out = sender.begin(body=LARGE, **more)
-    await until(peer.waiting)
+    await until(peer.has_waiting_connection)
     connection = peer.accept()
     await until(lambda: sender.connections and sender.connections[0].writer.transport.get_write_buffer_size())
     return out, connection
 
 
-# ---- before a byte can have left ----
+# ---- before a byte may have been sent ----
 
 
-@test("before a connection is asked for: an unknown backend or a time that is up leaves nothing")
+@test("before connecting: an unknown backend or a deadline that has passed ends an attempt as NOT_SENT")
 @on_loop
 async def _():
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        assert (await sender.send(within=0))[0] is AttemptOutcome.NOT_SENT and not peer.waiting()
+        assert (await sender.send(within=0))[0] is AttemptOutcome.NOT_SENT and not peer.has_waiting_connection()
         sender.backends.remove(0)
         assert (await sender.send())[0] is AttemptOutcome.NOT_SENT
 
 
-@test("while it connects: refusal, silence, the deadline and cancellation all leave nothing sent")
+@test("while connecting: a refused connection, a time-out, the deadline and a cancellation prove that nothing was sent")
 @on_loop
 async def _():
     with RawBackend() as peer:
         full = socket.socket()
         full.bind(("127.0.0.1", 0))
         full.listen(0)
-        with full, socket.create_connection(full.getsockname()):  # what comes beyond that gets no answer
+        # A connection fills the backlog: later connections get no response.
+        with full, socket.create_connection(full.getsockname()):
             assert (await Sender(full.getsockname(), connect_timeout_us=SHORT_US).send())[
                 0
             ] is AttemptOutcome.NO_CONNECTION
@@ -96,7 +99,7 @@
         assert (await refused.send())[0] is AttemptOutcome.NO_CONNECTION and refused.all_closed()
 
 
-@test("connected, not written: a backend that has left or moved meanwhile gets no byte")
+@test("connected, nothing written: no byte is sent to a backend that was removed or moved meanwhile")
 @on_loop
 async def _(leaves=each(True, False)):
     with RawBackend() as peer:
@@ -110,16 +113,16 @@
         sender.backends.accepts_new_work = accepts_new_work
         assert (await sender.send())[0] is AttemptOutcome.NOT_SENT
         assert sender.backends.descriptor_budget.used == 0
-        assert arrived(peer.accept()) == b""
+        assert read_available(peer.accept()) == b""
 
 
-@test("a write that is refused at once leaves nothing, and says so")
+@test("connected, nothing written: a reset before the first write proves that nothing was sent")
 @on_loop
 async def _():
     with RawBackend() as peer:
         sender = Sender(peer.address)
 
-        def accepts_new_work(_):  # the connection is up, the next step is the write: the loop doesn't turn before
+        def accepts_new_work(_):  # called once connected; the write follows in the same turn of the event loop
             reset(peer.accept())
             wait_for_kernel_input(sender.connections[0].writer)
             return True
@@ -128,7 +131,7 @@
         assert (await sender.send())[0] is AttemptOutcome.CUT and sender.all_closed()
 
 
-@test("a backend that speaks before it was asked is asked nothing")
+@test("connected, nothing written: no request is sent to a backend that sends data before it")
 @on_loop
 async def _():
     with RawBackend() as peer:
@@ -140,11 +143,11 @@
 
         sender.backends.accepts_new_work = accepts_new_work
         assert (await sender.send())[0] is AttemptOutcome.CUT and sender.all_closed()
-        assert arrived(peer.accept()) == b""
+        assert read_available(peer.accept()) == b""
 
 
 class Transport:
-    """A transport as RequestWrite sees it: what the first send leaves in the buffer, and whether it is closing."""
+    """A fake transport for RequestWrite: the bytes that a write leaves in the buffer, and whether it is closing."""
 
     def __init__(self, closing=False, closes=False, sends_at_once=0):
         self.closing, self.closes, self.sends_at_once, self.buffered = closing, closes, sends_at_once, 0
@@ -167,7 +170,7 @@
         self.closing = True
 
 
-@test("of a request that is begun, none has left only while the open transport holds every byte of it")
+@test("a request provably has not been sent only while the open transport buffers every byte of it")
 @on_loop
 async def _():
     for transport, refused, left in (
@@ -188,31 +191,31 @@
     request.start([b"POST / HTTP/1.1\r\n"], b"order")
     attempt = Attempt(BackendPool(("127.0.0.1", 1)), asyncio.timeout(None))
     attempt.request = request
-    attempt.cancelled_as = AttemptOutcome.CANCELLED  # with every byte still here
+    attempt.cancelled_as = AttemptOutcome.CANCELLED  # while every byte is still in the buffer
     assert attempt.failure_outcome(TimeoutError(), deadline_passed=True) is AttemptOutcome.NOT_SENT
     attempt.cancelled_as = None
     try:
-        await request.finish()  # it ends without an error, as a transport does that was closed from this side
-        raise AssertionError("a request that was not written whole passes for one that was")
+        await request.finish()  # drain() returns without an error, as for a transport that was closed locally
+        raise AssertionError("a request that was not written completely is reported as written")
     except ConnectionResetError as bad:
-        assert request.may_have_left(), "a transport that has closed meanwhile proves nothing"
+        assert request.may_have_left(), "a transport that was closed meanwhile does not prove that nothing was sent"
         assert attempt.failure_outcome(bad, deadline_passed=False) is AttemptOutcome.BROKEN
 
 
-# ---- once a byte can have left ----
+# ---- once a byte may have been sent ----
 
 
 def cancel(sender, _):
     sender.pending.cancel_attempt(0, False)
 
 
-def kernel_gives_up(sender, _):
-    """ETIMEDOUT is a TimeoutError, as that of a connection's set-up is."""
+def time_out_in_kernel(sender, _):
+    """Reports ETIMEDOUT, which is a TimeoutError like a time-out while connecting."""
     sender.connections[0].protocol.connection_lost(TimeoutError(errno.ETIMEDOUT, "timed out"))
 
 
 async def end_attempt(task, end, sender, connection):
-    """Ends an attempt in one way, or by its deadline where `end` is None; gives its outcome and answer."""
+    """Ends an attempt by `end`, or by its deadline if `end` is None, and returns its outcome and response."""
     if end:
         end(sender, connection)
     else:
@@ -220,7 +223,7 @@
     return await task
 
 
-@test("partly written: neither a reset, a close, the deadline nor a cancellation proves that it has not run")
+@test("partly written: no reset, close, deadline or cancellation proves that the request has not run")
 @on_loop
 async def _(
     case=each(
@@ -234,26 +237,26 @@
     end, expected = case
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        task, connection = await part_of_a_request(peer, sender)
+        task, connection = await partly_written_request(peer, sender)
         outcome, answer = await end_attempt(task, end, sender, connection)
         assert (outcome, answer) == (expected, None)
         assert outcome not in PROVEN_NOT_RUN
         assert sender.all_closed()
 
 
-@test("partly written: a cancelled task closes its connection and sends no more")
+@test("partly written: the cancellation of the task closes its connection, and no more is sent")
 @on_loop
 async def _():
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        task, connection = await part_of_a_request(peer, sender)
+        task, connection = await partly_written_request(peer, sender)
         task.cancel()
         await asyncio.wait([task])
         assert sender.all_closed()
-        assert len(arrived(connection)) < len(LARGE)
+        assert len(read_available(connection)) < len(LARGE)
 
 
-@test("wholly written: after a reset, a close, silence, a cancellation or the kernel's time-out it may have run")
+@test("completely written: after a reset, close, time-out, cancellation or ETIMEDOUT the request may have run")
 @on_loop
 async def _(
     case=each(
@@ -263,101 +266,101 @@
         (lambda _, connection: connection.sendall(b"no HTTP\r\n\r\n"), AttemptOutcome.BROKEN),
         (None, AttemptOutcome.TIMED_OUT),
         (cancel, AttemptOutcome.CANCELLED),
-        (kernel_gives_up, AttemptOutcome.BROKEN),
+        (time_out_in_kernel, AttemptOutcome.BROKEN),
     ),
 ):
     end, expected = case
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        task, connection = await whole_request(peer, sender)
+        task, connection = await completely_written_request(peer, sender)
         assert await end_attempt(task, end, sender, connection) == (expected, None)
         assert sender.all_closed()
 
 
-@test("wholly written: a cancelled task closes its connection")
+@test("completely written: the cancellation of the task closes its connection")
 @on_loop
 async def _():
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        task, _ = await whole_request(peer, sender)
+        task, _ = await completely_written_request(peer, sender)
         task.cancel()
         await asyncio.wait([task])
         assert task.cancelled()
         assert sender.all_closed()
 
 
-@test("no attempt is cancelled once the process is to end")
+@test("no attempt is cancelled once the process shuts down")
 @on_loop
 async def _():
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        out, connection = await whole_request(peer, sender)
+        out, connection = await completely_written_request(peer, sender)
         sender.backends.may_cancel_attempts = False
         sender.pending.cancel_attempt(0, False)
         connection.sendall(OK)
         assert (await out)[0] is AttemptOutcome.OK
 
 
-# ---- connections that may be used again ----
+# ---- reuse of connections ----
 
 
-async def served(peer, sender, connection=None, answer=OK, made=1):
-    """One attempt, answered whole. Without a connection to answer on it must make a new one."""
+async def complete_attempt(peer, sender, connection=None, answer=OK, made=1):
+    """Makes an attempt that gets a complete response. If `connection` is None, the attempt must open a new one."""
     out = sender.begin(matches_response=is_own_answer)
     if connection is None:
-        await until(peer.waiting)
+        await until(peer.has_waiting_connection)
         connection = peer.accept()
-    await until(lambda: arrived(connection))
+    await until(lambda: read_available(connection))
     connection.sendall(answer)
     outcome, message = await out
     assert outcome is AttemptOutcome.OK and message.body == b"yes" and len(sender.connections) == made
     return connection
 
 
-@test("a connection with a whole answer is reused, but not if a reset, a close or a byte has come unseen by the loop")
+@test("a connection is reused after a complete response, but not if unprocessed input, a FIN or an RST has arrived")
 @on_loop
-async def _(spoil=each(reset, lambda connection: connection.close(), lambda connection: connection.sendall(OK))):
+async def _(invalidate=each(reset, lambda connection: connection.close(), lambda connection: connection.sendall(OK))):
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        connection = await served(peer, sender)
-        assert await served(peer, sender, connection) is connection
-        spoil(connection)
-        wait_for_kernel_input(sender.connections[0].writer)  # and the loop has not turned since
-        await served(peer, sender, made=2)
+        connection = await complete_attempt(peer, sender)
+        assert await complete_attempt(peer, sender, connection) is connection
+        invalidate(connection)
+        wait_for_kernel_input(sender.connections[0].writer)  # the event loop does not run meanwhile
+        await complete_attempt(peer, sender, made=2)
         assert sender.backends.descriptor_budget.used == 1
 
 
-@test("a connection with extra bytes, or an answer to something else, is not reused")
+@test("a connection with extra bytes or a response to another request is not reused")
 @on_loop
 async def _(answer=each(OTHER + OK, OK + OK, OK + b"x", OTHER + OTHER + OK)):
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        await served(peer, sender, answer=answer)
+        await complete_attempt(peer, sender, answer=answer)
         assert sender.all_closed()
-        await served(peer, sender, made=2)
+        await complete_attempt(peer, sender, made=2)
 
 
-@test("bytes that came with an answer and were not parsed yet are extra bytes")
+@test("a connection is not reused if bytes after the response have been received but not parsed yet")
 @on_loop
 async def _():
     with RawBackend() as peer:
         sender = Sender(peer.address)
 
-        def spoken_on(answer):
-            sender.connections[0].protocol.data_received(OK)  # behind the answer that is being looked at
+        def receive_more(answer):
+            sender.connections[0].protocol.data_received(OK)  # after the response that is being checked
             return is_own_answer(answer)
 
-        out, connection = await whole_request(peer, sender, matches_response=spoken_on)
+        out, connection = await completely_written_request(peer, sender, matches_response=receive_more)
         connection.sendall(OK)
         assert (await out)[0] is AttemptOutcome.OK and sender.all_closed()
 
 
-@test("a connection with an answer to something else and then silence is closed")
+@test("a connection with a response to another request and no further response is closed")
 @on_loop
 async def _(outcome=each(AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)):
     with RawBackend() as peer:
         sender = Sender(peer.address)
-        task, connection = await whole_request(peer, sender, matches_response=is_own_answer)
+        task, connection = await completely_written_request(peer, sender, matches_response=is_own_answer)
         connection.sendall(OTHER)
         await until(lambda: sender.connections[0].out_of_step)
         if outcome is AttemptOutcome.CANCELLED:
@@ -368,19 +371,19 @@
         assert sender.all_closed()
 
 
-@test("no mutation of one answer passes for another request's, or leaves anything for the next")
+@test("a mutated response is never accepted for another request, and leaves no data for the next request")
 @on_loop
 async def _():
     with RawBackend() as peer:
-        mutations = [OK[:at] for at in range(len(OK))]  # cut
-        mutations += [OK[:at] + bytes([OK[at] ^ 0x11]) + OK[at + 1 :] for at in range(len(OK))]  # garbled
-        mutations += [OK[:at] + b"7" + OK[at:] for at in range(len(OK))]  # longer
-        mutations += [OK + OK[:at] for at in range(1, len(OK) + 1)]  # with a part of a second one, or all
-        mutations += [OTHER + OK[:at] for at in range(len(OK))]  # behind one to something else
+        mutations = [OK[:at] for at in range(len(OK))]  # truncated
+        mutations += [OK[:at] + bytes([OK[at] ^ 0x11]) + OK[at + 1 :] for at in range(len(OK))]  # with flipped bits
+        mutations += [OK[:at] + b"7" + OK[at:] for at in range(len(OK))]  # with an inserted byte
+        mutations += [OK + OK[:at] for at in range(1, len(OK) + 1)]  # followed by a second one, truncated or complete
+        mutations += [OTHER + OK[:at] for at in range(len(OK))]  # truncated, after a response to another request
         wrong = 0
         for answer in mutations:
             sender = Sender(peer.address)
-            out, connection = await whole_request(peer, sender, matches_response=is_own_answer)
+            out, connection = await completely_written_request(peer, sender, matches_response=is_own_answer)
             connection.sendall(answer)
             connection.shutdown(socket.SHUT_WR)
             outcome, message = await out
@@ -390,5 +393,5 @@
                 assert b"Attempt-Id: a-1\r\n" in head and len(message.body) == 3 and body.startswith(message.body)
             wrong += outcome is AttemptOutcome.BROKEN
             connection.close()
-            await served(peer, sender, made=2)
+            await complete_attempt(peer, sender, made=2)
         assert wrong > 150
