--- a/stoneyoke/net/attempt.py
+++ b/stoneyoke/net/attempt.py
@@ -56,7 +56,7 @@
         self.pool, self.time_limit = pool, time_limit
         self.connection: BackendConnection | None = None
         self.request: RequestWrite | None = None
-        self.cancelled_as: AttemptOutcome | None = None
+        self.cancellation_outcome: AttemptOutcome | None = None
 
     def cancel(self, outcome: AttemptOutcome, *, only_unsent: bool) -> None:
         """Ends the attempt in the event loop's next turn, unless it has ended, or must go on.
@@ -67,9 +67,13 @@
             outcome: Its outcome, by the reason of the cancellation, if the request may have run.
             only_unsent: A request that was offered to a socket goes on.
         """
-        if self.cancelled_as is not None or self.time_limit.expired() or (only_unsent and self.request is not None):
+        if (
+            self.cancellation_outcome is not None
+            or self.time_limit.expired()
+            or (only_unsent and self.request is not None)
+        ):
             return
-        self.cancelled_as = outcome
+        self.cancellation_outcome = outcome
         self.time_limit.reschedule(0.0)
 
     async def send(self, request: OutgoingRequest) -> None:
@@ -94,9 +98,9 @@
         """
         if self.connection is None:
             return None
-        belongs = request.matches_response
-        while (response := await self.connection.responses.next()) and belongs and not belongs(response):
-            self.connection.out_of_step = True
+        matches = request.matches_response
+        while (response := await self.connection.responses.next()) and matches and not matches(response):
+            self.connection.out_of_sync = True
             metrics.add("backend responses: to another request")
         return response
 
@@ -105,29 +109,29 @@
 
         The proof holds if the connection is aborted before the event loop turns again (see RequestWrite).
         """
-        return self.request is not None and self.request.may_have_left()
+        return self.request is not None and self.request.may_have_been_sent()
 
-    def failure_outcome(self, error: OSError, *, deadline_passed: bool) -> AttemptOutcome:
+    def failure_outcome(self, error: OSError, *, time_limit_expired: bool) -> AttemptOutcome:
         """The outcome of an attempt that an error has ended.
 
         Args:
             error: What ended the attempt.
             deadline_passed: The attempt's own time limit has ended it, at its deadline or by a cancellation.
         """
-        ended_here = deadline_passed and isinstance(error, TimeoutError)
+        stopped_by_time_limit = time_limit_expired and isinstance(error, TimeoutError)
         if self.may_have_run():
-            return self.doubtful_outcome(ended_here=ended_here)
-        return self.safe_to_retry_outcome(error, ended_here=ended_here)
+            return self.outcome_if_may_have_run(stopped_by_time_limit=stopped_by_time_limit)
+        return self.outcome_if_not_run(error, stopped_by_time_limit=stopped_by_time_limit)
 
-    def doubtful_outcome(self, *, ended_here: bool) -> AttemptOutcome:
+    def outcome_if_may_have_run(self, *, stopped_by_time_limit: bool) -> AttemptOutcome:
         """The outcome of a failed attempt after which the backend may have run the request."""
-        if not ended_here:
+        if not stopped_by_time_limit:
             return AttemptOutcome.BROKEN
-        return self.cancelled_as or AttemptOutcome.TIMED_OUT
+        return self.cancellation_outcome or AttemptOutcome.TIMED_OUT
 
-    def safe_to_retry_outcome(self, error: OSError, *, ended_here: bool) -> AttemptOutcome:
+    def outcome_if_not_run(self, error: OSError, *, stopped_by_time_limit: bool) -> AttemptOutcome:
         """The outcome of a failed attempt of which no byte has left: another attempt can't make it run twice."""
-        if ended_here:
+        if stopped_by_time_limit:
             return AttemptOutcome.NOT_SENT
         if self.connection is None and isinstance(error, TimeoutError):
             return AttemptOutcome.NO_CONNECTION
--- a/stoneyoke/net/backend_connection.py
+++ b/stoneyoke/net/backend_connection.py
@@ -24,13 +24,13 @@
         self.protocol, self.writer = protocol, writer
         self.responses = MessageReader(protocol.reader, responses=True, body_max_bytes=response_max_bytes)
         self.idle_since = 0
-        self.out_of_step = False
+        self.out_of_sync = False
 
     def is_reusable(self) -> bool:
         """Whether nothing but responses that were taken has come, each to its own request, and neither end closed."""
-        all_taken = self.protocol.bytes_received == self.responses.bytes_parsed and not self.responses.pending()
+        all_taken = self.protocol.bytes_received == self.responses.bytes_parsed and not self.responses.has_input()
         closed = self.protocol.reader.at_eof() or self.writer.is_closing()
-        return all_taken and not self.out_of_step and not closed
+        return all_taken and not self.out_of_sync and not closed
 
     def ignore_events(self) -> None:
         """Ends the watch of an idle connection for bytes and the peer's close."""
--- a/stoneyoke/net/backends.py
+++ b/stoneyoke/net/backends.py
@@ -102,8 +102,10 @@
             request: What is sent.
         """
         pool = self.pools.get(backend)
-        awaited = self.metrics.check_invariant(not pending.client_gone, "attempt started for a client that has gone")
-        if pool is None or self.clock.now() >= request.deadline_us or not awaited:
+        client_waits = self.metrics.check_invariant(
+            not pending.client_gone, "attempt started for a client that has gone"
+        )
+        if pool is None or self.clock.now() >= request.deadline_us or not client_waits:
             return AttemptResult(AttemptOutcome.NOT_SENT, None)
         attempt, response = Attempt(pool, asyncio.timeout_at(self.clock.loop_time(request.deadline_us))), None
 
@@ -118,12 +120,12 @@
                 acquired = await self.acquire_connection(attempt, backend)
                 # The connection may have come up in the turn of the loop in which the attempt was cancelled. Nothing
                 # is written after that: a request that must not be broken off would be, as soon as it had begun.
-                if not acquired or attempt.cancelled_as is not None:
+                if not acquired or attempt.cancellation_outcome is not None:
                     return AttemptResult(AttemptOutcome.NOT_SENT, None)
                 await attempt.send(request)
                 response = await attempt.receive(request, self.metrics)
         except OSError as error:  # a TimeoutError is one: the time limit's, connect()'s or the kernel's own
-            return AttemptResult(attempt.failure_outcome(error, deadline_passed=attempt.time_limit.expired()), None)
+            return AttemptResult(attempt.failure_outcome(error, time_limit_expired=attempt.time_limit.expired()), None)
         except MalformedMessage as error:
             self.metrics.report("backend responses: malformed", f"{pool.address}: {error}")
             return AttemptResult(AttemptOutcome.BROKEN, None)
@@ -161,7 +163,7 @@
         attempt.pool.busy -= 1
         address_is_current = self.pools.get(backend) is attempt.pool
         if address_is_current and response and response.keep_alive and connection.is_reusable():
-            self.keep_idle(attempt.pool, connection)
+            self.return_to_pool(attempt.pool, connection)
         else:
             self.close_connection(connection)
 
@@ -193,19 +195,19 @@
             self.close_connection(connection)
         return None
 
-    def keep_idle(self, pool: BackendPool, connection: BackendConnection) -> None:
+    def return_to_pool(self, pool: BackendPool, connection: BackendConnection) -> None:
         """Keeps a connection for the next attempt.
 
         Any byte that comes meanwhile ends it: a late response must not be taken for the next request's.
         """
 
-        def end() -> None:
+        def close_unusable() -> None:
             if connection in pool.idle:
                 pool.idle.remove(connection)
                 self.close_connection(connection)
 
         connection.idle_since = self.clock.now()
-        connection.protocol.on_data = connection.protocol.on_close = end
+        connection.protocol.on_data = connection.protocol.on_close = close_unusable
         pool.idle.append(connection)
 
     def close_connection(self, connection: BackendConnection) -> None:
--- a/stoneyoke/net/client_connection.py
+++ b/stoneyoke/net/client_connection.py
@@ -68,7 +68,7 @@
 
     def response_written(self, now: int) -> None:
         """The last byte of a response has left. What has come meanwhile is the next message."""
-        more_came = self.next_message_at or self.messages.pending()
+        more_came = self.next_message_at or self.messages.has_input()
         self.phase = Phase.READING if more_came else Phase.IDLE
         self.since_us, self.next_message_at = self.next_message_at or now, 0
 
@@ -78,15 +78,15 @@
 
     # ---- what may be done with it ----
 
-    def owes_response(self) -> bool:
+    def has_pending_response(self) -> bool:
         """Whether a client still waits for a response."""
         return self.phase is Phase.RESPONDING and not self.disconnected
 
     def has_unanswered_input(self) -> bool:
         """Whether something beyond the message that is being answered has been read from the socket."""
-        return self.messages.pending() or self.protocol.bytes_received != self.messages.bytes_parsed
+        return self.messages.has_input() or self.protocol.bytes_received != self.messages.bytes_parsed
 
-    def has_message_under_way(self) -> bool:
+    def has_incomplete_message(self) -> bool:
         """Whether a part of a message has come, or waits on the socket."""
         if self.disconnected or self.phase is Phase.REJECTED or self.writer.is_closing():
             return False
--- a/stoneyoke/net/connection_table.py
+++ b/stoneyoke/net/connection_table.py
@@ -17,8 +17,8 @@
 RESPONSE_TIMEOUT_US = 10_000_000  # how long a response may wait for its client to read it
 # The operators' page: clients open a third of the descriptors at most for requests. Connections that are kept open,
 # for later or for good, leave them a quarter of that.
-SILENT_PART = 3
-KEPT_OPEN_PART = 4
+SILENT_DIVISOR = 3
+PERSISTENT_DIVISOR = 4
 
 
 class ConnectionTable:
@@ -47,8 +47,8 @@
         self.open: dict[asyncio.StreamWriter, ClientConnection] = {}
         self.silent: dict[ClientConnection, None] = {}
         self.idle: dict[ClientConnection, None] = {}
-        self.silent_max = max(1, descriptor_budget.limit // SILENT_PART)
-        self.kept_open_max = max(1, descriptors // KEPT_OPEN_PART)
+        self.silent_max = max(1, descriptor_budget.limit // SILENT_DIVISOR)
+        self.persistent_max = max(1, descriptors // PERSISTENT_DIVISOR)
         self.message_timeout_us = self.idle_timeout_us = MESSAGE_TIMEOUT_US
         descriptor_budget.eviction_sources.append(self.eviction_candidate)
 
@@ -62,30 +62,30 @@
     def remove(self, client: ClientConnection) -> None:
         """A connection has ended."""
         del self.open[client.writer]
-        self.forget_order(client)
+        self.remove_from_queues(client)
 
-    def forget_order(self, client: ClientConnection) -> None:
+    def remove_from_queues(self, client: ClientConnection) -> None:
         """A connection is neither silent nor idle any more."""
         self.silent.pop(client, None)
         self.idle.pop(client, None)
 
-    def became_idle(self, client: ClientConnection) -> None:
+    def mark_idle(self, client: ClientConnection) -> None:
         """A response has been written and nothing further has come."""
         self.idle[client] = None
-        self.limit_kept_open()
+        self.limit_persistent()
 
     # ---- closing for the sake of others ----
 
-    def make_room_for_silent(self) -> None:
+    def limit_silent(self) -> None:
         """At their limit, closes the oldest silent connection: a flood of them costs no other connection its place."""
         if len(self.silent) >= self.silent_max:
             oldest = next((client for client in self.silent if client.can_close_safely()), None)
             if oldest:
                 self.evict(oldest)
 
-    def limit_kept_open(self) -> None:
+    def limit_persistent(self) -> None:
         """Closes the longest idle connections while so many are kept open that clients may find no descriptor left."""
-        surplus = max(0, len(self.open) - len(self.silent) - self.kept_open_max)
+        surplus = max(0, len(self.open) - len(self.silent) - self.persistent_max)
         for client in list(self.idle)[:surplus]:
             if client.can_close_safely():
                 self.evict(client)
@@ -104,7 +104,7 @@
     def evict(self, client: ClientConnection) -> None:
         """Closes a connection at once, for another one's sake."""
         self.metrics.add("client connections: closed for room")
-        self.forget_order(client)
+        self.remove_from_queues(client)
         client.writer.transport.abort()
 
     def close_idle(self) -> None:
@@ -127,7 +127,7 @@
             age = now - (client.accepted_at if client.silent else client.since_us)
             if client.phase is Phase.REJECTED or client.pending or age < self.time_limit(client):
                 continue
-            self.end_overdue(client, age)
+            self.close_overdue(client, age)
 
     def time_limit(self, client: ClientConnection) -> int:
         """How long a connection may stay in its phase. A slow body has as long as an idle connection."""
@@ -135,7 +135,7 @@
             return max(self.idle_timeout_us, self.message_timeout_us)
         return self.message_timeout_us
 
-    def end_overdue(self, client: ClientConnection, age: int) -> None:
+    def close_overdue(self, client: ClientConnection, age: int) -> None:
         """Ends a connection whose time is up, unless a byte has just come on it."""
         if client.phase is Phase.RESPONDING:
             if age >= RESPONSE_TIMEOUT_US:
--- a/stoneyoke/net/http_server.py
+++ b/stoneyoke/net/http_server.py
@@ -63,7 +63,7 @@
         self.connections = ConnectionTable(clock, metrics, descriptor_budget, descriptors)
         self.head_max_bytes, self.body_max_bytes = HEAD_MAX_BYTES, BODY_MAX_BYTES
         self.respond_by_us = sys.maxsize
-        self.ending = False
+        self.shutting_down = False
 
     @abstractmethod
     async def handle(self, client: ClientConnection, message: Message) -> Reply:
@@ -103,7 +103,7 @@
 
     def accept(self, writer: asyncio.StreamWriter) -> ClientConnection | None:
         """Enters a new connection in the table. Without a descriptor for it, it is aborted."""
-        self.connections.make_room_for_silent()
+        self.connections.limit_silent()
         if not self.descriptor_budget.acquire(incoming=True):
             self.metrics.add("client connections: no descriptor left")
             writer.transport.abort()
@@ -141,11 +141,11 @@
                 return
             client.response_written(self.clock.now())
             if client.phase is Phase.IDLE:
-                self.connections.became_idle(client)
+                self.connections.mark_idle(client)
 
     def closes_after_response(self, client: ClientConnection) -> bool:
         """Whether the process's end closes a connection now. A request that has been read in part is answered first."""
-        return self.ending and not client.has_unanswered_input()
+        return self.shutting_down and not client.has_unanswered_input()
 
     # ---- responses ----
 
@@ -207,7 +207,7 @@
 
         Returns once requests that crossed with that have come on new connections.
         """
-        self.ending = True
+        self.shutting_down = True
         self.connections.close_idle()
         await asyncio.sleep(IN_TRANSIT_S)
 
@@ -220,14 +220,14 @@
         """
         with contextlib.suppress(TimeoutError):  # what is still owed is a response that nobody reads
             async with asyncio.timeout(time_limit_s):
-                looks = 0
-                while looks < IDLE_CHECKS:
+                idle_checks = 0
+                while idle_checks < IDLE_CHECKS:
                     await asyncio.sleep(IDLE_CHECK_S)
-                    looks = 0 if self.has_work() else looks + 1
+                    idle_checks = 0 if self.has_work() else idle_checks + 1
 
     def has_work(self) -> bool:
         """Whether a response is owed to any client, or a run is let finish that must not be broken off."""
         return any(
-            client.owes_response() or client.pending or client.has_message_under_way()
+            client.has_pending_response() or client.pending or client.has_incomplete_message()
             for client in self.connections.open.values()
         )
--- a/stoneyoke/net/message_reader.py
+++ b/stoneyoke/net/message_reader.py
@@ -76,7 +76,7 @@
         self.complete: deque[Message] = deque()
         self.partial: Message | None = None
         self.in_head = False
-        self.part_bytes = self.message_bytes = self.bytes_parsed = 0
+        self.section_bytes = self.message_bytes = self.bytes_parsed = 0
         self.body_parts: list[bytes] = []
         self.error: MalformedMessage | None = None
         self.awaiting_input = False
@@ -107,7 +107,7 @@
         """Parses input and checks the limits; a fault is kept in `error`."""
         self.bytes_parsed += len(data)
         if self.in_head or not self.partial:
-            self.part_bytes += len(data)
+            self.section_bytes += len(data)
         self.message_bytes += len(data)
         try:
             self.parser.feed_data(data)
@@ -115,12 +115,12 @@
             pass  # on_headers_complete() has kept it as an error
         except httptools.HttpParserError as error:
             self.error = self.error or MalformedMessage(f"no HTTP/1.1: {error}")
-        if self.in_head and self.part_bytes > self.head_max_bytes:
+        if self.in_head and self.section_bytes > self.head_max_bytes:
             self.error = self.error or self.head_too_long()
         elif self.message_bytes > FRAMING_FACTOR * self.body_max_bytes:
             self.error = self.error or MalformedMessage("a message without end", 413)
 
-    def pending(self) -> bool:
+    def has_input(self) -> bool:
         """Whether anything beyond the last message has come already."""
         return bool(self.complete or self.partial or self.error)
 
@@ -143,27 +143,27 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """A header has come. One that follows a chunked body counts as part of that body and has no meaning."""
         if not self.in_head:
-            self.part_bytes += len(name) + len(value)
+            self.section_bytes += len(name) + len(value)
         elif self.partial:
             self.partial.add_header(name, value)
 
     def on_headers_complete(self) -> None:
         """The head has come whole."""
-        self.in_head, self.part_bytes = False, 0
+        self.in_head, self.section_bytes = False, 0
         if message := self.partial:
             self.error = self.error or self.check_head(message)
 
     def on_body(self, part: bytes) -> None:
         """A part of the body has come."""
-        self.part_bytes += len(part)
-        if self.part_bytes > self.body_max_bytes:
+        self.section_bytes += len(part)
+        if self.section_bytes > self.body_max_bytes:
             self.error = self.error or MalformedMessage("a body that is too long", 413)
         elif not self.error:
             self.body_parts.append(part)
 
     def on_message_complete(self) -> None:
         """The message has come whole. An informational response is dropped."""
-        message, self.partial, self.part_bytes = self.partial, None, 0
+        message, self.partial, self.section_bytes = self.partial, None, 0
         if message and not self.error and (not self.responses or message.status >= FIRST_FINAL_STATUS):
             message.body = b"".join(self.body_parts)
             message.keep_alive = self.parser.should_keep_alive()
--- a/stoneyoke/net/message_writer.py
+++ b/stoneyoke/net/message_writer.py
@@ -68,6 +68,6 @@
         if self.writer.is_closing():
             raise ConnectionResetError("closed while the request was written")
 
-    def may_have_left(self) -> bool:
+    def may_have_been_sent(self) -> bool:
         """Whether a byte of the request can have left this process. False is a proof, true is a doubt."""
         return self.writer.transport.get_write_buffer_size() < self.size_bytes
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -63,7 +63,7 @@
 @runs_on_loop
 async def test_idle_connections_are_kept_only_up_to_their_share_of_the_descriptors():
     async with GatewayUnderTest() as gateway:
-        gateway.program.clients.connections.kept_open_max = 3
+        gateway.program.clients.connections.persistent_max = 3
         stay = [await gateway.connect().__aenter__() for _ in range(6)]
         for client in stay:
             assert (await client.request(rpc()))[0] == 200
--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -183,20 +183,20 @@
             assert not refused
         except ConnectionResetError:
             assert refused
-        assert request.may_have_left() is left
+        assert request.may_have_been_sent() is left
     request = RequestWrite(Transport())
     request.start([b"POST / HTTP/1.1\r\n"], b"order")
     attempt = Attempt(BackendPool(("127.0.0.1", 1)), asyncio.timeout(None))
     attempt.request = request
-    attempt.cancelled_as = AttemptOutcome.CANCELLED  # with every byte still here
-    assert attempt.failure_outcome(TimeoutError(), deadline_passed=True) is AttemptOutcome.NOT_SENT
-    attempt.cancelled_as = None
+    attempt.cancellation_outcome = AttemptOutcome.CANCELLED  # with every byte still here
+    assert attempt.failure_outcome(TimeoutError(), time_limit_expired=True) is AttemptOutcome.NOT_SENT
+    attempt.cancellation_outcome = None
     try:
         await request.finish()  # it ends without an error, as a transport does that was closed from this side
         raise AssertionError("a request that was not written whole passes for one that was")
     except ConnectionResetError as bad:
-        assert request.may_have_left(), "a transport that has closed meanwhile proves nothing"
-        assert attempt.failure_outcome(bad, deadline_passed=False) is AttemptOutcome.BROKEN
+        assert request.may_have_been_sent(), "a transport that has closed meanwhile proves nothing"
+        assert attempt.failure_outcome(bad, time_limit_expired=False) is AttemptOutcome.BROKEN
 
 
 # ---- once a byte can have left ----
@@ -359,7 +359,7 @@
         sender = Sender(peer.address)
         task, connection = await whole_request(peer, sender, matches_response=is_own_answer)
         connection.sendall(OTHER)
-        await until(lambda: sender.connections[0].out_of_step)
+        await until(lambda: sender.connections[0].out_of_sync)
         if outcome is AttemptOutcome.CANCELLED:
             sender.pending.cancel_attempt(0, False)
         else:
