--- a/stoneyoke/net/attempt.py
+++ b/stoneyoke/net/attempt.py
@@ -17,11 +17,11 @@
     """A request as one attempt sends it.
 
     Attributes:
-        head: The request line and the headers, in pieces, each line with its end.
+        head: The request line and the headers, in pieces, each line with its line end.
         body: The whole body.
-        deadline_us: Until when to wait for the response.
-        matches_response: Whether a response belongs to this request. One that does not came late or was sent twice, and
-            the next one on the connection may belong. None: every response does.
+        deadline_us: The time until which to wait for the response.
+        matches_response: Returns whether a response belongs to this request. One that does not is late or a duplicate,
+            and the next response on the connection may belong to it. None: every response belongs to it.
     """
 
     head: list[bytes]
@@ -31,24 +31,24 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended, and the response if one came."""
+    """The outcome of an attempt, and its response; None if there is none."""
 
     outcome: AttemptOutcome
     response: Message | None
 
 
 class Attempt:
-    """One request on its way to a backend: its connection, and what may have left of it.
+    """One attempt to send a request to a backend: its connection, and whether a byte of it may have been sent.
 
-    The request is written once, never again. An attempt ends with a response, with an error on its connection, at its
-    deadline, or by the decision logic's cancellation. Whether another attempt is safe for a request that must not run
-    twice rests on may_have_run().
+    The request is written only once. An attempt ends with a response, with an error on its connection, at its deadline,
+    or when the decision logic cancels it. The result of may_have_run() decides whether another attempt is safe for a
+    request that must not run twice.
 
     Attributes:
-        time_limit: Ends whatever it waits for, at its deadline or by a cancellation.
-        connection: The connection, once there is one.
-        request: What has been written, once the write has begun.
-        cancelled_as: The outcome if the decision logic has cancelled the attempt, by its reason; else None.
+        time_limit: Interrupts the attempt at its deadline or when it is cancelled.
+        connection: The connection; None until there is one.
+        request: The write of the request; None until it begins.
+        cancellation_outcome: The outcome, by the reason of the cancellation, of a cancelled attempt; else None.
     """
 
     def __init__(self, pool: BackendPool, time_limit: asyncio.Timeout) -> None:
@@ -59,13 +59,13 @@
         self.cancellation_outcome: AttemptOutcome | None = None
 
     def cancel(self, outcome: AttemptOutcome, *, only_unsent: bool) -> None:
-        """Ends the attempt in the event loop's next turn, unless it has ended, or must go on.
+        """Cancels the attempt in the next iteration of the event loop, unless it has ended or must go on.
 
-        One that meets the deadline in the same turn of the loop comes too late: the time-out stands.
+        A cancellation in the same iteration as the deadline has no effect: the outcome is the time-out.
 
         Args:
-            outcome: Its outcome, by the reason of the cancellation, if the request may have run.
-            only_unsent: A request that was offered to a socket goes on.
+            outcome: The outcome, by the reason of the cancellation, if the request may have run.
+            only_unsent: An attempt whose request was already written to a socket is not cancelled.
         """
         if (
             self.cancellation_outcome is not None
@@ -77,23 +77,23 @@
         self.time_limit.reschedule(0.0)
 
     async def send(self, request: OutgoingRequest) -> None:
-        """Writes the request; returns once the kernel has taken its last byte.
+        """Writes the request; returns once the kernel has accepted its last byte.
 
         Raises:
-            OSError: The connection can't be used, or breaks meanwhile.
+            OSError: The connection can't be used, or breaks during the write.
         """
-        # A backend that has sent something before it was asked has not answered anything.
+        # Bytes that a backend sent before the request are not a response to it, so such a connection is not used.
         if self.connection is None or not self.connection.is_reusable():
-            raise ConnectionResetError("a connection that can't be used")
+            raise ConnectionResetError("connection is closed, or has unexpected input")
         self.request = RequestWrite(self.connection.writer)
         self.request.start(request.head, request.body)
         await self.request.finish()
 
     async def receive(self, request: OutgoingRequest, metrics: Metrics) -> Message | None:
-        """The response to the request, or None where the stream ends in its place.
+        """Returns the response to the request; None if the stream ends without one.
 
         Raises:
-            MalformedMessage: The response can't be used.
+            MalformedMessage: The response is malformed.
             OSError: The connection breaks.
         """
         if self.connection is None:
@@ -105,18 +105,18 @@
         return response
 
     def may_have_run(self) -> bool:
-        """Whether the backend may run the request. False is a proof that it does not: no byte has left.
+        """Whether the backend may run the request. If false, it certainly does not, because no byte has been sent.
 
-        The proof holds if the connection is aborted before the event loop turns again (see RequestWrite).
+        This holds only if the connection is aborted before the next iteration of the event loop (see RequestWrite).
         """
         return self.request is not None and self.request.may_have_been_sent()
 
     def failure_outcome(self, error: OSError, *, time_limit_expired: bool) -> AttemptOutcome:
-        """The outcome of an attempt that an error has ended.
+        """Returns the outcome of an attempt that failed with an error.
 
         Args:
-            error: What ended the attempt.
-            deadline_passed: The attempt's own time limit has ended it, at its deadline or by a cancellation.
+            error: The error.
+            time_limit_expired: The attempt's own time limit has interrupted it, at its deadline or when cancelled.
         """
         stopped_by_time_limit = time_limit_expired and isinstance(error, TimeoutError)
         if self.may_have_run():
@@ -124,17 +124,18 @@
         return self.outcome_if_not_run(error, stopped_by_time_limit=stopped_by_time_limit)
 
     def outcome_if_may_have_run(self, *, stopped_by_time_limit: bool) -> AttemptOutcome:
-        """The outcome of a failed attempt after which the backend may have run the request."""
+        """Returns the outcome of a failed attempt after which the backend may have run the request."""
         if not stopped_by_time_limit:
             return AttemptOutcome.BROKEN
         return self.cancellation_outcome or AttemptOutcome.TIMED_OUT
 
     def outcome_if_not_run(self, error: OSError, *, stopped_by_time_limit: bool) -> AttemptOutcome:
-        """The outcome of a failed attempt of which no byte has left: another attempt can't make it run twice."""
+        """Returns the outcome of a failed attempt that sent no byte, so another attempt can't make it run twice."""
         if stopped_by_time_limit:
             return AttemptOutcome.NOT_SENT
         if self.connection is None and isinstance(error, TimeoutError):
             return AttemptOutcome.NO_CONNECTION
-        # A process that ends takes all its connections along. While one is up, only this one was refused or cut.
+        # When a backend's process exits, all its connections close. While another connection is open, the process
+        # still runs, and only this connection was refused or broken.
         process_is_up = self.connection is not None or self.pool.any_open()
         return AttemptOutcome.CUT if process_is_up else AttemptOutcome.NO_CONNECTION
