--- a/stoneyoke/net/backends.py
+++ b/stoneyoke/net/backends.py
@@ -1,4 +1,4 @@
-"""The connection pools of all backends, and attempts over them. Nothing is ever sent twice here."""
+"""The connection pools of all backends, and attempts over them. This module never sends a request twice."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,19 +15,19 @@
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.pending_request import PendingRequest
 
-# A backend closes a connection after its idle time-out. One that has been idle for this part of it is not used any
-# more, since a request could cross with that close.
+# A backend closes a connection after its idle time-out. A connection that has been idle for this fraction of it is not
+# used any more, because a request could cross with that close.
 IDLE_FRACTION = 0.75
 HTTP_OK = 200
 REJECTION_STATUSES = (503, 504)
 
 
 class BackendLimits(NamedTuple):
-    """Bounds of connections to backends.
+    """Limits of connections to backends.
 
     Attributes:
         connect_timeout_us: How long to wait for a connection.
-        idle_timeout_us: After how long without an attempt a backend closes a connection.
+        idle_timeout_us: The time without an attempt after which a backend closes a connection.
         response_max_bytes: The longest body of a response.
     """
 
@@ -37,7 +37,7 @@
 
 
 def outcome_of_response(response: Message | None) -> AttemptOutcome:
-    """The outcome by the single gateway's protocol page; None stands for a stream that ended without a response."""
+    """Returns the outcome by the single gateway's protocol page; None means a stream that ended without a response."""
     if response is None:
         return AttemptOutcome.BROKEN
     if response.status == HTTP_OK:
@@ -52,17 +52,18 @@
 
     Attributes:
         pools: The connections of each backend that has an address.
-        may_cancel_attempts: False once this process is to end: a backend at work is then left to finish, unless the
-            client has gone.
-        classify: Gives the outcome of a response, or of a stream that ended without one (None). Each protocol has its
-            own.
-        accepts_new_work: Whether a backend takes new requests, by the latest endpoint list; set by the list's owner.
+        may_cancel_attempts: Whether attempts may be cancelled for another reason than the client's disconnect; false
+            once this process shuts down, so that backends finish the requests that they run.
+        classify: Returns the outcome of a response, or of a stream that ended without one (None). Each protocol sets
+            its own function.
+        accepts_new_work: Returns whether a backend takes new requests, by the latest endpoint list; set by the owner of
+            the list.
     """
 
     def __init__(
         self, clock: Clock, metrics: Metrics, descriptor_budget: DescriptorBudget, limits: BackendLimits
     ) -> None:
-        """Starts with no backend."""
+        """Starts without backends."""
         self.clock, self.metrics, self.descriptor_budget = clock, metrics, descriptor_budget
         self.connect_timeout_s = limits.connect_timeout_us / 1_000_000
         self.idle_max_us = int(limits.idle_timeout_us * IDLE_FRACTION)
@@ -76,14 +77,14 @@
     # ---- addresses ----
 
     def set_address(self, backend: int, address: tuple[str, int]) -> None:
-        """Sets where a backend is reached. Connections to another address of it are not used again."""
+        """Sets the address of a backend. Connections to its former address are not used again."""
         pool = self.pools.get(backend)
         if pool is None or pool.address != address:
             self.remove(backend)
             self.pools[backend] = BackendPool(address)
 
     def remove(self, backend: int) -> None:
-        """Forgets a backend and closes its idle connections. Attempts that are under way end by themselves."""
+        """Removes a backend and closes its idle connections. Attempts in flight are not interrupted."""
         if pool := self.pools.pop(backend, None):
             while pool.idle:
                 self.close_connection(pool.idle.pop())
@@ -93,13 +94,13 @@
     async def send_attempt(
         self, pending: PendingRequest, number: int, backend: int, request: OutgoingRequest
     ) -> AttemptResult:
-        """Makes one attempt: it ends with a response, an error, a cancellation, or at the request's deadline.
+        """Makes one attempt, which ends with a response, an error, a cancellation, or at the request's deadline.
 
         Args:
-            pending: The request that the attempt is for; during the attempt, cancel_attempt of it is set.
+            pending: The request that the attempt is for; its cancel_attempt is set during the attempt.
             number: The attempt's number within the request.
             backend: The backend's index.
-            request: What is sent.
+            request: The request to send.
         """
         pool = self.pools.get(backend)
         client_waits = self.metrics.check_invariant(
@@ -118,13 +119,14 @@
         try:
             async with attempt.time_limit:
                 acquired = await self.acquire_connection(attempt, backend)
-                # The connection may have come up in the turn of the loop in which the attempt was cancelled. Nothing
-                # is written after that: a request that must not be broken off would be, as soon as it had begun.
+                # The connection may have been established in the loop iteration in which the attempt was cancelled. If
+                # the request were written then, the cancellation would interrupt it immediately after, even if it is
+                # one that must not be interrupted once it is sent.
                 if not acquired or attempt.cancellation_outcome is not None:
                     return AttemptResult(AttemptOutcome.NOT_SENT, None)
                 await attempt.send(request)
                 response = await attempt.receive(request, self.metrics)
-        except OSError as error:  # a TimeoutError is one: the time limit's, connect()'s or the kernel's own
+        except OSError as error:  # includes TimeoutError, raised by the time limit, connect() or the kernel
             return AttemptResult(attempt.failure_outcome(error, time_limit_expired=attempt.time_limit.expired()), None)
         except MalformedMessage as error:
             self.metrics.report("backend responses: malformed", f"{pool.address}: {error}")
@@ -135,10 +137,10 @@
         return AttemptResult(self.classify(response), response)
 
     async def acquire_connection(self, attempt: Attempt, backend: int) -> bool:
-        """Gives an attempt an idle connection or a new one.
+        """Acquires an idle or a new connection for an attempt.
 
         Returns:
-            False if there is no descriptor for a new one, or the backend takes no new work any more.
+            False if no descriptor is left for a new connection, or the backend no longer takes new requests.
         """
         pool = attempt.pool
         connection = self.take_idle_connection(pool)
@@ -149,14 +151,17 @@
             connection = await self.connect(pool)
         attempt.connection = connection
         pool.busy += 1
-        # The endpoint list may have changed while the connection was being made.
+        # The endpoint list may have changed while the connection was being established.
         if not self.accepts_new_work(backend) or self.pools.get(backend) is not pool:
             self.metrics.add("attempts: backend left meanwhile")
             return False
         return True
 
     def release_connection(self, attempt: Attempt, backend: int, response: Message | None) -> None:
-        """Keeps an attempt's connection if it ended with the request's own response and no doubt; else closes it."""
+        """Returns an attempt's connection to the pool if it can be reused, else closes it.
+
+        It can be reused after the attempt has received its own response, if nothing else has arrived on it.
+        """
         connection = attempt.connection
         if connection is None:
             return
@@ -170,35 +175,36 @@
     # ---- connections ----
 
     async def connect(self, pool: BackendPool) -> BackendConnection:
-        """Opens a connection, for which a descriptor has been acquired.
+        """Opens a connection, for which a descriptor has already been acquired.
 
         Raises:
-            OSError: It is refused, fails, or takes too long.
+            OSError: The connection is refused, fails, or takes too long.
         """
         try:
             protocol, writer = await connect(pool.address, self.connect_timeout_s)
-        except BaseException:  # a cancellation, too, has to give the descriptor back
+        except BaseException:  # a cancellation must release the descriptor too
             self.descriptor_budget.release()
             raise
         self.metrics.add("backend connections")
         return BackendConnection(protocol, writer, self.response_max_bytes)
 
     def take_idle_connection(self, pool: BackendPool) -> BackendConnection | None:
-        """The connection used last of those that can be used; others are closed."""
+        """Returns the most recently used connection that can be reused, or None; closes those that can't."""
         while pool.idle:
             connection = pool.idle.pop()
             connection.ignore_events()
             fresh = self.clock.now() - connection.idle_since < self.idle_max_us
-            # After a stall, bytes or a close may wait on the socket that the event loop has not seen yet.
+            # After a stall, bytes or a close may wait on the socket that the event loop has not processed yet.
             if fresh and connection.is_reusable() and not is_readable(connection.writer):
                 return connection
             self.close_connection(connection)
         return None
 
     def return_to_pool(self, pool: BackendPool, connection: BackendConnection) -> None:
-        """Keeps a connection for the next attempt.
+        """Adds a connection to the idle ones of its pool, for the next attempt.
 
-        Any byte that comes meanwhile ends it: a late response must not be taken for the next request's.
+        The connection is closed if a byte arrives while it is idle, so that a late response is not taken for the
+        response to the next request.
         """
 
         def close_unusable() -> None:
@@ -211,7 +217,7 @@
         pool.idle.append(connection)
 
     def close_connection(self, connection: BackendConnection) -> None:
-        """Closes a connection and gives its descriptor back."""
+        """Closes a connection and releases its descriptor."""
         self.descriptor_budget.release()
         connection.close()
 
@@ -222,7 +228,7 @@
                 self.close_connection(pool.idle.popleft())
 
     def eviction_candidate(self) -> EvictionCandidate | None:
-        """The connection that has been idle longest, for the descriptor budget."""
+        """Returns the connection that has been idle longest, for the descriptor budget; None if none is idle."""
         pools = [pool for pool in self.pools.values() if pool.idle]
         if not pools:
             return None
