--- a/stoneyoke/net/connection_table.py
+++ b/stoneyoke/net/connection_table.py
@@ -1,4 +1,4 @@
-"""The open connections of clients: which ones are closed when, and for whose sake."""
+"""The open client connections, their time limits, and which are closed when too many are open."""
 
 import asyncio
 from functools import partial
@@ -11,27 +11,27 @@
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
 
-# The operators' page: whoever connects is owed an error or a close within 3 s, and a connection may be closed 2 s after
-# its last request. A message's time runs from its first byte, the first one's from the connection's start.
+# The operators' page: a client that connects gets an error or a close within 3 s, and a connection may be closed 2 s
+# after its last request. The time of a message runs from its first byte, that of the first message from the accept.
 MESSAGE_TIMEOUT_US = 2_000_000
 RESPONSE_TIMEOUT_US = 10_000_000  # how long a response may wait for its client to read it
-# The operators' page: clients open a third of the descriptors at most for requests. Connections that are kept open,
-# for later or for good, leave them a quarter of that.
-SILENT_DIVISOR = 3
-PERSISTENT_DIVISOR = 4
+# The operators' page: clients open at most a third of the descriptors for requests. Connections that are kept open may
+# use a quarter of the descriptors, which leaves clients a quarter of that third.
+SILENT_DIVISOR = 3  # silent connections may use the budget's limit divided by this
+PERSISTENT_DIVISOR = 4  # the other connections may use the process's descriptors divided by this, if some are idle
 
 
 class ConnectionTable:
-    """All open connections of clients, within their shares of the descriptors.
+    """All open client connections, within their shares of the file descriptors.
 
     Attributes:
         open: Every connection.
-        silent: Connections on which no message has come whole yet, the oldest first.
-        idle: Connections that are idle after a response, the longest idle first.
-        silent_max: How many silent connections there may be before one is closed for the next.
-        kept_open_max: How many connections that are not silent may be kept while some of them are idle.
-        message_timeout_us: How long a message's head may take.
-        idle_timeout_us: How long a connection may be idle, and a body may take.
+        silent: Connections on which no complete message has arrived yet, the oldest first.
+        idle: Connections that are idle after a response, the one that has been idle longest first.
+        silent_max: The number of silent connections at which the oldest is closed before another is accepted.
+        persistent_max: The number of other connections above which idle ones are closed.
+        message_timeout_us: How long the head of a message may take to arrive.
+        idle_timeout_us: How long a connection may be idle, and how long the body of a message may take to arrive.
     """
 
     def __init__(self, clock: Clock, metrics: Metrics, descriptor_budget: DescriptorBudget, descriptors: int) -> None:
@@ -41,7 +41,7 @@
             clock: The process's clock.
             metrics: Counts the connections that are closed, by reason.
             descriptor_budget: The budget that all connections share.
-            descriptors: All descriptors of the process.
+            descriptors: The number of file descriptors that the process may use.
         """
         self.clock, self.metrics = clock, metrics
         self.open: dict[asyncio.StreamWriter, ClientConnection] = {}
@@ -52,48 +52,52 @@
         self.message_timeout_us = self.idle_timeout_us = MESSAGE_TIMEOUT_US
         descriptor_budget.eviction_sources.append(self.eviction_candidate)
 
-    # ---- what happens to connections ----
+    # ---- events of connections ----
 
     def add(self, client: ClientConnection) -> None:
-        """A connection has been accepted."""
+        """Adds a newly accepted connection, as silent."""
         self.open[client.writer] = client
         self.silent[client] = None
 
     def remove(self, client: ClientConnection) -> None:
-        """A connection has ended."""
+        """Removes a connection that is closed."""
         del self.open[client.writer]
         self.remove_from_queues(client)
 
     def remove_from_queues(self, client: ClientConnection) -> None:
-        """A connection is neither silent nor idle any more."""
+        """Notes that a connection is neither silent nor idle any more."""
         self.silent.pop(client, None)
         self.idle.pop(client, None)
 
     def mark_idle(self, client: ClientConnection) -> None:
-        """A response has been written and nothing further has come."""
+        """Notes that a response has been written and no further input has arrived."""
         self.idle[client] = None
         self.limit_persistent()
 
-    # ---- closing for the sake of others ----
+    # ---- connections closed to make room for others ----
 
     def limit_silent(self) -> None:
-        """At their limit, closes the oldest silent connection: a flood of them costs no other connection its place."""
+        """Closes the oldest silent connection at their limit, so that a flood of them displaces no other connection."""
         if len(self.silent) >= self.silent_max:
             oldest = next((client for client in self.silent if client.can_close_safely()), None)
             if oldest:
                 self.evict(oldest)
 
     def limit_persistent(self) -> None:
-        """Closes the longest idle connections while so many are kept open that clients may find no descriptor left."""
+        """Closes the connections that have been idle longest while more than persistent_max are open.
+
+        Otherwise no descriptors could be left for new connections of clients.
+        """
         surplus = max(0, len(self.open) - len(self.silent) - self.persistent_max)
         for client in list(self.idle)[:surplus]:
             if client.can_close_safely():
                 self.evict(client)
 
     def eviction_candidate(self) -> EvictionCandidate | None:
-        """The next connection to close for the descriptor budget, if there is one.
+        """Returns the connection to close next for the descriptor budget, or None.
 
-        Rejected ones come first, then idle ones, then those with a part of a message; never one that owes a response.
+        Rejected ones come first, then idle ones, then those with a part of a message. A connection with a pending
+        response is never closed.
         """
         for client in sorted(self.open.values(), key=eviction_order):
             if client.can_close_safely():
@@ -102,21 +106,21 @@
         return None
 
     def evict(self, client: ClientConnection) -> None:
-        """Closes a connection at once, for another one's sake."""
+        """Aborts a connection to make room for another one."""
         self.metrics.add("client connections: closed for room")
         self.remove_from_queues(client)
         client.writer.transport.abort()
 
     def close_idle(self) -> None:
-        """Closes all idle connections, as the process ends."""
+        """Closes all idle connections at the shutdown of the process."""
         for client in list(self.open.values()):
             if client.phase is Phase.IDLE and client.can_close_safely():
                 client.writer.close()
 
-    # ---- closing for their own sake ----
+    # ---- connections closed at their time limits ----
 
     def close_expired(self) -> None:
-        """Ends connections that have been idle for too long or whose message or response is stuck.
+        """Closes connections that have been idle for too long, or whose message or response makes no progress.
 
         Called several times a second.
         """
@@ -130,13 +134,13 @@
             self.close_overdue(client, age)
 
     def time_limit(self, client: ClientConnection) -> int:
-        """How long a connection may stay in its phase. A slow body has as long as an idle connection."""
+        """Returns how long a connection may stay in its phase; for a body, as long as for an idle connection."""
         if client.phase is Phase.IDLE or client.receives_body():
             return max(self.idle_timeout_us, self.message_timeout_us)
         return self.message_timeout_us
 
     def close_overdue(self, client: ClientConnection, age: int) -> None:
-        """Ends a connection whose time is up, unless a byte has just come on it."""
+        """Closes a connection that has exceeded its time limit, unless input has just arrived on it."""
         if client.phase is Phase.RESPONDING:
             if age >= RESPONSE_TIMEOUT_US:
                 self.metrics.add("client connections: stuck")
@@ -153,10 +157,10 @@
 
 
 def notice_departure(client: ClientConnection) -> None:
-    """Notices that a client has left whose input waits unread.
+    """Detects that a client has disconnected while input from it waits unread.
 
-    While a response is owed, a client that has sent more than the stream's buffer holds is not read, and then the event
-    loop doesn't see its close either: the attempt would run on for nobody.
+    While a response is pending, asyncio stops reading from a client that has sent more than the stream's buffer holds,
+    and then does not detect its close either. Without this check, the attempt would go on for a disconnected client.
     """
     transport = cast(asyncio.Transport, client.writer.transport)
     if not (client.disconnected or transport.is_closing() or transport.is_reading()) and has_hung_up(client.writer):
@@ -164,5 +168,5 @@
 
 
 def eviction_order(client: ClientConnection) -> tuple[bool, bool, int]:
-    """Rejected connections first, then idle ones, then the others; each the longest first."""
+    """Sort key: rejected connections first, then idle ones, then the others; within each, the oldest phase first."""
     return client.phase is not Phase.REJECTED, client.phase is not Phase.IDLE, client.since_us
