--- a/stoneyoke/net/descriptor_budget.py
+++ b/stoneyoke/net/descriptor_budget.py
@@ -1,16 +1,16 @@
-"""One budget of file descriptors for all connections of a process. At the limit, the longest idle one is closed."""
+"""One budget of file descriptors for all connections of a process. At the limit, it closes the longest idle one."""
 
 from collections.abc import Callable
 from typing import NamedTuple
 
 
 class EvictionCandidate(NamedTuple):
-    """A connection that its holder can close without losing a request.
+    """A connection that its owner can close without losing a request.
 
     Attributes:
-        mid_message: A part of a message has come on it. Idle connections are evicted before such ones.
-        since_us: Since when it has been idle, or the message has been coming.
-        close: Closes it, which releases its descriptor.
+        mid_message: A part of a message has arrived on it. Idle connections are evicted before such ones.
+        since_us: When it became idle, or when the message began, in microseconds.
+        close: Closes the connection, which releases its descriptor.
     """
 
     mid_message: bool
@@ -19,30 +19,30 @@
 
 
 class DescriptorBudget:
-    """The descriptors that connections may use, shared by all who hold connections.
+    """The file descriptors that connections may use, shared by all owners of connections.
 
     Attributes:
-        limit: How many connections may be open before one is evicted for the next.
-        reserve: How many more may be open that other processes have opened.
-        used: How many are open.
-        eviction_sources: Each holder's function that names its next connection to close, if it has one.
+        limit: The number of open connections at which one is evicted before another is opened.
+        reserve: How many connections above the limit may be open if a client opened them.
+        used: The number of open connections.
+        eviction_sources: One function of each owner, which returns its next connection to close, or None.
     """
 
     def __init__(self, limit: int, reserve: int) -> None:
-        """Starts with nothing used."""
+        """Starts with no descriptor in use."""
         self.limit, self.reserve = limit, reserve
         self.used = 0
         self.eviction_sources: list[Callable[[], EvictionCandidate | None]] = []
 
     def acquire(self, *, incoming: bool = False) -> bool:
-        """Takes a descriptor for one more connection, and evicts another connection at the limit.
+        """Acquires a descriptor for one more connection; at the limit, evicts another connection.
 
         Args:
-            incoming: A client has opened the connection. It may use the reserve, since closing it could lose a request
-                that is on it already.
+            incoming: A client has opened the connection. It may use the reserve, because a request may have arrived on
+                it already, and closing it would lose that request.
 
         Returns:
-            False if there is no descriptor and nothing to evict.
+            False if no descriptor is left and no connection can be evicted.
         """
         if self.used >= self.limit:
             candidates = [candidate for source in self.eviction_sources if (candidate := source())]
@@ -54,5 +54,5 @@
         return True
 
     def release(self) -> None:
-        """Gives a descriptor back: its connection is closed."""
+        """Releases the descriptor of a closed connection."""
         self.used -= 1
