--- a/stoneyoke/net/http_server.py
+++ b/stoneyoke/net/http_server.py
@@ -1,4 +1,4 @@
-"""Serves HTTP/1.1 to clients: connections, health checks, malformed messages and the end of the process."""
+"""Serves HTTP/1.1 to clients: connections, health checks, malformed messages and the shutdown."""
 
 import asyncio
 import contextlib
@@ -21,24 +21,26 @@
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
 
-LINGER_S = 1.0  # after the rejection of a malformed message, what still comes is discarded for this long
-IN_TRANSIT_S = 0.2  # after idle connections are closed, requests that crossed with that come on new connections
-# Before the end, this many looks in a row have to find that no response is owed.
+LINGER_S = 1.0  # how long input is discarded after a malformed message was rejected, before the connection is closed
+# A request can cross with the close of its idle connection. The client then sends it again over a new connection, which
+# the listener accepts for this long after the idle connections were closed.
+IN_TRANSIT_S = 0.2
+# The server shuts down after this many successive checks, IDLE_CHECK_S apart, that found no request in flight.
 IDLE_CHECKS = 3
 IDLE_CHECK_S = 0.02
-REASON_MAX_BYTES = 200  # of a rejection's body
+REASON_MAX_BYTES = 200  # the longest reason in the body of a rejection
 HEALTH_CHECK_TARGET = b"/healthz"
 
 
 class HttpServer(ABC):
-    """Clients' connections, from accepting them to the last response. Subclasses answer the requests.
+    """Serves the clients' connections, from accepting them to the last response. Subclasses answer the requests.
 
     Attributes:
         connections: The open connections, with their time limits.
-        head_max_bytes: The longest head of a request on a connection that is accepted from now on.
-        body_max_bytes: The longest body, likewise.
-        respond_by_us: Until when every request must be answered; sys.maxsize before SIGTERM.
-        ending: Connections are closed after the response that is being written.
+        head_max_bytes: The longest head of a request; applies to connections that are accepted after it was set.
+        body_max_bytes: The longest body of a request; applies likewise.
+        respond_by_us: The time by which every request must be answered; sys.maxsize before SIGTERM.
+        shutting_down: Whether each connection is closed after its next response.
     """
 
     def __init__(
@@ -54,9 +56,9 @@
         Args:
             clock: The process's clock.
             metrics: The process's counters.
-            arrival_time: Gives the earliest time at which input that is read now may have come, in microseconds.
+            arrival_time: Returns the earliest time, in microseconds, at which input that is read now can have arrived.
             descriptor_budget: The budget that all connections share.
-            descriptors: All descriptors of the process.
+            descriptors: The number of file descriptors that the process may use.
         """
         self.clock, self.metrics, self.arrival_time = clock, metrics, arrival_time
         self.descriptor_budget = descriptor_budget
@@ -67,20 +69,20 @@
 
     @abstractmethod
     async def handle(self, client: ClientConnection, message: Message) -> Reply:
-        """Answers one request; CLIENT_GONE if nobody waits for the answer.
+        """Returns the reply to one request; CLIENT_GONE if the client has disconnected.
 
         Raises:
-            MalformedMessage: The request can't be used. It is rejected and its connection closed.
+            MalformedMessage: The request is invalid. It is rejected and its connection closed.
         """
 
     # ---- connections ----
 
     def make_protocol(self) -> StreamProtocol:
-        """The protocol of a connection that has just been accepted, for asyncio's create_server()."""
+        """Returns the protocol of a newly accepted connection, for asyncio's create_server()."""
         return StreamProtocol(self.serve)
 
     async def serve(self, _: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves a client's connection from its first byte to its last."""
+        """Serves a client's connection until it is closed."""
         client = self.accept(writer)
         if client is None:
             return
@@ -90,10 +92,12 @@
             await self.reject(client, error)
         except OSError:
             self.metrics.add("client connections: broken")
-        except asyncio.CancelledError:  # the process ends
+        except asyncio.CancelledError:  # the process exits
             writer.transport.abort()
-        except Exception:  # outermost guard: a fault here costs this one connection, never the gateway
-            logger.exception("Serving a client's connection failed; it is closed, and the others are served on.")
+        except Exception:  # outermost guard: an error here closes this connection and must not stop the gateway
+            logger.exception(
+                "Serving a client connection failed; it is closed, the other connections are not affected."
+            )
             self.metrics.check_invariant(False, "connection failed")
         finally:
             client.protocol.on_data = client.protocol.on_close = None
@@ -102,7 +106,11 @@
             writer.close()
 
     def accept(self, writer: asyncio.StreamWriter) -> ClientConnection | None:
-        """Enters a new connection in the table. Without a descriptor for it, it is aborted."""
+        """Adds a new connection to the table, or aborts it if no file descriptor is available for it.
+
+        Returns:
+            The connection; None if it was aborted.
+        """
         self.connections.limit_silent()
         if not self.descriptor_budget.acquire(incoming=True):
             self.metrics.add("client connections: no descriptor left")
@@ -117,7 +125,7 @@
         return client
 
     def input_arrived(self, client: ClientConnection) -> None:
-        """Bytes have come on a connection; its reader has not seen them yet."""
+        """Notes that bytes have arrived on a connection. Its reader has not received them yet."""
         client.messages.awaiting_input = False
         if client.phase is Phase.IDLE:
             self.connections.idle.pop(client, None)
@@ -126,13 +134,13 @@
             client.next_message_at = self.arrival_time()
 
     async def serve_messages(self, client: ClientConnection) -> None:
-        """Answers the requests of a connection one after another, until either end closes it."""
+        """Answers the requests of a connection one after another, until either side closes it."""
         writer = client.writer
         while message := await client.messages.next():
             client.message_complete()
             self.connections.silent.pop(client, None)
             await self.respond(client, message)
-            if client.disconnected:  # what it has sent besides is not looked at
+            if client.disconnected:  # further requests that it has sent are not answered
                 return
             if writer.transport.get_write_buffer_size():
                 client.since_us = self.clock.now()
@@ -144,7 +152,10 @@
                 self.connections.mark_idle(client)
 
     def closes_after_response(self, client: ClientConnection) -> bool:
-        """Whether the process's end closes a connection now. A request that has been read in part is answered first."""
+        """Whether the shutdown closes a connection after this response.
+
+        A connection on which a part of the next request has been read stays open until that request is answered.
+        """
         return self.shutting_down and not client.has_unanswered_input()
 
     # ---- responses ----
@@ -154,7 +165,7 @@
         if message.target == HEALTH_CHECK_TARGET and message.method == b"GET":
             reply = self.health()
         else:
-            # Nothing is begun for a client that has left before its request was looked at.
+            # The request of a client that has already disconnected is not handled.
             reply = CLIENT_GONE if client.disconnected else await self.handle(client, message)
             if reply.status == 0 or client.writer.is_closing():
                 self.metrics.add("RPCs: client gone")
@@ -162,7 +173,7 @@
         self.write_reply(client, message, reply)
 
     def write_reply(self, client: ClientConnection, message: Message, reply: Reply) -> None:
-        """Writes a reply, which says so if the connection closes after it."""
+        """Writes a reply, with "Connection: close" if the connection is closed after it."""
         headers = reply.headers
         if not message.keep_alive or self.closes_after_response(client):
             message.keep_alive = False
@@ -171,16 +182,16 @@
         write_message(client.writer, head, reply.body)
 
     def health(self) -> Reply:
-        """The reply to a health check: 503 once SIGTERM has come."""
+        """Returns the reply to a health check: 503 once the process has received SIGTERM, else 200."""
         self.metrics.add("health checks")
         terminating = self.respond_by_us < sys.maxsize
         return Reply(503, b"ending\n") if terminating else Reply(200, b"ok\n")
 
     async def reject(self, client: ClientConnection, error: MalformedMessage) -> None:
-        """Answers a malformed message with its status, and reads on for a moment.
+        """Answers a malformed message with its status, and discards further input for up to LINGER_S.
 
-        A close at once would reset the connection while more is on its way, and the client would not get to read the
-        response.
+        If the connection were closed immediately, input still in flight would make the kernel reset it, and the client
+        could lose the response.
         """
         self.metrics.report(f"bad input: {error.status}", str(error))
         body = str(error).encode()[:REASON_MAX_BYTES] + b"\n"
@@ -197,28 +208,28 @@
                 client.writer.write_eof()
                 if not client.disconnected:
                     await peer_closed.wait()
-        except OSError:  # a TimeoutError is one
+        except OSError:  # includes TimeoutError
             client.writer.transport.abort()
 
-    # ---- the end of the process ----
+    # ---- shutdown ----
 
     async def close_idle_connections(self) -> None:
-        """Closes what is idle and, from now on, each connection after its response.
+        """Closes the idle connections and, from now on, each other connection after its response.
 
-        Returns once requests that crossed with that have come on new connections.
+        Returns after IN_TRANSIT_S, so that requests that crossed with a close can be sent again over new connections.
         """
         self.shutting_down = True
         self.connections.close_idle()
         await asyncio.sleep(IN_TRANSIT_S)
 
     async def finish_pending(self, time_limit_s: float) -> None:
-        """Returns once no response is owed, or at the time limit.
+        """Returns once no request is in flight, or at the time limit.
 
-        A message of which a part has come, or waits on a socket, is owed a response too. A connection that is accepted
-        in this turn of the event loop shows in the next turn only, hence several looks in a row. (roll+mass: of some
-        47,000 RPCs, one that came 0.3 s before the end had no answer.)
+        A message that has arrived in part, or waits on a socket, counts as in flight too. A connection that is accepted
+        in this iteration of the event loop is visible only in the next one, hence several successive checks. (In the
+        run roll+mass, 1 of some 47,000 RPCs was not answered; it arrived 0.3 s before the shutdown.)
         """
-        with contextlib.suppress(TimeoutError):  # what is still owed is a response that nobody reads
+        with contextlib.suppress(TimeoutError):  # what is still pending then is a response that nobody reads
             async with asyncio.timeout(time_limit_s):
                 idle_checks = 0
                 while idle_checks < IDLE_CHECKS:
@@ -226,7 +237,7 @@
                     idle_checks = 0 if self.has_work() else idle_checks + 1
 
     def has_work(self) -> bool:
-        """Whether a response is owed to any client, or a run is let finish that must not be broken off."""
+        """Whether a client waits for a response, or a disconnected client's attempt runs that must not be cancelled."""
         return any(
             client.has_pending_response() or client.pending or client.has_incomplete_message()
             for client in self.connections.open.values()
