--- a/stoneyoke/net/reply.py
+++ b/stoneyoke/net/reply.py
@@ -1,15 +1,15 @@
-"""The answer of this process to one client request, as it is decided and before it is written."""
+"""The reply of this process to one client request, before it is written."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class Reply:
-    """What a client connection writes for one request.
+    """The response to write on a client connection for one request.
 
     Attributes:
-        status: The HTTP status; 0 when the client has gone and nothing is written.
-        body: The whole body. The connection adds its length.
+        status: The HTTP status; 0 if the client has disconnected and nothing is written.
+        body: The whole body. The server adds its length.
         headers: Complete header lines, each with its line end, without Content-Length.
     """
 
@@ -19,4 +19,4 @@
 
 
 CLIENT_GONE = Reply(0)
-"""Returned in place of an answer when nobody waits for one."""
+"""Returned instead of a response if the client has disconnected."""
