--- a/stoneyoke/net/stream.py
+++ b/stoneyoke/net/stream.py
@@ -1,4 +1,4 @@
-"""TCP connections as asyncio streams that report input at once, and what waits unread on their sockets."""
+"""TCP connections as asyncio streams that report input immediately, and checks for unread input on their sockets."""
 
 import asyncio
 import fcntl
@@ -8,8 +8,8 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-READ_BYTES = 16_384  # read at once; a stream stops reading at twice that, so that no peer fills the memory
-DISCARD_READ_BYTES = 262_144  # read at once of input that is discarded: 60 MB take 240 reads
+READ_BYTES = 16_384  # per read; a stream stops reading at twice that, so that no peer can fill the memory
+DISCARD_READ_BYTES = 262_144  # per read of input that is discarded; 60 MB take 240 reads
 
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Coroutine[None, None, None]]
 
@@ -18,15 +18,15 @@
     """The protocol of one connection. It reports input and the peer's close before the reader's task runs.
 
     Attributes:
-        on_data: Called when bytes have come, before they are given to the reader.
+        on_data: Called when bytes have arrived, before they are passed to the reader.
         on_close: Called when the peer has closed its side, or the connection is lost.
-        bytes_received: The bytes that were given to the reader. A connection may be used again only if the reader has
-            taken them all.
-        discarding: Input is thrown away instead of being given to the reader.
+        bytes_received: The number of bytes that were passed to the reader. A connection may be reused only if the
+            reader has taken them all.
+        discarding: Input is discarded instead of being passed to the reader.
     """
 
     def __init__(self, handler: ConnectionHandler | None = None) -> None:
-        """Takes what serves an accepted connection; None on the connecting side."""
+        """Takes the coroutine function that serves an accepted connection; None on the connecting side."""
         self.reader = asyncio.StreamReader(READ_BYTES)
         super().__init__(self.reader, handler)
         self.on_data: Callable[[], None] | None = None
@@ -35,15 +35,15 @@
         self.discarding = False
 
     def discard_input(self) -> None:
-        """Throws away all that comes from now on. The peer can write on, so it gets to read the response."""
+        """Discards all further input. The peer can go on writing until it reads the response."""
         self.discarding, self.on_data = True, None
         self.transport.max_size = DISCARD_READ_BYTES
         self.transport.resume_reading()
 
     def connection_made(self, transport: Any) -> None:
-        """Sets the buffers.
+        """Sets the buffer sizes.
 
-        By itself asyncio would set aside 256 KiB for each read, and drain() would not wait for the last byte to leave.
+        By default, asyncio allocates 256 KiB for each read, and drain() returns before the last byte is sent.
         """
         self.transport = transport
         transport.max_size = READ_BYTES
@@ -51,7 +51,7 @@
         super().connection_made(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Reports input, then gives it to the reader."""
+        """Reports input, then passes it to the reader."""
         if self.on_data:
             self.on_data()
         if not self.discarding:
@@ -65,7 +65,7 @@
         return super().eof_received()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Reports that the connection has ended."""
+        """Reports that the connection is closed or lost."""
         if self.on_close:
             self.on_close()
         super().connection_lost(exc)
@@ -75,7 +75,7 @@
     """Opens a connection.
 
     Raises:
-        OSError: The connection is refused or fails. A TimeoutError, which is one, says that it took too long.
+        OSError: The connection is refused or fails. A TimeoutError, which is an OSError, means that it took too long.
     """
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(timeout_s):
@@ -84,20 +84,20 @@
 
 
 def has_unread_bytes(writer: asyncio.StreamWriter) -> bool:
-    """Whether bytes wait on the socket that the event loop has not seen yet."""
+    """Whether bytes wait on the socket that the event loop has not read yet."""
     count = fcntl.ioctl(writer.get_extra_info("socket").fileno(), termios.FIONREAD, bytes(4))
     return int.from_bytes(count, sys.byteorder) != 0
 
 
 def has_hung_up(writer: asyncio.StreamWriter) -> bool:
-    """Whether the peer has closed its side, or the connection is lost, whatever waits unread before that."""
+    """Whether the peer has closed its side, or the connection is lost, even if input before that waits unread."""
     poll = select.poll()
     poll.register(writer.get_extra_info("socket").fileno(), select.POLLRDHUP)
-    return bool(poll.poll(0))  # POLLERR and POLLHUP, a reset's, are reported unasked
+    return bool(poll.poll(0))  # poll() always reports POLLERR and POLLHUP, which a reset sets
 
 
 def is_readable(writer: asyncio.StreamWriter) -> bool:
-    """Whether bytes, the stream's end or an error wait on the socket that the event loop has not seen yet."""
+    """Whether bytes, the end of the stream or an error wait on the socket that the event loop has not read yet."""
     poll = select.poll()
     poll.register(writer.get_extra_info("socket").fileno(), select.POLLIN)
     return bool(poll.poll(0))
