--- a/stoneyoke/runtime/client_departures.py
+++ b/stoneyoke/runtime/client_departures.py
@@ -6,7 +6,7 @@
 # At the second sweep after its client has left, an attempt has had a whole interval between sweeps of a running event
 # loop to end. Turns of the loop are no measure of it, and time is none: a process that was stopped has done nothing.
 SWEEPS_MAX = 2
-OUTLIVED = "attempt outlived its client"
+ATTEMPT_OUTLIVED_CLIENT = "attempt outlived its client"
 
 
 class ClientDepartures:
@@ -35,4 +35,4 @@
             self.sweeps_by_request[request] += 1
             if self.sweeps_by_request[request] >= SWEEPS_MAX:
                 del self.sweeps_by_request[request]
-                self.metrics.check_invariant(not request.has_attempt(), OUTLIVED)
+                self.metrics.check_invariant(not request.has_attempt(), ATTEMPT_OUTLIVED_CLIENT)
--- a/stoneyoke/runtime/runtime.py
+++ b/stoneyoke/runtime/runtime.py
@@ -42,7 +42,7 @@
 STALL_RECOVERY_US = 50_000  # connections that were made during a stall are accepted within this time after it
 CLIENT_GONE_IN_ATTEMPT = "clients gone: while an attempt was in flight"
 CLIENT_GONE_BETWEEN_ATTEMPTS = "clients gone: while no attempt was in flight"
-CATCH_UP_TURNS = 8  # of the event loop: the longest endpoint list, 64 KiB, is read in four
+CATCH_UP_ITERATIONS = 8  # of the event loop: the longest endpoint list, 64 KiB, is read in four
 
 
 class AttemptObserver(Protocol):
@@ -101,7 +101,7 @@
         that attempt goes to a backend that has been draining for long.
         """
         if self.clock.now() - self.arrival_time() > STALL_US:
-            for _ in range(CATCH_UP_TURNS):
+            for _ in range(CATCH_UP_ITERATIONS):
                 await asyncio.sleep(0)
 
     def timer_fired(self, due_us: int, token: int) -> None:
--- a/stoneyoke/single_gateway/configuration.py
+++ b/stoneyoke/single_gateway/configuration.py
@@ -10,7 +10,7 @@
 from stoneyoke.single_gateway.endpoints import EndpointUpdate, read_endpoint_update
 from stoneyoke.single_gateway.errors import InvalidConfiguration
 from stoneyoke.single_gateway.parameters import read_parameters, required
-from stoneyoke.single_gateway.request_head import RpcVocabulary
+from stoneyoke.single_gateway.request_head import RpcDefinitions
 
 if TYPE_CHECKING:
     from stoneyoke.fleet.parameters import FleetParameters
@@ -30,7 +30,7 @@
 
     Attributes:
         parameters: The decision logic's.
-        vocabulary: What the heads of requests can name.
+        rpc_definitions: The methods, plans and bounds that the heads of requests are checked against.
         connect_timeout_us: How long to wait for a connection to a backend.
         idle_timeout_us: After how long without a request a backend closes a connection.
         response_margin_us: How long before the client's deadline a response has to be written.
@@ -45,7 +45,7 @@
     """
 
     parameters: GatewayParameters
-    vocabulary: RpcVocabulary
+    rpc_definitions: RpcDefinitions
     connect_timeout_us: int
     idle_timeout_us: int
     response_margin_us: int
@@ -96,7 +96,7 @@
     capabilities = settings["caps"]
     return GatewaySettings(
         parameters=parameters,
-        vocabulary=RpcVocabulary(method_names, plan_names, parameters),
+        rpc_definitions=RpcDefinitions(method_names, plan_names, parameters),
         connect_timeout_us=required(capabilities, "dial-timeout-us", int, 1),
         idle_timeout_us=required(capabilities, "conn-idle-us", int, 1),
         response_margin_us=required(settings["rules"], "answer-slack-us", int),
--- a/stoneyoke/single_gateway/counter.py
+++ b/stoneyoke/single_gateway/counter.py
@@ -17,7 +17,7 @@
 # whatever ends a connection takes all queries on it along.
 CONNECTIONS_MAX = 6
 IDLE_MAX_US = 5_000_000  # the protocol page: closed after 10 s or less, so none is written to beyond this
-SILENCE_US = 1_000_000  # a connection whose oldest query has waited for this long is closed
+SILENT_MAX_US = 1_000_000  # a connection whose oldest query has waited for this long is closed
 HTTP_OK = 200
 QUOTED_BYTES = 40  # of a total that can't be read, in an error message
 
@@ -61,10 +61,10 @@
         self.used_at = 0
         self.closed = False
 
-    def is_spent(self, now: int) -> bool:
+    def is_expired(self, now: int) -> bool:
         """Whether it is near the service's idle time-out, or it has not answered its oldest query for too long."""
         if self.queries:
-            return now - self.queries[0].sent_at > SILENCE_US
+            return now - self.queries[0].sent_at > SILENT_MAX_US
         return now - self.used_at > IDLE_MAX_US
 
     def write(self, *parts: bytes) -> None:
@@ -98,15 +98,15 @@
         self.clock, self.metrics, self.listener, self.timeout_us = clock, metrics, listener, timeout_us
         self.connections: list[CounterConnection] = []
         self.tasks: set[asyncio.Task[None]] = set()
-        self.move(address)
+        self.set_address(address)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         """Sends queries to another address from now on. Those under way elsewhere may still be answered there."""
         self.address, self.host = address, b"Host: %s:%d\r\n\r\n" % (address[0].encode(), address[1])
-        for connection in [one for one in self.connections if one.address != address]:
+        for connection in [candidate for candidate in self.connections if candidate.address != address]:
             self.connections.remove(connection)
             if connection.queries:
-                asyncio.get_running_loop().call_later(SILENCE_US / 1_000_000, self.close, connection)
+                asyncio.get_running_loop().call_later(SILENT_MAX_US / 1_000_000, self.close, connection)
             else:
                 self.close(connection)
 
@@ -135,16 +135,18 @@
         longest.
         """
         for connection in list(self.connections):
-            if connection.is_spent(now):
+            if connection.is_expired(now):
                 self.close(connection)
-        least_used = min(self.connections, key=lambda one: len(one.queries), default=None)
+        least_used = min(self.connections, key=lambda candidate: len(candidate.queries), default=None)
         if least_used and not least_used.queries:
             return least_used
         if len(self.connections) >= CONNECTIONS_MAX:
-            prompt = [one for one in self.connections if now - one.queries[0].sent_at <= self.timeout_us]
-            if prompt:
-                return min(prompt, key=lambda one: len(one.queries))
-            self.close(min(self.connections, key=lambda one: one.queries[0].sent_at))
+            responsive = [
+                candidate for candidate in self.connections if now - candidate.queries[0].sent_at <= self.timeout_us
+            ]
+            if responsive:
+                return min(responsive, key=lambda candidate: len(candidate.queries))
+            self.close(min(self.connections, key=lambda candidate: candidate.queries[0].sent_at))
         return self.open_connection()
 
     def open_connection(self) -> CounterConnection:
@@ -202,12 +204,12 @@
         while response := await responses.next():
             if not connection.queries:
                 raise MalformedMessage("an answer to no call")
-            self.take_reply(connection.queries, response)
+            self.process_reply(connection.queries, response)
             moved = connection not in self.connections
             if not response.keep_alive or (moved and not connection.queries):
                 return
 
-    def take_reply(self, queries: deque[CounterQuery], response: Message) -> None:
+    def process_reply(self, queries: deque[CounterQuery], response: Message) -> None:
         """Ends the oldest query with its reply."""
         if response.status != HTTP_OK:
             self.finish(queries.popleft(), "rejected", added=False)
@@ -220,17 +222,17 @@
         """Ends a query at its time-out; its reply may still come and then finds nobody."""
         self.finish(query, "no answer in time", added=False)
 
-    def finish(self, query: CounterQuery, ending: str, *, added: bool, total: float = 0.0) -> None:
+    def finish(self, query: CounterQuery, outcome: str, *, added: bool, total: float = 0.0) -> None:
         """Reports a query's end, once.
 
         Args:
             query: The query.
-            ending: How it ended, for its counter.
+            outcome: How it ended, for the name of the counter in the metrics.
             added: The service has added the amount.
             total: The counter's total after the addition. NaN: with `added`, the total is not known; without, the
                 query was lost with its connection, which says nothing of the service.
         """
         if not query.done:
             query.done = True
-            self.metrics.add(f"counter calls: {ending}")
+            self.metrics.add(f"counter calls: {outcome}")
             self.listener.counter_replied(query.name, added, total)
--- a/stoneyoke/single_gateway/discovery.py
+++ b/stoneyoke/single_gateway/discovery.py
@@ -20,8 +20,8 @@
 # A process that has just started knows the list that it was started with, and backends may have begun to drain since.
 # Requests wait for the first response, this long at most. (herd+mass: starved gateways forwarded by that list 0.56 s
 # and more after their start.)
-FIRST_RESPONSE_S = 0.4
-RETRY_S = 0.1  # pause after a failure: inside the 200 ms within which the protocol page lets a watch go on
+FIRST_RESPONSE_TIMEOUT_S = 0.4
+RETRY_DELAY_S = 0.1  # pause after a failure: inside the 200 ms within which the protocol page lets a watch go on
 LIST_MAX_BYTES = 16 * BODY_MAX_BYTES  # a list of thousands; the protocol page's 64 KiB hold some 400 endpoints
 SNAPSHOT_TARGET = b"/v1/servers"
 HTTP_OK = 200
@@ -48,7 +48,7 @@
         """Watches an address from now on. Older watches go on until this one has responded."""
         loop = asyncio.get_running_loop()
         self.watches.append(loop.create_task(self.watch(address)))
-        loop.call_later(FIRST_RESPONSE_S, self.first_response.set)
+        loop.call_later(FIRST_RESPONSE_TIMEOUT_S, self.first_response.set)
 
     def stop(self) -> None:
         """Ends all watches."""
@@ -73,7 +73,7 @@
                 logger.exception("Applying an endpoint update failed; the list stays, and discovery is asked again.")
                 self.metrics.check_invariant(False, "discovery failed")
             self.first_response.set()
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
     def report_outage(self, error: OSError) -> None:
         """Counts a query without response; logs the first one of an outage."""
--- a/stoneyoke/single_gateway/endpoint_table.py
+++ b/stoneyoke/single_gateway/endpoint_table.py
@@ -50,27 +50,27 @@
                 self.remove_address(name)
         changed: dict[str, Endpoint] = {}
         for endpoint in update.endpoints:
-            self.settle_address(endpoint, changed)
+            self.resolve_address_conflict(endpoint, changed)
             if endpoint.state is not BackendState.GONE:
                 self.set_address(endpoint)
             elif endpoint.name not in self.indices.index_by_id:
                 continue
-            changed[endpoint.name] = self.event_of(endpoint)
+            changed[endpoint.name] = self.to_event(endpoint)
         return EndpointsChanged(update.complete, False, list(changed.values()))
 
-    def settle_address(self, endpoint: ListedEndpoint, changed: dict[str, Endpoint]) -> None:
+    def resolve_address_conflict(self, endpoint: ListedEndpoint, changed: dict[str, Endpoint]) -> None:
         """One address is one backend: of two that are listed for it, the one with precedence stays.
 
         A backend that starts anew under another name is listed while its former self still is.
         """
-        holder = self.endpoint_by_address.get(endpoint.address)
-        if endpoint.state is BackendState.GONE or holder is None or holder.name == endpoint.name:
+        current = self.endpoint_by_address.get(endpoint.address)
+        if endpoint.state is BackendState.GONE or current is None or current.name == endpoint.name:
             return
-        if precedence(endpoint) > precedence(holder):
+        if precedence(endpoint) > precedence(current):
             endpoint.state = BackendState.GONE
         else:
-            holder.state = BackendState.GONE
-            changed[holder.name] = self.event_of(holder)
+            current.state = BackendState.GONE
+            changed[current.name] = self.to_event(current)
 
     def set_address(self, endpoint: ListedEndpoint) -> None:
         """A backend is reached at its endpoint's address from now on."""
@@ -86,7 +86,7 @@
             del self.endpoint_by_address[address]
             self.addresses.remove(self.indices.index_by_id[name])
 
-    def event_of(self, endpoint: ListedEndpoint) -> Endpoint:
+    def to_event(self, endpoint: ListedEndpoint) -> Endpoint:
         """An endpoint as the decision logic's event has it. One that is gone loses its address."""
         if endpoint.state is BackendState.GONE:
             self.remove_address(endpoint.name)
--- a/stoneyoke/single_gateway/program.py
+++ b/stoneyoke/single_gateway/program.py
@@ -36,9 +36,10 @@
 MAINTENANCE_S = 0.25  # the shortest time-out that it ends, 2 s, has to be kept within 3
 ACCEPT_QUEUE = 1024  # connections that may wait to be accepted; the system cuts it down to what it allows
 OWN_DESCRIPTORS = 24  # standard streams, the event loop's, the listener, the counter's and discovery's
-RESERVED_PART = 8  # one descriptor of so many is kept in reserve, and another one for what is being accepted
-TURNS_UNTIL_CLOSED = 5  # of the event loop, until a connection that is closed for another one is gone
-RESPONSE_MEMORY_PART = 32  # of the memory, for one response's body: backends send more than the protocol page's 64 KiB
+RESERVE_DIVISOR = 8  # one descriptor of so many is kept in reserve, and another one for what is being accepted
+ITERATIONS_UNTIL_CLOSED = 5  # of the event loop, until a connection that is closed for another one is gone
+# Divisor of the memory, for the body of one response: backends send more than the 64 KiB of the protocol page.
+RESPONSE_MEMORY_DIVISOR = 32
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
 EXIT_OK, EXIT_FAILURE, EXIT_INVALID_CONFIGURATION = 0, 1, 2
 
@@ -63,13 +64,13 @@
         self.runtime = Runtime(settings.parameters, self.clock, self.metrics)
         # Until a connection that is closed for another one is gone, some turns of the event loop pass, and each turn
         # accepts as many connections as it is let.
-        reserve = settings.descriptors // RESERVED_PART
-        self.accepts_per_turn = max(1, reserve // TURNS_UNTIL_CLOSED)
+        reserve = settings.descriptors // RESERVE_DIVISOR
+        self.accepts_per_iteration = max(1, reserve // ITERATIONS_UNTIL_CLOSED)
         descriptor_budget = DescriptorBudget(settings.descriptors - OWN_DESCRIPTORS - 2 * reserve, reserve)
         limits = BackendLimits(
             connect_timeout_us=settings.connect_timeout_us,
             idle_timeout_us=settings.idle_timeout_us,
-            response_max_bytes=max(BODY_MAX_BYTES, settings.memory_bytes // RESPONSE_MEMORY_PART),
+            response_max_bytes=max(BODY_MAX_BYTES, settings.memory_bytes // RESPONSE_MEMORY_DIVISOR),
         )
         self.backends = Backends(self.clock, self.metrics, descriptor_budget, limits)
         self.clients = RpcHandler(self.runtime, self.backends, settings, descriptor_budget)
@@ -106,16 +107,16 @@
 
     async def run(self) -> None:
         """Serves until SIGTERM or SIGINT."""
-        loop, end_requested = asyncio.get_running_loop(), asyncio.Event()
-        loop.add_signal_handler(signal.SIGTERM, end_requested.set)
-        loop.add_signal_handler(signal.SIGINT, end_requested.set)
+        loop, shutdown_requested = asyncio.get_running_loop(), asyncio.Event()
+        loop.add_signal_handler(signal.SIGTERM, shutdown_requested.set)
+        loop.add_signal_handler(signal.SIGINT, shutdown_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         loop.add_signal_handler(signal.SIGUSR1, self.log_counts)
         await self.start()
         gc.collect()
         gc.freeze()  # what is there now stays: later collections need not look at it
-        await end_requested.wait()
-        await self.finish()
+        await shutdown_requested.wait()
+        await self.shut_down()
 
     async def start(self) -> None:
         """Opens the listener and starts the watches.
@@ -131,7 +132,9 @@
         if self.peers:
             await self.peers.start()
         listener = socket.create_server(self.settings.listen)
-        self.server = await loop.create_server(self.clients.make_protocol, sock=listener, backlog=self.accepts_per_turn)
+        self.server = await loop.create_server(
+            self.clients.make_protocol, sock=listener, backlog=self.accepts_per_iteration
+        )
         # create_server() has set the system's queue to what a turn of the event loop accepts; more may wait.
         listener.listen(ACCEPT_QUEUE)
         parameters = self.runtime.parameters
@@ -156,13 +159,13 @@
         if settings.discovery != self.settings.discovery:
             self.discovery.watch_address(settings.discovery)
         if self.counter and settings.counter:
-            self.counter.move(settings.counter)
+            self.counter.set_address(settings.counter)
         if self.peers and fleet_parameters:
             self.peers.reload(fleet_parameters.seeds, fleet_parameters.keys)
         self.settings = settings
         logger.info("reload: discovery at {}, counter at {}", settings.discovery, settings.counter)
 
-    async def finish(self) -> None:
+    async def shut_down(self) -> None:
         """After SIGTERM: lets clients go elsewhere, answers what is open, and ends."""
         logger.info("SIGTERM: serves on for a moment while clients turn to other gateways, then answers open requests")
         if self.peers:
--- a/stoneyoke/single_gateway/request_head.py
+++ b/stoneyoke/single_gateway/request_head.py
@@ -39,7 +39,7 @@
 QUOTA_FIELDS = frozenset((b"units", b"spread", b"first"))
 
 
-class RpcVocabulary:
+class RpcDefinitions:
     """The names and numbers that a request's head can hold under the settings in force.
 
     Attributes:
@@ -74,7 +74,7 @@
     wait_us: int
 
 
-def read_rpc_head(message: Message, vocabulary: RpcVocabulary) -> RpcHead:
+def read_rpc_head(message: Message, definitions: RpcDefinitions) -> RpcHead:
     """Reads a request's head.
 
     Raises:
@@ -84,26 +84,26 @@
     if message.repeated and (repeated := message.repeated & SINGLE_HEADERS):
         raise MalformedMessage(f"{min(repeated).decode()} comes twice")
     name, plan_name = required_header(message, b"req-kind"), required_header(message, b"x-plan")
-    method, plan = vocabulary.methods.get(name), vocabulary.plans.get(plan_name)
+    method, plan = definitions.methods.get(name), definitions.plans.get(plan_name)
     if method is None:
         raise MalformedMessage(f"unknown method {name[:QUOTED_BYTES]!r}", 404)
     if plan is None:
         raise MalformedMessage(f"unknown plan {plan_name[:QUOTED_BYTES]!r}")
-    idempotency = vocabulary.idempotency[method]
+    idempotency = definitions.idempotency[method]
     check_request_line(message, name, idempotency)
     rpc_id = required_header(message, b"req-id")
     required_header(message, b"host")
     if idempotency is Idempotency.DEDUPLICATED:
         required_header(message, b"idempotency-key")
     customer_id, wait_us = read_customer_and_deadline(message)
-    units, customer_gateways = read_quota(required_header(message, b"x-quota"), vocabulary)
+    units, customer_gateways = read_quota(required_header(message, b"x-quota"), definitions)
     return RpcHead(
         method=method,
         plan=plan,
         customer_id=customer_id,
         units=units,
         customer_gateways=customer_gateways,
-        is_retry=message.headers.get(b"req-retry") == b"1" if vocabulary.clients_mark_retries else None,
+        is_retry=message.headers.get(b"req-retry") == b"1" if definitions.clients_mark_retries else None,
         id=rpc_id,
         wait_us=wait_us,
     )
@@ -138,7 +138,7 @@
     return value
 
 
-def read_quota(text: bytes, vocabulary: RpcVocabulary) -> tuple[float, float]:
+def read_quota(text: bytes, definitions: RpcDefinitions) -> tuple[float, float]:
     """The RPC's cost in units, and the number of gateways that its customer's RPCs come through.
 
     Raises:
@@ -152,6 +152,6 @@
         and (is_decimal(fields[b"units"]) and is_whole_number(fields[b"spread"]) and is_whole_number(fields[b"first"]))
     ):
         units, spread, first = float(fields[b"units"]), int(fields[b"spread"]), int(fields[b"first"])
-        if 0 < units <= vocabulary.units_max * UNITS_TOLERANCE and 1 <= spread <= vocabulary.gateways > first:
+        if 0 < units <= definitions.units_max * UNITS_TOLERANCE and 1 <= spread <= definitions.gateways > first:
             return units, float(spread)
     raise MalformedMessage(f"no quota of these settings: {text[:60]!r}")
--- a/stoneyoke/single_gateway/rpc_handler.py
+++ b/stoneyoke/single_gateway/rpc_handler.py
@@ -24,7 +24,7 @@
 KILL_MARGIN_S = 0.7
 DEADLINE_MIN_S = 3.0
 DRAIN_S = 1.5
-WAIT_MIN_S = 0.001  # the shortest time that a backend is given
+ATTEMPT_TIMEOUT_MIN_S = 0.001  # the shortest time that a backend is given
 
 
 class RpcHandler(HttpServer):
@@ -42,7 +42,7 @@
         """Starts without clients."""
         super().__init__(runtime.clock, runtime.metrics, runtime.arrival_time, descriptor_budget, settings.descriptors)
         self.runtime, self.backends = runtime, backends
-        self.vocabulary, self.response_margin_us = settings.vocabulary, settings.response_margin_us
+        self.rpc_definitions, self.response_margin_us = settings.rpc_definitions, settings.response_margin_us
         self.open_ids: set[bytes] = set()
         self.endpoints_known = asyncio.Event()
         self.longest_deadline_s = max(method.deadline_us for method in runtime.parameters.methods) / 1_000_000
@@ -53,7 +53,7 @@
         Raises:
             MalformedMessage: The head can't be used, or the RPC's identifier belongs to one that is open (409).
         """
-        head = read_rpc_head(message, self.vocabulary)
+        head = read_rpc_head(message, self.rpc_definitions)
         if not self.endpoints_known.is_set():
             self.metrics.add("RPCs: waited for the first endpoint list")
             await self.endpoints_known.wait()
@@ -156,7 +156,7 @@
         headers.get(b"host", b"-"),
         b"\r\nReq-Id: ",
         headers[b"req-id"],
-        b"\r\nReq-Deadline: %.3f\r\n" % max(WAIT_MIN_S, wait_us / 1_000_000),
+        b"\r\nReq-Deadline: %.3f\r\n" % max(ATTEMPT_TIMEOUT_MIN_S, wait_us / 1_000_000),
     ]
     if key := headers.get(b"idempotency-key"):
         lines += (b"Idempotency-Key: ", key, b"\r\n")
--- a/tests/net/test_reload_and_end.py
+++ b/tests/net/test_reload_and_end.py
@@ -35,7 +35,7 @@
         assert (await idle.request(b"GET /healthz HTTP/1.1\r\n\r\n"))[0] == 200
         held.writer.write(rpc())
         await until(lambda: gateway.backend.got)
-        finishing = asyncio.create_task(gateway.program.finish())
+        finishing = asyncio.create_task(gateway.program.shut_down())
         await asyncio.sleep(0)
         async with gateway.connect() as newcomer:
             newcomer.writer.write(rpc())
@@ -59,7 +59,7 @@
     monkeypatch.setattr(rpc_handler, "DEADLINE_MIN_S", 0.0)
     monkeypatch.setattr(rpc_handler, "KILL_MARGIN_S", -1.3)  # the longest deadline of these settings is 2 s
     async with GatewayUnderTest(None) as gateway, gateway.connect() as client:
-        finishing = asyncio.create_task(gateway.program.finish())
+        finishing = asyncio.create_task(gateway.program.shut_down())
         await asyncio.sleep(0)
         start = time.monotonic()
         assert (await client.request(rpc(b"order", Req_Deadline="9.000")))[0] == 429
--- a/tests/system/test_client_left.py
+++ b/tests/system/test_client_left.py
@@ -21,7 +21,7 @@
 
 from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.attempt import OutgoingRequest
-from stoneyoke.runtime.client_departures import OUTLIVED
+from stoneyoke.runtime.client_departures import ATTEMPT_OUTLIVED_CLIENT
 from stoneyoke.runtime.pending_request import RequestDescription
 
 LEAVES = each(*WAYS_TO_LEAVE)
@@ -347,7 +347,7 @@
         with raises(AssertionError):  # a debug build fails on it
             upstream.runtime.departures.sweep()
         upstream.runtime.departures.sweep()
-        assert gateway.metrics.violations == {OUTLIVED: 1}
+        assert gateway.metrics.violations == {ATTEMPT_OUTLIVED_CLIENT: 1}
         backend.released.set()
         await until(lambda: not gateway.handler.connections.open)
 
