--- a/stoneyoke/runtime/__init__.py
+++ b/stoneyoke/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the decision logic in real time: events in, actions out, timers, the clock, counters."""
+"""Runs the decision logic in real time: delivers events, carries out actions, and has timers, clock and counters."""
