--- a/stoneyoke/runtime/id_index.py
+++ b/stoneyoke/runtime/id_index.py
@@ -1,4 +1,4 @@
-"""Small indices in place of identifiers that other systems choose."""
+"""Maps identifiers that other systems choose to small indices."""
 
 from collections.abc import Hashable
 from typing import Generic, TypeVar
@@ -7,15 +7,15 @@
 
 
 class IdIndex(Generic[Id]):
-    """Gives each identifier an index for as long as it is in use.
+    """Assigns an index to each identifier for as long as the identifier is in use.
 
-    The decision logic keeps rows by index. A released index passes on to the next identifier, so the rows stay as few
-    as the identifiers that were ever in use at once.
+    The decision logic stores its rows by index. A released index is assigned to the next new identifier, so there are
+    never more rows than identifiers that were in use at the same time.
 
     Attributes:
-        index_by_id: The identifiers in use.
-        id_by_index: The identifier of each index; of a released index, the last one that had it.
-        free_indices: Released indices, the next one to be given out last.
+        index_by_id: The index of each identifier in use.
+        id_by_index: The identifier of each index; for a released index, the last identifier that had it.
+        free_indices: The released indices; the last one is assigned next.
     """
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         self.free_indices: list[int] = []
 
     def acquire(self, identifier: Id) -> int:
-        """The index of an identifier, a new one if the identifier is not in use."""
+        """Returns the index of an identifier; assigns one if the identifier is not in use."""
         index = self.index_by_id.get(identifier)
         if index is None:
             if self.free_indices:
@@ -38,6 +38,6 @@
         return index
 
     def release(self, index: int) -> None:
-        """Ends the use of the identifier that has this index. A second release does nothing."""
+        """Releases an index, and ends the use of its identifier. A second release has no effect."""
         if self.index_by_id.pop(self.id_by_index[index], None) is not None:
             self.free_indices.append(index)
