--- a/stoneyoke/runtime/metrics.py
+++ b/stoneyoke/runtime/metrics.py
@@ -5,10 +5,10 @@
 
 from loguru import logger
 
-WARNINGS_PER_S = 5  # a flood of malformed input must not become a flood of log lines
+WARNINGS_PER_S = 5  # a flood of malformed input must not cause a flood of log lines
 DETAIL_MAX_CHARACTERS = 200
 
-# Counters that have been renamed: the summary shows their values under the former names as well, for one release.
+# Prefixes of counters that were renamed, new and former. For one release, the summary shows their values under both.
 FORMER_PREFIXES = (
     ("attempts: ", "call-outs: "),
     ("backend responses: to another request", "answers of backends: to something else"),
@@ -33,7 +33,7 @@
 
 
 def former_name(name: str) -> str | None:
-    """The name under which a counter was shown in the release before, where it was another one."""
+    """Returns a counter's name in the previous release; None if it was not renamed."""
     for prefix, former in FORMER_PREFIXES:
         if name.startswith(prefix):
             return former + name.removeprefix(prefix)
@@ -41,22 +41,22 @@
 
 
 def with_former_names(counts: Counter[str]) -> list[tuple[str, int]]:
-    """All counts by name, then the renamed ones by former name."""
+    """Returns all counts by name, followed by those of the renamed counters by their former names."""
     present = sorted(counts.items())
     former = [(former_name(name), count) for name, count in present]
     return present + [(name, count) for name, count in former if name is not None]
 
 
 class Metrics:
-    """Counts events by name. The names are literals of the code, so their number is bounded.
+    """Counts events by name. The names are literals in the code, so their number is bounded.
 
     Attributes:
         counts: How often each event happened.
-        violations: How often each invariant did not hold; only release builds get to count one.
+        violations: How often each invariant was violated. Only release builds go on after the first violation.
     """
 
     def __init__(self) -> None:
-        """Starts with nothing counted."""
+        """Starts without counts."""
         self.counts: Counter[str] = Counter()
         self.violations: Counter[str] = Counter()
         self.warning_second = self.warnings_this_second = 0
@@ -66,7 +66,7 @@
         self.counts[name] += 1
 
     def report(self, name: str, detail: str) -> None:
-        """Counts one event, and logs it unless this second has had its share of warnings."""
+        """Counts one event, and logs it unless WARNINGS_PER_S warnings were already logged in this second."""
         self.counts[name] += 1
         second = int(time.monotonic())
         self.warnings_this_second = self.warnings_this_second + 1 if second == self.warning_second else 1
@@ -75,14 +75,14 @@
             logger.warning("{}: {}", name, detail[:DETAIL_MAX_CHARACTERS])
 
     def check_invariant(self, holds: bool, name: str) -> bool:
-        """Counts a violation where an invariant doesn't hold; a debug build (without -O) fails on it."""
+        """Counts a violation if an invariant doesn't hold; a debug build (without -O) also raises AssertionError."""
         if not holds:
             self.violations[name] += 1
             assert holds, name
         return holds
 
     def summary(self) -> str:
-        """All counters on one line: violations first, each marked BROKEN, so that they are seen."""
+        """Returns all counters on one line, the violations first and each marked BROKEN, so that they are noticed."""
         violations = [f"BROKEN {name}={count}" for name, count in with_former_names(self.violations)]
         counts = [f"{name}={count}" for name, count in with_former_names(self.counts)]
         return ", ".join(violations + counts) or "nothing counted yet"
