--- a/stoneyoke/runtime/pending_request.py
+++ b/stoneyoke/runtime/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that is in the gateway, between the front that serves its client and the decision logic."""
+"""A pending request, shared by the server that serves its client and the decision logic."""
 
 import asyncio
 from collections import deque
@@ -14,15 +14,15 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class RequestDescription:
-    """What the decision logic learns of a request on its arrival.
+    """The properties of a request that the decision logic receives on its arrival.
 
     Attributes:
         method: The method's number in the parameters.
         plan: The number of the customer's plan in the parameters.
-        customer_id: The customer, by the number that it has at every gateway; 0 where quotas are kept elsewhere.
+        customer_id: The customer's number, which is the same at every gateway; 0 if another component enforces quotas.
         units: The cost that is charged to the customer's quota.
-        customer_gateways: The number of gateways through which this customer's requests come.
-        is_retry: The client sends the request again; None where clients don't mark retries.
+        customer_gateways: The number of gateways that receive this customer's requests.
+        is_retry: Whether the client sends the request again; None if clients don't mark retries.
     """
 
     method: int
@@ -34,26 +34,27 @@
 
 
 class RequestOwner(Protocol):
-    """Who opened a pending request, and has to know if its client goes: the runtime."""
+    """Opens pending requests, and is notified when their clients disconnect; implemented by the runtime."""
 
     def client_gone(self, request: "PendingRequest") -> None:
-        """The client has closed its connection; nobody waits for the response."""
+        """Notes that the client has closed its connection and no longer waits for the response."""
 
 
 class PendingRequest:
-    """One request, from its arrival until its front closes it.
+    """One request, from its arrival until its server closes it.
 
-    The decision logic puts decisions in; the front takes them out one by one and carries them out.
+    The decision logic adds decisions; the server takes them one by one and carries them out.
 
     Attributes:
         index: The request's number within its runtime.
         owner: The runtime that opened the request.
         attempts_started: The number of attempts so far, which is the next attempt's number.
-        ends_with_client: An attempt of it ends once its client has gone, also if it was sent.
+        ends_with_client: Whether its attempt is cancelled when its client disconnects, even if it was already sent.
         client_gone: The client has closed its connection. There are no further decisions.
-        decisions: What is decided and not yet taken by the front.
-        cancel_attempt: Cancels the attempt with the given number, if that one is still under way; if the second
-            argument is true, only while nothing of it was sent. None while no attempt is.
+        decisions: The decisions that the server has not taken yet.
+        cancel_attempt: Cancels the attempt with the given number if it is still in flight; if the second argument is
+            true, only if nothing of it was sent. None while no attempt is in flight.
+        waiter: The future that next_decision() waits for; None before the first wait.
     """
 
     __slots__ = (
@@ -82,10 +83,10 @@
         """Waits for the next decision.
 
         Args:
-            deadline_us: Until when to wait.
+            deadline_us: The time until which to wait.
 
         Returns:
-            The decision. None if the client has gone, or if there is no decision by the deadline.
+            The decision; None if the client has disconnected, or if there is no decision by the deadline.
         """
         if not self.decisions and not self.client_gone:
             self.waiter = asyncio.get_running_loop().create_future()
@@ -97,11 +98,11 @@
         return self.decisions.popleft() if self.decisions and not self.client_gone else None
 
     def has_attempt(self) -> bool:
-        """Whether an attempt is under way."""
+        """Whether an attempt is in flight."""
         return self.cancel_attempt is not None
 
     def decide(self, decision: Decision) -> None:
-        """Adds a decision and wakes the front if it waits for one."""
+        """Adds a decision and wakes next_decision()."""
         self.decisions.append(decision)
         self.wake()
 
