--- a/stoneyoke/runtime/runtime.py
+++ b/stoneyoke/runtime/runtime.py
@@ -1,8 +1,8 @@
-"""Drives one Gateway, the decision logic, in real time: events go in, actions come out, timers fire.
+"""Drives one Gateway, the decision logic, in real time: delivers events, carries out actions, and fires timers.
 
-It knows nothing of sockets or of the front's protocol, and decides nothing. A front opens a request with
-Runtime.open_request(), awaits PendingRequest.next_decision(), carries the decision out, reports what came of it with
-Runtime.attempt_ended(), and closes the request with Runtime.close_request().
+It uses neither sockets nor the server's protocol, and makes no decisions. A server opens a request with
+Runtime.open_request(), awaits PendingRequest.next_decision(), carries the decision out, reports the outcome of each
+attempt with Runtime.attempt_ended(), and closes the request with Runtime.close_request().
 """
 
 import asyncio
@@ -38,34 +38,35 @@
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.pending_request import Decision, PendingRequest, RequestDescription
 
-STALL_US = 100_000  # a timer this late means that the process was stalled; a busy event loop is late by 20 ms
-STALL_RECOVERY_US = 50_000  # connections that were made during a stall are accepted within this time after it
+STALL_US = 100_000  # a timer that is this late shows that the process was stalled; a busy event loop delays it by 20 ms
+STALL_RECOVERY_US = 50_000  # connections that were established during a stall are accepted within this time after it
 CLIENT_GONE_IN_ATTEMPT = "clients gone: while an attempt was in flight"
 CLIENT_GONE_BETWEEN_ATTEMPTS = "clients gone: while no attempt was in flight"
-CATCH_UP_ITERATIONS = 8  # of the event loop: the longest endpoint list, 64 KiB, is read in four
+CATCH_UP_ITERATIONS = 8  # of the event loop; the longest endpoint list, 64 KiB, takes four to read
 
 
 class AttemptObserver(Protocol):
-    """Learns of each attempt's start and end, as evidence of the backends' health."""
+    """Is notified of each attempt's start and end, as evidence of the backends' health."""
 
     def attempt_started(self, rpc: int, backend: int) -> None:
-        """The decision logic has started an attempt at a backend."""
+        """Notes that the decision logic has started an attempt at a backend."""
 
     def attempt_ended(self, rpc: int, outcome: AttemptOutcome) -> None:
-        """The request's latest attempt has ended."""
+        """Notes that the request's latest attempt has ended."""
 
 
 class Runtime:
     """Delivers events to the decision logic and carries out the actions that it returns.
 
     Attributes:
-        pending: The requests that are open, by index.
-        departures: Those whose client has gone during an attempt; swept by the process.
+        pending: The pending requests, by index.
+        departures: The requests whose client disconnected during an attempt; the process sweeps them periodically.
+        customers: The index of each customer that the decision logic has a row for.
         next_timer_at: When the timer that was set last is due.
         stalled_from: When the last stall of this process began; 0 before the first.
-        stalled_until: When that stall ended.
-        send_to_counter: Carries out AddToCounter; set by whoever speaks to the counter service.
-        attempt_observer: Set by the fleet part, if there is one.
+        stalled_until: When that stall ended; 0 before the first.
+        send_to_counter: Carries out AddToCounter; set by the client of the counter service.
+        attempt_observer: Is notified of attempts; set by the fleet component if there is one.
     """
 
     def __init__(self, parameters: GatewayParameters, clock: Clock, metrics: Metrics) -> None:
@@ -84,10 +85,10 @@
     # ---- time ----
 
     def arrival_time(self) -> int:
-        """The earliest time, in microseconds, at which input that is read now may have come.
+        """Returns the earliest time, in microseconds, at which input that is read now can have arrived.
 
-        While the process is stalled, clients go on sending. An overdue timer shows a stall that is not noted yet.
-        One that was overdue a moment ago shows a stall whose input is still being read.
+        Clients go on sending while the process is stalled. An overdue timer shows a stall that is not recorded yet.
+        A stall that ended less than STALL_RECOVERY_US ago may have left input that is still being read.
         """
         now = self.clock.now()
         if now - self.next_timer_at > STALL_US:
@@ -95,21 +96,21 @@
         return self.stalled_from if now - self.stalled_until < STALL_RECOVERY_US else now
 
     async def catch_up(self) -> None:
-        """After a stall, lets the event loop read what has come meanwhile.
+        """After a stall, lets the event loop read the input that arrived during the stall.
 
-        An endpoint list that waits on its socket has to reach the decision logic before the next attempt starts, or
-        that attempt goes to a backend that has been draining for long.
+        An endpoint list that waits on its socket must reach the decision logic before the next attempt starts.
+        Otherwise, that attempt could go to a backend that has been draining for a long time.
         """
         if self.clock.now() - self.arrival_time() > STALL_US:
             for _ in range(CATCH_UP_ITERATIONS):
                 await asyncio.sleep(0)
 
     def timer_fired(self, due_us: int, token: int) -> None:
-        """A timer that the decision logic set has fired; if it is late, this notes a stall."""
+        """Delivers a timer of the decision logic that has fired; records a stall if the timer is late."""
         now = self.clock.now()
         if now - due_us > STALL_US:
             self.stalled_from, self.stalled_until = due_us, now
-            self.metrics.report("process stalled", f"for {(now - due_us) // 1000} ms; deadlines count from before it")
+            self.metrics.report("process stalled", f"for {(now - due_us) // 1000} ms; deadlines count from its start")
         self.dispatch(TimerFired(token))
 
     # ---- events ----
@@ -118,27 +119,27 @@
         """Delivers an event to the decision logic and carries out the actions that follow from it."""
         try:
             actions = self.gateway.handle(event, self.clock.now())
-        except Exception:  # outermost guard: a fault in the decision logic costs this event, never the gateway
-            logger.exception("The decision logic failed on {}; the event is lost and the gateway serves on.", event)
+        except Exception:  # outermost guard: an error in the decision logic loses this event, but not the gateway
+            logger.exception("The decision logic failed on {}; the event is lost, the gateway continues.", event)
             self.metrics.check_invariant(False, "decision logic failed")
             actions = self.gateway.context.actions
         for action in actions:
             try:
                 self.execute(action)
-            except Exception:  # outermost guard: a fault in one action keeps none of the others from being carried out
-                logger.exception("The action {} failed and is dropped; the gateway serves on.", action)
+            except Exception:  # outermost guard: an error in one action must not prevent the other actions
+                logger.exception("The action {} failed and is dropped; the gateway continues.", action)
                 self.metrics.check_invariant(False, "action failed")
 
     def open_request(self, description: RequestDescription, deadline_us: int) -> PendingRequest:
         """Reports a request that has arrived to the decision logic.
 
         Args:
-            description: What the request is.
-            deadline_us: Until when its client waits for the response.
+            description: The request's properties.
+            deadline_us: The time until which its client waits for the response.
         """
         self.requests_opened += 1
         parameters = self.gateway.parameters
-        # Stated here once more, apart from the decision that it checks (RetryPolicy.ends_with_client).
+        # Computed independently of RetryPolicy.ends_with_client, whose decisions it is used to check.
         ends_with_client = parameters.can_cancel_attempts and parameters.methods[description.method].is_idempotent
         request = PendingRequest(self.requests_opened, self.clock, self, ends_with_client=ends_with_client)
         self.pending[request.index] = request
@@ -173,7 +174,7 @@
         )
 
     def client_gone(self, request: PendingRequest) -> None:
-        """Reports once to the decision logic that the client has closed its connection."""
+        """Reports to the decision logic, once, that the client has closed its connection."""
         if not request.client_gone:
             request.client_gone = True
             self.metrics.add(CLIENT_GONE_IN_ATTEMPT if request.has_attempt() else CLIENT_GONE_BETWEEN_ATTEMPTS)
@@ -182,13 +183,13 @@
             request.wake()
 
     def orphaned_attempts(self) -> int:
-        """How many attempts are in flight now whose client has gone."""
+        """Returns the number of attempts in flight whose client has disconnected."""
         return sum(request.client_gone and request.has_attempt() for request in self.pending.values())
 
     def close_request(self, request: PendingRequest) -> None:
-        """Ends a request whose response is decided, or for whose response nobody waits.
+        """Closes a request whose response is decided, or whose client has disconnected.
 
-        Decisions that the front has not taken are never carried out: an attempt among them ends as not sent.
+        Decisions that the server has not taken are not carried out; an attempt among them is reported as not sent.
         """
         while request.decisions:
             decision = request.decisions.popleft()
@@ -212,7 +213,7 @@
         self.dispatch(change)
 
     def knows_backend(self, backend: int) -> bool:
-        """Whether the decision logic still keeps a row for a backend, so that its index is in use."""
+        """Whether the decision logic still has a row for a backend, so that its index is in use."""
         return self.gateway.knows(backend)
 
     # ---- actions ----
@@ -233,11 +234,11 @@
                 self.send_to_counter(action)
             case ForgetCustomer(customer):
                 self.customers.release(customer)
-            case _:  # Subscribe: discovery sends each change without being asked
+            case _:  # Subscribe needs no action, because discovery reports each change through its long poll
                 pass
 
     def decide(self, decision: Decision) -> None:
-        """Hands a decision to the front that serves the request. A request that is closed has none."""
+        """Passes a decision to the server that serves the request; drops it if the request is closed."""
         if request := self.pending.get(decision.rpc):
             if self.attempt_observer and isinstance(decision, StartAttempt):
                 self.attempt_observer.attempt_started(decision.rpc, decision.backend)
