--- a/stoneyoke/__main__.py
+++ b/stoneyoke/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m stoneyoke`: one gateway on sockets, as NODE_CONFIG describes it, until SIGTERM."""
+"""`python -m stoneyoke` runs one gateway, configured by the file that NODE_CONFIG names, until SIGTERM."""
 
 import sys
 
