--- a/stoneyoke/single_gateway/options.py
+++ b/stoneyoke/single_gateway/options.py
@@ -1,6 +1,6 @@
 """The gateway's own options, which the platform's configuration lacks: a typed TOML file, all off by default.
 
-Imported only where a file of options is named, since most platforms name none and need no library for it.
+Imported only if a file of options is named. Most platforms name none, and then don't need the library that reads it.
 """
 
 from pathlib import Path
@@ -16,28 +16,29 @@
 PORT_MAX = 65_535
 KEYS_MAX = 2  # a new key and the one that it replaces
 KEY_MIN_BYTES, KEY_MAX_BYTES = 16, 64
-UNSPECIFIED_HOSTS = ("0.0.0.0", "::")  # where one can listen, and nobody can connect to
+UNSPECIFIED_HOSTS = ("0.0.0.0", "::")  # a gateway can listen on these, but others can't connect to them
 
 
 class LogOptions(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How log lines are written.
+    """The format of log lines.
 
     Attributes:
-        form: "plain" text, or "json": an object a line.
+        form: "plain" for text, "json" for one JSON object per line.
     """
 
     form: Literal["plain", "json"] = "plain"
 
 
 class FleetOptions(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The fleet part: where this gateway and the others are reached.
+    """The fleet component: the addresses of this gateway and of others, and their keys.
 
     Attributes:
-        listen: HOST:PORT that receives datagrams of other gateways; empty: no fleet part.
-        advertise: Where the others reach this gateway, if that is another address.
-        name: The same after each restart, another one at each gateway; empty: the configuration's name.
-        seeds: Where some of the others are reached.
-        keys: A file of one or two keys, a line of 32 to 128 hex digits each.
+        listen: The HOST:PORT that receives datagrams of other gateways; if empty, the fleet component is off.
+        advertise: The HOST:PORT at which the others reach this gateway, if it differs from `listen`.
+        name: This gateway's name, unique in the fleet and the same after each restart; if empty, the configuration's
+            name is used.
+        seeds: The addresses of some of the other gateways.
+        keys: The path of a file with one or two keys, each a line of 32 to 128 hexadecimal digits.
     """
 
     listen: str = ""
@@ -69,11 +70,11 @@
         key = key.rstrip("`").lstrip(".") or "top"
         raise InvalidConfiguration(f"options: {path}: {key}: {reason}") from error
     except msgspec.DecodeError as error:
-        raise InvalidConfiguration(f"options: {path}: no TOML: {error}") from error
+        raise InvalidConfiguration(f"options: {path}: not valid TOML: {error}") from error
 
 
 def read_host_port(key: str, text: str) -> Address:
-    """Host and port of an option's HOST:PORT.
+    """Reads host and port of an option of the form HOST:PORT.
 
     Raises:
         InvalidConfiguration: The text names the option.
@@ -85,10 +86,10 @@
 
 
 def read_keys(path: Path) -> list[bytes]:
-    """The keys of a file.
+    """Reads the keys of a file.
 
     Raises:
-        InvalidConfiguration: The text never holds a key.
+        InvalidConfiguration: The file can't be read, or holds no valid keys. The text never contains a key.
     """
     try:
         lines = path.read_text().split()
@@ -104,11 +105,11 @@
 
 
 def fleet_parameters(fleet: FleetOptions, name: str) -> FleetParameters | None:
-    """The fleet part's parameters, or None where no fleet part is asked for.
+    """Returns the parameters of the fleet component; None if the options don't enable it.
 
     Args:
-        fleet: The options.
-        name: The configuration's name of this gateway.
+        fleet: The options of the fleet component.
+        name: This gateway's name in the configuration.
 
     Raises:
         InvalidConfiguration: The text names the option.
--- a/tests/net/test_program.py
+++ b/tests/net/test_program.py
@@ -109,7 +109,7 @@
     assert configuration.read_options({"options": str(file)}).log.form == "json"
     monkeypatch.setenv("STONEYOKE_OPTIONS", str(file))
     assert configuration.read_options({}).log.form == "json"
-    for text, says in (('[log]\nform = "xml"\n', "log.form"), ("[logs]\n", "logs"), ("[log", "no TOML")):
+    for text, says in (('[log]\nform = "xml"\n', "log.form"), ("[logs]\n", "logs"), ("[log", "not valid TOML")):
         file.write_text(text)
         with pytest.raises(InvalidConfiguration, match=says):
             configuration.read_options({})
