--- a/stoneyoke/single_gateway/__init__.py
+++ b/stoneyoke/single_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The single gateway as a program: its configuration, discovery, counter service and command line."""
+"""The program of a single gateway: its configuration, discovery, counter client and command line."""
