--- a/stoneyoke/single_gateway/cli.py
+++ b/stoneyoke/single_gateway/cli.py
@@ -1,4 +1,4 @@
-"""The command line. Each command imports what it needs: serving imports neither click nor the lab."""
+"""The command line. Each command imports only what it needs; `serve` does not import the lab."""
 
 import os
 import sys
@@ -11,26 +11,26 @@
 
 
 class Commands(click.Group):
-    """The commands, with the lab looked up only when it is asked for: its libraries are an extra."""
+    """The commands; `lab` is imported only when it is called, because its libraries are an optional extra."""
 
     def list_commands(self, context: click.Context) -> list[str]:
-        """All commands, the lab among them."""
+        """Returns the names of all commands, including `lab`."""
         return sorted([*super().list_commands(context), "lab"])
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        """A command by its name. Without the lab's libraries, asking for the lab ends the process."""
+        """Returns a command by its name. If the libraries of `lab` are missing, `lab` exits with USAGE_ERROR."""
         if name != "lab":
             return super().get_command(context, name)
         try:
             from stoneyoke.lab.cli import lab
         except ImportError as error:
-            click.echo(f"stoneyoke: the lab needs its libraries: pip install .[lab] ({error})", err=True)
+            click.echo(f"stoneyoke: the libraries of the lab are missing: pip install .[lab] ({error})", err=True)
             sys.exit(USAGE_ERROR)
         return lab
 
 
 def own_version() -> str:
-    """The version of this package, also where it is not installed."""
+    """Returns the version of this package, or a text that says that it is not installed."""
     try:
         return version("stoneyoke")
     except PackageNotFoundError:
@@ -40,13 +40,13 @@
 @click.group(cls=Commands)
 @click.version_option(own_version(), prog_name="stoneyoke")
 def main() -> None:
-    """A gateway that holds customers to their quotas before a shared back end."""
+    """A gateway that enforces customers' quotas for requests to shared backends."""
 
 
 @main.command()
 @click.argument("file", required=False, type=click.Path(path_type=Path))
 def serve(file: Path | None) -> None:
-    """One gateway, as FILE or the file that NODE_CONFIG names describes it, until SIGTERM."""
+    """Runs one gateway until SIGTERM, configured by FILE or else by the file that NODE_CONFIG names."""
     from stoneyoke.single_gateway.configuration import CONFIGURATION_VARIABLE
     from stoneyoke.single_gateway.program import main as run
 
@@ -58,7 +58,7 @@
 @main.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def check(file: Path) -> None:
-    """Whether a gateway could start with the configuration FILE."""
+    """Checks whether a gateway could start with the configuration FILE."""
     from stoneyoke.single_gateway import configuration
     from stoneyoke.single_gateway.errors import InvalidConfiguration
 
