--- a/stoneyoke/single_gateway/configuration.py
+++ b/stoneyoke/single_gateway/configuration.py
@@ -1,4 +1,4 @@
-"""Reads the platform's configuration file, and the gateway's own options where the file names some."""
+"""Reads the platform's configuration file, and the gateway's own options if a file of them is named."""
 
 import json
 import os
@@ -19,29 +19,29 @@
 CONFIGURATION_VARIABLE = "NODE_CONFIG"
 OPTIONS_VARIABLE = "STONEYOKE_OPTIONS"
 PORT_MAX = 65_535
-DESCRIPTORS_MIN = 80  # with fewer there is no use in starting
-MEMORY_MIN_MB = 32  # the operators' page: no machine has less
+DESCRIPTORS_MIN = 80  # with fewer file descriptors, a gateway would be of no use, so it does not start
+MEMORY_MIN_MB = 32  # assumed if the limits name none; the operators' page: no machine has less
 
 Address = tuple[str, int]
 
 
 class GatewaySettings(NamedTuple):
-    """What the configuration says, read and checked as a whole.
+    """The whole configuration, read and validated.
 
     Attributes:
-        parameters: The decision logic's.
+        parameters: The decision logic's parameters.
         rpc_definitions: The methods, plans and bounds that the heads of requests are checked against.
         connect_timeout_us: How long to wait for a connection to a backend.
-        idle_timeout_us: After how long without a request a backend closes a connection.
-        response_margin_us: How long before the client's deadline a response has to be written.
-        zones: The zones' names; the decision logic knows them by their place here.
-        descriptors: How many file descriptors the process may use.
-        memory_bytes: How much memory the process may use.
-        listen: Where clients connect to.
-        discovery: Where the discovery service is reached.
-        counter: Where the counter service is reached; None where the settings have none.
+        idle_timeout_us: The time without a request after which a backend closes a connection.
+        response_margin_us: How long before the client's deadline a response must be written.
+        zones: The zones' names; the decision logic identifies a zone by its index in this list.
+        descriptors: The number of file descriptors that the process may use.
+        memory_bytes: The memory that the process may use, in bytes.
+        listen: The address that clients connect to.
+        discovery: The address of the discovery service.
+        counter: The address of the counter service; None if the settings have no counter service.
         counter_timeout_us: How long the decision logic waits for the counter service.
-        known_endpoints: The endpoint list to start with.
+        known_endpoints: The endpoint list at the start.
     """
 
     parameters: GatewayParameters
@@ -59,16 +59,16 @@
     known_endpoints: EndpointUpdate
 
     def own_zone(self) -> str:
-        """The name of this gateway's zone; empty where the settings name none."""
+        """Returns the name of this gateway's zone; an empty string if the settings don't name it."""
         zone = self.parameters.zone
         return str(self.zones[zone]) if zone < len(self.zones) else ""
 
 
 def read_configuration() -> dict[str, Any]:
-    """The content of the file that NODE_CONFIG names.
+    """Returns the content of the file that NODE_CONFIG names.
 
     Raises:
-        InvalidConfiguration: There is none, or it can't be read.
+        InvalidConfiguration: NODE_CONFIG names no file, or the file can't be read.
     """
     path = os.environ.get(CONFIGURATION_VARIABLE)
     if not path:
@@ -79,15 +79,15 @@
     except (OSError, ValueError, RecursionError) as error:
         raise InvalidConfiguration(f"{CONFIGURATION_VARIABLE}: {path!r} can't be read: {error}") from error
     if not isinstance(configuration, dict):
-        raise InvalidConfiguration(f"{CONFIGURATION_VARIABLE}: not an object")
+        raise InvalidConfiguration(f"{CONFIGURATION_VARIABLE}: {path!r} holds no JSON object")
     return configuration
 
 
 def read_settings(configuration: dict[str, Any]) -> GatewaySettings:
-    """Reads and checks the whole configuration.
+    """Reads and validates the whole configuration.
 
     Raises:
-        InvalidConfiguration: The text names the first key that can't be used.
+        InvalidConfiguration: A value is missing or invalid; the text names the first such key.
     """
     settings = required(configuration, "settings", dict)
     parameters = read_parameters(read_seed(configuration), settings)
@@ -112,24 +112,24 @@
 
 
 def read_seed(configuration: dict[str, Any]) -> int:
-    """The seed of the random draws, a hexadecimal number."""
+    """Reads the seed of the random numbers, a hexadecimal number."""
     try:
         return int(required(configuration, "seed", str), 16)
     except ValueError as error:
-        raise InvalidConfiguration(f"'seed' is no hex number: {configuration['seed']!r}") from error
+        raise InvalidConfiguration(f"'seed' is not a hexadecimal number: {configuration['seed']!r}") from error
 
 
 def read_address(table: Any, key: str) -> Address:
-    """Host and port of a table's HOST:PORT."""
+    """Reads host and port of a value of the form HOST:PORT."""
     text = required(table, key, str)
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or int(port) > PORT_MAX:
-        raise InvalidConfiguration(f"{key!r} is no address: {text!r}")
+        raise InvalidConfiguration(f"{key!r} is not an address of the form HOST:PORT: {text!r}")
     return host, int(port)
 
 
 def read_known_endpoints(configuration: dict[str, Any]) -> EndpointUpdate:
-    """The endpoint list to start with."""
+    """Reads the endpoint list at the start."""
     try:
         return read_endpoint_update(required(configuration, "known", dict))
     except MalformedMessage as error:
@@ -137,28 +137,28 @@
 
 
 def read_options(configuration: dict[str, Any]) -> "Options | None":
-    """The gateway's own options, or None where no file of them is named.
+    """Returns the gateway's own options; None if no file of options is named.
 
-    Their library is loaded only where one is, since most platforms name none.
+    The library that reads them is imported only if one is named, because most platforms name none.
 
     Raises:
-        InvalidConfiguration: The file or its library is missing, or the file can't be used.
+        InvalidConfiguration: The file or the library is missing, or the file is invalid.
     """
     named = os.environ.get(OPTIONS_VARIABLE) or configuration.get("options")
     if not named:
         return None
     if not isinstance(named, str):
-        raise InvalidConfiguration(f"'options' names no file: {named!r}")
+        raise InvalidConfiguration(f"'options' is not the name of a file: {named!r}")
     try:
         from stoneyoke.single_gateway.options import read_options_file
     except ImportError as error:
-        message = f"options: their library is missing, pip install .[options] ({error})"
+        message = f"options: the library that reads them is missing: pip install .[options] ({error})"
         raise InvalidConfiguration(message) from error
     return read_options_file(Path(named))
 
 
 def fleet_parameters_of(options: "Options | None", configuration: dict[str, Any]) -> "FleetParameters | None":
-    """The fleet part's parameters, or None where no fleet part is asked for."""
+    """Returns the parameters of the fleet component; None if the options don't enable it."""
     if options is None:
         return None
     from stoneyoke.single_gateway.options import fleet_parameters
