--- a/stoneyoke/single_gateway/counter.py
+++ b/stoneyoke/single_gateway/counter.py
@@ -1,4 +1,4 @@
-"""Queries to the counter service: pipelined, answered in order, given up after the settings' time-out."""
+"""Queries to the counter service: pipelined, answered in order, and abandoned after the time-out of the settings."""
 
 import asyncio
 import math
@@ -13,47 +13,50 @@
 from stoneyoke.runtime.clock import Clock
 from stoneyoke.runtime.metrics import Metrics
 
-# Of the 32 that the protocol page has the counter service hold. A query goes where none is under way, if it can:
-# whatever ends a connection takes all queries on it along.
+# Of the 32 connections that the protocol page has the counter service accept. If possible, a query is sent over a
+# connection without other pending queries, because all pending queries of a connection are lost when it closes.
 CONNECTIONS_MAX = 6
-IDLE_MAX_US = 5_000_000  # the protocol page: closed after 10 s or less, so none is written to beyond this
-SILENT_MAX_US = 1_000_000  # a connection whose oldest query has waited for this long is closed
+# The protocol page: the service closes an idle connection after 10 s or less. A connection that has been idle for more
+# than this time is therefore not used any more.
+IDLE_MAX_US = 5_000_000
+SILENT_MAX_US = 1_000_000  # a connection is closed once its oldest query has waited for longer than this
 HTTP_OK = 200
-QUOTED_BYTES = 40  # of a total that can't be read, in an error message
+QUOTED_BYTES = 40  # of an unreadable total, in an error message
 
 is_number = re.compile(rb"-?[0-9]{1,20}(\.[0-9]{1,20})?([eE][+-]?[0-9]{1,2})?").fullmatch
 
 
 class CounterListener(Protocol):
-    """Who receives the counter service's replies."""
+    """Receives the counter service's replies."""
 
     def counter_replied(self, name: int, added: bool, total: float) -> None:
-        """A query has ended (see CounterReply)."""
+        """Receives the result of a query (see CounterReply)."""
 
 
 class CounterQuery:
-    """A query that is not answered yet, or that is given up on and still to be answered in its turn."""
+    """A query whose reply is pending. After its time-out, it stays in the queue until its reply arrives in its turn."""
 
     __slots__ = ("done", "name", "sent_at")
 
     def __init__(self, name: int, sent_at: int) -> None:
-        """Takes the counter's name and the time in microseconds."""
+        """Takes the counter's name and the time of sending, in microseconds."""
         self.name, self.sent_at, self.done = name, sent_at, False
 
 
 class CounterConnection:
-    """A connection to the counter service with its queries in order. The task that reads it ends with it.
+    """A connection to the counter service, with its queries in order. The task that reads it ends when it closes.
 
     Attributes:
-        queries: Those that are not answered, the oldest first.
-        writer: None while it connects.
-        unsent: What is to be written once it is up; as many queries as their time-out lets come.
-        used_at: When the last query was sent.
-        closed: Nothing is sent over it any more.
+        queries: The queries without a reply, the oldest first.
+        writer: Writes to the connection; None while it is being established.
+        unsent: The queries to write once the connection is established. Their number is bounded because a connection
+            attempt lasts no longer than their time-out.
+        used_at: When the last query was sent, in microseconds.
+        closed: The connection is closed; nothing is sent over it any more.
     """
 
     def __init__(self, address: tuple[str, int]) -> None:
-        """Takes the address to connect to."""
+        """Takes the address to connect to; the connection is not established yet."""
         self.address = address
         self.queries: deque[CounterQuery] = deque()
         self.writer: asyncio.StreamWriter | None = None
@@ -62,13 +65,13 @@
         self.closed = False
 
     def is_expired(self, now: int) -> bool:
-        """Whether it is near the service's idle time-out, or it has not answered its oldest query for too long."""
+        """Whether the connection is near the service's idle time-out, or its oldest query has waited for too long."""
         if self.queries:
             return now - self.queries[0].sent_at > SILENT_MAX_US
         return now - self.used_at > IDLE_MAX_US
 
     def write(self, *parts: bytes) -> None:
-        """Writes a query, now or once the connection is up."""
+        """Writes a query, immediately or once the connection is established."""
         if self.writer:
             self.writer.writelines(parts)
         else:
@@ -79,20 +82,20 @@
     """Adds to counters over a few connections, and reports the totals.
 
     Attributes:
-        connections: Those to where the service is now.
-        tasks: One reader for each connection, also for those that only finish after a move.
+        connections: The connections to the service's current address.
+        tasks: The task of each connection; also of connections to a former address that still have queries.
     """
 
     def __init__(
         self, clock: Clock, metrics: Metrics, listener: CounterListener, address: tuple[str, int], timeout_us: int
     ) -> None:
-        """Connects with the first query.
+        """Starts without connections; the first query opens one.
 
         Args:
             clock: The process's clock.
-            metrics: Counts the queries by their end.
-            listener: Receives each reply once.
-            address: Where the service is.
+            metrics: Counts the queries by outcome.
+            listener: Receives the result of each query once.
+            address: The address of the service.
             timeout_us: How long to wait for a reply.
         """
         self.clock, self.metrics, self.listener, self.timeout_us = clock, metrics, listener, timeout_us
@@ -101,7 +104,7 @@
         self.set_address(address)
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Sends queries to another address from now on. Those under way elsewhere may still be answered there."""
+        """Sets the service's address for further queries. Pending queries to a former address may still be answered."""
         self.address, self.host = address, b"Host: %s:%d\r\n\r\n" % (address[0].encode(), address[1])
         for connection in [candidate for candidate in self.connections if candidate.address != address]:
             self.connections.remove(connection)
@@ -129,10 +132,10 @@
     # ---- connections ----
 
     def pick_connection(self, now: int) -> CounterConnection:
-        """A connection without queries, else a new one.
+        """Returns a connection without pending queries if there is one, else a new one.
 
-        At the limit, one whose queries are not overdue, or else a new one in place of the one that has been silent
-        longest.
+        At the limit of connections, returns the one with the fewest queries of those whose oldest query has not timed
+        out. If all have timed out, closes the one with the oldest query, and returns a new one.
         """
         for connection in list(self.connections):
             if connection.is_expired(now):
@@ -150,7 +153,7 @@
         return self.open_connection()
 
     def open_connection(self) -> CounterConnection:
-        """A connection that is being made; queries are kept until it is up."""
+        """Starts to open a connection, and returns it; queries are stored in it until it is established."""
         connection = CounterConnection(self.address)
         self.connections.append(connection)
         task = asyncio.get_running_loop().create_task(self.serve(connection))
@@ -159,7 +162,7 @@
         return connection
 
     def close(self, connection: CounterConnection) -> None:
-        """Closes a connection. Its queries end as its reader does."""
+        """Closes a connection. The task that reads it then ends its queries."""
         if not connection.closed:
             connection.closed = True
             if connection in self.connections:
@@ -168,7 +171,7 @@
                 connection.writer.transport.abort()
 
     async def serve(self, connection: CounterConnection) -> None:
-        """Connects, and reads replies until the connection ends; then its last queries are lost."""
+        """Connects, and reads replies until the connection closes; queries that are pending then are lost."""
         try:
             responses = await self.connect(connection)
             if responses is not None:
@@ -177,17 +180,25 @@
             self.metrics.add("counter: connections lost")
         except MalformedMessage as error:
             self.metrics.report("counter: malformed responses", str(error))
-            if connection.queries:  # the amount was added, and the total can't be read
+            if connection.queries:  # the amount was added, but the total is not known
                 self.finish(connection.queries.popleft(), "total unreadable", added=True, total=math.nan)
         finally:
             self.close(connection)
-            # If it never came up, the service got nothing; else what it has added is not known.
+            # If the connection was never established, the service has added nothing; else, it is not known whether it
+            # has added the amounts.
             lost_total = math.nan if connection.writer else 0.0
             for query in connection.queries:
                 self.finish(query, "connection lost", added=False, total=lost_total)
 
     async def connect(self, connection: CounterConnection) -> MessageReader | None:
-        """Opens a connection and writes the queries that wait for it; None if it was closed meanwhile."""
+        """Opens a connection and writes the queries that wait for it.
+
+        Returns:
+            The reader of its replies; None if the connection was closed in the meantime.
+
+        Raises:
+            OSError: The connection is refused, fails, or takes too long.
+        """
         protocol, writer = await connect(connection.address, self.timeout_us / 1_000_000)
         if connection.closed:
             writer.transport.abort()
@@ -200,37 +211,48 @@
     # ---- replies ----
 
     async def read_replies(self, connection: CounterConnection, responses: MessageReader) -> None:
-        """Matches replies to queries, in order, until the connection ends or has nothing left to do."""
+        """Matches replies to queries, in order.
+
+        Returns once the connection is closed, or once it has no pending queries after a change of the address.
+
+        Raises:
+            MalformedMessage: A reply is malformed, or belongs to no query.
+            OSError: The connection breaks.
+        """
         while response := await responses.next():
             if not connection.queries:
-                raise MalformedMessage("an answer to no call")
+                raise MalformedMessage("reply without a pending query")
             self.process_reply(connection.queries, response)
             moved = connection not in self.connections
             if not response.keep_alive or (moved and not connection.queries):
                 return
 
     def process_reply(self, queries: deque[CounterQuery], response: Message) -> None:
-        """Ends the oldest query with its reply."""
+        """Ends the oldest query with its reply.
+
+        Raises:
+            MalformedMessage: The body is not a number.
+        """
         if response.status != HTTP_OK:
             self.finish(queries.popleft(), "rejected", added=False)
             return
         if not is_number(response.body):
-            raise MalformedMessage(f"a total that is no number: {response.body[:QUOTED_BYTES]!r}")
+            raise MalformedMessage(f"total is not a number: {response.body[:QUOTED_BYTES]!r}")
         self.finish(queries.popleft(), "answered", added=True, total=float(response.body))
 
     def give_up(self, query: CounterQuery) -> None:
-        """Ends a query at its time-out; its reply may still come and then finds nobody."""
+        """Ends a query at its time-out. Its reply may still arrive, and is then ignored."""
         self.finish(query, "no answer in time", added=False)
 
     def finish(self, query: CounterQuery, outcome: str, *, added: bool, total: float = 0.0) -> None:
-        """Reports a query's end, once.
+        """Reports the result of a query, once.
 
         Args:
             query: The query.
-            outcome: How it ended, for the name of the counter in the metrics.
-            added: The service has added the amount.
-            total: The counter's total after the addition. NaN: with `added`, the total is not known; without, the
-                query was lost with its connection, which says nothing of the service.
+            outcome: How it ended, for the name of its counter in the metrics.
+            added: Whether the service has added the amount, as far as is known.
+            total: The counter's total after the addition. NaN means, if `added`, that the total is not known; else,
+                that the query was lost with its connection, which is no evidence against the service.
         """
         if not query.done:
             query.done = True
