--- a/stoneyoke/single_gateway/endpoint_table.py
+++ b/stoneyoke/single_gateway/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The backends that discovery lists, with the decision logic's indices and their addresses."""
+"""The backends that discovery lists, with their addresses and the decision logic's indices."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -12,22 +12,22 @@
 
 
 class AddressBook(Protocol):
-    """Who connects to backends, and so has to know where they are."""
+    """Receives the backends' addresses; implemented by the component that connects to them."""
 
     def set_address(self, backend: int, address: Address) -> None:
-        """Sets where a backend is reached."""
+        """Sets a backend's address."""
 
     def remove(self, backend: int) -> None:
-        """Forgets a backend."""
+        """Removes a backend."""
 
 
 class EndpointTable:
-    """Turns discovery's updates into the decision logic's events, and keeps the addresses in step.
+    """Converts discovery's updates to events for the decision logic, and updates the backends' addresses.
 
     Attributes:
         indices: The index of each backend that is listed, or that the decision logic still has a row for.
         address_by_name: The address of each backend that is not gone.
-        endpoint_by_address: Who is reached at each of these addresses.
+        endpoint_by_address: The backend at each of these addresses.
     """
 
     def __init__(self, zones: list[str], addresses: AddressBook, is_in_use: Callable[[int], bool]) -> None:
@@ -36,7 +36,7 @@
         Args:
             zones: The zones' names, in the order of the settings.
             addresses: Receives each backend's address.
-            is_in_use: Whether the decision logic still has a row for a backend.
+            is_in_use: Returns whether the decision logic still has a row for a backend.
         """
         self.zones, self.addresses, self.is_in_use = zones, addresses, is_in_use
         self.indices = IdIndex[str]()  # released by release_unused()
@@ -44,7 +44,7 @@
         self.endpoint_by_address: dict[Address, ListedEndpoint] = {}
 
     def apply(self, update: EndpointUpdate) -> EndpointsChanged:
-        """Applies an update; returns the event for the decision logic."""
+        """Applies an update, and returns the event for the decision logic."""
         if update.complete:
             for name in self.address_by_name.keys() - {endpoint.name for endpoint in update.endpoints}:
                 self.remove_address(name)
@@ -59,9 +59,10 @@
         return EndpointsChanged(update.complete, False, list(changed.values()))
 
     def resolve_address_conflict(self, endpoint: ListedEndpoint, changed: dict[str, Endpoint]) -> None:
-        """One address is one backend: of two that are listed for it, the one with precedence stays.
+        """Marks one of two backends that are listed with the same address as gone, and leaves the one with precedence.
 
-        A backend that starts anew under another name is listed while its former self still is.
+        An address belongs to one backend only. A backend that has restarted under another name can be listed while its
+        former name is still listed.
         """
         current = self.endpoint_by_address.get(endpoint.address)
         if endpoint.state is BackendState.GONE or current is None or current.name == endpoint.name:
@@ -73,7 +74,7 @@
             changed[current.name] = self.to_event(current)
 
     def set_address(self, endpoint: ListedEndpoint) -> None:
-        """A backend is reached at its endpoint's address from now on."""
+        """Sets the address of a backend to that of its endpoint."""
         if self.address_by_name.get(endpoint.name) != endpoint.address:
             self.remove_address(endpoint.name)
         self.address_by_name[endpoint.name] = endpoint.address
@@ -81,13 +82,13 @@
         self.addresses.set_address(self.indices.acquire(endpoint.name), endpoint.address)
 
     def remove_address(self, name: str) -> None:
-        """A backend is not reached any more."""
+        """Removes the address of a backend, if it has one."""
         if address := self.address_by_name.pop(name, None):
             del self.endpoint_by_address[address]
             self.addresses.remove(self.indices.index_by_id[name])
 
     def to_event(self, endpoint: ListedEndpoint) -> Endpoint:
-        """An endpoint as the decision logic's event has it. One that is gone loses its address."""
+        """Converts an endpoint to the form of the decision logic's event; removes the address of one that is gone."""
         if endpoint.state is BackendState.GONE:
             self.remove_address(endpoint.name)
         known_zone = endpoint.zone in self.zones
@@ -105,7 +106,7 @@
         return address is not None and self.endpoint_by_address[address].state is BackendState.READY
 
     def ready(self) -> list[KnownBackend]:
-        """All backends that take new requests, by the latest update."""
+        """Returns all backends that take new requests, by the latest update."""
         return [
             KnownBackend(self.indices.index_by_id[endpoint.name], endpoint.name, endpoint.zone, endpoint.started_us)
             for endpoint in self.endpoint_by_address.values()
@@ -113,12 +114,12 @@
         ]
 
     def release_unused(self) -> None:
-        """Releases the indices of backends that are gone and have no row left. Called several times a second."""
+        """Releases the indices of backends that are gone and have no row any more. Called several times a second."""
         for name, backend in list(self.indices.index_by_id.items()):
             if name not in self.address_by_name and not self.is_in_use(backend):
                 self.indices.release(backend)
 
 
 def precedence(endpoint: ListedEndpoint) -> tuple[bool, int]:
-    """The order of endpoints that share an address, the one to keep first: ready before draining, then the youngest."""
+    """Sort key of endpoints that share an address, the preferred one first: ready before draining, then youngest."""
     return endpoint.state is not BackendState.READY, -endpoint.started_us
