--- a/stoneyoke/single_gateway/endpoints.py
+++ b/stoneyoke/single_gateway/endpoints.py
@@ -9,9 +9,9 @@
 
 PORTS = 65_536
 STATES = {"active": BackendState.READY, "leaving": BackendState.DRAINING, "left": BackendState.GONE}
-QUOTED_CHARACTERS = 80  # of a list that can't be read, in an error message
+QUOTED_CHARACTERS = 80  # of a malformed list, in an error message
 
-is_host = re.compile(r"[0-9A-Za-z._:-]{1,253}").fullmatch  # what a name or a numeric address can be made of
+is_host = re.compile(r"[0-9A-Za-z._:-]{1,253}").fullmatch  # the characters of a host name or a numeric address
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
@@ -21,10 +21,10 @@
     Attributes:
         name: The backend's name, the same for all gateways.
         address: Host and port.
-        state: What discovery says of it, or GONE once another backend has taken over its address.
-        zone: Its zone's name.
-        cell: Its number within the zone.
-        started_us: When its process started; 0: not known, or long ago.
+        state: The state that discovery reports, or GONE once another backend has taken over its address.
+        zone: The name of its zone.
+        cell: The number of its cell within its zone.
+        started_us: When its process started, in microseconds; 0 if that is not known, or long ago.
     """
 
     name: str
@@ -36,13 +36,14 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """What one response of discovery says.
+    """The content of one response of discovery.
 
     Attributes:
-        position: The list's version, from which the next query goes on.
-        complete: Backends that are not listed are gone. Else these are only the ones that changed.
-        endpoints: What can be used of the list.
-        omitted: Why the last endpoint that was left out can't be used; empty if all can.
+        position: The version of the list, from which the next query continues.
+        complete: Whether this is the whole list, so that backends that are not in it are gone. Else, it holds only the
+            backends that have changed.
+        endpoints: The valid endpoints of the list.
+        omitted: Why the last endpoint that was left out is invalid; empty if all are valid.
     """
 
     position: int
@@ -52,10 +53,10 @@
 
 
 def read_endpoint(row: Any) -> ListedEndpoint:
-    """One row of a list.
+    """Reads one row of a list.
 
     Raises:
-        MalformedMessage: The row lacks something, or a backend that is not gone has no usable address.
+        MalformedMessage: A field is missing or invalid, or a backend that is not gone has no valid address.
     """
     try:
         name, state = str(row["name"]), STATES[row["status"]]
@@ -69,31 +70,32 @@
             started_us=max(0, int(row.get("since_ms", 0))) * 1000,
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise MalformedMessage(f"an entry that can't be used: {row!r}") from error
+        raise MalformedMessage(f"endpoint has a missing or invalid field: {row!r}") from error
     if endpoint.state is not BackendState.GONE and not is_usable_address(endpoint.address):
-        raise MalformedMessage(f"an entry without an address of use: {row!r}")
+        raise MalformedMessage(f"endpoint has no valid address: {row!r}")
     return endpoint
 
 
 def is_usable_address(address: tuple[str, int]) -> bool:
-    """Whether something can be reached at an address."""
+    """Whether an address has a valid host and port."""
     host, port = address
     return bool(is_host(host)) and 0 < port < PORTS
 
 
 def read_endpoint_update(value: Any) -> EndpointUpdate:
-    """Reads a list, and leaves out the rows that can't be used.
+    """Reads a list, and leaves out the invalid rows.
 
-    A complete list with such a row counts as changes only, since the row may stand for a backend that is not gone.
+    A complete list with an invalid row is treated as a list of changes, because that row may describe a backend that is
+    not gone.
 
     Raises:
-        MalformedMessage: The value is no list of endpoints.
+        MalformedMessage: The value is not a list of endpoints.
     """
     try:
         position, complete = int(value["index"]), bool(value["snapshot"])
         rows = list(value["endpoints"])
     except (KeyError, TypeError, ValueError, OverflowError) as error:
-        raise MalformedMessage(f"not a list of backends: {str(value)[:QUOTED_CHARACTERS]}") from error
+        raise MalformedMessage(f"not a list of endpoints: {str(value)[:QUOTED_CHARACTERS]}") from error
     endpoints, omitted = [], ""
     for row in rows:
         try:
