--- a/stoneyoke/single_gateway/errors.py
+++ b/stoneyoke/single_gateway/errors.py
@@ -1,8 +1,8 @@
-"""Errors of the single gateway as a program."""
+"""Errors of the single gateway's program."""
 
 
 class InvalidConfiguration(Exception):
-    """The configuration, the settings or the options lack something needed, or hold something unusable.
+    """The configuration, its settings or the options lack a required value or have an invalid one.
 
-    The text names the key and the reason, and never holds a secret.
+    The text names the key and the reason, and never contains a secret.
     """
