--- a/stoneyoke/single_gateway/parameters.py
+++ b/stoneyoke/single_gateway/parameters.py
@@ -1,4 +1,4 @@
-"""Makes the decision logic's parameters of the settings, as the operators' object names them."""
+"""Converts the settings, with the keys that the operators use, to the decision logic's parameters."""
 
 import math
 from typing import Any
@@ -15,16 +15,16 @@
 
 
 def required(table: Any, key: str, kind: type, minimum: float = 0.0) -> Any:
-    """A value that a table has to hold.
+    """Returns a required value of a table.
 
     Args:
-        table: What was read; anything but an object lacks every key.
+        table: The table as it was read; anything other than an object has no keys.
         key: The value's key.
-        kind: The value's type; for int and float, any finite number from the minimum on.
-        minimum: The smallest number that can be used.
+        kind: The value's type; int and float accept any finite number that is not below the minimum.
+        minimum: The smallest valid number.
 
     Raises:
-        InvalidConfiguration: The value is missing, or of another type, or too small.
+        InvalidConfiguration: The value is missing, has another type, or is too small.
     """
     value = table.get(key) if isinstance(table, dict) else None
     if kind in (int, float):
@@ -33,19 +33,19 @@
                 return kind(value)
     elif isinstance(value, kind):
         return value
-    raise InvalidConfiguration(f"{key!r} is missing or unusable: {value!r}")
+    raise InvalidConfiguration(f"{key!r} is missing or invalid: {value!r}")
 
 
 def read_method(row: Any) -> Method:
-    """One row of "classes"."""
+    """Reads one row of "classes"."""
     effect = required(row, "effect", str)
     if effect not in IDEMPOTENCY_BY_EFFECT:
-        raise InvalidConfiguration(f"'effect' is unusable: {effect!r}")
+        raise InvalidConfiguration(f"'effect' has an unknown value: {effect!r}")
     scope = row.get("group", "cell")
     idempotency = IDEMPOTENCY_BY_EFFECT[effect]
     deduplicated = idempotency is Idempotency.DEDUPLICATED
     if deduplicated and scope not in SCOPES:
-        raise InvalidConfiguration(f"'group' is unusable: {scope!r}")
+        raise InvalidConfiguration(f"'group' has an unknown value: {scope!r}")
     return Method(
         idempotency=idempotency,
         deduplication_scope=DeduplicationScope(scope) if deduplicated else DeduplicationScope.CELL,
@@ -57,7 +57,7 @@
 
 
 def read_plan(row: Any) -> Plan:
-    """One row of "tariffs"."""
+    """Reads one row of "tariffs"."""
     return Plan(
         rate=required(row, "units-per-s", float),
         burst=required(row, "depth", float),
@@ -69,11 +69,11 @@
 
 
 def read_parameters(seed: int, settings: Any) -> GatewayParameters:
-    """The parameters that the settings give.
+    """Returns the parameters that the settings specify.
 
     Args:
-        seed: Of the decision logic's random draws.
-        settings: The operators' object.
+        seed: The seed of the decision logic's random numbers.
+        settings: The object of settings, as the operators write it.
 
     Raises:
         InvalidConfiguration: The text names the key.
