--- a/stoneyoke/single_gateway/program.py
+++ b/stoneyoke/single_gateway/program.py
@@ -1,4 +1,4 @@
-"""The single gateway as a process: its parts, its signals, its reload and its end."""
+"""The process of a single gateway: its components, signals, reload and shutdown."""
 
 import asyncio
 import gc
@@ -33,23 +33,25 @@
     from stoneyoke.fleet.parameters import FleetParameters
     from stoneyoke.fleet.transport import FleetTransport
 
-MAINTENANCE_S = 0.25  # the shortest time-out that it ends, 2 s, has to be kept within 3
-ACCEPT_QUEUE = 1024  # connections that may wait to be accepted; the system cuts it down to what it allows
-OWN_DESCRIPTORS = 24  # standard streams, the event loop's, the listener, the counter's and discovery's
-RESERVE_DIVISOR = 8  # one descriptor of so many is kept in reserve, and another one for what is being accepted
-ITERATIONS_UNTIL_CLOSED = 5  # of the event loop, until a connection that is closed for another one is gone
-# Divisor of the memory, for the body of one response: backends send more than the 64 KiB of the protocol page.
+MAINTENANCE_S = 0.25  # the shortest time-out that is checked at this interval, 2 s, must take effect within 3 s
+ACCEPT_QUEUE = 1024  # connections that may wait to be accepted; the system reduces it to its own limit
+OWN_DESCRIPTORS = 24  # standard streams, event loop, listener, counter and discovery
+# The descriptors divided by this are kept in reserve, and as many again for connections that are being accepted.
+RESERVE_DIVISOR = 8
+ITERATIONS_UNTIL_CLOSED = 5  # of the event loop, until an evicted connection is closed
+# The body of one response may use the memory divided by this: backends send more than the protocol page's 64 KiB.
 RESPONSE_MEMORY_DIVISOR = 32
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
 EXIT_OK, EXIT_FAILURE, EXIT_INVALID_CONFIGURATION = 0, 1, 2
 
 
 class SingleGatewayProgram:
-    """The parts of a gateway, put together from its settings.
+    """The components of a gateway, created from its settings.
 
     Attributes:
-        settings: What the process was started with, with the addresses of the last reload.
-        peers: The fleet part, if there is one.
+        settings: The settings of the last reload, or of the start. Of a reload, only the addresses of discovery and the
+            counter service have an effect.
+        peers: The fleet component; None if it is off.
         server: The listener; set by start().
         maintenance: The periodic task; set by start().
     """
@@ -58,12 +60,12 @@
     maintenance: asyncio.Task[None]
 
     def __init__(self, settings: GatewaySettings, fleet_parameters: "FleetParameters | None" = None) -> None:
-        """Puts the parts together; nothing is opened yet."""
+        """Creates the components; opens no socket yet."""
         self.settings = settings
         self.clock, self.metrics = Clock(), Metrics()
         self.runtime = Runtime(settings.parameters, self.clock, self.metrics)
-        # Until a connection that is closed for another one is gone, some turns of the event loop pass, and each turn
-        # accepts as many connections as it is let.
+        # It takes some iterations of the event loop until an evicted connection is closed. Each iteration accepts up to
+        # accepts_per_iteration connections in the meantime, which use the reserve.
         reserve = settings.descriptors // RESERVE_DIVISOR
         self.accepts_per_iteration = max(1, reserve // ITERATIONS_UNTIL_CLOSED)
         descriptor_budget = DescriptorBudget(settings.descriptors - OWN_DESCRIPTORS - 2 * reserve, reserve)
@@ -82,7 +84,7 @@
         self.peers = self.make_peers(fleet_parameters) if fleet_parameters else None
 
     def make_counter(self) -> CounterClient | None:
-        """The counter service's client, if the settings have such a service."""
+        """Creates the client of the counter service; None if the settings have no counter service."""
         settings = self.settings
         if settings.counter is None:
             return None
@@ -91,7 +93,7 @@
         return counter
 
     def make_peers(self, fleet_parameters: "FleetParameters") -> "FleetTransport":
-        """The fleet part. Its package is imported only where there is one."""
+        """Creates the fleet component. Its package is imported only if the component is on."""
         from stoneyoke.fleet import transport
 
         zone = self.settings.own_zone()
@@ -103,7 +105,7 @@
         if self.peers:
             self.peers.set_backends(self.endpoints.ready())
 
-    # ---- start, reload and end ----
+    # ---- start, reload and shutdown ----
 
     async def run(self) -> None:
         """Serves until SIGTERM or SIGINT."""
@@ -114,15 +116,15 @@
         loop.add_signal_handler(signal.SIGUSR1, self.log_counts)
         await self.start()
         gc.collect()
-        gc.freeze()  # what is there now stays: later collections need not look at it
+        gc.freeze()  # the objects that exist now live as long as the process, so later collections skip them
         await shutdown_requested.wait()
         await self.shut_down()
 
     async def start(self) -> None:
-        """Opens the listener and starts the watches.
+        """Opens the listener, and starts the watch on discovery and the maintenance.
 
         Raises:
-            OSError: An address can't be had.
+            OSError: An address can't be bound.
         """
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self.handle_loop_exception)
@@ -135,7 +137,8 @@
         self.server = await loop.create_server(
             self.clients.make_protocol, sock=listener, backlog=self.accepts_per_iteration
         )
-        # create_server() has set the system's queue to what a turn of the event loop accepts; more may wait.
+        # create_server() has limited the system's accept queue to `backlog`, which it also uses as the number of
+        # connections to accept per iteration of the event loop. More connections may wait in the queue.
         listener.listen(ACCEPT_QUEUE)
         parameters = self.runtime.parameters
         logger.info(
@@ -143,17 +146,18 @@
         )
 
     def reload(self) -> None:
-        """After SIGHUP: follows discovery and counter to where the file says now, and keeps all that is known.
+        """After SIGHUP, uses the addresses of discovery and counter service in the file, and keeps all other state.
 
-        Whatever else the file says counts from the next start on. A file that can't be used changes nothing.
+        With a fleet component, also its seeds and keys are updated. Other changes of the file have an effect only at
+        the next start. An invalid file changes nothing.
         """
         try:
             configuration = read_configuration()
             settings, options = read_settings(configuration), read_options(configuration)
             fleet_parameters = fleet_parameters_of(options, configuration)
-        except Exception as error:  # outermost guard: whatever is wrong with a file must not reach what runs
+        except Exception as error:  # outermost guard: an error in a file must not affect the running gateway
             self.metrics.add("reloads: unusable")
-            logger.error("reload: the new configuration can't be used, the old configuration stays: {}", error)
+            logger.error("reload: the new configuration is invalid, the old configuration stays: {}", error)
             return
         self.metrics.add("reloads")
         if settings.discovery != self.settings.discovery:
@@ -166,8 +170,8 @@
         logger.info("reload: discovery at {}, counter at {}", settings.discovery, settings.counter)
 
     async def shut_down(self) -> None:
-        """After SIGTERM: lets clients go elsewhere, answers what is open, and ends."""
-        logger.info("SIGTERM: serves on for a moment while clients turn to other gateways, then answers open requests")
+        """After SIGTERM, drains the clients, answers the pending requests, and stops."""
+        logger.info("SIGTERM: serving continues while clients change to other gateways, then pending requests finish")
         if self.peers:
             self.peers.leave()
         await self.clients.drain()
@@ -178,7 +182,7 @@
         self.log_counts()
 
     async def maintain(self) -> None:
-        """Ends what is overdue, several times a second."""
+        """Closes expired connections, checks for orphaned attempts, and releases unused indices, at an interval."""
         while True:
             await asyncio.sleep(MAINTENANCE_S)
             self.backends.close_expired()
@@ -189,13 +193,13 @@
     # ---- log ----
 
     def log_counts(self) -> None:
-        """Logs all counters, on one line."""
+        """Logs all counters on one line."""
         logger.info("counts: {}", self.metrics.summary())
 
     def handle_loop_exception(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Logs and counts what nothing else has caught; the gateway serves on."""
+        """Logs and counts an error that nothing else has handled; the gateway continues."""
         logger.opt(exception=context.get("exception")).error(
-            "The event loop reports an error that nothing caught; the gateway serves on: {}", context.get("message")
+            "The event loop reports an unhandled error; the gateway continues: {}", context.get("message")
         )
         self.metrics.check_invariant(False, "event loop")
 
