--- a/stoneyoke/single_gateway/request_head.py
+++ b/stoneyoke/single_gateway/request_head.py
@@ -1,4 +1,4 @@
-"""Reads an RPC's request line and headers strictly: whatever is not plainly right is malformed."""
+"""Reads an RPC's request line and headers strictly: anything that is not clearly valid is malformed."""
 
 import math
 import re
@@ -9,15 +9,15 @@
 from stoneyoke.net.message_reader import Message
 from stoneyoke.runtime.pending_request import RequestDescription
 
-DEADLINE_MAX_S = 3600.0  # a longer one is taken for a mistake
-CUSTOMER_IDS = 1 << 33
+DEADLINE_MAX_S = 3600.0  # a longer deadline is rejected as a mistake
+CUSTOMER_IDS = 1 << 33  # the number of valid customer numbers, from 0
 QUOTED_BYTES = 40  # of a header's value, in an error message
-UNITS_TOLERANCE = 1 + 1e-6  # the settings' figure and a client's may differ in the last digit of single precision
+UNITS_TOLERANCE = 1 + 1e-6  # the settings' number and a client's may differ in the last digit of single precision
 
-is_decimal = re.compile(rb"[0-9]{1,10}(\.[0-9]{1,20})?").fullmatch  # no sign, blank, exponent or word
+is_decimal = re.compile(rb"[0-9]{1,10}(\.[0-9]{1,20})?").fullmatch  # no sign, space, exponent or word
 is_whole_number = re.compile(rb"[0-9]{1,10}").fullmatch
 is_customer_id = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
-is_token = re.compile(rb"[!-~]{1,255}").fullmatch  # what passes on to a backend has visible bytes only
+is_token = re.compile(rb"[!-~]{1,255}").fullmatch  # only visible ASCII is forwarded to a backend
 is_target = re.compile(rb"[!-~]+").fullmatch
 is_text = re.compile(rb"[ -~]*").fullmatch
 
@@ -34,21 +34,21 @@
         b"req-retry",
     )
 )
-"""Headers that must not come twice: two readers could take different ones for valid."""
+"""Headers that must not be repeated, because two readers could use different ones of their values."""
 
 QUOTA_FIELDS = frozenset((b"units", b"spread", b"first"))
 
 
 class RpcDefinitions:
-    """The names and numbers that a request's head can hold under the settings in force.
+    """The methods, plans and limits of the settings, which the heads of RPCs are checked against.
 
     Attributes:
         methods: The number of each method, by name.
         plans: The number of each plan, by name.
         idempotency: The idempotency of each method, by number.
-        gateways: How many gateways there are.
-        clients_mark_retries: Clients say which of their requests are retries.
-        units_max: The largest cost of one RPC; infinite where the settings have none.
+        gateways: The number of gateways.
+        clients_mark_retries: Whether clients mark those of their requests that are retries.
+        units_max: The largest cost of one RPC; infinite if the settings have no limit.
     """
 
     def __init__(self, methods: list[str], plans: list[str], parameters: GatewayParameters) -> None:
@@ -63,11 +63,11 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class RpcHead(RequestDescription):
-    """What a request's head says, checked.
+    """The content of a request's head, validated.
 
     Attributes:
         id: The RPC's identifier, which the client chose.
-        wait_us: How long the client waits for the response.
+        wait_us: How long the client waits for the response, in microseconds.
     """
 
     id: bytes
@@ -78,8 +78,8 @@
     """Reads a request's head.
 
     Raises:
-        MalformedMessage: Something is missing, repeated, unknown or out of its bounds. Its status is the
-            client's: 404 for a method's name, 405 for an HTTP method, else 400.
+        MalformedMessage: A value is missing, repeated, unknown or out of range. The status for the client is 404 for
+            an unknown RPC method, 405 for a wrong HTTP method, else 400.
     """
     if message.repeated and (repeated := message.repeated & SINGLE_HEADERS):
         raise MalformedMessage(f"{min(repeated).decode()} comes twice")
@@ -110,7 +110,11 @@
 
 
 def check_request_line(message: Message, name: bytes, idempotency: Idempotency) -> None:
-    """Checks that path, HTTP method and body are those of the RPC method that the headers name."""
+    """Checks that path, HTTP method and body match the RPC method that the headers name.
+
+    Raises:
+        MalformedMessage: One of them does not match.
+    """
     path = message.target.partition(b"?")[0]
     if not path.startswith(b"/") or path.split(b"/", 2)[1] != name or not is_target(message.target):
         raise MalformedMessage(f"a path that is not one of {name[:QUOTED_BYTES]!r}")
@@ -121,7 +125,11 @@
 
 
 def read_customer_and_deadline(message: Message) -> tuple[int, int]:
-    """The customer's number, and how long the client waits in microseconds."""
+    """Returns the customer's number, and how long the client waits, in microseconds.
+
+    Raises:
+        MalformedMessage: One of the two headers is missing or invalid.
+    """
     customer, deadline = required_header(message, b"x-customer"), required_header(message, b"req-deadline")
     if not is_customer_id(customer) or (customer_id := int(customer, 16)) >= CUSTOMER_IDS:
         raise MalformedMessage("x-customer is no 16 hex digits under 2^33")
@@ -131,7 +139,11 @@
 
 
 def required_header(message: Message, name: bytes) -> bytes:
-    """The value of a header that each RPC has. Raises MalformedMessage where it is missing or unreadable."""
+    """Returns the value of a required header.
+
+    Raises:
+        MalformedMessage: The header is missing, or its value is not a token.
+    """
     value = message.headers.get(name)
     if not value or not is_token(value):
         raise MalformedMessage(f"{name.decode()} {'can not be read' if value else 'is missing'}")
@@ -139,10 +151,10 @@
 
 
 def read_quota(text: bytes, definitions: RpcDefinitions) -> tuple[float, float]:
-    """The RPC's cost in units, and the number of gateways that its customer's RPCs come through.
+    """Returns the RPC's cost in units, and the number of gateways that receive its customer's RPCs.
 
     Raises:
-        MalformedMessage: The header has another form than `units=U,spread=N,first=I`, or a number out of bounds.
+        MalformedMessage: The header does not have the form `units=U,spread=N,first=I`, or a number is out of range.
     """
     parts = [part.partition(b"=") for part in text.split(b",")]
     fields = {name: value for name, _, value in parts}
