--- a/stoneyoke/single_gateway/rpc_handler.py
+++ b/stoneyoke/single_gateway/rpc_handler.py
@@ -1,4 +1,4 @@
-"""Answers the RPCs of clients: reads the head, asks the decision logic, and forwards to backends as it decides."""
+"""Answers the RPCs of clients: reads the head, requests decisions of the decision logic, and forwards to backends."""
 
 import asyncio
 
@@ -17,22 +17,23 @@
 from stoneyoke.single_gateway.configuration import GatewaySettings
 from stoneyoke.single_gateway.request_head import QUOTED_BYTES, is_text, read_rpc_head
 
-# The protocol page: after SIGTERM clients use the connections that they have for as long as these stay open, and
-# SIGKILL comes no earlier than KILL_MARGIN_S plus the longest deadline, which counts as DEADLINE_MIN_S if it is
-# shorter. Four tenths of that are spent on serving as before, since the gateways beside this one may be ending too;
-# requests that come last still have the rest.
+# The protocol page: after SIGTERM, clients use their existing connections for as long as these stay open, and SIGKILL
+# follows no earlier than KILL_MARGIN_S plus the longest deadline, which counts as DEADLINE_MIN_S if it is shorter. For
+# DRAIN_S, four tenths of that time, requests are served as before, because other gateways may be shutting down as well.
+# The rest of the time is left for the requests that arrive last.
 KILL_MARGIN_S = 0.7
 DEADLINE_MIN_S = 3.0
 DRAIN_S = 1.5
-ATTEMPT_TIMEOUT_MIN_S = 0.001  # the shortest time that a backend is given
+ATTEMPT_TIMEOUT_MIN_S = 0.001  # the shortest Req-Deadline that is sent to a backend
 
 
 class RpcHandler(HttpServer):
     """Serves the clients of the single gateway.
 
     Attributes:
-        open_ids: The identifiers of the RPCs that are open. A second RPC with one of them is refused.
-        endpoints_known: Set once discovery has given its first list. No RPC is forwarded before.
+        open_ids: The identifiers of the pending RPCs. Another RPC with one of them is rejected.
+        endpoints_known: Set by the first response of discovery, or once the wait for it is over. No RPC is forwarded
+            before that.
         longest_deadline_s: The longest deadline of any method.
     """
 
@@ -51,7 +52,7 @@
         """Answers one RPC.
 
         Raises:
-            MalformedMessage: The head can't be used, or the RPC's identifier belongs to one that is open (409).
+            MalformedMessage: The head is invalid, or another pending RPC has the same identifier (409).
         """
         head = read_rpc_head(message, self.rpc_definitions)
         if not self.endpoints_known.is_set():
@@ -74,15 +75,15 @@
             self.runtime.close_request(pending)
 
     async def forward(self, pending: PendingRequest, message: Message, deadline_us: int) -> Reply:
-        """Carries out the decisions on one RPC until one of them ends it.
+        """Carries out the decisions on one RPC until one of them ends it, and returns the reply.
 
-        Whether a further attempt is safe is decided by the decision logic, from the outcome that each attempt reports
-        (see Attempt.may_have_run()). Nothing is sent here that it has not asked for.
+        The decision logic decides whether another attempt is safe, from the reported outcome of each attempt (see
+        Attempt.may_have_run()). This method makes no attempt that it has not decided on.
 
         Args:
             pending: The RPC.
             message: The client's request.
-            deadline_us: By when the reply has to be ready, so that it reaches the client before its time is up.
+            deadline_us: The time by which the reply must be ready, so that it reaches the client before its deadline.
         """
         while True:
             decision = await pending.next_decision(deadline_us)
@@ -95,7 +96,7 @@
             elif pending.client_gone:
                 return CLIENT_GONE
             else:
-                # The decision logic decides before the deadline. None means that it has not.
+                # The decision logic must decide before the deadline. None means that it did not.
                 self.metrics.check_invariant(isinstance(decision, FailRpc), "unexpected decision")
                 self.metrics.add("RPCs: abandoned")
                 return Reply(502)
@@ -103,7 +104,7 @@
     async def attempt(
         self, pending: PendingRequest, message: Message, start: StartAttempt, deadline_us: int
     ) -> Reply | None:
-        """Makes one attempt and reports its outcome; returns the reply if the attempt has brought one."""
+        """Makes one attempt and reports its outcome; returns the reply if the attempt was successful, else None."""
         number, now = pending.attempts_started, self.clock.now()
         pending.attempts_started += 1
         if start.time_limit_us:
@@ -121,13 +122,13 @@
         return None
 
     def rejection(self, decision: Reject) -> Reply:
-        """The reply to an RPC over quota or over capacity; it advises when to retry if the settings say so."""
+        """Returns the reply to an RPC over quota or over capacity, with Retry-After if the settings allow that."""
         self.metrics.add("RPCs: rejected")
         retry_after = b"Retry-After: %.3f\r\n" % (decision.retry_after_us / 1_000_000)
         return Reply(429, headers=retry_after if self.runtime.parameters.sends_retry_after else b"")
 
     async def drain(self) -> None:
-        """After SIGTERM: serves as before while clients still come, then closes what is idle."""
+        """After SIGTERM, serves as before for DRAIN_S, then closes the idle connections."""
         time_to_kill_s = max(self.longest_deadline_s, DEADLINE_MIN_S) + KILL_MARGIN_S
         self.respond_by_us = self.clock.now() + int((time_to_kill_s - IN_TRANSIT_S) * 1_000_000)
         await asyncio.sleep(DRAIN_S)
@@ -135,17 +136,17 @@
 
 
 def content_type_line(response: Message) -> bytes:
-    """The header line that passes a backend's content type on; empty where there is none, or none that is plain."""
+    """Returns the header line with a backend's content type; empty if there is none, or it is not printable ASCII."""
     content_type = response.headers.get(b"content-type", b"")
     return b"Content-Type: %s\r\n" % content_type if content_type and is_text(content_type) else b""
 
 
 def forwarded_head(message: Message, wait_us: int) -> list[bytes]:
-    """The head of an attempt: what must pass on unchanged, and how long this gateway waits.
+    """Returns the head of an attempt: the values that are forwarded unchanged, and how long this gateway waits.
 
     Args:
         message: The client's request.
-        wait_us: How long the attempt may take.
+        wait_us: How long the attempt may take, in microseconds.
     """
     headers = message.headers
     lines = [
