--- a/stoneyoke/single_gateway/discovery.py
+++ b/stoneyoke/single_gateway/discovery.py
@@ -13,7 +13,7 @@
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.single_gateway.endpoints import EndpointUpdate, read_endpoint_update
 
-# How long the service holds a long poll. By the protocol page, every gateway counts as notified 2 s after a change. A
+# How long a long poll waits for a change. By the protocol page, every gateway counts as notified 2 s after a change. A
 # connection that no longer answers is detected after this time plus RESPONSE_TIMEOUT_S, so both are short.
 LONG_POLL_MS = 1_000
 RESPONSE_TIMEOUT_S = 0.5  # added to the duration of the long poll
