--- a/tests/gateway_under_test.py
+++ b/tests/gateway_under_test.py
@@ -111,12 +111,12 @@
 
     def __init__(self, answer: Any = OK) -> None:
         self.answer, self.connections, self.closed = answer, 0, 0
-        self.got: list[RawMessage] = []
+        self.requests: list[RawMessage] = []
 
     async def __aenter__(self) -> Self:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.address = self.server.sockets[0].getsockname()
-        self.text = f"{self.address[0]}:{self.address[1]}"
+        self.host_port = f"{self.address[0]}:{self.address[1]}"
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -126,7 +126,7 @@
         self.connections += 1
         try:
             while request := await read_message(reader):
-                self.got.append(request)
+                self.requests.append(request)
                 answer = await self.answer(request, writer) if callable(self.answer) else self.answer
                 if answer == b"":
                     break
@@ -240,11 +240,11 @@
     async def __aenter__(self) -> Self:
         for part in (self.backend, self.counter, self.discovery):
             await part.__aenter__()
-        self.endpoint_list = {"index": 4, "snapshot": True, "endpoints": [entry("s-1", self.backend.text)]}
+        self.endpoint_list = {"index": 4, "snapshot": True, "endpoints": [entry("s-1", self.backend.host_port)]}
         self.configuration = {
             "listen": "127.0.0.1:0",
-            "discovery": self.discovery.text,
-            "counter": self.counter.text,
+            "discovery": self.discovery.host_port,
+            "counter": self.counter.host_port,
             "seed": "8c1f30d27a5be964",
             "limits": self.limits,
             "known": self.endpoint_list,
--- a/tests/net/test_counter_calls.py
+++ b/tests/net/test_counter_calls.py
@@ -16,11 +16,11 @@
     """Queries to a counter service, and what the decision logic would be told."""
 
     def __init__(self, address, limit_us=80_000):
-        self.told, self.metrics = [], Metrics()
+        self.replies, self.metrics = [], Metrics()
         self.counter = CounterClient(Clock(), self.metrics, self, address, limit_us)
 
     def counter_replied(self, name, added, total):
-        self.told.append((name, total if added or total else None))
+        self.replies.append((name, total if added or total else None))
 
     def add(self, *names):
         for name in names:
@@ -28,29 +28,32 @@
 
 
 @runs_on_loop
-async def test_counter_queries_use_connections_apart_and_at_the_limit_are_pipelined_in_order(monkeypatch):
+async def test_counter_queries_use_separate_connections_and_are_pipelined_in_order_at_the_limit(monkeypatch):
     async with StubServer(total_response(b"2")) as server:
         calls = CounterHarness(server.address)
         calls.add(*range(9))
-        await until(lambda: len(calls.told) == 9)
+        await until(lambda: len(calls.replies) == 9)
         assert server.connections == counter.CONNECTIONS_MAX
     monkeypatch.setattr(counter, "CONNECTIONS_MAX", 1)
 
     async def answer(request, writer):
-        if len(server.got) < 3:
+        if len(server.requests) < 3:
             return None
         return total_response(b"1.5") + b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n" + total_response(b"-2.5e0")
 
     async with StubServer(answer) as server:
         calls = CounterHarness(server.address)
         calls.add(1, 2, 2**64 - 1)
-        await until(lambda: len(calls.told) == 3)
-        assert calls.told == [(1, 1.5), (2, None), (2**64 - 1, -2.5)] and server.connections == 1
-        assert server.got[2][0][0].split()[:2] == [b"POST", b"/counters/ffffffffffffffff?by=-2.500000&expire_ms=4000"]
+        await until(lambda: len(calls.replies) == 3)
+        assert calls.replies == [(1, 1.5), (2, None), (2**64 - 1, -2.5)] and server.connections == 1
+        assert server.requests[2][0][0].split()[:2] == [
+            b"POST",
+            b"/counters/ffffffffffffffff?by=-2.500000&expire_ms=4000",
+        ]
 
 
 @runs_on_loop
-async def test_a_silent_connection_blocks_no_later_query_and_late_replies_are_dropped():
+async def test_a_silent_connection_does_not_block_later_queries_and_late_replies_are_ignored():
     async def answer(request, writer):
         if b"/counters/%016x" % 1 in request[0][0]:
             await asyncio.sleep(0.4)
@@ -60,33 +63,33 @@
     async with StubServer(answer) as server:
         calls = CounterHarness(server.address, limit_us=300_000)
         calls.add(1)
-        await until(lambda: calls.told)
+        await until(lambda: calls.replies)
         calls.add(2)
-        await until(lambda: len(calls.told) == 2)
-        assert calls.told == [(1, None), (2, 2.0)] and server.connections == 2
+        await until(lambda: len(calls.replies) == 2)
+        assert calls.replies == [(1, None), (2, 2.0)] and server.connections == 2
         await until(lambda: not any(connection.queries for connection in calls.counter.connections))
         calls.add(3)
-        await until(lambda: len(calls.told) == 3)
-        assert calls.told[2] == (3, 2.0) and server.connections == 2
+        await until(lambda: len(calls.replies) == 3)
+        assert calls.replies[2] == (3, 2.0) and server.connections == 2
 
 
 @runs_on_loop
-async def test_a_silent_counter_costs_its_time_out_and_a_few_connections():
+async def test_queries_to_a_silent_counter_time_out_over_a_bounded_number_of_connections():
     async with StubServer(None) as server:
         calls = CounterHarness(server.address, limit_us=10_000)
         for name in range(12):
             calls.add(name)
-            await until(lambda name=name: len(calls.told) > name)
+            await until(lambda name=name: len(calls.replies) > name)
             assert len(calls.counter.connections) <= counter.CONNECTIONS_MAX
-    assert calls.told == [(name, None) for name in range(12)]
+    assert calls.replies == [(name, None) for name in range(12)]
     calls = CounterHarness(server.address)
     calls.add(1, 2)
-    await until(lambda: len(calls.told) == 2)
+    await until(lambda: len(calls.replies) == 2)
     await until(lambda: not calls.counter.connections and not calls.counter.tasks)
 
 
 @pytest.mark.parametrize(
-    "answer, told",
+    "answer, expected_total",
     [
         (b"HTP\r\n\r\n", "nan"),
         (b"", "nan"),
@@ -97,14 +100,14 @@
     ],
 )
 @runs_on_loop
-async def test_a_count_without_a_usable_number_was_added_and_its_connection_is_not_used_again(answer, told):
+async def test_an_invalid_total_counts_as_added_and_its_connection_is_not_reused(answer, expected_total):
     async with StubServer(answer) as server:
         calls = CounterHarness(server.address)
         calls.add(1, 2)
-        await until(lambda: len(calls.told) == 2)
-        assert sorted((name, str(total)) for name, total in calls.told) == [(1, told), (2, told)]
+        await until(lambda: len(calls.replies) == 2)
+        assert sorted((name, str(total)) for name, total in calls.replies) == [(1, expected_total), (2, expected_total)]
         await until(lambda: not calls.counter.connections)
         server.answer = total_response(b"-2.5e1")
         calls.add(3)
-        await until(lambda: len(calls.told) == 3)
-        assert calls.told[2] == (3, -25.0) and server.connections == 3
+        await until(lambda: len(calls.replies) == 3)
+        assert calls.replies[2] == (3, -25.0) and server.connections == 3
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -46,13 +46,13 @@
 
 
 @runs_on_loop
-async def test_the_watch_continues_at_once_and_updates_become_events():
+async def test_the_watch_continues_immediately_and_updates_become_events():
     addresses, updates = {}, []
     endpoints = EndpointTable(["hall-a", "hall-b"], Addresses(addresses), lambda backend: backend == 0)
-    at = []
+    query_times = []
 
     async def answer(request, writer):
-        at.append(time.monotonic())
+        query_times.append(time.monotonic())
         return [
             list_response(
                 endpoint_row("s-1"), endpoint_row("s-2", "10.1.0.2:80", since_ms=1_700_000_000_000), index=41
@@ -65,22 +65,22 @@
             ),
             list_response(endpoint_row("s-3", zone="hall-z"), index=44),
             None,
-        ][len(at) - 1]
+        ][len(query_times) - 1]
 
     async with StubServer(answer) as server:
         discovery = Discovery(Metrics(), lambda one: updates.append(endpoints.apply(one)))
         discovery.watch_address(server.address)
-        await until(lambda: len(at) == 4)
+        await until(lambda: len(query_times) == 4)
         discovery.stop()
-    assert [x[0][0].split()[1] for x in server.got] == [
+    assert [x[0][0].split()[1] for x in server.requests] == [
         b"/v1/servers",
         b"/v1/servers?from=41&hold_ms=1000",
         b"/v1/servers?from=43&hold_ms=1000",
         b"/v1/servers?from=44&hold_ms=1000",
     ]
-    assert max(b - a for a, b in zip(at, at[1:], strict=False)) < 0.2
-    told = [(n.complete, [(e.backend, e.zone, e.started_us, e.state.name) for e in n.endpoints]) for n in updates]
-    assert told == [
+    assert max(b - a for a, b in zip(query_times, query_times[1:], strict=False)) < 0.2
+    states = [(n.complete, [(e.backend, e.zone, e.started_us, e.state.name) for e in n.endpoints]) for n in updates]
+    assert states == [
         (True, [(0, 1, 0, "READY"), (1, 1, 1_700_000_000_000_000, "READY")]),
         (False, [(1, 1, 0, "DRAINING"), (0, 1, 0, "GONE")]),
         (True, [(2, 2, 0, "READY")]),
@@ -99,7 +99,7 @@
     async with StubServer(answer) as server:
         discovery, start = Discovery(Metrics(), lambda update: None), time.monotonic()
         discovery.watch_address(server.address)
-        await until(lambda: server.connections == 2 and len(server.got) == 4)
+        await until(lambda: server.connections == 2 and len(server.requests) == 4)
         assert time.monotonic() - start < 3.0
         discovery.stop()
 
@@ -120,10 +120,10 @@
 
     assert set(apply(endpoint_row("s-1"), endpoint_row("s-2", "10.1.0.2:80")).values()) == {"READY"}
     old, before = endpoints.indices.index_by_id["s-1"], pools.pools[endpoints.indices.index_by_id["s-1"]]
-    told = apply(endpoint_row("s-3", since_ms=5), endpoint_row("s-1", status="leaving"))
-    assert told == {old: "GONE", endpoints.indices.index_by_id["s-3"]: "READY"}
+    states = apply(endpoint_row("s-3", since_ms=5), endpoint_row("s-1", status="leaving"))
+    assert states == {old: "GONE", endpoints.indices.index_by_id["s-3"]: "READY"}
     assert apply(endpoint_row("s-1", status="leaving"), endpoint_row("s-4", status="left")) == {old: "GONE"}
-    assert sorted(site.address for site in pools.pools.values()) == [("10.1.0.1", 7070), ("10.1.0.2", 80)]
+    assert sorted(pool.address for pool in pools.pools.values()) == [("10.1.0.1", 7070), ("10.1.0.2", 80)]
     assert before not in pools.pools.values()
     endpoints.release_unused()
     assert set(endpoints.indices.index_by_id) == {"s-2", "s-3"} and old in endpoints.indices.free_indices
@@ -146,12 +146,12 @@
     updates = []
 
     async def answer(request, writer):
-        return [bad, list_response(endpoint_row("s-1")), None][len(server.got) - 1]
+        return [bad, list_response(endpoint_row("s-1")), None][len(server.requests) - 1]
 
     async with StubServer(answer) as server:
         discovery = Discovery(Metrics(), updates.append)
         discovery.watch_address(server.address)
-        await until(lambda: len(server.got) == 3)
+        await until(lambda: len(server.requests) == 3)
         discovery.stop()
     assert [len(one.endpoints) for one in updates] == [1]
 
@@ -170,7 +170,7 @@
         endpoint_row("s-2", since_ms=None),
     ],
 )
-def test_an_unusable_endpoint_is_omitted_and_removes_no_other_backend(bad):
+def test_an_invalid_endpoint_is_omitted_and_removes_no_other_backend(bad):
     updates = read_endpoint_update({"index": 4, "snapshot": True, "endpoints": [endpoint_row("s-1", "[::1]:80"), bad]})
     assert [(entry.name, entry.address) for entry in updates.endpoints] == [("s-1", ("::1", 80))]
     assert not updates.complete and updates.omitted
@@ -180,7 +180,7 @@
 async def test_after_a_stall_endpoint_updates_are_read_before_any_rpc_is_forwarded():
     watch = asyncio.Event()
 
-    async def tell(request, writer):
+    async def answer_query(request, writer):
         if b"hold_ms" in request[0][0]:
             gateway.watcher = writer
             watch.set()
@@ -188,46 +188,46 @@
         return json_response(gateway.endpoint_list)
 
     gateway = GatewayUnderTest()
-    gateway.discovery.answer = tell
+    gateway.discovery.answer = answer_query
     async with gateway, gateway.connect() as client:
         await watch.wait()
         await until(lambda: len(gateway.program.clients.connections.open) == 1)
         client.writer.write(rpc())
-        updates = {"index": 5, "snapshot": False, "endpoints": [entry("s-1", gateway.backend.text, "leaving")]}
+        updates = {"index": 5, "snapshot": False, "endpoints": [entry("s-1", gateway.backend.host_port, "leaving")]}
         gateway.watcher.write(json_response(updates))
         time.sleep(0.3)  # noqa: ASYNC251 -- the process stands still, and the loop finds both at once
-        assert (await client.receive())[0] == 429 and not gateway.backend.got
+        assert (await client.receive())[0] == 429 and not gateway.backend.requests
         assert gateway.count("process stalled") == 1
 
 
 @runs_on_loop
-async def test_an_rpc_of_a_new_process_waits_for_the_first_list_and_avoids_what_drains_since():
+async def test_the_first_rpc_waits_for_the_first_endpoint_list_and_avoids_draining_backends():
     """Started with a list in which s-1 is ready; discovery knows that it drains, and says so 0.1 s later."""
     gateway = GatewayUnderTest()
-    hold = asyncio.Event()
-    tell = gateway.answer_discovery
+    release = asyncio.Event()
+    answer_query = gateway.answer_discovery
 
-    async def later(request, writer):
-        await hold.wait()
-        return await tell(request, writer)
+    async def answer_when_released(request, writer):
+        await release.wait()
+        return await answer_query(request, writer)
 
-    gateway.discovery.answer = later
+    gateway.discovery.answer = answer_when_released
     async with gateway, gateway.connect() as client:
         gateway.endpoint_list = {
             "index": 5,
             "snapshot": True,
-            "endpoints": [entry("s-1", gateway.backend.text, "leaving")],
+            "endpoints": [entry("s-1", gateway.backend.host_port, "leaving")],
         }
-        asking = asyncio.create_task(client.request(rpc()))
+        response = asyncio.create_task(client.request(rpc()))
         await until(lambda: gateway.count("RPCs: waited for the first endpoint list") == 1)
-        hold.set()
-        status, _, _ = await asking
-        assert status == 429 and gateway.backend.got == []
+        release.set()
+        status, _, _ = await response
+        assert status == 429 and gateway.backend.requests == []
 
 
 @pytest.mark.parametrize("answer", [None, b"", b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"])
 @runs_on_loop
-async def test_a_new_process_waits_only_briefly_for_a_discovery_that_is_down(answer):
+async def test_a_new_process_waits_only_briefly_for_an_unavailable_discovery(answer):
     gateway = GatewayUnderTest()
     gateway.discovery.answer = answer
     async with gateway, gateway.connect() as client:
@@ -236,26 +236,26 @@
 
 
 @runs_on_loop
-async def test_a_backend_that_begins_to_drain_during_the_connect_gets_nothing(monkeypatch):
-    dialled, up = asyncio.Event(), asyncio.Event()
+async def test_a_backend_that_begins_to_drain_during_the_connect_receives_no_request(monkeypatch):
+    connect_started, connect_released = asyncio.Event(), asyncio.Event()
     connect = Backends.connect
 
-    async def slowly(self, site):
-        dialled.set()
-        await up.wait()
-        return await connect(self, site)
+    async def connect_when_released(self, pool):
+        connect_started.set()
+        await connect_released.wait()
+        return await connect(self, pool)
 
     async with GatewayUnderTest() as gateway, gateway.connect() as client:
         await until(gateway.program.discovery.first_response.is_set)
-        monkeypatch.setattr(Backends, "connect", slowly)
-        asking = asyncio.create_task(client.request(rpc()))
-        await dialled.wait()
+        monkeypatch.setattr(Backends, "connect", connect_when_released)
+        response = asyncio.create_task(client.request(rpc()))
+        await connect_started.wait()
         gateway.program.update_endpoints(
             read_endpoint_update(
-                {"index": 6, "snapshot": False, "endpoints": [entry("s-1", gateway.backend.text, "leaving")]}
+                {"index": 6, "snapshot": False, "endpoints": [entry("s-1", gateway.backend.host_port, "leaving")]}
             )
         )
-        up.set()
-        status, _, _ = await asking
-        assert status == 429 and gateway.backend.got == []
+        connect_released.set()
+        status, _, _ = await response
+        assert status == 429 and gateway.backend.requests == []
         assert gateway.count("attempts: backend left meanwhile") == 1
--- a/tests/net/test_program.py
+++ b/tests/net/test_program.py
@@ -39,7 +39,7 @@
         (None, "NODE_CONFIG"),
     ],
 )
-def test_an_invalid_configuration_ends_the_process_with_one_line_that_names_the_key(
+def test_the_process_exits_on_an_invalid_configuration_with_one_line_that_names_the_key(
     change, named, monkeypatch, tmp_path, capsys
 ):
     path = tmp_path / "config.json"
@@ -109,9 +109,9 @@
     assert configuration.read_options({"options": str(file)}).log.form == "json"
     monkeypatch.setenv("STONEYOKE_OPTIONS", str(file))
     assert configuration.read_options({}).log.form == "json"
-    for text, says in (('[log]\nform = "xml"\n', "log.form"), ("[logs]\n", "logs"), ("[log", "not valid TOML")):
+    for text, expected in (('[log]\nform = "xml"\n', "log.form"), ("[logs]\n", "logs"), ("[log", "not valid TOML")):
         file.write_text(text)
-        with pytest.raises(InvalidConfiguration, match=says):
+        with pytest.raises(InvalidConfiguration, match=expected):
             configuration.read_options({})
     monkeypatch.setenv("STONEYOKE_OPTIONS", str(tmp_path / "none.toml"))
     with pytest.raises(InvalidConfiguration, match="can't be read"):
--- a/tests/net/test_reload_and_end.py
+++ b/tests/net/test_reload_and_end.py
@@ -31,40 +31,40 @@
         await release.wait()
         return OK
 
-    async with GatewayUnderTest(late) as gateway, gateway.connect() as held, gateway.connect() as idle:
+    async with GatewayUnderTest(late) as gateway, gateway.connect() as pending_client, gateway.connect() as idle:
         assert (await idle.request(b"GET /healthz HTTP/1.1\r\n\r\n"))[0] == 200
-        held.writer.write(rpc())
-        await until(lambda: gateway.backend.got)
-        finishing = asyncio.create_task(gateway.program.shut_down())
+        pending_client.writer.write(rpc())
+        await until(lambda: gateway.backend.requests)
+        shutdown = asyncio.create_task(gateway.program.shut_down())
         await asyncio.sleep(0)
-        async with gateway.connect() as newcomer:
-            newcomer.writer.write(rpc())
-            await until(lambda: len(gateway.backend.got) == 2)
+        async with gateway.connect() as new_client:
+            new_client.writer.write(rpc())
+            await until(lambda: len(gateway.backend.requests) == 2)
             status, headers, _ = await idle.request(b"GET /healthz HTTP/1.1\r\n\r\n")
             assert status == 503 and b"Connection" not in headers, "kept for as long as clients use it"
             assert await idle.reader.read() == b""
             await until(lambda: not gateway.program.server.is_serving())
             with pytest.raises(ConnectionRefusedError):  # else a front that goes on would keep it for ever
                 await gateway.connect().__aenter__()
-            assert not finishing.done()
+            assert not shutdown.done()
             release.set()
-            for client in (held, newcomer):
+            for client in (pending_client, new_client):
                 status, headers, body = await client.receive()
                 assert (status, body, headers[b"Connection"]) == (200, b"yes", b"close")
-        await finishing
+        await shutdown
 
 
 @runs_on_loop
-async def test_after_sigterm_a_long_deadline_ends_before_the_process_can_be_killed(monkeypatch):
+async def test_after_sigterm_a_long_deadline_is_shortened_to_end_before_sigkill(monkeypatch):
     monkeypatch.setattr(rpc_handler, "DEADLINE_MIN_S", 0.0)
     monkeypatch.setattr(rpc_handler, "KILL_MARGIN_S", -1.3)  # the longest deadline of these settings is 2 s
     async with GatewayUnderTest(None) as gateway, gateway.connect() as client:
-        finishing = asyncio.create_task(gateway.program.shut_down())
+        shutdown = asyncio.create_task(gateway.program.shut_down())
         await asyncio.sleep(0)
         start = time.monotonic()
         assert (await client.request(rpc(b"order", Req_Deadline="9.000")))[0] == 429
         assert time.monotonic() - start < 1.0
-        await finishing
+        await shutdown
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
         await release.wait()
         return OK
 
-    async def tell(request, _):
+    async def answer_query(request, _):
         return json_response(gateway.endpoint_list) if b"hold_ms" not in request[0][0] else None
 
     def reload(**changes):
@@ -92,19 +92,21 @@
 
     async with (
         GatewayUnderTest(late) as gateway,
-        gateway.connect() as held,
-        StubServer(tell) as list_2,
-        StubServer(total_response(b"7")) as count_2,
+        gateway.connect() as pending_client,
+        StubServer(answer_query) as new_discovery,
+        StubServer(total_response(b"7")) as new_counter,
     ):
-        runtime, told = gateway.program.runtime, []
-        counted, runtime.counter_replied = (
+        runtime, replies = gateway.program.runtime, []
+        counter_replied, runtime.counter_replied = (
             runtime.counter_replied,
-            lambda *answer: (told.append(answer), counted(*answer)),
+            lambda *answer: (replies.append(answer), counter_replied(*answer)),
         )
         gateway.counter.answer = None
         runtime.send_to_counter(AddToCounter(1, 4_000_000, 2.0))
-        held.writer.write(rpc())
-        await until(lambda: gateway.backend.got and gateway.counter.got and len(gateway.discovery.got) == 2)
+        pending_client.writer.write(rpc())
+        await until(
+            lambda: gateway.backend.requests and gateway.counter.requests and len(gateway.discovery.requests) == 2
+        )
         if unusable is None:
             path.unlink(missing_ok=True)
         else:
@@ -115,11 +117,11 @@
         assert len(lines) == 1 and "old configuration stays" in lines[0]
         assert len(gateway.program.discovery.watches) == 1 and len(gateway.program.counter.connections) == 1
         reload(discovery="127.0.0.1:1")  # nobody listens there: the old one is watched on
-        reload(discovery=list_2.text, counter=count_2.text)
-        await until(lambda: len(list_2.got) == 2 and gateway.discovery.closed == 1)
+        reload(discovery=new_discovery.host_port, counter=new_counter.host_port)
+        await until(lambda: len(new_discovery.requests) == 2 and gateway.discovery.closed == 1)
         assert len(gateway.program.discovery.watches) == 1
         runtime.send_to_counter(AddToCounter(2, 4_000_000, 2.0))
-        await until(lambda: (2, True, 7.0) in told)
-        assert len(gateway.counter.got) == 1 and len(count_2.got) == 1
+        await until(lambda: (2, True, 7.0) in replies)
+        assert len(gateway.counter.requests) == 1 and len(new_counter.requests) == 1
         release.set()
-        assert (await held.receive())[2] == b"yes" and not gateway.program.metrics.violations
+        assert (await pending_client.receive())[2] == b"yes" and not gateway.program.metrics.violations
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -15,36 +15,36 @@
 
 
 @runs_on_loop
-async def test_an_rpc_passes_unchanged_and_so_does_its_response():
+async def test_an_rpc_and_its_response_are_forwarded_unchanged():
     async with GatewayUnderTest() as gateway, gateway.connect() as client:
         data = rpc(b"order", b"\x00body\r\n", Req_Id="9b1f03aa5c7e2d41", Req_Deadline="5.000")
         assert await client.request(data) == (200, {b"Content-Length": b"3"}, b"yes")
-        ((lines, body),) = gateway.backend.got
+        ((lines, body),) = gateway.backend.requests
         assert lines[0] == b"POST /order/x?y=1 HTTP/1.1" and body == b"\x00body\r\n"
         assert {b"Req-Id: 9b1f03aa5c7e2d41", b"Idempotency-Key: 5c0f6e1a", b"Host: app.svc"} <= set(lines)
-        (told,) = (float(x[14:]) for x in lines if x.startswith(b"Req-Deadline: "))
-        assert 4.0 < told <= 5.0
+        (forwarded_deadline_s,) = (float(x[14:]) for x in lines if x.startswith(b"Req-Deadline: "))
+        assert 4.0 < forwarded_deadline_s <= 5.0
         assert (await client.request(rpc(X_Quota="units=4.0000002384185791,spread=3,first=0")))[0] == 200
         assert gateway.backend.connections == 1 and gateway.count("RPCs: ok") == 2
         assert not gateway.program.runtime.pending and not gateway.program.metrics.violations
 
 
 @runs_on_loop
-async def test_over_quota_is_rejected_with_a_retry_time_and_a_backend_s_error_is_never_passed_on():
+async def test_an_rpc_over_quota_is_rejected_with_retry_after_and_backend_errors_are_not_forwarded():
     async with (
         GatewayUnderTest(b"HTTP/1.1 500 Oops\r\nContent-Length: 4\r\n\r\noops") as gateway,
         gateway.connect() as client,
     ):
         for _ in range(400 // 3 // 4 + 2):  # a part of the burst, in the largest RPCs
-            gateway.backend.got.clear()
+            gateway.backend.requests.clear()
             status, headers, body = await client.request(rpc(X_Quota="units=4,spread=3,first=1"))
-        assert status == 429 and float(headers[b"Retry-After"]) > 0 and not gateway.backend.got
+        assert status == 429 and float(headers[b"Retry-After"]) > 0 and not gateway.backend.requests
         status, headers, body = await client.request(rpc(X_Customer="0" * 16))
         assert status == 429 and body == b"" and gateway.count("attempts: error") >= 1
 
 
 @runs_on_loop
-async def test_no_retry_after_is_sent_where_the_settings_allow_none():
+async def test_no_retry_after_is_sent_if_the_settings_disable_it():
     async with GatewayUnderTest(None, **{"retry-after": False}) as gateway, gateway.connect() as client:
         status, headers, _ = await client.request(rpc(Req_Deadline="0.050"))
         assert status == 429 and b"Retry-After" not in headers
@@ -57,18 +57,18 @@
         status, _, _ = await client.request(rpc(b"order", Req_Deadline="0.200"))
         assert status == 429 and 0.15 < time.monotonic() - start < 1.0
         await until(lambda: gateway.backend.closed == 1)
-        assert len(gateway.backend.got) == 1 and gateway.count("attempts: timed out") == 1
+        assert len(gateway.backend.requests) == 1 and gateway.count("attempts: timed out") == 1
 
 
 @pytest.mark.parametrize(
-    ("kind", "can_cancel", "runs_on"),
+    ("kind", "can_cancel", "attempt_continues"),
     [(b"look", True, False), (b"look", False, True), (b"order", True, True)],
 )
 @runs_on_loop
-async def test_a_client_s_close_is_reported_at_once_and_ends_its_attempt_if_that_may_be_broken_off(
-    kind, can_cancel, runs_on
+async def test_a_client_disconnect_is_reported_immediately_and_cancels_its_attempt_if_that_is_allowed(
+    kind, can_cancel, attempt_continues
 ):
-    told, release = [], asyncio.Event()
+    events, release = [], asyncio.Event()
 
     async def late(_, writer):
         await release.wait()
@@ -77,22 +77,24 @@
     async with GatewayUnderTest(late, cancel=can_cancel) as gateway:
         decision_logic = gateway.program.runtime.gateway
         handle = decision_logic.handle
-        decision_logic.handle = lambda event, now: (told.append(event), handle(event, now))[1]
+        decision_logic.handle = lambda event, now: (events.append(event), handle(event, now))[1]
         async with gateway.connect() as client:
             client.writer.write(rpc(kind))
-            await until(lambda: gateway.backend.got)
-        await until(lambda: any(isinstance(e, ClientGone) for e in told))
-        if runs_on:
+            await until(lambda: gateway.backend.requests)
+        await until(lambda: any(isinstance(e, ClientGone) for e in events))
+        if attempt_continues:
             for _ in range(50):
                 await asyncio.sleep(0)
             assert gateway.program.runtime.pending
             release.set()
         await until(lambda: not gateway.program.runtime.pending)
-        assert gateway.count("attempts: ok" if runs_on else "attempts: client gone") == 1
+        assert gateway.count("attempts: ok" if attempt_continues else "attempts: client gone") == 1
         assert gateway.count("RPCs: client gone") == 1
         release.set()
         async with gateway.connect() as client:
-            assert (await client.request(rpc()))[2] == b"yes" and gateway.backend.connections == (1 if runs_on else 2)
+            assert (await client.request(rpc()))[2] == b"yes" and gateway.backend.connections == (
+                1 if attempt_continues else 2
+            )
 
 
 BAD = [
@@ -159,44 +161,44 @@
 
 @pytest.mark.parametrize("data, status", BAD)
 @runs_on_loop
-async def test_malformed_input_gets_its_status_a_count_and_a_closed_connection(data, status):
+async def test_malformed_input_is_rejected_and_counted_and_its_connection_closed(data, status):
     async with GatewayUnderTest() as gateway, gateway.connect() as client:
         got, headers, body = await client.request(data)
         assert got == status and headers[b"Connection"] == b"close" and body
         assert await client.reader.read() == b""
-        assert gateway.count(f"bad input: {status}") == 1 and not gateway.backend.got
+        assert gateway.count(f"bad input: {status}") == 1 and not gateway.backend.requests
         assert not gateway.program.metrics.violations
 
 
 @runs_on_loop
-async def test_an_open_id_is_refused_and_a_closed_one_is_accepted_again():
+async def test_the_id_of_a_pending_rpc_is_rejected_and_accepted_again_after_it_is_closed():
     async with GatewayUnderTest(None) as gateway, gateway.connect() as one, gateway.connect() as two:
         one.writer.write(rpc(Req_Id="twice", Req_Deadline="1.000"))
-        await until(lambda: gateway.backend.got)
+        await until(lambda: gateway.backend.requests)
         assert (await two.request(rpc(Req_Id="twice")))[0] == 409
-        assert (await one.receive())[0] == 429 and len(gateway.backend.got) == 1
+        assert (await one.receive())[0] == 429 and len(gateway.backend.requests) == 1
         assert (await one.request(rpc(Req_Id="twice", Req_Deadline="0.300")))[0] == 429
-        assert len(gateway.backend.got) == 2 and not gateway.program.clients.open_ids
+        assert len(gateway.backend.requests) == 2 and not gateway.program.clients.open_ids
 
 
 @runs_on_loop
-async def test_a_rejection_arrives_while_a_body_is_still_sent_and_the_connection_ends(monkeypatch):
+async def test_a_rejection_arrives_while_a_body_is_still_sent_and_the_connection_is_closed(monkeypatch):
     monkeypatch.setattr(http_server, "LINGER_S", 0.3)
     async with GatewayUnderTest() as gateway, gateway.connect() as client:
         client.writer.write(rpc(b"order", Content_Length="60000000"))
 
-        async def pour():
+        async def send_body():
             with contextlib.suppress(OSError):
                 while True:
                     client.writer.write(b"x" * 65_536)
                     await client.writer.drain()
 
-        pouring = asyncio.create_task(pour())
+        sending = asyncio.create_task(send_body())
         start = time.monotonic()
         assert (await client.receive())[0] == 413 and time.monotonic() - start < 0.3
         (connection,) = gateway.program.clients.connections.open.values()
         assert not connection.protocol.reader._buffer
-        await pouring
+        await sending
         await until(lambda: not gateway.program.clients.connections.open)
 
 
@@ -216,7 +218,7 @@
     )
 )
 @runs_on_loop
-async def test_whatever_bytes_come_the_next_client_is_served(parts):
+async def test_after_arbitrary_input_the_next_client_is_served(parts):
     async with GatewayUnderTest() as gateway:
         async with gateway.connect() as client:
             for part in parts:
@@ -229,7 +231,7 @@
 
 
 @runs_on_loop
-async def test_rpcs_written_one_after_another_share_a_connection():
+async def test_pipelined_rpcs_are_answered_over_one_connection():
     async with GatewayUnderTest() as gateway, gateway.connect() as client:
         client.writer.write(rpc() + rpc(b"order", b"abc") + rpc())
         assert [(await client.receive())[0] for _ in range(3)] == [200, 200, 200]
--- a/tests/net/test_runtime.py
+++ b/tests/net/test_runtime.py
@@ -17,19 +17,19 @@
 
 
 @runs_on_loop
-async def test_a_fault_in_the_decision_logic_costs_one_event_and_its_rpc_is_still_answered():
+async def test_an_error_in_the_decision_logic_loses_one_event_and_its_rpc_is_still_answered():
     async with GatewayUnderTest() as gateway, gateway.connect() as client:
         handlers, metrics = gateway.program.runtime.gateway.handlers, gateway.program.metrics
-        works, handlers[Arrival] = handlers[Arrival], lambda _: 1 / 0
+        handle_arrival, handlers[Arrival] = handlers[Arrival], lambda _: 1 / 0
         metrics.check_invariant = lambda holds, what: holds or metrics.add(f"BROKEN {what}")  # as a release build does
         assert (await client.request(rpc(Req_Deadline="0.100")))[0] == 502
         assert gateway.count("BROKEN decision logic failed") == 1
-        handlers[Arrival] = works
+        handlers[Arrival] = handle_arrival
         assert (await client.request(rpc()))[0] == 200
 
 
 @runs_on_loop
-async def test_after_a_stall_deadlines_count_from_before_it():
+async def test_after_a_stall_deadlines_count_from_its_start():
     async with GatewayUnderTest() as gateway:
         runtime = gateway.program.runtime
         now = runtime.clock.now()
@@ -52,7 +52,7 @@
 
 
 @runs_on_loop
-async def test_an_attempt_that_is_decided_and_never_made_ends_as_not_sent():
+async def test_a_decided_attempt_that_is_never_made_is_reported_as_not_sent():
     async with GatewayUnderTest() as gateway:
         runtime = gateway.program.runtime
         description = RequestDescription(method=0, plan=0, customer_id=5, units=1.0, customer_gateways=3.0)
@@ -69,10 +69,10 @@
 @runs_on_loop
 async def test_timers_fire_and_one_clock_counts_whole_microseconds_of_unix_time():
     async with GatewayUnderTest() as gateway:
-        told = []
+        events = []
         runtime = gateway.program.runtime
-        runtime.gateway.handle = lambda event, now: told.append(event) or []
-        await until(lambda: TimerFired(0) in told)
+        runtime.gateway.handle = lambda event, now: events.append(event) or []
+        await until(lambda: TimerFired(0) in events)
         assert abs(runtime.clock.now() - time.time_ns() // 1000) < 1_000_000
         assert isinstance(runtime.clock.now(), int)
 
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -17,7 +17,7 @@
 from stoneyoke.runtime.metrics import Metrics
 from stoneyoke.runtime.pending_request import PendingRequest
 
-ANSWERS = [
+RESPONSES = [
     OK,
     b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
     b"gibberish\r\n\r\n",
@@ -32,15 +32,15 @@
 
 @settings(max_examples=25, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(
-    st.lists(st.sampled_from(ANSWERS), min_size=1, max_size=12),
+    st.lists(st.sampled_from(RESPONSES), min_size=1, max_size=12),
     st.lists(st.sampled_from([b"look", b"order"]), min_size=1, max_size=4),
 )
 @runs_on_loop
 async def test_whatever_a_backend_does_each_rpc_gets_one_response_in_time(answers, kinds):
-    left = list(answers)
+    remaining = list(answers)
 
     async def answer(request, writer):
-        return left.pop(0) if left else OK
+        return remaining.pop(0) if remaining else OK
 
     async def ask(number, kind):
         async with gateway.connect() as client:
@@ -52,7 +52,7 @@
 
     async with GatewayUnderTest(answer) as gateway:
         await asyncio.gather(*(ask(number, kind) for number, kind in enumerate(kinds)))
-        ids = [line for lines, _ in gateway.backend.got for line in lines if line.startswith(b"Req-Id: ")]
+        ids = [line for lines, _ in gateway.backend.requests for line in lines if line.startswith(b"Req-Id: ")]
         assert max(map(ids.count, ids), default=0) <= SETTINGS["caps"]["try-limit"]
         runtime = gateway.program.runtime
         assert (
@@ -62,7 +62,7 @@
         )
 
 
-def answers_then_hangs_up(data):
+def responds_then_closes(data):
     async def answer(_, writer):
         writer.write(data)
         return b""
@@ -97,21 +97,21 @@
     ],
 )
 @runs_on_loop
-async def test_each_response_has_its_outcome(answer, expected):
+async def test_each_response_is_classified(answer, expected):
     async with StubServer(answer) as server:
         outcome, got = await Sender(server.address).send_attempt()
         assert outcome is expected
         assert outcome is not AttemptOutcome.OK or got.body == b"yes"
-        assert len(server.got) == 1
+        assert len(server.requests) == 1
 
 
 class Sender:
     """Call-outs to one backend, without a gateway around them."""
 
-    def __init__(self, address, idle_us=30_000_000, most=9):
+    def __init__(self, address, idle_us=30_000_000, descriptors=9):
         self.clock, self.pending = Clock(), PendingRequest(1, Clock(), None)
         limits = BackendLimits(connect_timeout_us=250_000, idle_timeout_us=idle_us)
-        self.backends = Backends(self.clock, Metrics(), DescriptorBudget(most, 0), limits)
+        self.backends = Backends(self.clock, Metrics(), DescriptorBudget(descriptors, 0), limits)
         self.backends.set_address(0, address)
 
     async def send_attempt(self, n=0, backend=0, within=200_000, body=b""):
@@ -121,7 +121,7 @@
 
 
 @runs_on_loop
-async def test_an_answer_may_be_as_long_as_the_memory_allows():
+async def test_a_response_may_be_as_long_as_the_memory_allows():
     body = b"x" * 1_000_000
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
     async with GatewayUnderTest(answer) as gateway, gateway.connect() as client:
@@ -129,9 +129,9 @@
 
 
 @runs_on_loop
-async def test_an_answer_cut_short_or_framed_by_nothing_but_its_stream_s_end_is_broken():
+async def test_a_truncated_response_or_one_without_framing_is_broken():
     for data in (OK[:-1], OK[:20], b"HTTP/1.1 200 OK\r\n\r\nyes"):
-        async with StubServer(answers_then_hangs_up(data)) as server:
+        async with StubServer(responds_then_closes(data)) as server:
             assert (await Sender(server.address).send_attempt())[0] is AttemptOutcome.BROKEN
 
 
@@ -153,23 +153,23 @@
 
 
 @runs_on_loop
-async def test_a_refused_connection_means_a_dead_backend_only_if_no_other_one_is_up():
+async def test_a_refused_connection_means_a_dead_backend_only_if_no_other_connection_is_open():
     async with StubServer() as server:
         sender = Sender(server.address)
         await sender.send_attempt()
         server.answer = None
-        out = asyncio.create_task(sender.send_attempt(within=5_000_000))
-        await until(lambda: len(server.got) == 2)
+        attempt = asyncio.create_task(sender.send_attempt(within=5_000_000))
+        await until(lambda: len(server.requests) == 2)
         server.server.close()  # takes no more; the connection that is up stays
         assert (await sender.send_attempt())[0] is AttemptOutcome.CUT
-        out.cancel()
-        await asyncio.wait([out])
+        attempt.cancel()
+        await asyncio.wait([attempt])
         assert (await sender.send_attempt())[0] is AttemptOutcome.NO_CONNECTION
         assert sender.backends.descriptor_budget.used == sender.backends.pools[0].busy == 0
 
 
 @runs_on_loop
-async def test_a_connect_without_any_reply_ends_at_its_time_out():
+async def test_a_connect_without_any_reply_times_out():
     with socket.socket() as silent:  # its queue is full: what comes then gets no answer at all
         silent.bind(("127.0.0.1", 0))
         silent.listen(0)
@@ -177,21 +177,21 @@
             sender, start = Sender(silent.getsockname()), time.monotonic()
             assert (await sender.send_attempt(within=5_000_000))[0] is AttemptOutcome.NO_CONNECTION
             assert 0.2 < time.monotonic() - start < 1.0 and sender.backends.descriptor_budget.used == 0
-            out = asyncio.create_task(sender.send_attempt(within=5_000_000))
+            attempt = asyncio.create_task(sender.send_attempt(within=5_000_000))
             await until(lambda: sender.pending.cancel_attempt)
             sender.pending.cancel_attempt(0, False)
-            assert (await out)[0] is AttemptOutcome.NOT_SENT and sender.backends.descriptor_budget.used == 0
+            assert (await attempt)[0] is AttemptOutcome.NOT_SENT and sender.backends.descriptor_budget.used == 0
 
 
 @runs_on_loop
-async def test_a_cancellation_closes_the_connection_so_that_a_late_response_meets_no_other_rpc():
+async def test_a_cancellation_closes_the_connection_so_that_no_other_rpc_receives_a_late_response():
     async with StubServer(None) as server:
         sender = Sender(server.address)
-        out = asyncio.create_task(sender.send_attempt(n=3, within=5_000_000))
-        await until(lambda: server.got)
+        attempt = asyncio.create_task(sender.send_attempt(n=3, within=5_000_000))
+        await until(lambda: server.requests)
         sender.pending.cancel_attempt(2, False)
         sender.pending.cancel_attempt(3, False)
-        assert (await out)[0] is AttemptOutcome.CANCELLED
+        assert (await attempt)[0] is AttemptOutcome.CANCELLED
         await until(lambda: server.closed == 1)
         server.answer = OK
         assert (await sender.send_attempt())[0] is AttemptOutcome.OK and server.connections == 2
@@ -199,38 +199,38 @@
 
 
 @runs_on_loop
-async def test_a_cancellation_that_meets_the_deadline_does_no_harm():
+async def test_a_cancellation_in_the_same_loop_iteration_as_the_deadline_is_ignored():
     async with StubServer(None) as server:
         sender = Sender(server.address)
-        out = asyncio.create_task(sender.send_attempt(within=20_000))
-        await until(lambda: server.got)
+        attempt = asyncio.create_task(sender.send_attempt(within=20_000))
+        await until(lambda: server.requests)
         time.sleep(0.05)  # noqa: ASYNC251 -- the time is up, and the call-off comes in the same turn of the loop
-        loop, faults = asyncio.get_running_loop(), []
-        loop.set_exception_handler(lambda _, context: faults.append(context))
+        loop, errors = asyncio.get_running_loop(), []
+        loop.set_exception_handler(lambda _, context: errors.append(context))
         loop.call_later(0.0, lambda: sender.pending.cancel_attempt(0, False))
-        assert (await out)[0] is AttemptOutcome.TIMED_OUT and not faults
+        assert (await attempt)[0] is AttemptOutcome.TIMED_OUT and not errors
 
 
 @runs_on_loop
 async def test_no_attempt_uses_a_connection_that_closed_sent_bytes_or_is_near_its_idle_time_out():
-    async def speaks_up(request, writer):
-        writer.write(OK + b"HTTP/1.1 408 Late\r\n" if len(server.got) == 1 else OK)
-        return b"" if len(server.got) == 2 else None
+    async def sends_extra_bytes(request, writer):
+        writer.write(OK + b"HTTP/1.1 408 Late\r\n" if len(server.requests) == 1 else OK)
+        return b"" if len(server.requests) == 2 else None
 
-    async with StubServer(speaks_up) as server:
+    async with StubServer(sends_extra_bytes) as server:
         sender = Sender(server.address)
-        site = sender.backends.pools[0]
+        pool = sender.backends.pools[0]
         for made in (1, 2, 3, 3):
             assert (await sender.send_attempt())[0] is AttemptOutcome.OK
             assert server.connections == made
             await until(lambda made=made: server.closed >= min(made, 2))
-            await until(lambda: not site.idle or len(server.got) > 2)
-        site.idle[0].idle_since -= sender.backends.idle_max_us
+            await until(lambda: not pool.idle or len(server.requests) > 2)
+        pool.idle[0].idle_since -= sender.backends.idle_max_us
         assert (await sender.send_attempt())[0] is AttemptOutcome.OK and server.connections == 4
-        site.idle[0].idle_since -= sender.backends.idle_max_us
+        pool.idle[0].idle_since -= sender.backends.idle_max_us
         sender.backends.close_expired()
-        assert not site.idle and sender.backends.descriptor_budget.used == 0
-        assert len(server.got) == 5, "each attempt was written once"
+        assert not pool.idle and sender.backends.descriptor_budget.used == 0
+        assert len(server.requests) == 5, "each attempt was written once"
 
 
 @runs_on_loop
@@ -241,16 +241,16 @@
         sender.backends.set_address(0, new.address)
         await until(lambda: old.closed == 1)
         assert (await sender.send_attempt())[0] is AttemptOutcome.OK
-        assert len(new.got) == sender.backends.descriptor_budget.used == 1
+        assert len(new.requests) == sender.backends.descriptor_budget.used == 1
 
 
 @runs_on_loop
 async def test_without_a_descriptor_idle_connections_are_closed_or_nothing_is_sent():
-    async with StubServer() as one, StubServer(None) as two:
-        sender = Sender(one.address, most=1)
-        sender.backends.set_address(1, two.address)
+    async with StubServer() as first, StubServer(None) as second:
+        sender = Sender(first.address, descriptors=1)
+        sender.backends.set_address(1, second.address)
         await sender.send_attempt()
-        out = asyncio.create_task(sender.send_attempt(backend=1))
-        await until(lambda: two.got and one.closed)
+        attempt = asyncio.create_task(sender.send_attempt(backend=1))
+        await until(lambda: second.requests and first.closed)
         assert (await sender.send_attempt())[0] is AttemptOutcome.NOT_SENT
-        assert (await out)[0] is AttemptOutcome.TIMED_OUT
+        assert (await attempt)[0] is AttemptOutcome.TIMED_OUT
