--- a/tests/gateway_under_test.py
+++ b/tests/gateway_under_test.py
@@ -1,4 +1,4 @@
-"""A whole gateway on loopback sockets, with stub servers in place of the systems around it."""
+"""A complete gateway on loopback sockets, with stub servers for the backend, the counter service and discovery."""
 
 import asyncio
 import functools
@@ -11,7 +11,7 @@
 from stoneyoke.single_gateway.configuration import read_settings
 from stoneyoke.single_gateway.program import SingleGatewayProgram
 
-RawMessage = tuple[list[bytes], bytes]  # a message: its head's lines and its body
+RawMessage = tuple[list[bytes], bytes]  # the lines of the head, and the body
 Response = tuple[int, dict[bytes, bytes], bytes]  # status, headers, body
 
 SETTINGS: dict[str, Any] = {
@@ -59,7 +59,7 @@
 
 
 def runs_on_loop(test: Callable[..., Awaitable[None]]) -> Callable[..., None]:
-    """Runs an async test to its end, TEST_TIMEOUT_S at most."""
+    """Runs an async test in a new event loop, for at most TEST_TIMEOUT_S."""
 
     @functools.wraps(test)
     def run(*args: Any, **kwargs: Any) -> None:
@@ -69,16 +69,16 @@
 
 
 async def until(condition: Callable[[], Any]) -> None:
-    """Lets the event loop run until the condition holds; the test's own time limit ends the wait."""
-    while not condition():  # noqa: ASYNC110 -- what it looks at has no event
+    """Runs the event loop until the condition holds; if it never does, the test's time limit fails the test."""
+    while not condition():  # noqa: ASYNC110 -- no event reports that the condition holds
         await asyncio.sleep(POLL_S)
 
 
-LAB_PORT_MAX = 60_000  # the largest that `stoneyoke lab` takes
+LAB_PORT_MAX = 60_000  # the largest port that `stoneyoke lab` accepts
 
 
 def free_port(host: str = "127.10.0.1", kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-    """A port on which nobody listens now, so that test processes beside each other don't share a fixed one."""
+    """Returns a port on which no process listens, so that concurrent test processes don't use the same fixed port."""
     while True:
         with socket.socket(type=kind) as probe:
             probe.bind((host, 0))
@@ -88,7 +88,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> RawMessage | None:
-    """A message as it stands on the wire: its head's lines and its body. None where the stream ends."""
+    """Reads a message as it was sent: the lines of its head, and its body. Returns None if the stream ends."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
         lines = head[:-4].split(b"\r\n")
@@ -102,11 +102,11 @@
     """An HTTP server whose responses the test sets.
 
     Attributes:
-        answer: The bytes to send, or a coroutine function of (request, writer) that gives them. None sends nothing; b""
-            closes the connection.
-        got: The requests that have come.
-        connections: How many connections have been accepted.
-        closed: How many of them have ended.
+        answer: The bytes to send, or a coroutine function of (request, writer) that returns them. None sends nothing;
+            b"" closes the connection.
+        requests: The requests that have been received.
+        connections: The number of connections that have been accepted.
+        closed: The number of them that are closed.
     """
 
     def __init__(self, answer: Any = OK) -> None:
@@ -133,24 +133,24 @@
                 if answer:
                     writer.write(answer)
         except asyncio.CancelledError:
-            pass  # the test is over
+            pass  # the event loop of the test is shut down
         self.closed += 1
         writer.transport.abort()
 
 
 def total_response(text: bytes) -> bytes:
-    """A response of the counter service, with the total as its body."""
+    """Returns a response of the counter service, with the total as its body."""
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text)
 
 
 def json_response(value: Any) -> bytes:
-    """A response with a JSON body."""
+    """Returns a response with a JSON body."""
     body = json.dumps(value).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
 def entry(name: str, address: str, status: str = "active", since_ms: int = 0) -> dict[str, Any]:
-    """A row of discovery's endpoint list."""
+    """Returns a row of discovery's endpoint list."""
     return {
         "name": name,
         "address": address,
@@ -167,7 +167,7 @@
 
 
 def rpc(kind: bytes = b"look", body: bytes = b"", **changes: str | None) -> bytes:
-    """An RPC on the wire, with an id of its own; a change of None leaves the header out."""
+    """Returns the bytes of an RPC with a unique id; a change of None omits that header."""
     fields: dict[str, str | None] = {
         "Host": "app.svc",
         "Req-Id": f"{next(IDS):016x}",
@@ -186,7 +186,7 @@
 
 
 class RawClient:
-    """A client's connection, byte for byte."""
+    """A client connection that sends and receives raw bytes."""
 
     def __init__(self, address: tuple[str, int], buffer: int | None = None) -> None:
         self.address, self.buffer = address, buffer
@@ -204,26 +204,26 @@
         self.writer.transport.abort()
 
     async def request(self, data: bytes) -> Response:
-        """Sends a request; returns the response to it."""
+        """Sends a request, and returns the next response."""
         self.writer.write(data)
         return await self.receive()
 
     async def receive(self) -> Response:
-        """The next response."""
+        """Returns the next response."""
         message = await read_message(self.reader)
         if message is None:
-            raise ConnectionError("the connection has ended without a response")
+            raise ConnectionError("the connection was closed without a response")
         lines, body = message
         headers = dict(line.split(b": ", 1) for line in lines[1:])
         return int(lines[0].split()[1]), headers, body
 
 
 class GatewayUnderTest:
-    """A whole gateway on a socket of its own, with stub servers as backend, counter service and discovery.
+    """A complete gateway on its own socket, with stub servers as backend, counter service and discovery.
 
     Attributes:
-        configuration: What the gateway was started with.
-        endpoint_list: What discovery answers to a query for the whole list; it never answers one for changes.
+        configuration: The configuration that the gateway was started with.
+        endpoint_list: Discovery's response to a query for the whole list; it never responds to a long poll for changes.
     """
 
     def __init__(self, answer: Any = OK, limits: dict[str, Any] | None = None, **caps: Any) -> None:
@@ -263,9 +263,9 @@
             await part.__aexit__()
 
     def connect(self, buffer: int | None = None) -> RawClient:
-        """A client's connection; buffer: the size of its receive buffer in bytes."""
+        """Returns a client connection; `buffer` is the size of its receive buffer in bytes."""
         return RawClient(self.address, buffer)
 
     def count(self, name: str) -> int:
-        """The value of one of the gateway's counters."""
+        """Returns the value of one of the gateway's counters."""
         return self.program.metrics.counts[name]
