--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections: which end when, and which are closed for others at the limit of descriptors."""
+"""Client connections: their time limits, and which are closed to make room for others at the descriptor limit."""
 
 import socket
 
@@ -41,7 +41,7 @@
 
         advance_time(MESSAGE_TIMEOUT_US - 1_500_000)
         for client in (partial, second_partial):
-            client.writer.write(b"/x")  # renews nothing
+            client.writer.write(b"/x")  # does not restart the time limit
         await until(lambda: sum(c.messages.message_bytes == 11 for c in all_open.values()) == 1)
         assert len(all_open) == 5
         advance_time(1_500_000)
@@ -84,7 +84,7 @@
         gateway.connect() as idle,
         gateway.connect() as partial,
     ):
-        gateway.program.clients.descriptor_budget.limit = 4  # one of them for the attempt
+        gateway.program.clients.descriptor_budget.limit = 4  # one of them is for the connection of the attempt
         waiting.writer.write(rpc())
         partial.writer.write(b"GET /look")
         clients_open = gateway.program.clients.connections.open
@@ -107,7 +107,7 @@
         assert (await client.request(rpc()))[0] == 200
         (connection,) = gateway.program.clients.connections.open.values()
         assert connection.can_close_safely() and gateway.program.clients.connections.eviction_candidate()
-        client.writer.write(rpc())  # on the socket; the loop has not seen it yet
+        client.writer.write(rpc())  # waits on the socket; the event loop has not read it yet
         assert not connection.can_close_safely() and gateway.program.clients.connections.eviction_candidate() is None
         assert (await client.receive())[0] == 200
 
@@ -132,7 +132,7 @@
         gateway.connect(4096) as slow,
     ):
         partial.writer.write(b"GET /look")
-        slow.writer.write(rpc(X_Quota="units=1,spread=1,first=1") * 400)  # pipelined; nothing is read
+        slow.writer.write(rpc(X_Quota="units=1,spread=1,first=1") * 400)  # pipelined; the client reads no response
         clients_open = gateway.program.clients.connections.open
         close_expired = gateway.program.clients.connections.close_expired
         await until(lambda: len(clients_open) == 2 and Phase.IDLE not in [c.phase for c in clients_open.values()])
@@ -147,7 +147,7 @@
 
 @runs_on_loop
 async def test_an_rpc_that_waits_unread_on_its_socket_is_answered_before_the_shutdown():
-    # The RPC is on the socket, and the loop has not seen it, when nothing seems to be owed any more.
+    # The shutdown checks for pending requests while the RPC waits on the socket and the event loop has not read it.
     async with GatewayUnderTest() as gateway, gateway.connect() as client:
         assert (await client.request(rpc()))[0] == 200
         sock = client.writer.get_extra_info("socket")
