--- a/tests/net/test_counter_calls.py
+++ b/tests/net/test_counter_calls.py
@@ -1,4 +1,4 @@
-"""Queries to the counter service: pipelined, limited, and lost with their connection."""
+"""Queries to the counter service: pipelining, the limit of connections, time-outs and lost connections."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class CounterHarness:
-    """Queries to a counter service, and what the decision logic would be told."""
+    """Sends queries to a counter service, and records the replies that the decision logic would receive."""
 
     def __init__(self, address, limit_us=80_000):
         self.replies, self.metrics = [], Metrics()
