--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: updates in order, silence, malformed responses, and a new process's first list."""
+"""The watch on discovery: updates in order, missing and malformed responses, and the first list of a new process."""
 
 import asyncio
 import time
@@ -25,7 +25,7 @@
 
 
 class Addresses:
-    """An address book in a dict."""
+    """An AddressBook that stores the addresses in a dict."""
 
     def __init__(self, addresses):
         self.addresses = addresses
@@ -87,7 +87,7 @@
     ]
     assert addresses == {2: ("10.1.0.1", 7070)}
     assert endpoints.indices.index_by_id == {"s-1": 0, "s-2": 1, "s-3": 2}
-    endpoints.release_unused()  # the decision logic has no row for s-2 any more, and one for s-1
+    endpoints.release_unused()  # the decision logic has a row for s-1, and none for s-2 any more
     assert endpoints.indices.index_by_id == {"s-1": 0, "s-3": 2} and list(endpoints.address_by_name) == ["s-3"]
 
 
@@ -195,14 +195,14 @@
         client.writer.write(rpc())
         updates = {"index": 5, "snapshot": False, "endpoints": [entry("s-1", gateway.backend.host_port, "leaving")]}
         gateway.watcher.write(json_response(updates))
-        time.sleep(0.3)  # noqa: ASYNC251 -- the process stands still, and the loop finds both at once
+        time.sleep(0.3)  # noqa: ASYNC251 -- stalls the process, so that the event loop finds both inputs in one iteration
         assert (await client.receive())[0] == 429 and not gateway.backend.requests
         assert gateway.count("process stalled") == 1
 
 
 @runs_on_loop
 async def test_the_first_rpc_waits_for_the_first_endpoint_list_and_avoids_draining_backends():
-    """Started with a list in which s-1 is ready; discovery knows that it drains, and says so 0.1 s later."""
+    """The process starts with a list in which s-1 is ready. Discovery reports that s-1 drains once an RPC waits."""
     gateway = GatewayUnderTest()
     release = asyncio.Event()
     answer_query = gateway.answer_discovery
