--- a/tests/net/test_program.py
+++ b/tests/net/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a process: its configuration, its own options, its end and its limits."""
+"""The program as a process: its configuration, its own options, its shutdown and its descriptor limit."""
 
 import contextlib
 import json
