--- a/tests/net/test_reload_and_end.py
+++ b/tests/net/test_reload_and_end.py
@@ -1,4 +1,4 @@
-"""SIGHUP and SIGTERM: what moves, what is still answered, and what ends when."""
+"""SIGHUP and SIGTERM: the addresses that a reload changes, and the requests that are answered before the shutdown."""
 
 import asyncio
 import json
@@ -41,7 +41,9 @@
             new_client.writer.write(rpc())
             await until(lambda: len(gateway.backend.requests) == 2)
             status, headers, _ = await idle.request(b"GET /healthz HTTP/1.1\r\n\r\n")
-            assert status == 503 and b"Connection" not in headers, "kept for as long as clients use it"
+            assert status == 503 and b"Connection" not in headers, (
+                "the connection stays open for as long as clients use it"
+            )
             assert await idle.reader.read() == b""
             await until(lambda: not gateway.program.server.is_serving())
             with pytest.raises(ConnectionRefusedError):  # else a front that goes on would keep it for ever
@@ -116,7 +118,7 @@
         logger.remove(sink)
         assert len(lines) == 1 and "old configuration stays" in lines[0]
         assert len(gateway.program.discovery.watches) == 1 and len(gateway.program.counter.connections) == 1
-        reload(discovery="127.0.0.1:1")  # nobody listens there: the old one is watched on
+        reload(discovery="127.0.0.1:1")  # no process listens there, so the old address is still watched
         reload(discovery=new_discovery.host_port, counter=new_counter.host_port)
         await until(lambda: len(new_discovery.requests) == 2 and gateway.discovery.closed == 1)
         assert len(gateway.program.discovery.watches) == 1
