--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests over the gateway's sockets: what passes, what is rejected, and what malformed input costs."""
+"""Requests over the gateway's sockets: what is forwarded, what is rejected, and the handling of malformed input."""
 
 import asyncio
 import contextlib
@@ -35,7 +35,7 @@
         GatewayUnderTest(b"HTTP/1.1 500 Oops\r\nContent-Length: 4\r\n\r\noops") as gateway,
         gateway.connect() as client,
     ):
-        for _ in range(400 // 3 // 4 + 2):  # a part of the burst, in the largest RPCs
+        for _ in range(400 // 3 // 4 + 2):  # enough of the largest RPCs to exhaust this gateway's share of the burst
             gateway.backend.requests.clear()
             status, headers, body = await client.request(rpc(X_Quota="units=4,spread=3,first=1"))
         assert status == 429 and float(headers[b"Retry-After"]) > 0 and not gateway.backend.requests
