--- a/tests/net/test_runtime.py
+++ b/tests/net/test_runtime.py
@@ -37,7 +37,9 @@
         runtime.next_timer_at = now - 3_000_000
         assert runtime.arrival_time() == now - 3_000_000
         runtime.timer_fired(runtime.next_timer_at, 0)
-        assert runtime.next_timer_at > now and runtime.arrival_time() == now - 3_000_000  # connections made meanwhile
+        assert (
+            runtime.next_timer_at > now and runtime.arrival_time() == now - 3_000_000
+        )  # for connections made during the stall
         runtime.stalled_until -= 1_000_000
         assert runtime.arrival_time() >= now
 
