--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at backends: the outcome of each ending, and connections used again or not."""
+"""Attempts at backends: the outcome of each response and error, and which connections are reused."""
 
 import asyncio
 import socket
@@ -48,7 +48,7 @@
             status, _, body = await client.request(rpc(kind, Req_Id=f"id-{number}", Req_Deadline="0.150"))
             assert (status, body) in ((200, b"yes"), (429, b"")) and time.monotonic() - start < 1.0
             client.writer.write_eof()
-            assert await client.reader.read() == b"", "a second answer"
+            assert await client.reader.read() == b"", "a second response"
 
     async with GatewayUnderTest(answer) as gateway:
         await asyncio.gather(*(ask(number, kind) for number, kind in enumerate(kinds)))
@@ -106,7 +106,7 @@
 
 
 class Sender:
-    """Call-outs to one backend, without a gateway around them."""
+    """Makes attempts at one backend without a gateway."""
 
     def __init__(self, address, idle_us=30_000_000, descriptors=9):
         self.clock, self.pending = Clock(), PendingRequest(1, Clock(), None)
@@ -143,7 +143,7 @@
     assert (await Sender(address).send_attempt(backend=1))[0] is AttemptOutcome.NOT_SENT
 
     async def reads_little(reader, writer):
-        await reader.read(1)  # a part has left, and what is not read keeps the rest from leaving
+        await reader.read(1)  # a part was sent; since it is not all read, the rest can't be sent
         writer.transport.abort()
 
     server = await asyncio.start_server(reads_little, "127.0.0.1", 0, limit=1)
@@ -160,7 +160,7 @@
         server.answer = None
         attempt = asyncio.create_task(sender.send_attempt(within=5_000_000))
         await until(lambda: len(server.requests) == 2)
-        server.server.close()  # takes no more; the connection that is up stays
+        server.server.close()  # accepts no more connections; the open one stays open
         assert (await sender.send_attempt())[0] is AttemptOutcome.CUT
         attempt.cancel()
         await asyncio.wait([attempt])
@@ -170,7 +170,7 @@
 
 @runs_on_loop
 async def test_a_connect_without_any_reply_times_out():
-    with socket.socket() as silent:  # its queue is full: what comes then gets no answer at all
+    with socket.socket() as silent:  # its accept queue is full, so further connects get no reply
         silent.bind(("127.0.0.1", 0))
         silent.listen(0)
         with socket.create_connection(silent.getsockname()):
@@ -204,7 +204,7 @@
         sender = Sender(server.address)
         attempt = asyncio.create_task(sender.send_attempt(within=20_000))
         await until(lambda: server.requests)
-        time.sleep(0.05)  # noqa: ASYNC251 -- the time is up, and the call-off comes in the same turn of the loop
+        time.sleep(0.05)  # noqa: ASYNC251 -- makes the deadline pass in the same loop iteration as the cancellation
         loop, errors = asyncio.get_running_loop(), []
         loop.set_exception_handler(lambda _, context: errors.append(context))
         loop.call_later(0.0, lambda: sender.pending.cancel_attempt(0, False))
