--- a/stoneyoke/net/http_server.py
+++ b/stoneyoke/net/http_server.py
@@ -25,9 +25,9 @@
 # A request can cross with the close of its idle connection. The client then sends it again over a new connection, which
 # the listener accepts for this long after the idle connections were closed.
 IN_TRANSIT_S = 0.2
-# The server shuts down after this many successive checks, IDLE_CHECK_S apart, that found no request in flight.
+# The server shuts down after this many successive checks, IDLE_CHECK_INTERVAL_S apart, that found no request in flight.
 IDLE_CHECKS = 3
-IDLE_CHECK_S = 0.02
+IDLE_CHECK_INTERVAL_S = 0.02
 REASON_MAX_BYTES = 200  # the longest reason in the body of a rejection
 HEALTH_CHECK_TARGET = b"/healthz"
 
@@ -233,7 +233,7 @@
             async with asyncio.timeout(time_limit_s):
                 idle_checks = 0
                 while idle_checks < IDLE_CHECKS:
-                    await asyncio.sleep(IDLE_CHECK_S)
+                    await asyncio.sleep(IDLE_CHECK_INTERVAL_S)
                     idle_checks = 0 if self.has_work() else idle_checks + 1
 
     def has_work(self) -> bool:
--- a/stoneyoke/single_gateway/cli.py
+++ b/stoneyoke/single_gateway/cli.py
@@ -66,7 +66,7 @@
     try:
         content = configuration.read_configuration()
         configuration.read_settings(content)
-        configuration.fleet_parameters_of(configuration.read_options(content), content)
+        configuration.read_fleet_parameters(configuration.read_options(content), content)
     except InvalidConfiguration as error:
         click.echo(f"stoneyoke: {error}", err=True)
         sys.exit(USAGE_ERROR)
--- a/stoneyoke/single_gateway/configuration.py
+++ b/stoneyoke/single_gateway/configuration.py
@@ -157,7 +157,7 @@
     return read_options_file(Path(named))
 
 
-def fleet_parameters_of(options: "Options | None", configuration: dict[str, Any]) -> "FleetParameters | None":
+def read_fleet_parameters(options: "Options | None", configuration: dict[str, Any]) -> "FleetParameters | None":
     """Returns the parameters of the fleet component; None if the options don't enable it."""
     if options is None:
         return None
--- a/stoneyoke/single_gateway/program.py
+++ b/stoneyoke/single_gateway/program.py
@@ -17,8 +17,8 @@
 from stoneyoke.runtime.runtime import Runtime
 from stoneyoke.single_gateway.configuration import (
     GatewaySettings,
-    fleet_parameters_of,
     read_configuration,
+    read_fleet_parameters,
     read_options,
     read_settings,
 )
@@ -33,7 +33,9 @@
     from stoneyoke.fleet.parameters import FleetParameters
     from stoneyoke.fleet.transport import FleetTransport
 
-MAINTENANCE_S = 0.25  # the shortest time-out that is checked at this interval, 2 s, must take effect within 3 s
+MAINTENANCE_INTERVAL_S = (
+    0.25  # the shortest time-out that is checked at this interval, 2 s, must take effect within 3 s
+)
 ACCEPT_QUEUE = 1024  # connections that may wait to be accepted; the system reduces it to its own limit
 OWN_DESCRIPTORS = 24  # standard streams, event loop, listener, counter and discovery
 # The descriptors divided by this are kept in reserve, and as many again for connections that are being accepted.
@@ -154,7 +156,7 @@
         try:
             configuration = read_configuration()
             settings, options = read_settings(configuration), read_options(configuration)
-            fleet_parameters = fleet_parameters_of(options, configuration)
+            fleet_parameters = read_fleet_parameters(options, configuration)
         except Exception as error:  # outermost guard: an error in a file must not affect the running gateway
             self.metrics.add("reloads: unusable")
             logger.error("reload: the new configuration is invalid, the old configuration stays: {}", error)
@@ -182,9 +184,9 @@
         self.log_counts()
 
     async def maintain(self) -> None:
-        """Closes expired connections, checks for orphaned attempts, and releases unused indices, at an interval."""
+        """Closes expired connections, checks for orphaned attempts, and releases unused indices, periodically."""
         while True:
-            await asyncio.sleep(MAINTENANCE_S)
+            await asyncio.sleep(MAINTENANCE_INTERVAL_S)
             self.backends.close_expired()
             self.clients.connections.close_expired()
             self.runtime.departures.sweep()
@@ -214,7 +216,7 @@
         if options and options.log.form == "json":
             logger.remove()
             logger.add(sys.stderr, serialize=True, backtrace=False, diagnose=False)
-        program = SingleGatewayProgram(read_settings(configuration), fleet_parameters_of(options, configuration))
+        program = SingleGatewayProgram(read_settings(configuration), read_fleet_parameters(options, configuration))
     except InvalidConfiguration as error:
         print(f"stoneyoke: {error}", file=sys.stderr)
         return EXIT_INVALID_CONFIGURATION
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -119,18 +119,18 @@
         }
 
     assert set(apply(endpoint_row("s-1"), endpoint_row("s-2", "10.1.0.2:80")).values()) == {"READY"}
-    old, before = endpoints.indices.index_by_id["s-1"], pools.pools[endpoints.indices.index_by_id["s-1"]]
+    old_index, old_pool = endpoints.indices.index_by_id["s-1"], pools.pools[endpoints.indices.index_by_id["s-1"]]
     states = apply(endpoint_row("s-3", since_ms=5), endpoint_row("s-1", status="leaving"))
-    assert states == {old: "GONE", endpoints.indices.index_by_id["s-3"]: "READY"}
-    assert apply(endpoint_row("s-1", status="leaving"), endpoint_row("s-4", status="left")) == {old: "GONE"}
+    assert states == {old_index: "GONE", endpoints.indices.index_by_id["s-3"]: "READY"}
+    assert apply(endpoint_row("s-1", status="leaving"), endpoint_row("s-4", status="left")) == {old_index: "GONE"}
     assert sorted(pool.address for pool in pools.pools.values()) == [("10.1.0.1", 7070), ("10.1.0.2", 80)]
-    assert before not in pools.pools.values()
+    assert old_pool not in pools.pools.values()
     endpoints.release_unused()
-    assert set(endpoints.indices.index_by_id) == {"s-2", "s-3"} and old in endpoints.indices.free_indices
+    assert set(endpoints.indices.index_by_id) == {"s-2", "s-3"} and old_index in endpoints.indices.free_indices
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         b"",
         b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
@@ -142,11 +142,11 @@
     ],
 )
 @runs_on_loop
-async def test_malformed_or_missing_responses_of_discovery_change_nothing(bad):
+async def test_malformed_or_missing_responses_of_discovery_change_nothing(invalid):
     updates = []
 
     async def answer(request, writer):
-        return [bad, list_response(endpoint_row("s-1")), None][len(server.requests) - 1]
+        return [invalid, list_response(endpoint_row("s-1")), None][len(server.requests) - 1]
 
     async with StubServer(answer) as server:
         discovery = Discovery(Metrics(), updates.append)
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         {"name": "s-2"},
         7,
@@ -170,8 +170,10 @@
         endpoint_row("s-2", since_ms=None),
     ],
 )
-def test_an_invalid_endpoint_is_omitted_and_removes_no_other_backend(bad):
-    updates = read_endpoint_update({"index": 4, "snapshot": True, "endpoints": [endpoint_row("s-1", "[::1]:80"), bad]})
+def test_an_invalid_endpoint_is_omitted_and_removes_no_other_backend(invalid):
+    updates = read_endpoint_update(
+        {"index": 4, "snapshot": True, "endpoints": [endpoint_row("s-1", "[::1]:80"), invalid]}
+    )
     assert [(entry.name, entry.address) for entry in updates.endpoints] == [("s-1", ("::1", 80))]
     assert not updates.complete and updates.omitted
 
--- a/tests/net/test_reload_and_end.py
+++ b/tests/net/test_reload_and_end.py
@@ -27,11 +27,15 @@
     monkeypatch.setattr(rpc_handler, "DRAIN_S", 0.5)
     release = asyncio.Event()
 
-    async def late(_, writer):
+    async def respond_when_released(_, writer):
         await release.wait()
         return OK
 
-    async with GatewayUnderTest(late) as gateway, gateway.connect() as pending_client, gateway.connect() as idle:
+    async with (
+        GatewayUnderTest(respond_when_released) as gateway,
+        gateway.connect() as pending_client,
+        gateway.connect() as idle,
+    ):
         assert (await idle.request(b"GET /healthz HTTP/1.1\r\n\r\n"))[0] == 200
         pending_client.writer.write(rpc())
         await until(lambda: gateway.backend.requests)
@@ -81,7 +85,7 @@
     monkeypatch.setenv("NODE_CONFIG", str(path))
     release = asyncio.Event()
 
-    async def late(_, writer):
+    async def respond_when_released(_, writer):
         await release.wait()
         return OK
 
@@ -93,7 +97,7 @@
         gateway.program.reload()
 
     async with (
-        GatewayUnderTest(late) as gateway,
+        GatewayUnderTest(respond_when_released) as gateway,
         gateway.connect() as pending_client,
         StubServer(answer_query) as new_discovery,
         StubServer(total_response(b"7")) as new_counter,
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -70,11 +70,11 @@
 ):
     events, release = [], asyncio.Event()
 
-    async def late(_, writer):
+    async def respond_when_released(_, writer):
         await release.wait()
         return OK
 
-    async with GatewayUnderTest(late, cancel=can_cancel) as gateway:
+    async with GatewayUnderTest(respond_when_released, cancel=can_cancel) as gateway:
         decision_logic = gateway.program.runtime.gateway
         handle = decision_logic.handle
         decision_logic.handle = lambda event, now: (events.append(event), handle(event, now))[1]
@@ -172,12 +172,12 @@
 
 @runs_on_loop
 async def test_the_id_of_a_pending_rpc_is_rejected_and_accepted_again_after_it_is_closed():
-    async with GatewayUnderTest(None) as gateway, gateway.connect() as one, gateway.connect() as two:
-        one.writer.write(rpc(Req_Id="twice", Req_Deadline="1.000"))
+    async with GatewayUnderTest(None) as gateway, gateway.connect() as first, gateway.connect() as second:
+        first.writer.write(rpc(Req_Id="twice", Req_Deadline="1.000"))
         await until(lambda: gateway.backend.requests)
-        assert (await two.request(rpc(Req_Id="twice")))[0] == 409
-        assert (await one.receive())[0] == 429 and len(gateway.backend.requests) == 1
-        assert (await one.request(rpc(Req_Id="twice", Req_Deadline="0.300")))[0] == 429
+        assert (await second.request(rpc(Req_Id="twice")))[0] == 409
+        assert (await first.receive())[0] == 429 and len(gateway.backend.requests) == 1
+        assert (await first.request(rpc(Req_Id="twice", Req_Deadline="0.300")))[0] == 429
         assert len(gateway.backend.requests) == 2 and not gateway.program.clients.open_ids
 
 
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -114,10 +114,10 @@
         self.backends = Backends(self.clock, Metrics(), DescriptorBudget(descriptors, 0), limits)
         self.backends.set_address(0, address)
 
-    async def send_attempt(self, n=0, backend=0, within=200_000, body=b""):
+    async def send_attempt(self, number=0, backend=0, timeout_us=200_000, body=b""):
         line = [b"POST /x HTTP/1.1\r\nContent-Length: %d\r\n" % len(body)]
-        request = OutgoingRequest(head=line, body=body, deadline_us=self.clock.now() + within)
-        return await self.backends.send_attempt(self.pending, n, backend, request)
+        request = OutgoingRequest(head=line, body=body, deadline_us=self.clock.now() + timeout_us)
+        return await self.backends.send_attempt(self.pending, number, backend, request)
 
 
 @runs_on_loop
@@ -148,7 +148,7 @@
 
     server = await asyncio.start_server(reads_little, "127.0.0.1", 0, limit=1)
     backend = Sender(server.sockets[0].getsockname())
-    assert (await backend.send_attempt(within=5_000_000, body=b"x" * 30_000_000))[0] is AttemptOutcome.BROKEN
+    assert (await backend.send_attempt(timeout_us=5_000_000, body=b"x" * 30_000_000))[0] is AttemptOutcome.BROKEN
     server.close()
 
 
@@ -158,7 +158,7 @@
         sender = Sender(server.address)
         await sender.send_attempt()
         server.answer = None
-        attempt = asyncio.create_task(sender.send_attempt(within=5_000_000))
+        attempt = asyncio.create_task(sender.send_attempt(timeout_us=5_000_000))
         await until(lambda: len(server.requests) == 2)
         server.server.close()  # accepts no more connections; the open one stays open
         assert (await sender.send_attempt())[0] is AttemptOutcome.CUT
@@ -175,9 +175,9 @@
         silent.listen(0)
         with socket.create_connection(silent.getsockname()):
             sender, start = Sender(silent.getsockname()), time.monotonic()
-            assert (await sender.send_attempt(within=5_000_000))[0] is AttemptOutcome.NO_CONNECTION
+            assert (await sender.send_attempt(timeout_us=5_000_000))[0] is AttemptOutcome.NO_CONNECTION
             assert 0.2 < time.monotonic() - start < 1.0 and sender.backends.descriptor_budget.used == 0
-            attempt = asyncio.create_task(sender.send_attempt(within=5_000_000))
+            attempt = asyncio.create_task(sender.send_attempt(timeout_us=5_000_000))
             await until(lambda: sender.pending.cancel_attempt)
             sender.pending.cancel_attempt(0, False)
             assert (await attempt)[0] is AttemptOutcome.NOT_SENT and sender.backends.descriptor_budget.used == 0
@@ -187,7 +187,7 @@
 async def test_a_cancellation_closes_the_connection_so_that_no_other_rpc_receives_a_late_response():
     async with StubServer(None) as server:
         sender = Sender(server.address)
-        attempt = asyncio.create_task(sender.send_attempt(n=3, within=5_000_000))
+        attempt = asyncio.create_task(sender.send_attempt(number=3, timeout_us=5_000_000))
         await until(lambda: server.requests)
         sender.pending.cancel_attempt(2, False)
         sender.pending.cancel_attempt(3, False)
@@ -202,7 +202,7 @@
 async def test_a_cancellation_in_the_same_loop_iteration_as_the_deadline_is_ignored():
     async with StubServer(None) as server:
         sender = Sender(server.address)
-        attempt = asyncio.create_task(sender.send_attempt(within=20_000))
+        attempt = asyncio.create_task(sender.send_attempt(timeout_us=20_000))
         await until(lambda: server.requests)
         time.sleep(0.05)  # noqa: ASYNC251 -- makes the deadline pass in the same loop iteration as the cancellation
         loop, errors = asyncio.get_running_loop(), []
@@ -220,10 +220,10 @@
     async with StubServer(sends_extra_bytes) as server:
         sender = Sender(server.address)
         pool = sender.backends.pools[0]
-        for made in (1, 2, 3, 3):
+        for expected_connections in (1, 2, 3, 3):
             assert (await sender.send_attempt())[0] is AttemptOutcome.OK
-            assert server.connections == made
-            await until(lambda made=made: server.closed >= min(made, 2))
+            assert server.connections == expected_connections
+            await until(lambda expected_connections=expected_connections: server.closed >= min(expected_connections, 2))
             await until(lambda: not pool.idle or len(server.requests) > 2)
         pool.idle[0].idle_since -= sender.backends.idle_max_us
         assert (await sender.send_attempt())[0] is AttemptOutcome.OK and server.connections == 4
