--- a/stoneyoke/net/client_connection.py
+++ b/stoneyoke/net/client_connection.py
@@ -33,7 +33,8 @@
     Attributes:
         messages: Reads the requests that arrive on it.
         accepted_at: When it was accepted, in microseconds.
-        since_us: When its phase began, in microseconds. READING begins with the first byte of the message.
+        since_us: When its phase began, in microseconds. READING and RESPONDING count from the first byte of the
+            message; a response that waits for the client to read it counts from the write.
         next_message_at: In the phase RESPONDING, when the first byte after the current request arrived, in
             microseconds; else 0.
         phase: See Phase.
