--- a/stoneyoke/net/http_server.py
+++ b/stoneyoke/net/http_server.py
@@ -69,7 +69,7 @@
 
     @abstractmethod
     async def handle(self, client: ClientConnection, message: Message) -> Reply:
-        """Returns the reply to one request; CLIENT_GONE if the client has disconnected.
+        """Returns the response to one request; CLIENT_GONE if the client has disconnected.
 
         Raises:
             MalformedMessage: The request is invalid. It is rejected and its connection closed.
@@ -163,26 +163,26 @@
     async def respond(self, client: ClientConnection, message: Message) -> None:
         """Answers one message of a client."""
         if message.target == HEALTH_CHECK_TARGET and message.method == b"GET":
-            reply = self.health()
+            response = self.health()
         else:
             # The request of a client that has already disconnected is not handled.
-            reply = CLIENT_GONE if client.disconnected else await self.handle(client, message)
-            if reply.status == 0 or client.writer.is_closing():
+            response = CLIENT_GONE if client.disconnected else await self.handle(client, message)
+            if response.status == 0 or client.writer.is_closing():
                 self.metrics.add("RPCs: client gone")
                 return
-        self.write_reply(client, message, reply)
+        self.write_response(client, message, response)
 
-    def write_reply(self, client: ClientConnection, message: Message, reply: Reply) -> None:
-        """Writes a reply, with "Connection: close" if the connection is closed after it."""
-        headers = reply.headers
+    def write_response(self, client: ClientConnection, message: Message, response: Reply) -> None:
+        """Writes a response, with "Connection: close" if the connection is closed after it."""
+        headers = response.headers
         if not message.keep_alive or self.closes_after_response(client):
             message.keep_alive = False
             headers += b"Connection: close\r\n"
-        head = [status_line(reply.status), headers, b"Content-Length: %d\r\n" % len(reply.body)]
-        write_message(client.writer, head, reply.body)
+        head = [status_line(response.status), headers, b"Content-Length: %d\r\n" % len(response.body)]
+        write_message(client.writer, head, response.body)
 
     def health(self) -> Reply:
-        """Returns the reply to a health check: 503 once the process has received SIGTERM, else 200."""
+        """Returns the response to a health check: 503 once the process has received SIGTERM, else 200."""
         self.metrics.add("health checks")
         terminating = self.respond_by_us < sys.maxsize
         return Reply(503, b"ending\n") if terminating else Reply(200, b"ok\n")
--- a/stoneyoke/net/reply.py
+++ b/stoneyoke/net/reply.py
@@ -1,4 +1,4 @@
-"""The reply of this process to one client request, before it is written."""
+"""The response of this process to one client request, before it is written."""
 
 from dataclasses import dataclass
 
--- a/stoneyoke/single_gateway/rpc_handler.py
+++ b/stoneyoke/single_gateway/rpc_handler.py
@@ -75,7 +75,7 @@
             self.runtime.close_request(pending)
 
     async def forward(self, pending: PendingRequest, message: Message, deadline_us: int) -> Reply:
-        """Carries out the decisions on one RPC until one of them ends it, and returns the reply.
+        """Carries out the decisions on one RPC until one of them ends it, and returns the response.
 
         The decision logic decides whether another attempt is safe, from the reported outcome of each attempt (see
         Attempt.may_have_run()). This method makes no attempt that it has not decided on.
@@ -83,14 +83,14 @@
         Args:
             pending: The RPC.
             message: The client's request.
-            deadline_us: The time by which the reply must be ready, so that it reaches the client before its deadline.
+            deadline_us: The time by which the response must be ready, to reach the client before its deadline.
         """
         while True:
             decision = await pending.next_decision(deadline_us)
             if isinstance(decision, StartAttempt):
-                reply = await self.attempt(pending, message, decision, deadline_us)
-                if reply is not None:
-                    return reply
+                response = await self.attempt(pending, message, decision, deadline_us)
+                if response is not None:
+                    return response
             elif isinstance(decision, Reject):
                 return self.rejection(decision)
             elif pending.client_gone:
@@ -104,7 +104,7 @@
     async def attempt(
         self, pending: PendingRequest, message: Message, start: StartAttempt, deadline_us: int
     ) -> Reply | None:
-        """Makes one attempt and reports its outcome; returns the reply if the attempt was successful, else None."""
+        """Makes one attempt and reports its outcome; returns the response if the attempt was successful, else None."""
         number, now = pending.attempts_started, self.clock.now()
         pending.attempts_started += 1
         if start.time_limit_us:
@@ -122,7 +122,7 @@
         return None
 
     def rejection(self, decision: Reject) -> Reply:
-        """Returns the reply to an RPC over quota or over capacity, with Retry-After if the settings allow that."""
+        """Returns the response to an RPC over quota or over capacity, with Retry-After if the settings allow that."""
         self.metrics.add("RPCs: rejected")
         retry_after = b"Retry-After: %.3f\r\n" % (decision.retry_after_us / 1_000_000)
         return Reply(429, headers=retry_after if self.runtime.parameters.sends_retry_after else b"")
