--- a/tests/system/test_client_left.py
+++ b/tests/system/test_client_left.py
@@ -26,7 +26,7 @@
 
 from stoneyoke.control.parameters import AttemptOutcome
 from stoneyoke.net.attempt import OutgoingRequest
-from stoneyoke.runtime.client_departures import OUTLIVED
+from stoneyoke.runtime.client_departures import ATTEMPT_OUTLIVED_CLIENT
 from stoneyoke.runtime.pending_request import RequestDescription
 
 EACH_WAY = each(*WAYS_TO_DISCONNECT)
@@ -357,7 +357,7 @@
         with raises(AssertionError):  # without -O, a violated invariant raises
             upstream.runtime.departures.sweep()
         upstream.runtime.departures.sweep()
-        assert gateway.metrics.violations == {OUTLIVED: 1}
+        assert gateway.metrics.violations == {ATTEMPT_OUTLIVED_CLIENT: 1}
         backend.released.set()
         await until(lambda: not gateway.handler.connections.open)
 
--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -186,20 +186,20 @@
             assert not refused
         except ConnectionResetError:
             assert refused
-        assert request.may_have_left() is left
+        assert request.may_have_been_sent() is left
     request = RequestWrite(Transport())
     request.start([b"POST / HTTP/1.1\r\n"], b"order")
     attempt = Attempt(BackendPool(("127.0.0.1", 1)), asyncio.timeout(None))
     attempt.request = request
-    attempt.cancelled_as = AttemptOutcome.CANCELLED  # while every byte is still in the buffer
-    assert attempt.failure_outcome(TimeoutError(), deadline_passed=True) is AttemptOutcome.NOT_SENT
-    attempt.cancelled_as = None
+    attempt.cancellation_outcome = AttemptOutcome.CANCELLED  # while every byte is still in the buffer
+    assert attempt.failure_outcome(TimeoutError(), time_limit_expired=True) is AttemptOutcome.NOT_SENT
+    attempt.cancellation_outcome = None
     try:
         await request.finish()  # drain() returns without an error, as for a transport that was closed locally
         raise AssertionError("a request that was not written completely is reported as written")
     except ConnectionResetError as bad:
-        assert request.may_have_left(), "a transport that was closed meanwhile does not prove that nothing was sent"
-        assert attempt.failure_outcome(bad, deadline_passed=False) is AttemptOutcome.BROKEN
+        assert request.may_have_been_sent(), "a transport that was closed meanwhile does not prove that nothing was sent"
+        assert attempt.failure_outcome(bad, time_limit_expired=False) is AttemptOutcome.BROKEN
 
 
 # ---- once a byte may have been sent ----
@@ -362,7 +362,7 @@
         sender = Sender(peer.address)
         task, connection = await completely_written_request(peer, sender, matches_response=is_own_answer)
         connection.sendall(OTHER)
-        await until(lambda: sender.connections[0].out_of_step)
+        await until(lambda: sender.connections[0].out_of_sync)
         if outcome is AttemptOutcome.CANCELLED:
             sender.pending.cancel_attempt(0, False)
         else:
