--- a/tests/system/test_upstream_attempts.py
+++ b/tests/system/test_upstream_attempts.py
@@ -198,7 +198,7 @@
         await request.finish()  # drain() returns without an error, as for a transport that was closed locally
         raise AssertionError("a request that was not written completely is reported as written")
     except ConnectionResetError as bad:
-        assert request.may_have_been_sent(), "a transport that was closed meanwhile does not prove that nothing was sent"
+        assert request.may_have_been_sent(), "a transport that was closed meanwhile does not prove that nothing is sent"
         assert attempt.failure_outcome(bad, time_limit_expired=False) is AttemptOutcome.BROKEN
 
 
