--- a/stoneyoke/consensus/learner.py
+++ b/stoneyoke/consensus/learner.py
@@ -48,17 +48,17 @@
     async def fetch(self, address: str, ballot: Ballot) -> Proposal | None:
         """The proposal under this ballot, or a newer one that is chosen, with its body; None if it can't be had."""
         request = ValueRequest(ballot=ballot_row(ballot))
-        answer = await call_peer(self.peers, address, request, FETCH_TIMEOUT_S)
-        if not isinstance(answer, ValueResponse) or not answer.found:
+        response = await call_peer(self.peers, address, request, FETCH_TIMEOUT_S)
+        if not isinstance(response, ValueResponse) or not response.found:
             return None
-        found = Ballot(*answer.ballot)
-        is_newer_chosen = answer.chosen and found > ballot
+        found = Ballot(*response.ballot)
+        is_newer_chosen = response.chosen and found > ballot
         if found != ballot and not is_newer_chosen:
             return None
-        compressed = answer.value.body
+        compressed = response.value.body
         try:
             body = zlib.decompress(compressed) if compressed else b""
         except zlib.error as error:
             logger.error("a value from {} can't be decompressed and is ignored: {}", address, error)
             return None
-        return Proposal(found, value_from_row(answer.value._replace(body=body)))
+        return Proposal(found, value_from_row(response.value._replace(body=body)))
--- a/stoneyoke/consensus/majority_read.py
+++ b/stoneyoke/consensus/majority_read.py
@@ -22,11 +22,11 @@
 
     known: Proposal
     chosen_voters_number: int
-    replies: dict[ReplicaId, Proposal | None] = field(default_factory=dict)
+    responses: dict[ReplicaId, Proposal | None] = field(default_factory=dict)
 
     def newest_found(self) -> Proposal:
         """The proposal with the highest ballot seen so far."""
-        return voter_groups.newest(self.known, self.replies.values())
+        return voter_groups.newest_proposal(self.known, self.responses.values())
 
     def required_groups(self) -> tuple[Group, ...]:
         """The groups of which a majority each has to answer."""
@@ -36,21 +36,25 @@
         """Addresses to ask. The set grows as newer voter sets are found."""
         return voter_groups.addresses_of(self.required_groups())
 
-    def on_reply(self, voter: ReplicaId, accepted: Proposal | None) -> None:
+    def on_response(self, voter: ReplicaId, accepted: Proposal | None) -> None:
         """A voter has answered with what it has accepted."""
-        self.replies[voter] = accepted
+        self.responses[voter] = accepted
 
     def has_quorum(self) -> bool:
         """Whether nothing that was chosen before the read began can be newer than `newest_found()`."""
-        return all(quorum.has_majority(group, self.replies) for group in self.required_groups())
+        return all(quorum.has_majority(group, self.responses) for group in self.required_groups())
 
     def chosen_proposal(self) -> Proposal | None:
         """The newest chosen proposal, None while the replies don't prove one."""
         if not self.has_quorum():
             return None
         newest = self.newest_found()
-        holders = [voter for voter, accepted in self.replies.items() if accepted and accepted.ballot == newest.ballot]
-        return newest if all(quorum.has_majority(group, holders) for group in newest.value.quorum_groups()) else None
+        accepted_by = [
+            voter for voter, accepted in self.responses.items() if accepted and accepted.ballot == newest.ballot
+        ]
+        return (
+            newest if all(quorum.has_majority(group, accepted_by) for group in newest.value.quorum_groups()) else None
+        )
 
 
 def newest_view(views: Mapping[ReplicaId, Proposal]) -> Proposal | None:
--- a/stoneyoke/consensus/proposal_round.py
+++ b/stoneyoke/consensus/proposal_round.py
@@ -13,7 +13,7 @@
 
 from stoneyoke.consensus import quorum, voter_groups
 from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
-from stoneyoke.consensus.register_value import Change, Group, Proposal, RegisterValue, ReplicaId
+from stoneyoke.consensus.register_value import ChangeFunction, Group, Proposal, RegisterValue, ReplicaId
 
 
 class Phase(Enum):
@@ -58,7 +58,7 @@
     ballot: Ballot
     known: Proposal
     chosen_voters_number: int
-    change: Change
+    change: ChangeFunction
     phase: Phase = Phase.PREPARE
     promises: dict[ReplicaId, Proposal | None] = field(default_factory=dict)
     acceptances: set[ReplicaId] = field(default_factory=set)
@@ -67,7 +67,7 @@
 
     def newest_found(self) -> Proposal:
         """The proposal with the highest ballot seen so far."""
-        return voter_groups.newest(self.known, self.promises.values())
+        return voter_groups.newest_proposal(self.known, self.promises.values())
 
     def required_groups(self) -> tuple[Group, ...]:
         """The groups of which a majority each is needed in this phase."""
--- a/stoneyoke/consensus/proposer.py
+++ b/stoneyoke/consensus/proposer.py
@@ -8,7 +8,7 @@
 from stoneyoke.consensus.message_rows import ballot_row, proposal_from_rows, value_row
 from stoneyoke.consensus.peer_calls import CALL_TIMEOUT_S, TRANSFER_S_PER_BYTE, call_peer
 from stoneyoke.consensus.proposal_round import Phase, ProposalRound
-from stoneyoke.consensus.register_value import Change, Proposal, ReplicaId
+from stoneyoke.consensus.register_value import ChangeFunction, Proposal, ReplicaId
 from stoneyoke.transport.messages import AcceptRequest, AcceptResponse, PrepareRequest, PrepareResponse
 
 BACKOFF_S = 0.02
@@ -37,7 +37,7 @@
         self.counter = 0
         self.lock = asyncio.Lock()  # two rounds of one process would only refuse each other
 
-    async def propose(self, change: Change, timeout_s: float) -> Proposal | None:
+    async def propose(self, change: ChangeFunction, timeout_s: float) -> Proposal | None:
         """Changes the register.
 
         Returns:
@@ -54,22 +54,22 @@
         except TimeoutError:
             return None
 
-    async def run_round(self, change: Change) -> Proposal | None:
+    async def run_round(self, change: ChangeFunction) -> Proposal | None:
         """Runs one round under a fresh ballot; None if it was lost or too few voters answered."""
         known = self.replica.view()
         if known is None:
             return None
-        current = ProposalRound(
+        proposal_round = ProposalRound(
             ballot=self.next_ballot(known),
             known=known,
             chosen_voters_number=self.replica.chosen_voters_number(),
             change=change,
         )
-        await self.drive(current)
-        if current.phase is not Phase.CHOSEN:
-            self.counter = max(self.counter, current.highest_refusal.counter)
+        await self.run_phases(proposal_round)
+        if proposal_round.phase is not Phase.CHOSEN:
+            self.counter = max(self.counter, proposal_round.highest_refusal.counter)
             return None
-        chosen = current.chosen_proposal()
+        chosen = proposal_round.chosen_proposal()
         self.learner.learn(chosen)
         self.learner.announce(chosen.ballot)
         return chosen
@@ -80,71 +80,73 @@
         self.counter = max(self.counter, promised.counter, known.ballot.counter) + 1
         return Ballot(self.counter, self.name)
 
-    async def drive(self, current: ProposalRound) -> None:
+    async def run_phases(self, proposal_round: ProposalRound) -> None:
         """Asks whom the round needs, in both phases, until it is decided or no answer is outstanding."""
         asked: set[tuple[Phase, str]] = set()
         pending: set[asyncio.Task[None]] = set()
-        while current.is_running():
-            for address in sorted(current.addresses_to_ask()):
-                if (current.phase, address) not in asked:
-                    asked.add((current.phase, address))
-                    step = self.prepare_at if current.phase is Phase.PREPARE else self.accept_at
-                    pending.add(self.spawn(step(current, address)))
+        while proposal_round.is_running():
+            for address in sorted(proposal_round.addresses_to_ask()):
+                if (proposal_round.phase, address) not in asked:
+                    asked.add((proposal_round.phase, address))
+                    step = self.send_prepare if proposal_round.phase is Phase.PREPARE else self.send_accept
+                    pending.add(self.spawn(step(proposal_round, address)))
             if not pending:
                 return
             _, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
 
-    async def prepare_at(self, current: ProposalRound, address: str) -> None:
+    async def send_prepare(self, proposal_round: ProposalRound, address: str) -> None:
         """Asks one voter for its promise, and reports the answer to the round."""
         if address == self.peers.own_address:
-            await self.prepare_here(current)
+            await self.prepare_locally(proposal_round)
             return
-        request = PrepareRequest(ballot=ballot_row(current.ballot), known_ballot=ballot_row(current.known.ballot))
-        answer = await call_peer(self.peers, address, request, CALL_TIMEOUT_S)
-        if not isinstance(answer, PrepareResponse):
+        request = PrepareRequest(
+            ballot=ballot_row(proposal_round.ballot), known_ballot=ballot_row(proposal_round.known.ballot)
+        )
+        response = await call_peer(self.peers, address, request, CALL_TIMEOUT_S)
+        if not isinstance(response, PrepareResponse):
             return
-        if not answer.ok:
-            report_refusal(current, Ballot(*answer.promised))
+        if not response.ok:
+            report_refusal(proposal_round, Ballot(*response.promised))
             return
-        accepted = proposal_from_rows(answer.has_accepted, answer.accepted_ballot, answer.accepted)
-        if accepted and accepted.ballot == current.known.ballot:
-            accepted = current.known  # the voter left out the body, since this process has it
-        current.on_promised(ReplicaId(*answer.replica), accepted)
+        accepted = proposal_from_rows(response.has_accepted, response.accepted_ballot, response.accepted)
+        if accepted and accepted.ballot == proposal_round.known.ballot:
+            accepted = proposal_round.known  # the voter left out the body, since this process has it
+        proposal_round.on_promised(ReplicaId(*response.replica), accepted)
 
-    async def prepare_here(self, current: ProposalRound) -> None:
+    async def prepare_locally(self, proposal_round: ProposalRound) -> None:
         """Asks this process's own replica for its promise."""
         acceptor = self.replica.acceptor
-        if await self.replica.prepare_or_refuse(current.ballot):
-            current.on_promised(self.replica.identity, acceptor.accepted)
+        if await self.replica.prepare_or_refuse(proposal_round.ballot):
+            proposal_round.on_promised(self.replica.identity, acceptor.accepted)
         else:
-            report_refusal(current, acceptor.promised)
+            report_refusal(proposal_round, acceptor.promised)
 
-    async def accept_at(self, current: ProposalRound, address: str) -> None:
+    async def send_accept(self, proposal_round: ProposalRound, address: str) -> None:
         """Asks one voter to accept the proposal, and reports the answer to the round."""
-        assert current.proposed_value
-        proposal = Proposal(current.ballot, current.proposed_value)
+        assert proposal_round.proposed_value
+        proposal = Proposal(proposal_round.ballot, proposal_round.proposed_value)
         if address == self.peers.own_address:
-            await self.accept_here(current, proposal)
+            await self.accept_locally(proposal_round, proposal)
             return
         request = AcceptRequest(ballot=ballot_row(proposal.ballot), value=value_row(proposal.value, with_body=True))
         timeout_s = CALL_TIMEOUT_S + TRANSFER_S_PER_BYTE * len(proposal.value.body)
-        answer = await call_peer(self.peers, address, request, timeout_s)
-        if not isinstance(answer, AcceptResponse):
+        response = await call_peer(self.peers, address, request, timeout_s)
+        if not isinstance(response, AcceptResponse):
             return
-        if answer.ok:
-            current.on_accepted(ReplicaId(*answer.replica))
+        if response.ok:
+            proposal_round.on_accepted(ReplicaId(*response.replica))
         else:
-            report_refusal(current, Ballot(*answer.promised))
+            report_refusal(proposal_round, Ballot(*response.promised))
 
-    async def accept_here(self, current: ProposalRound, proposal: Proposal) -> None:
+    async def accept_locally(self, proposal_round: ProposalRound, proposal: Proposal) -> None:
         """Asks this process's own replica to accept the proposal."""
         if await self.replica.accept_or_refuse(proposal):
-            current.on_accepted(self.replica.identity)
+            proposal_round.on_accepted(self.replica.identity)
         else:
-            report_refusal(current, self.replica.acceptor.promised)
+            report_refusal(proposal_round, self.replica.acceptor.promised)
 
 
-def report_refusal(current: ProposalRound, promised: Ballot) -> None:
+def report_refusal(proposal_round: ProposalRound, promised: Ballot) -> None:
     """Reports a refusal that names a higher promise. Without one the voter's disk failed, and others may be enough."""
-    if promised > current.ballot:
-        current.on_refused(promised)
+    if promised > proposal_round.ballot:
+        proposal_round.on_refused(promised)
--- a/stoneyoke/consensus/reader.py
+++ b/stoneyoke/consensus/reader.py
@@ -51,11 +51,11 @@
         known = self.replica.view()
         if known is None:
             return None
-        current = MajorityRead(known, self.replica.chosen_voters_number())
-        chosen = await self.drive(current)
-        return await self.with_body(chosen, current) if chosen else None
+        majority_read = MajorityRead(known, self.replica.chosen_voters_number())
+        chosen = await self.query_voters(majority_read)
+        return await self.with_body(chosen, majority_read) if chosen else None
 
-    async def drive(self, current: MajorityRead) -> Proposal | None:
+    async def query_voters(self, majority_read: MajorityRead) -> Proposal | None:
         """Asks whom the read needs until the replies agree, the time for it is over or no answer is outstanding.
 
         The time only counts once a quorum has answered. Before that the read can't tell anything.
@@ -64,33 +64,33 @@
         pending: set[asyncio.Task[None]] = set()
         loop = asyncio.get_running_loop()
         deadline = loop.time() + AGREEMENT_TIMEOUT_S
-        while not (chosen := current.chosen_proposal()):
-            for address in sorted(current.addresses_to_ask() - asked):
+        while not (chosen := majority_read.chosen_proposal()):
+            for address in sorted(majority_read.addresses_to_ask() - asked):
                 asked.add(address)
-                pending.add(self.spawn(self.query_at(current, address)))
-            if not pending or loop.time() >= deadline and current.has_quorum():
+                pending.add(self.spawn(self.query_voter(majority_read, address)))
+            if not pending or loop.time() >= deadline and majority_read.has_quorum():
                 return None
-            wait_s = max(MIN_WAIT_S, deadline - loop.time()) if current.has_quorum() else None
+            wait_s = max(MIN_WAIT_S, deadline - loop.time()) if majority_read.has_quorum() else None
             _, pending = await asyncio.wait(pending, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED)
         return chosen
 
-    async def query_at(self, current: MajorityRead, address: str) -> None:
+    async def query_voter(self, majority_read: MajorityRead, address: str) -> None:
         """Asks one voter what it has accepted, and reports the answer to the read."""
         if address == self.peers.own_address:
-            current.on_reply(self.replica.identity, self.replica.acceptor.accepted)
+            majority_read.on_response(self.replica.identity, self.replica.acceptor.accepted)
             return
-        answer = await call_peer(self.peers, address, QueryRequest(), CALL_TIMEOUT_S)
-        if isinstance(answer, QueryResponse):
-            accepted = proposal_from_rows(answer.has_accepted, answer.accepted_ballot, answer.accepted)
-            current.on_reply(ReplicaId(*answer.replica), accepted)
+        response = await call_peer(self.peers, address, QueryRequest(), CALL_TIMEOUT_S)
+        if isinstance(response, QueryResponse):
+            accepted = proposal_from_rows(response.has_accepted, response.accepted_ballot, response.accepted)
+            majority_read.on_response(ReplicaId(*response.replica), accepted)
 
-    async def with_body(self, chosen: Proposal, current: MajorityRead) -> Proposal | None:
+    async def with_body(self, chosen: Proposal, majority_read: MajorityRead) -> Proposal | None:
         """The same proposal with its body, from this process or from a voter that holds it."""
-        for held in (self.replica.acceptor.accepted, self.replica.chosen):
-            if held and held.ballot == chosen.ballot:
-                return held
+        for local in (self.replica.acceptor.accepted, self.replica.chosen):
+            if local and local.ballot == chosen.ballot:
+                return local
         # A copy: replies that come in while a body is fetched add to the dictionary.
-        for voter, accepted in list(current.replies.items()):
+        for voter, accepted in list(majority_read.responses.items()):
             if not accepted or accepted.ballot != chosen.ballot:
                 continue
             if voter == self.replica.identity:
--- a/stoneyoke/consensus/record_formats.py
+++ b/stoneyoke/consensus/record_formats.py
@@ -11,7 +11,14 @@
 from stoneyoke.api.configuration import Version
 from stoneyoke.consensus.ballot import Ballot
 from stoneyoke.consensus.errors import InvalidRecord
-from stoneyoke.consensus.register_value import FIRST_DISK, Proposal, RegisterValue, ReplicaId, VoterSet, replica_ids
+from stoneyoke.consensus.register_value import (
+    INITIAL_DISK_NAME,
+    Proposal,
+    RegisterValue,
+    ReplicaId,
+    VoterSet,
+    replica_ids,
+)
 from stoneyoke.storage.record_file import Record
 
 IDENTITY = "identity"
@@ -95,7 +102,7 @@
         return None
     try:
         addresses = [name for name in voters[b"names"].decode().split(",") if name]
-        members = tuple(ReplicaId(address, FIRST_DISK) for address in sorted(addresses))
+        members = tuple(ReplicaId(address, INITIAL_DISK_NAME) for address in sorted(addresses))
         is_changing = json.loads(voters.get(b"pending", b"null")) is not None
         if is_changing or not members:
             return None
--- a/stoneyoke/consensus/register_value.py
+++ b/stoneyoke/consensus/register_value.py
@@ -7,7 +7,7 @@
 from stoneyoke.api.configuration import Version
 from stoneyoke.consensus.ballot import NO_BALLOT, Ballot
 
-FIRST_DISK = "first"
+INITIAL_DISK_NAME = "first"
 """The disk name of every machine at the first start of the whole system."""
 
 
@@ -90,7 +90,7 @@
     value: RegisterValue
 
 
-Change = Callable[[RegisterValue], RegisterValue]
+ChangeFunction = Callable[[RegisterValue], RegisterValue]
 """What a round makes of the value that it found."""
 
 
@@ -105,5 +105,5 @@
     Args:
         seeds: Addresses of the first voters. Every replica is given the same ones, in any order.
     """
-    members = tuple(ReplicaId(address, FIRST_DISK) for address in sorted(set(seeds)))
+    members = tuple(ReplicaId(address, INITIAL_DISK_NAME) for address in sorted(set(seeds)))
     return Proposal(NO_BALLOT, RegisterValue(VoterSet(1, members)))
--- a/stoneyoke/consensus/replica.py
+++ b/stoneyoke/consensus/replica.py
@@ -77,7 +77,7 @@
 
     async def prepare(self, ballot: Ballot) -> bool:
         """Promises a ballot. Returns whether the promise is on disk. Raises StorageError."""
-        async with self.disk.write_turn():
+        async with self.disk.exclusive_write():
             if not self.acceptor.may_promise(ballot):
                 return False
             if ballot > self.acceptor.promised:
@@ -87,7 +87,7 @@
 
     async def accept(self, proposal: Proposal) -> bool:
         """Accepts a proposal. Returns whether it is on disk. Raises StorageError."""
-        async with self.disk.write_turn():
+        async with self.disk.exclusive_write():
             if not self.acceptor.may_accept(proposal.ballot):
                 return False
             if self.acceptor.accepted is None or self.acceptor.accepted.ballot != proposal.ballot:
@@ -119,7 +119,7 @@
     async def store_chosen(self, chosen: Proposal) -> None:
         """Writes a chosen proposal to disk. A failure is only logged: a majority has it on disk already."""
         try:
-            async with self.disk.write_turn():
+            async with self.disk.exclusive_write():
                 if self.acceptor.is_behind(chosen):
                     await self.disk.write(REGISTER, register_record(chosen))
                     self.acceptor.accept(chosen)
--- a/stoneyoke/consensus/replica_disk.py
+++ b/stoneyoke/consensus/replica_disk.py
@@ -10,7 +10,7 @@
 from stoneyoke.storage.record_file import Record
 from stoneyoke.storage.record_store import LoadedRecord
 
-RETRY_S = 0.5
+RETRY_INTERVAL_S = 0.5
 """Pause before a disk that refuses at the start is tried again."""
 MAX_WAITING_WRITES = 64
 """Writes that wait for a disk that hangs. Further ones fail at once."""
@@ -36,15 +36,15 @@
         """Takes the store, and how to run its methods."""
         self.store, self.run_blocking = store, run_blocking
         self.lock = asyncio.Lock()
-        self.waiting = 0
+        self.waiting_writes = 0
 
-    def write_turn(self) -> "WriteTurn":
+    def exclusive_write(self) -> "ExclusiveWrite":
         """The exclusive right to write. Raises WriteQueueFull on entry if too many wait for it.
 
         It is held from the check of the state through the write to the change of the state in memory. Otherwise two
         requests could pass the same check, and the second one would break a promise of the first.
         """
-        return WriteTurn(self)
+        return ExclusiveWrite(self)
 
     async def write(self, family: str, record: Record) -> None:
         """Returns once the record is on disk. Raises StorageError.
@@ -53,31 +53,31 @@
         """
         await self.run_blocking(self.store.save, family, record)
 
-    async def write_until_done(self, family: str, record: Record) -> None:
+    async def write_with_retry(self, family: str, record: Record) -> None:
         """Writes a record, however often the disk refuses."""
-        await self.retry(self.store.save, family, record)
+        await self.run_with_retry(self.store.save, family, record)
 
     async def load(self, family: str) -> Record | None:
         """The newest whole record of a family, however often the disk refuses.
 
         Nothing may be answered before: an older record, or none, would forget a promise.
         """
-        loaded: LoadedRecord = await self.retry(self.store.load, family)
+        loaded: LoadedRecord = await self.run_with_retry(self.store.load, family)
         for reason in loaded.torn:
             logger.warning("disk: {}. The record before it is used", reason)
         return loaded.record
 
-    async def retry(self, work: Callable[..., Any], *arguments: Any) -> Any:
+    async def run_with_retry(self, operation: Callable[..., Any], *arguments: Any) -> Any:
         """The result of work on the disk, tried until it succeeds."""
         while True:
             try:
-                return await self.run_blocking(work, *arguments)
+                return await self.run_blocking(operation, *arguments)
             except StorageError as error:
                 logger.error("disk: {}. The controller doesn't start until the disk answers", error)
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
 
 
-class WriteTurn:
+class ExclusiveWrite:
     """The exclusive right to write a record, as a context manager."""
 
     def __init__(self, disk: ReplicaDisk) -> None:
@@ -86,16 +86,16 @@
 
     async def __aenter__(self) -> None:
         """Waits for the writes before this one. Raises WriteQueueFull if there are too many."""
-        if self.disk.waiting >= MAX_WAITING_WRITES:
+        if self.disk.waiting_writes >= MAX_WAITING_WRITES:
             raise WriteQueueFull("the disk does not answer, and too many wait for it")
-        self.disk.waiting += 1
+        self.disk.waiting_writes += 1
         try:
             await self.disk.lock.acquire()
         except BaseException:  # also when cancelled: this call doesn't wait any more
-            self.disk.waiting -= 1
+            self.disk.waiting_writes -= 1
             raise
 
     async def __aexit__(self, *_: object) -> None:
         """Lets the next one write."""
-        self.disk.waiting -= 1
+        self.disk.waiting_writes -= 1
         self.disk.lock.release()
--- a/stoneyoke/consensus/replica_server.py
+++ b/stoneyoke/consensus/replica_server.py
@@ -81,17 +81,17 @@
 
     def value(self, request: ValueRequest) -> ValueResponse:
         """Tells the proposal under a ballot, or a newer one that is chosen, with its body compressed."""
-        wanted, chosen = Ballot(*request.ballot), self.replica.chosen
-        is_chosen = chosen is not None and chosen.ballot >= wanted
-        held = chosen if is_chosen else self.accepted_under(wanted)
-        if held is None:
+        requested, chosen = Ballot(*request.ballot), self.replica.chosen
+        is_chosen = chosen is not None and chosen.ballot >= requested
+        proposal = chosen if is_chosen else self.accepted_with_ballot(requested)
+        if proposal is None:
             nothing = proposal_rows(None, with_body=False)
             return ValueResponse(found=False, chosen=False, ballot=nothing.ballot, value=nothing.value)
-        body = zlib.compress(held.value.body, COMPRESSION_LEVEL) if held.value.body else b""
-        value = value_row(held.value, with_body=False)._replace(body=body)
-        return ValueResponse(found=True, chosen=is_chosen, ballot=ballot_row(held.ballot), value=value)
+        body = zlib.compress(proposal.value.body, COMPRESSION_LEVEL) if proposal.value.body else b""
+        value = value_row(proposal.value, with_body=False)._replace(body=body)
+        return ValueResponse(found=True, chosen=is_chosen, ballot=ballot_row(proposal.ballot), value=value)
 
-    def accepted_under(self, ballot: Ballot) -> Proposal | None:
+    def accepted_with_ballot(self, ballot: Ballot) -> Proposal | None:
         """The accepted proposal if it has this ballot."""
         accepted = self.replica.acceptor.accepted
         return accepted if accepted and accepted.ballot == ballot else None
--- a/stoneyoke/consensus/replica_start.py
+++ b/stoneyoke/consensus/replica_start.py
@@ -25,7 +25,7 @@
     read_register,
     register_record,
 )
-from stoneyoke.consensus.register_value import FIRST_DISK, Proposal, initial_value
+from stoneyoke.consensus.register_value import INITIAL_DISK_NAME, Proposal, initial_value
 from stoneyoke.consensus.replica_disk import ReplicaDisk
 from stoneyoke.storage.record_file import Record
 
@@ -84,14 +84,14 @@
     since this one has forgotten its promises; it votes once the voters have decided so.
     """
     accepted = await load_legacy_register(disk)
-    is_known = first_start or accepted is not None
-    name = FIRST_DISK if is_known else f"{random_source.getrandbits(DISK_NAME_BITS):016x}"
+    uses_initial_name = first_start or accepted is not None
+    name = INITIAL_DISK_NAME if uses_initial_name else f"{random_source.getrandbits(DISK_NAME_BITS):016x}"
     if first_start and accepted is None:
         accepted = initial_value(seeds)
     # The identity goes last: a start that ends before it is a start on an empty disk again.
     if accepted:
-        await disk.write_until_done(REGISTER, register_record(accepted))
-    await disk.write_until_done(IDENTITY, identity_record(name))
+        await disk.write_with_retry(REGISTER, register_record(accepted))
+    await disk.write_with_retry(IDENTITY, identity_record(name))
     return StoredState(name, Acceptor(NO_BALLOT, accepted))
 
 
--- a/stoneyoke/consensus/replication.py
+++ b/stoneyoke/consensus/replication.py
@@ -7,7 +7,7 @@
 from stoneyoke.consensus.peer_calls import PeerDirectory, Spawn
 from stoneyoke.consensus.proposer import Proposer
 from stoneyoke.consensus.reader import Reader
-from stoneyoke.consensus.register_value import Change, Proposal
+from stoneyoke.consensus.register_value import ChangeFunction, Proposal
 from stoneyoke.consensus.replica import Replica
 from stoneyoke.consensus.replica_server import RegisterRequest, RegisterResponse, ReplicaServer
 
@@ -37,7 +37,7 @@
         self.reader = Reader(self.learner, self.proposer)
         self.replica_server = ReplicaServer(self.learner)
 
-    async def propose(self, change: Change, timeout_s: float) -> Proposal | None:
+    async def propose(self, change: ChangeFunction, timeout_s: float) -> Proposal | None:
         """Changes the register; see `Proposer.propose`."""
         return await self.proposer.propose(change, timeout_s)
 
--- a/stoneyoke/consensus/voter_groups.py
+++ b/stoneyoke/consensus/voter_groups.py
@@ -5,7 +5,7 @@
 from stoneyoke.consensus.register_value import Group, Proposal, RegisterValue
 
 
-def newest(known: Proposal, found: Iterable[Proposal | None]) -> Proposal:
+def newest_proposal(known: Proposal, found: Iterable[Proposal | None]) -> Proposal:
     """The proposal with the highest ballot. Of equal ones the known one is taken: it has its body."""
     return max((known, *(accepted for accepted in found if accepted)), key=lambda accepted: accepted.ballot)
 
--- a/stoneyoke/controlplane/membership.py
+++ b/stoneyoke/controlplane/membership.py
@@ -8,7 +8,7 @@
 
 from stoneyoke.consensus.register_value import ReplicaId, VoterSet, unchanged
 from stoneyoke.consensus.replication import Replication
-from stoneyoke.consensus.voter_set import LOST_FRACTION, STEADY_S, MemberReport, next_voters, voter_change
+from stoneyoke.consensus.voter_set import LOST_FRACTION, MIN_REACHABLE_S, MemberReport, next_voters, voter_change
 from stoneyoke.controlplane.controller_context import ControllerContext
 from stoneyoke.controlplane.peers import NEVER, Peer, Peers
 
@@ -121,7 +121,7 @@
     def learners(self, voters: VoterSet, now: float) -> tuple[ReplicaId, ...]:
         """Members without a vote that hold the chosen value, the longest reachable first."""
         candidates = [
-            (peer.steady_since, peer.replica)
+            (peer.reachable_since, peer.replica)
             for peer in self.peers.reachable().values()
             if peer.replica and peer.replica not in voters.members and self._is_ready_to_vote(peer, now)
         ]
@@ -129,7 +129,9 @@
 
     def _is_ready_to_vote(self, peer: Peer, now: float) -> bool:
         chosen = self.replica.chosen
-        return now - peer.steady_since >= STEADY_S and chosen is not None and peer.chosen_ballot >= chosen.ballot
+        return (
+            now - peer.reachable_since >= MIN_REACHABLE_S and chosen is not None and peer.chosen_ballot >= chosen.ballot
+        )
 
     async def leave(self, timeout_s: float) -> None:
         """Hands this controller's vote to a learner, if there is one.
--- a/stoneyoke/controlplane/peers.py
+++ b/stoneyoke/controlplane/peers.py
@@ -43,7 +43,7 @@
         gateways: names of the gateways whose heartbeats it receives.
         lease_holder: the address of the quota lease's holder, as far as it knows.
         leaving: whether it is shutting down.
-        steady_since: since when it has answered without a break as the same process with the same disk.
+        reachable_since: since when it has answered without a break as the same process with the same disk.
     """
 
     link: PeerLink
@@ -57,14 +57,14 @@
     gateways: tuple[str, ...] = ()
     lease_holder: str = ""
     leaving: bool = False
-    steady_since: float = NEVER
+    reachable_since: float = NEVER
 
     def record_response(self, response: PullResponse, now: float) -> None:
         """Takes over what the peer says of itself."""
         replica = ReplicaId(*response.replica)
         was_silent = now - self.last_heard_at > CONTACT_TIMEOUT_S
         if was_silent or self.incarnation != response.incarnation or self.replica != replica:
-            self.steady_since = now
+            self.reachable_since = now
         self.replica, self.last_heard_at = replica, now
         self.incarnation, self.seq = response.incarnation, response.seq
         self.view = Proposal(Ballot(*response.view_ballot), value_from_row(response.view))
--- a/stoneyoke/lab/simulation/defects/orders.py
+++ b/stoneyoke/lab/simulation/defects/orders.py
@@ -106,11 +106,11 @@
 
 def acknowledged_once_accepted() -> list[Patch]:
     """An order is acknowledged once its own controller has accepted it."""
-    real = Proposer.accept_at
+    real = Proposer.send_accept
 
-    async def accept_at(self: Proposer, current: Any, address: str) -> None:
+    async def send_accept(self: Proposer, current: Any, address: str) -> None:
         await real(self, current, address)
         if address == self.peers.own_address and current.phase is Phase.ACCEPT:
             current.phase = Phase.CHOSEN
 
-    return [Patch(Proposer, "accept_at", accept_at)]
+    return [Patch(Proposer, "send_accept", send_accept)]
--- a/stoneyoke/lab/simulation/defects/replicas.py
+++ b/stoneyoke/lab/simulation/defects/replicas.py
@@ -5,7 +5,7 @@
 from stoneyoke.consensus import replica
 from stoneyoke.consensus.learner import Learner
 from stoneyoke.consensus.record_formats import PROMISE
-from stoneyoke.consensus.register_value import FIRST_DISK
+from stoneyoke.consensus.register_value import INITIAL_DISK_NAME
 from stoneyoke.controlplane import membership, peers
 from stoneyoke.lab.simulation.defects.patches import Patch
 from stoneyoke.lab.simulation.disks import SimulatedRecordStore
@@ -18,7 +18,7 @@
 
     async def load(self: replica.Replica, seeds: tuple[str, ...], first_start: bool, random_source: Any) -> None:
         await real(self, seeds, first_start, random_source)
-        self.identity = self.identity._replace(disk=FIRST_DISK)
+        self.identity = self.identity._replace(disk=INITIAL_DISK_NAME)
 
     return [Patch(replica.Replica, "load", load)]
 
--- a/stoneyoke/lab/simulation/defects/rounds.py
+++ b/stoneyoke/lab/simulation/defects/rounds.py
@@ -6,7 +6,7 @@
 from stoneyoke.consensus.acceptor import Acceptor
 from stoneyoke.consensus.ballot import Ballot
 from stoneyoke.consensus.proposal_round import Phase, ProposalRound
-from stoneyoke.consensus.register_value import Change, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.register_value import ChangeFunction, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.lab.simulation.defects.patches import Patch
 
 
@@ -44,7 +44,7 @@
             return real(self, found)
         return replace(proposal, previous=found.voters.members)
 
-    def change(chosen: RegisterValue, wanted: tuple[ReplicaId, ...]) -> Change | None:
+    def change(chosen: RegisterValue, wanted: tuple[ReplicaId, ...]) -> ChangeFunction | None:
         if wanted == chosen.voters.members:
             return None
 
--- a/stoneyoke/lab/simulation/exhaustive/operations.py
+++ b/stoneyoke/lab/simulation/exhaustive/operations.py
@@ -4,7 +4,7 @@
 
 from stoneyoke.api.calls import Acknowledged, Rejected
 from stoneyoke.consensus import voter_set
-from stoneyoke.consensus.register_value import Change, Proposal, ReplicaId, unchanged
+from stoneyoke.consensus.register_value import ChangeFunction, Proposal, ReplicaId, unchanged
 from stoneyoke.consensus.voter_set import MemberReport
 from stoneyoke.controlplane import configuration_service
 from stoneyoke.lab.simulation.exhaustive import invariants
@@ -59,7 +59,7 @@
     return operation.kind is OperationKind.ORDER and all(version.number <= known for version in operation.versions)
 
 
-def change(operation: Operation, desired: DesiredMembers | None) -> Change:
+def change(operation: Operation, desired: DesiredMembers | None) -> ChangeFunction:
     """Returns the change that the operation's round makes to the register's value."""
     if operation.kind is OperationKind.ORDER:
         orders = tuple(configuration(version) for version in operation.versions)
--- a/stoneyoke/lab/simulation/exhaustive/reads.py
+++ b/stoneyoke/lab/simulation/exhaustive/reads.py
@@ -49,7 +49,7 @@
     assert ongoing.query
     query = restore_query(ongoing.query)
     voter = process_at(state, address)
-    query.on_reply(voter.replica, voter.accepted)
+    query.on_response(voter.replica, voter.accepted)
     if chosen := query.chosen_proposal():
         return finish(model, state, ongoing, chosen)
     after = ongoing._replace(query=snapshot_query(query), contacted=ongoing.contacted | {address})
--- a/stoneyoke/lab/simulation/exhaustive/rounds.py
+++ b/stoneyoke/lab/simulation/exhaustive/rounds.py
@@ -69,7 +69,7 @@
 def send_requests(
     model: Model, state: State, before: OngoingOperation | None, ongoing: OngoingOperation, current: ProposalRound
 ) -> State:
-    """Sends the request of this phase to each target that does not have it yet, as Proposer.drive does."""
+    """Sends the request of this phase to each target that does not have it yet, as Proposer.run_phases does."""
     process = process_at(state, model.operations[ongoing.operation].address)
     targets = current.addresses_to_ask() - ongoing.contacted
     proposal = current.proposed_value if current.phase is Phase.ACCEPT else None
@@ -115,7 +115,7 @@
 
 
 def apply_reply(model: Model, state: State, reply: Reply) -> State:
-    """Gives a reply to its round, as Proposer.prepare_at and accept_at do; late replies change nothing."""
+    """Gives a reply to its round, as Proposer.send_prepare and send_accept do; late replies change nothing."""
     request = reply.request
     if reply in state.replies:
         state = state._replace(replies=state.replies - {reply})
--- a/stoneyoke/lab/simulation/exhaustive/snapshots.py
+++ b/stoneyoke/lab/simulation/exhaustive/snapshots.py
@@ -8,7 +8,7 @@
 from stoneyoke.consensus.acceptor import Acceptor
 from stoneyoke.consensus.majority_read import MajorityRead
 from stoneyoke.consensus.proposal_round import Phase, ProposalRound
-from stoneyoke.consensus.register_value import Change
+from stoneyoke.consensus.register_value import ChangeFunction
 from stoneyoke.consensus.replica import Replica
 from stoneyoke.lab.simulation.exhaustive.state import Process, QuerySnapshot, RoundSnapshot
 from stoneyoke.storage.record_store import LoadedRecord
@@ -61,7 +61,7 @@
     return process._replace(promised=acceptor.promised, accepted=acceptor.accepted, chosen=replica.chosen)
 
 
-def restore_round(snapshot: RoundSnapshot, change: Change) -> ProposalRound:
+def restore_round(snapshot: RoundSnapshot, change: ChangeFunction) -> ProposalRound:
     """Returns the round of a snapshot. Its change is a function, so it is no part of the snapshot."""
     return ProposalRound(
         ballot=snapshot.ballot,
@@ -97,7 +97,7 @@
 
 def snapshot_query(current: MajorityRead) -> QuerySnapshot:
     """Returns the snapshot of a query."""
-    return QuerySnapshot(current.known, current.chosen_voters_number, frozenset(current.replies.items()))
+    return QuerySnapshot(current.known, current.chosen_voters_number, frozenset(current.responses.items()))
 
 
 def configuration(version: Version) -> Configuration:
--- a/stoneyoke/lab/simulation/invariants.py
+++ b/stoneyoke/lab/simulation/invariants.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from stoneyoke.consensus.register_value import FIRST_DISK, Proposal
+from stoneyoke.consensus.register_value import INITIAL_DISK_NAME, Proposal
 from stoneyoke.controlplane.controller import Controller
 from stoneyoke.controlplane.instance_registry import Phase
 from stoneyoke.lab.simulation.bounds import BOUNDS, CHECK_INTERVAL_S, CONVERGE_S
@@ -59,7 +59,7 @@
         if machine.wiped and controller.replica.is_voter():
             machine.wiped = False
             self.environment.event_counts["wiped, votes again"] += 1
-            has_new_identity = controller.replica.identity.disk != FIRST_DISK
+            has_new_identity = controller.replica.identity.disk != INITIAL_DISK_NAME
             self.checker.check(has_new_identity, now, f"{name} votes by the name of the disk that it lost")
         self.check_caught_up(machine, controller, now)
 
--- a/tests/system/compatibility/test_recorded_data_folders.py
+++ b/tests/system/compatibility/test_recorded_data_folders.py
@@ -24,7 +24,7 @@
     read_register,
     register_record,
 )
-from stoneyoke.consensus.register_value import FIRST_DISK, Proposal, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.register_value import INITIAL_DISK_NAME, Proposal, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.consensus.replica import Replica
 from stoneyoke.storage.record_store import RecordStore
 
@@ -141,5 +141,5 @@
     version = read_configuration(body).version
     expected = RegisterValue(VoterSet(values["number"], members(values["members"])), (), version, body)
     assert replica.acceptor.accepted == Proposal(Ballot(version.number, version.digest.hex()), expected)
-    assert replica.identity == ReplicaId("10.0.0.3", FIRST_DISK) and replica.is_voter()
+    assert replica.identity == ReplicaId("10.0.0.3", INITIAL_DISK_NAME) and replica.is_voter()
     assert started_replica(earlier.folder).acceptor.accepted == replica.acceptor.accepted
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -196,11 +196,11 @@
 @test("a read takes a value that a majority holds, and only that")
 def _():
     read = MajorityRead(INITIAL, 1)
-    read.on_reply(A, Proposal(BALLOT_1, VALUE_1))
+    read.on_response(A, Proposal(BALLOT_1, VALUE_1))
     assert not read.has_quorum() and read.chosen_proposal() is None
-    read.on_reply(B, INITIAL)
+    read.on_response(B, INITIAL)
     assert read.has_quorum() and read.chosen_proposal() is None
-    read.on_reply(C, Proposal(BALLOT_1, VALUE_1))
+    read.on_response(C, Proposal(BALLOT_1, VALUE_1))
     assert read.chosen_proposal() == Proposal(BALLOT_1, VALUE_1)
 
 
@@ -208,18 +208,18 @@
 def _():
     read = MajorityRead(INITIAL, 1)
     changed = Proposal(BALLOT_1, JOINT_VALUE)
-    read.on_reply(A, changed)
-    read.on_reply(D, changed)
+    read.on_response(A, changed)
+    read.on_response(D, changed)
     assert read.addresses_to_ask() == {"a", "b", "c", "d"} and not read.has_quorum() and read.chosen_proposal() is None
-    read.on_reply(C, changed)
+    read.on_response(C, changed)
     assert read.chosen_proposal() == changed
 
 
 @test("an empty disk's answer counts for no value")
 def _():
     read = MajorityRead(INITIAL, 1)
-    read.on_reply(A, None)
-    read.on_reply(B, None)
+    read.on_response(A, None)
+    read.on_response(B, None)
     assert read.has_quorum() and read.chosen_proposal() is None
 
 
--- a/tests/system/test_controller_instances_and_lease.py
+++ b/tests/system/test_controller_instances_and_lease.py
@@ -8,7 +8,7 @@
 
 from stoneyoke.api.calls import Acknowledged, Unavailable
 from stoneyoke.api.http_mapping import read_call
-from stoneyoke.consensus.register_value import FIRST_DISK
+from stoneyoke.consensus.register_value import INITIAL_DISK_NAME
 from stoneyoke.controlplane.instance_registry import Phase
 
 
@@ -87,7 +87,7 @@
         found = status(cluster)
         assert found["has_quorum"] is found["in_touch"] is True
         assert found["lease_holder"] == found["keeper"] == lease_holders(cluster)[0]
-        assert found["voters"] == {"number": 1, "members": [f"{name}/{FIRST_DISK}" for name in cluster.names]}
+        assert found["voters"] == {"number": 1, "members": [f"{name}/{INITIAL_DISK_NAME}" for name in cluster.names]}
         assert set(found["controllers"]) == {"10.0.0.1", "10.0.0.3"}
 
     run(play)
--- a/tests/system/test_controller_voters.py
+++ b/tests/system/test_controller_voters.py
@@ -8,7 +8,7 @@
 from ward import each, test
 
 from stoneyoke.api.calls import Acknowledged, Document, ReadConfiguration, Unavailable
-from stoneyoke.consensus.register_value import FIRST_DISK
+from stoneyoke.consensus.register_value import INITIAL_DISK_NAME
 
 
 @test("a disk that refuses writes does not count towards the majority; the others are enough")
@@ -36,7 +36,7 @@
         wiped = await cluster.start("10.0.0.1")
         await cluster.start("10.0.0.3")
         await asyncio.sleep(5)
-        assert not wiped.replica.is_voter() and wiped.replica.identity.disk != FIRST_DISK
+        assert not wiped.replica.is_voter() and wiped.replica.identity.disk != INITIAL_DISK_NAME
         for call in (ReadConfiguration(), put(4), put(9)):
             assert isinstance(await wiped.handle_call(call), Unavailable)
             assert isinstance(await cluster.controllers["10.0.0.3"].handle_call(call), Unavailable)
--- a/tests/system/test_reader.py
+++ b/tests/system/test_reader.py
@@ -18,14 +18,14 @@
     initial = initial_value([voter.address for voter in (OWN, LOST, HOLDER, LATE)])
     chosen = initial._replace(ballot=BALLOT)
     read = MajorityRead(initial, 1)
-    read.on_reply(LOST, chosen)
-    read.on_reply(HOLDER, chosen)
+    read.on_response(LOST, chosen)
+    read.on_response(HOLDER, chosen)
     asked = []
 
     async def fetch(address, ballot):
         asked.append((address, ballot))
         if address == LOST.address:
-            read.on_reply(LATE, chosen)
+            read.on_response(LATE, chosen)
             return None
         return chosen
 
--- a/tests/system/test_recovery.py
+++ b/tests/system/test_recovery.py
@@ -22,12 +22,12 @@
     register_record,
 )
 from stoneyoke.consensus.recovery import recovered_register
-from stoneyoke.consensus.register_value import FIRST_DISK, Proposal, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.register_value import INITIAL_DISK_NAME, Proposal, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.programs.commands import data_folder
 from stoneyoke.programs.commands.errors import CommandError
 from stoneyoke.storage.record_store import RecordStore
 
-A, B, C = (ReplicaId(f"10.0.0.{at}", FIRST_DISK) for at in (1, 2, 3))
+A, B, C = (ReplicaId(f"10.0.0.{at}", INITIAL_DISK_NAME) for at in (1, 2, 3))
 VERSION = read_configuration(example(5)).version
 ACCEPTED = Proposal(Ballot(7, "10.0.0.2/ab"), RegisterValue(VoterSet(4, (A, B, C)), (), VERSION, example(5)))
 PROMISED = Ballot(9, "10.0.0.3/cd")
@@ -67,7 +67,7 @@
     """A stopped controller's data folder: it voted with two others, which are lost."""
     with tempfile.TemporaryDirectory() as name:
         store = RecordStore(name)
-        store.save(IDENTITY, identity_record(FIRST_DISK))
+        store.save(IDENTITY, identity_record(INITIAL_DISK_NAME))
         store.save(PROMISE, promise_record(PROMISED))
         store.save(REGISTER, register_record(ACCEPTED))
         yield name
