--- a/stoneyoke/controlplane/chosen_configuration.py
+++ b/stoneyoke/controlplane/chosen_configuration.py
@@ -47,7 +47,7 @@
             return []
         return self.configuration.tenants or []
 
-    def answer_fetch(self, replica: Replica) -> FetchResponse:
+    def handle_fetch(self, replica: Replica) -> FetchResponse:
         """The chosen configuration's text, compressed once for each chosen value."""
         chosen = replica.chosen
         if chosen is None:
--- a/stoneyoke/controlplane/configuration_service.py
+++ b/stoneyoke/controlplane/configuration_service.py
@@ -15,7 +15,7 @@
 from stoneyoke.consensus.replication import Replication
 from stoneyoke.controlplane.cluster_view import ClusterView
 
-ANSWER_TIMEOUT_S = 0.85  # a caller tries another controller after a second without an answer (PROTOCOL, The operator)
+RESPONSE_TIMEOUT_S = 0.85  # a caller tries another controller after a second without an answer (PROTOCOL, The operator)
 PROPOSAL_TIMEOUT_S = 3.0  # a proposal goes on after its operator was told that the outcome is unknown
 NO_QUORUM = Unavailable("cut off from most controllers: ask another one")
 
@@ -25,7 +25,7 @@
     """An operator's call that waits for its outcome. deadline: by the event loop's time."""
 
     configuration: Configuration
-    answer: asyncio.Future[ApiResult]
+    outcome: asyncio.Future[ApiResult]
     deadline: float
 
 
@@ -47,8 +47,8 @@
     if chosen.version.number > configuration.version.number or chosen.version == configuration.version:
         return Acknowledged()
     if chosen.version.number == configuration.version.number:
-        why = f"another configuration is in force as {configuration.version}"
-        return Rejected(HTTPStatus.CONFLICT, "generation", why)
+        reason = f"another configuration is in force as {configuration.version}"
+        return Rejected(HTTPStatus.CONFLICT, "generation", reason)
     return None
 
 
@@ -71,14 +71,14 @@
         if not self.cluster.has_quorum():
             return NO_QUORUM
         loop = asyncio.get_running_loop()
-        timeout_s = ANSWER_TIMEOUT_S + TRANSFER_S_PER_BYTE * len(configuration.body)
+        timeout_s = RESPONSE_TIMEOUT_S + TRANSFER_S_PER_BYTE * len(configuration.body)
         replacement = PendingReplacement(configuration, loop.create_future(), loop.time() + timeout_s)
         self.pending.append(replacement)
         if self.worker is None or self.worker.done():
             self.worker = self.replication.spawn(self.run_worker())
         try:
             async with asyncio.timeout_at(replacement.deadline):
-                return await asyncio.shield(replacement.answer)
+                return await asyncio.shield(replacement.outcome)
         except TimeoutError:
             logger.warning(
                 "configuration {} was not chosen in time: its operator is told to send it again", configuration.version
@@ -103,24 +103,24 @@
         """Answers the replacements that are decided, and drops those past their deadline."""
         now = asyncio.get_running_loop().time()
         for replacement in batch:
-            answer = outcome_of(replacement.configuration, chosen.value) if chosen else None
-            if answer or now > replacement.deadline:
+            outcome = outcome_of(replacement.configuration, chosen.value) if chosen else None
+            if outcome or now > replacement.deadline:
                 self.pending.remove(replacement)
-            if answer and not replacement.answer.done():
-                replacement.answer.set_result(answer)
+            if outcome and not replacement.outcome.done():
+                replacement.outcome.set_result(outcome)
 
     async def already_chosen(self, configurations: tuple[Configuration, ...]) -> Proposal | None:
         """The chosen value, if it decides all these replacements (sent again, or late); nothing is written then."""
         known_number = self.replication.replica.version().number
         if any(one.version.number > known_number for one in configurations):
             return None
-        return await self.replication.read(ANSWER_TIMEOUT_S)
+        return await self.replication.read(RESPONSE_TIMEOUT_S)
 
     async def read(self) -> ApiResult:
         """The newest configuration, no older than any that was acknowledged or read before this call."""
         if not self.cluster.has_quorum():
             return NO_QUORUM
-        chosen = await self.replication.read(ANSWER_TIMEOUT_S)
+        chosen = await self.replication.read(RESPONSE_TIMEOUT_S)
         if chosen is None:
             return Unavailable("too few controllers answer: ask another one")
         if not chosen.value.body:
--- a/stoneyoke/controlplane/controller.py
+++ b/stoneyoke/controlplane/controller.py
@@ -186,7 +186,7 @@
 
     async def handle_message(self, message: Message) -> Message | None:
         """The answer to a message of a gateway or another controller; None for a message that is no request."""
-        return await self.router.answer(message)
+        return await self.router.dispatch(message)
 
     async def handle_call(self, call: ApiCall) -> ApiResult:
         """The answer to a call of an instance or an operator."""
--- a/stoneyoke/controlplane/discovery_service.py
+++ b/stoneyoke/controlplane/discovery_service.py
@@ -82,15 +82,15 @@
 
     # ---- calls of instances ----
 
-    async def heartbeat(self, beat: Heartbeat) -> ApiResult:
+    async def heartbeat(self, request: Heartbeat) -> ApiResult:
         """Takes a heartbeat. A drain is acknowledged by a majority, any other one by this controller with a quorum."""
         if self.recovering_from_stall():
             return STALLED
-        if self.registry.merge(row_from_heartbeat(beat), self.clock()):
+        if self.registry.merge(row_from_heartbeat(request), self.clock()):
             self.context.changes.notify()
-        self.pending_heartbeats[beat.instance] = None
-        if beat.draining:
-            return await self.acknowledge_by_majority(self.registry.records[beat.instance].row)
+        self.pending_heartbeats[request.instance] = None
+        if request.draining:
+            return await self.acknowledge_by_majority(self.registry.records[request.instance].row)
         return Acknowledged() if self.cluster.has_quorum() else NO_QUORUM
 
     async def leave(self, request: Leave) -> ApiResult:
@@ -116,24 +116,24 @@
 
         Returns as soon as a majority has them. The other peers are sent the rows all the same.
         """
-        begun_at, update = self.clock(), InstanceUpdate(instances=list(rows))
-        known, needed = int(self.cluster.own_address in voters), majority(len(voters) or 1)
-        waiting = {
+        started_at, update = self.clock(), InstanceUpdate(instances=list(rows))
+        known, required = int(self.cluster.own_address in voters), majority(len(voters) or 1)
+        pending = {
             self.context.tasks.spawn(self.send(link, update)): address for address, link in self.cluster.links().items()
         }
-        while waiting and known < needed:
-            done, _ = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
+        while pending and known < required:
+            done, _ = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
-                address = waiting.pop(task)
-                in_window = self.clock() - begun_at <= ACK_WINDOW_S
+                address = pending.pop(task)
+                in_window = self.clock() - started_at <= ACK_WINDOW_S
                 known += address in voters and task.result() and in_window
         return known
 
     async def send(self, link: PeerLink, message: InstanceUpdate | InstanceRefresh) -> bool:
         """Sends a message and returns whether the peer took it."""
         with contextlib.suppress(PeerUnreachable):
-            answer = await link.call(message, ACK_WINDOW_S)
-            return isinstance(answer, InstanceUpdateResponse) and answer.accepted
+            response = await link.call(message, ACK_WINDOW_S)
+            return isinstance(response, InstanceUpdateResponse) and response.accepted
         return False
 
     async def run_forwarding(self) -> None:
@@ -189,17 +189,17 @@
         if any(changes):
             self.context.changes.notify()
 
-    def record_pull(self, address: str, synced: bool, begun_at: float) -> None:
+    def record_pull(self, address: str, synced: bool, request_sent_at: float) -> None:
         """Notes a pull from another controller, after its rows were merged.
 
         Args:
             address: the controller that was pulled from.
             synced: whether that controller said that it is synced.
-            begun_at: when the request was sent.
+            request_sent_at: when the request was sent.
         """
         was_synced = self.startup_sync.synced
         self.startup_sync.update_voters(self.cluster.voters(), self.clock())
-        self.startup_sync.record_pull(address, synced, begun_at)
+        self.startup_sync.record_pull(address, synced, request_sent_at)
         if self.synced() != was_synced:
             self.context.changes.notify()  # gateways that start wait for it
 
@@ -230,5 +230,5 @@
     def synced(self) -> bool:
         """Whether this controller knows each acknowledged drain (see startup_sync)."""
         if self.recovering_from_stall() or not self.cluster.has_quorum():
-            self.startup_sync.note_gap(self.clock())
+            self.startup_sync.record_gap(self.clock())
         return self.startup_sync.evaluate(self.cluster.voters(), self.clock())
--- a/stoneyoke/controlplane/gateway_tracker.py
+++ b/stoneyoke/controlplane/gateway_tracker.py
@@ -5,7 +5,7 @@
 
 from stoneyoke.api.configuration import Version
 from stoneyoke.controlplane.controller_context import ControllerContext
-from stoneyoke.controlplane.heartbeat_ring import HeartbeatWatch
+from stoneyoke.controlplane.heartbeat_ring import HeartbeatMonitor
 from stoneyoke.controlplane.peers import Peers
 from stoneyoke.limits.quota_allocator import GATEWAY_TTL_S
 from stoneyoke.transport.messages import PullRequest
@@ -38,7 +38,7 @@
         """
         self._peers, self._context = peers, context
         self.last_pulls: dict[str, GatewayPull] = {}  # by gateway name
-        self.heartbeats = HeartbeatWatch(GATEWAY_TIMEOUT_S)
+        self.heartbeats = HeartbeatMonitor(GATEWAY_TIMEOUT_S)
         self.version = 0  # rises when a gateway's heartbeats begin or time out here
 
     def record_pull(self, request: PullRequest) -> None:
@@ -52,7 +52,7 @@
         """The gateways seen recently, here or by a peer: they may still hold shares of quotas."""
         now = self._context.clock()
         seen_here = {name for name, pull in self.last_pulls.items() if now - pull.at < GATEWAY_TTL_S}
-        recent_peers = (peer for peer in self._peers.values() if now - peer.last_heard_at < GATEWAY_TTL_S)
+        recent_peers = (peer for peer in self._peers.values() if now - peer.last_response_at < GATEWAY_TTL_S)
         reported = {name for peer in recent_peers for name in peer.gateways}
         return sorted(seen_here | reported)
 
--- a/stoneyoke/controlplane/heartbeat_ring.py
+++ b/stoneyoke/controlplane/heartbeat_ring.py
@@ -25,7 +25,7 @@
     return sorted(set(controllers), key=distance)[:count]
 
 
-class HeartbeatWatch:
+class HeartbeatMonitor:
     """The gateways whose heartbeats arrive at this controller."""
 
     def __init__(self, timeout_s: float) -> None:
@@ -35,17 +35,17 @@
             timeout_s: a gateway without a heartbeat for this long is forgotten.
         """
         self.timeout_s = timeout_s
-        self.last_heard_at: dict[str, float] = {}  # by gateway name, in the order of their first heartbeats
+        self.last_heartbeat_at: dict[str, float] = {}  # by gateway name, in the order of their first heartbeats
 
     def record_heartbeat(self, name: str, now: float) -> bool:
         """Notes a heartbeat; returns whether the gateway is new."""
-        is_new = name not in self.last_heard_at
-        self.last_heard_at[name] = now
+        is_new = name not in self.last_heartbeat_at
+        self.last_heartbeat_at[name] = now
         return is_new
 
     def expire(self, now: float) -> bool:
         """Forgets gateways that timed out; returns whether there were any."""
-        expired = [name for name, heard_at in self.last_heard_at.items() if now - heard_at > self.timeout_s]
+        expired = [name for name, heartbeat_at in self.last_heartbeat_at.items() if now - heartbeat_at > self.timeout_s]
         for name in expired:
-            del self.last_heard_at[name]
+            del self.last_heartbeat_at[name]
         return bool(expired)
--- a/stoneyoke/controlplane/http_api.py
+++ b/stoneyoke/controlplane/http_api.py
@@ -64,12 +64,12 @@
                 message = await messages.next()
             if message is None:
                 return
-            self._write(writer, await self._answer(message), keep_alive=message.keep_alive)
+            self._write(writer, await self._handle_request(message), keep_alive=message.keep_alive)
             if not message.keep_alive:
                 return
             await writer.drain()
 
-    async def _answer(self, message: Message) -> ApiResult:
+    async def _handle_request(self, message: Message) -> ApiResult:
         try:
             call = read_call(message.method.decode("ascii"), message.target.decode("ascii"), message.body)
             return call if isinstance(call, Rejected) else await self.handle(call)
@@ -79,8 +79,8 @@
             logger.exception("a call of an instance or operator failed; it is answered with 503")
             return Unavailable("failed here")
 
-    def _write(self, writer: asyncio.StreamWriter, given: ApiResult, *, keep_alive: bool) -> None:
-        status, body = reply_to(given)
+    def _write(self, writer: asyncio.StreamWriter, result: ApiResult, *, keep_alive: bool) -> None:
+        status, body = reply_to(result)
         connection = b"" if keep_alive else b"Connection: close\r\n"
         content = b"Content-Type: application/json\r\nContent-Length: %d\r\n" % len(body)
         write_message(writer, [status_line(status), connection, content], body)
--- a/stoneyoke/controlplane/instance_registry.py
+++ b/stoneyoke/controlplane/instance_registry.py
@@ -45,27 +45,27 @@
     """One instance in a registry. Times are seconds of the controller's clock."""
 
     row: InstanceRow
-    last_heard_at: float
-    warm_as_of: float  # the time at which row.warmup_left_s was right
+    last_heartbeat_at: float
+    warmup_measured_at: float  # the time at which row.warmup_left_s was right
     seq: int = 0  # the registry's change number when this record last changed
 
     def row_at(self, now: float) -> InstanceRow:
         """The row to send at `now`, with the warm-up time that is left then."""
-        return self.row._replace(warmup_left_s=max(0.0, self.row.warmup_left_s - (now - self.warm_as_of)))
+        return self.row._replace(warmup_left_s=max(0.0, self.row.warmup_left_s - (now - self.warmup_measured_at)))
 
 
-def row_from_heartbeat(beat: Heartbeat) -> InstanceRow:
+def row_from_heartbeat(heartbeat: Heartbeat) -> InstanceRow:
     """The row that an instance's own heartbeat states."""
     return InstanceRow(
-        instance=beat.instance,
-        address=beat.address,
-        service=beat.service,
-        zone=beat.zone,
-        generation=beat.generation,
-        capacity=beat.capacity,
-        phase=Phase.DRAINING if beat.draining else Phase.READY,
-        call_seq=beat.call_seq,
-        warmup_left_s=beat.warmup_left_s,
+        instance=heartbeat.instance,
+        address=heartbeat.address,
+        service=heartbeat.service,
+        zone=heartbeat.zone,
+        generation=heartbeat.generation,
+        capacity=heartbeat.capacity,
+        phase=Phase.DRAINING if heartbeat.draining else Phase.READY,
+        call_seq=heartbeat.call_seq,
+        warmup_left_s=heartbeat.warmup_left_s,
     )
 
 
@@ -108,7 +108,7 @@
         if row is old:
             return False
         if row.call_seq > old.call_seq or row.phase == Phase.GONE:
-            record.last_heard_at = record.warm_as_of = now
+            record.last_heartbeat_at = record.warmup_measured_at = now
         record.row = row
         # Hundreds of heartbeats arrive each second. One that differs in call_seq and warm-up alone is not a change.
         if old._replace(call_seq=0, warmup_left_s=0.0) == row._replace(call_seq=0, warmup_left_s=0.0):
@@ -150,12 +150,12 @@
         for name, record in list(self.records.items()):
             if _has_expired(record, now):
                 del self.records[name]
-            elif record.row.phase == Phase.READY and now - record.last_heard_at > self.silence_timeout_s:
+            elif record.row.phase == Phase.READY and now - record.last_heartbeat_at > self.silence_timeout_s:
                 record.row = record.row._replace(phase=int(Phase.SILENT))
                 self._mark_changed(record)
         ended = [record for record in self.records.values() if record.row.phase in (Phase.SILENT, Phase.GONE)]
         if len(ended) > MAX_ENDED_RECORDS:
-            for record in sorted(ended, key=lambda record: record.last_heard_at)[:-MAX_ENDED_RECORDS]:
+            for record in sorted(ended, key=lambda record: record.last_heartbeat_at)[:-MAX_ENDED_RECORDS]:
                 del self.records[record.row.instance]
 
     def changes_since(self, seq: int, now: float) -> list[InstanceRow]:
@@ -175,8 +175,8 @@
     def _add(self, row: InstanceRow, now: float) -> None:
         # A row that arrives as SILENT has been silent for a while already. Counting that time as past keeps
         # controllers from prolonging each other's memory of a silent instance.
-        last_heard_at = now - self.silence_timeout_s if row.phase == Phase.SILENT else now
-        record = self.records[row.instance] = InstanceRecord(row, last_heard_at, now)
+        last_heartbeat_at = now - self.silence_timeout_s if row.phase == Phase.SILENT else now
+        record = self.records[row.instance] = InstanceRecord(row, last_heartbeat_at, now)
         if row.phase in (Phase.READY, Phase.DRAINING):
             self.silence_previous_owner(row)
         self._mark_changed(record)
@@ -188,4 +188,4 @@
 
 def _has_expired(record: InstanceRecord, now: float) -> bool:
     ttl_s = TOMBSTONE_TTL_S if record.row.phase == Phase.GONE else RECORD_TTL_S
-    return now - record.last_heard_at > ttl_s
+    return now - record.last_heartbeat_at > ttl_s
--- a/stoneyoke/controlplane/lease_voter.py
+++ b/stoneyoke/controlplane/lease_voter.py
@@ -53,7 +53,7 @@
             return None
         return self._granter.request(request, now)
 
-    def answer(self, request: LeaseRequest, known_holder: Callable[[], str]) -> LeaseResponse:
+    def handle_request(self, request: LeaseRequest, known_holder: Callable[[], str]) -> LeaseResponse:
         """Answers another controller's request.
 
         Args:
--- a/stoneyoke/controlplane/membership.py
+++ b/stoneyoke/controlplane/membership.py
@@ -115,8 +115,8 @@
         if member == self.replica.identity:
             return 0.0
         peer = self.peers.get(member.address)
-        last_heard_at = peer.last_heard_at if peer and peer.replica in (member, None) else NEVER
-        return now - max(last_heard_at, self.started_at)
+        last_response_at = peer.last_response_at if peer and peer.replica in (member, None) else NEVER
+        return now - max(last_response_at, self.started_at)
 
     def learners(self, voters: VoterSet, now: float) -> tuple[ReplicaId, ...]:
         """Members without a vote that hold the chosen value, the longest reachable first."""
--- a/stoneyoke/controlplane/message_router.py
+++ b/stoneyoke/controlplane/message_router.py
@@ -38,14 +38,14 @@
     ) -> None:
         """Builds the table; each part answers the message types of its job."""
         self._handlers: dict[type, Callable[[Any], Message]] = {
-            FetchRequest: lambda _: configuration.answer_fetch(replication.replica),
+            FetchRequest: lambda _: configuration.handle_fetch(replication.replica),
             InstanceUpdate: discovery.handle_update,
             InstanceRefresh: discovery.handle_refresh,
-            LeaseRequest: lease.answer_request,
+            LeaseRequest: lease.handle_request,
             QuotaRequest: lease.allocate,
         }
-        self._waiting_handlers: dict[type, Callable[[Any], Awaitable[Message]]] = {
-            PullRequest: pulls.answer,
+        self._async_handlers: dict[type, Callable[[Any], Awaitable[Message]]] = {
+            PullRequest: pulls.handle_pull,
             PrepareRequest: replication.handle,
             AcceptRequest: replication.handle,
             QueryRequest: replication.handle,
@@ -53,11 +53,11 @@
             ChosenNotice: replication.handle,
         }
 
-    async def answer(self, message: Message) -> Message | None:
+    async def dispatch(self, message: Message) -> Message | None:
         """The answer to a message; None for a message that is no request."""
         kind = type(message)
         if handler := self._handlers.get(kind):
             return handler(message)
-        if waiting_handler := self._waiting_handlers.get(kind):
-            return await waiting_handler(message)
+        if async_handler := self._async_handlers.get(kind):
+            return await async_handler(message)
         return None
--- a/stoneyoke/controlplane/peer_follower.py
+++ b/stoneyoke/controlplane/peer_follower.py
@@ -17,7 +17,7 @@
 from stoneyoke.transport.messages.pull import CONTROLLER_KIND
 
 CALL_TIMEOUT_S = 0.7
-PULL_HOLD_S = 0.25  # how long a peer may hold a pull that it has nothing new for
+PULL_WAIT_S = 0.25  # how long a peer may hold a pull that it has nothing new for
 PULL_INTERVAL_S = 0.05
 UNREACHABLE_PAUSE_S = 0.15
 FAILURE_PAUSE_S = 1.0
@@ -74,13 +74,13 @@
             PeerUnreachable: there is no answer, or one of another kind.
         """
         request = self._pull_request(peer)
-        begun_at = self.context.clock()
-        response = await peer.link.call(request, CALL_TIMEOUT_S + PULL_HOLD_S)
+        request_sent_at = self.context.clock()
+        response = await peer.link.call(request, CALL_TIMEOUT_S + PULL_WAIT_S)
         if not isinstance(response, PullResponse):
             raise PeerUnreachable(f"{address}: an answer of another kind")
         peer.record_response(response, self.context.clock())
         self.discovery.merge_rows(response.instances)
-        self.discovery.record_pull(address, response.instances_synced, begun_at)
+        self.discovery.record_pull(address, response.instances_synced, request_sent_at)
         self.add_peers(*response.controllers)
         chosen = self.replication.replica.chosen
         if peer.chosen_ballot > (chosen.ballot if chosen else NO_BALLOT):
@@ -97,7 +97,7 @@
             version=version_row(self.replication.replica.version()),
             ready=True,
             heartbeat=False,
-            wait_ms=int(PULL_HOLD_S * 1000),
+            wait_ms=int(PULL_WAIT_S * 1000),
             own_incarnation=self.incarnation,
             membership_version=NO_MEMBERSHIP_VERSION,
         )
--- a/stoneyoke/controlplane/peers.py
+++ b/stoneyoke/controlplane/peers.py
@@ -36,7 +36,7 @@
         replica: its replica; None before its first answer.
         view: the newest value of the register that it knows, chosen or not, without the configuration's text.
         chosen_ballot: of the newest value that it knows to be chosen.
-        last_heard_at: when it last answered.
+        last_response_at: when it last answered.
         incarnation: its process.
         seq: up to which change of its instance registry this controller has heard.
         instances_synced: whether it knows each acknowledged drain (see startup_sync).
@@ -50,7 +50,7 @@
     replica: ReplicaId | None = None
     view: Proposal | None = None
     chosen_ballot: Ballot = NO_BALLOT
-    last_heard_at: float = NEVER
+    last_response_at: float = NEVER
     incarnation: str = ""
     seq: int = 0
     instances_synced: bool = False
@@ -62,10 +62,10 @@
     def record_response(self, response: PullResponse, now: float) -> None:
         """Takes over what the peer says of itself."""
         replica = ReplicaId(*response.replica)
-        was_silent = now - self.last_heard_at > CONTACT_TIMEOUT_S
+        was_silent = now - self.last_response_at > CONTACT_TIMEOUT_S
         if was_silent or self.incarnation != response.incarnation or self.replica != replica:
             self.reachable_since = now
-        self.replica, self.last_heard_at = replica, now
+        self.replica, self.last_response_at = replica, now
         self.incarnation, self.seq = response.incarnation, response.seq
         self.view = Proposal(Ballot(*response.view_ballot), value_from_row(response.view))
         self.chosen_ballot = Ballot(*response.chosen_ballot)
@@ -124,7 +124,9 @@
     def reachable(self) -> dict[str, Peer]:
         """The peers that answered a pull within CONTACT_TIMEOUT_S."""
         now = self.clock()
-        return {address: peer for address, peer in self.known.items() if now - peer.last_heard_at < CONTACT_TIMEOUT_S}
+        return {
+            address: peer for address, peer in self.known.items() if now - peer.last_response_at < CONTACT_TIMEOUT_S
+        }
 
     def majority_reachable(self, members: tuple[ReplicaId, ...], own: ReplicaId) -> bool:
         """Whether a majority of these members is reachable; `own` is this controller's replica and always is.
--- a/stoneyoke/controlplane/pull_service.py
+++ b/stoneyoke/controlplane/pull_service.py
@@ -18,7 +18,7 @@
 from stoneyoke.transport.messages import PullRequest, PullResponse
 from stoneyoke.transport.messages.pull import CONTROLLER_KIND
 
-MAX_PULL_HOLD_S = 2.0  # a pull is answered after this time, with news or without
+MAX_PULL_WAIT_S = 2.0  # a pull is answered after this time, with news or without
 
 
 @dataclass(eq=False, repr=False, kw_only=True)
@@ -47,7 +47,7 @@
     follower: PeerFollower
     context: ControllerContext
 
-    async def answer(self, request: PullRequest) -> PullResponse:
+    async def handle_pull(self, request: PullRequest) -> PullResponse:
         """Answers at once if there is news, else when there is, or when the request's time is up."""
         if request.kind == CONTROLLER_KIND:
             self.follower.add_peers(request.ip)
@@ -56,7 +56,7 @@
         change = self.context.changes.next_change()
         if request.wait_ms > 0 and self.is_up_to_date(request):
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(min(request.wait_ms / 1000, MAX_PULL_HOLD_S)):
+                async with asyncio.timeout(min(request.wait_ms / 1000, MAX_PULL_WAIT_S)):
                     await change.wait()
         return self.response(request)
 
@@ -72,25 +72,27 @@
 
     def response(self, request: PullRequest) -> PullResponse:
         """What changed since the request's change number, or everything if that is of another process."""
-        is_known = request.incarnation == self.incarnation
+        is_same_process = request.incarnation == self.incarnation
         view, chosen = self.replica.view(), self.replica.chosen
         controllers: list[str] = []
         gateways: list[str] = []
-        if not is_known or request.membership_version != self.membership_version():
+        if not is_same_process or request.membership_version != self.membership_version():
             controllers = [self.settings.ip, *self.follower.peers]
-            gateways = list(self.gateways.heartbeats.last_heard_at)
+            gateways = list(self.gateways.heartbeats.last_heartbeat_at)
         return PullResponse(
             incarnation=self.incarnation,
             seq=self.discovery.registry.seq,
-            complete=not is_known,
-            instances=self.discovery.registry.changes_since(request.seq if is_known else 0, self.context.clock()),
+            complete=not is_same_process,
+            instances=self.discovery.registry.changes_since(
+                request.seq if is_same_process else 0, self.context.clock()
+            ),
             replica=member_row(self.replica.identity),
             view_ballot=ballot_row(view.ballot if view else NO_BALLOT),
             view=value_row(view.value if view else EMPTY_VALUE, with_body=False),
             chosen_ballot=ballot_row(chosen.ballot if chosen else NO_BALLOT),
             version=version_row(self.replica.version()),
             instances_synced=self.discovery.synced(),
-            lease_holder=self.lease.holder_known(),
+            lease_holder=self.lease.known_holder(),
             leaving=self.membership.leaving,
             zone=self.settings.zone,
             membership_version=self.membership_version(),
--- a/stoneyoke/controlplane/quota_lease.py
+++ b/stoneyoke/controlplane/quota_lease.py
@@ -75,7 +75,7 @@
         """Whether this controller holds the lease now."""
         return self.holder.is_held(self.context.clock())
 
-    def holder_known(self) -> str:
+    def known_holder(self) -> str:
         """The address of the lease holder as far as known here, "" if unknown.
 
         A grant to this controller itself counts only once a majority has granted. Gateways that believed a
@@ -106,7 +106,7 @@
                 await asyncio.sleep(max(MIN_WAIT_S, self.voter.no_grants_before - now))
                 continue
             if self.may_request(was_held):
-                await self.request_in_turn(was_held)
+                await self.request_after_rank_delay(was_held)
             self.update_allocator()
             await asyncio.sleep(RENEW_INTERVAL_S if was_held else RETRY_INTERVAL_S)
 
@@ -118,9 +118,9 @@
             return True
         members = self.replica.voters().members
         has_quorum = self.peers.majority_reachable(members, self.replica.identity)
-        return has_quorum and self.holder_known() in ("", self.peers.own_address)
+        return has_quorum and self.known_holder() in ("", self.peers.own_address)
 
-    async def request_in_turn(self, is_held: bool) -> None:
+    async def request_after_rank_delay(self, is_held: bool) -> None:
         """Runs a round. A candidate waits by its rank among the voters first, so that few compete."""
         if not is_held:
             rank = self.replica.voters().members.index(self.replica.identity)
@@ -178,9 +178,9 @@
 
     # ---- messages ----
 
-    def answer_request(self, request: LeaseRequest) -> LeaseResponse:
+    def handle_request(self, request: LeaseRequest) -> LeaseResponse:
         """Answers another candidate, as a voter."""
-        return self.voter.answer(request, self.holder_known)
+        return self.voter.handle_request(request, self.known_holder)
 
     def _voting_peers(self, voters: VoterSet) -> list[Peer]:
         return [self.peers[address] for address in voters.addresses() if address in self.peers]
@@ -205,13 +205,13 @@
         )
 
     async def _request_from(self, peer: Peer, message: LeaseRequest, lease_round: LeaseRound) -> None:
-        answer = await self._send(peer, message)
-        if answer and answer.ok and answer.voter_set_number == lease_round.voters.number:
-            self.record_grant(ReplicaId(*answer.replica), lease_round)
+        response = await self._send(peer, message)
+        if response and response.ok and response.voter_set_number == lease_round.voters.number:
+            self.record_grant(ReplicaId(*response.replica), lease_round)
 
     async def _send(self, peer: Peer, message: LeaseRequest) -> LeaseResponse | None:
         try:
-            answer = await peer.link.call(message, CALL_TIMEOUT_S)
+            response = await peer.link.call(message, CALL_TIMEOUT_S)
         except PeerUnreachable:
             return None
-        return answer if isinstance(answer, LeaseResponse) else None
+        return response if isinstance(response, LeaseResponse) else None
--- a/stoneyoke/controlplane/startup_sync.py
+++ b/stoneyoke/controlplane/startup_sync.py
@@ -68,22 +68,22 @@
             self.synced_sources.clear()
         self.is_voter = is_voter
 
-    def record_pull(self, address: str, synced: bool, begun_at: float) -> None:
+    def record_pull(self, address: str, synced: bool, request_sent_at: float) -> None:
         """Notes a pull that brought everything a controller knows, at once or in parts since this process started.
 
         Args:
             address: the controller that was pulled from.
             synced: whether that controller said that it is synced.
-            begun_at: when the request was sent.
+            request_sent_at: when the request was sent.
         """
-        if begun_at < self.started_at + ACK_WINDOW_S + CLOCK_MARGIN_S:
+        if request_sent_at < self.started_at + ACK_WINDOW_S + CLOCK_MARGIN_S:
             return
         if synced:
             self.synced_sources.add(address)
         else:
             self.synced_sources.discard(address)
 
-    def note_gap(self, now: float) -> None:
+    def record_gap(self, now: float) -> None:
         """This controller may have missed heartbeats until now."""
         self.last_gap_at = now
 
@@ -92,6 +92,6 @@
         self.update_voters(voters, now)
         if not self.synced and voters:
             sources = self.synced_sources.intersection(voters) - {self.own_address}
-            heard_every_backend = now - self.last_gap_at >= self.heartbeat_round_s
-            self.synced = len(sources) >= read_quorum(len(voters)) or heard_every_backend
+            received_every_heartbeat = now - self.last_gap_at >= self.heartbeat_round_s
+            self.synced = len(sources) >= read_quorum(len(voters)) or received_every_heartbeat
         return self.synced
--- a/stoneyoke/controlplane/status.py
+++ b/stoneyoke/controlplane/status.py
@@ -99,7 +99,7 @@
 
 def read_status(sources: StatusSources, now: float) -> Status:
     """Reads the report from the controller's parts."""
-    replica, lease_holder, has_quorum = sources.replica, sources.lease.holder_known(), sources.cluster.has_quorum()
+    replica, lease_holder, has_quorum = sources.replica, sources.lease.known_holder(), sources.cluster.has_quorum()
     voters = replica.voters()
     return Status(
         name=sources.name,
@@ -157,7 +157,7 @@
         disk=peer.replica.disk if peer.replica else None,
         version=str(peer.view.value.version) if peer.view else None,
         votes=peer.replica in voters.members,
-        silent_s=round(now - peer.last_heard_at, 2),
+        silent_s=round(now - peer.last_response_at, 2),
     )
 
 
@@ -167,5 +167,5 @@
         address=record.row.address,
         phase=Phase(record.row.phase).name.lower(),
         zone=record.row.zone,
-        silent_s=round(now - record.last_heard_at, 2),
+        silent_s=round(now - record.last_heartbeat_at, 2),
     )
--- a/stoneyoke/storage/record_store.py
+++ b/stoneyoke/storage/record_store.py
@@ -37,7 +37,7 @@
     write_data_and_index,
 )
 
-RECORDS_KEPT = 3
+RETAINED_RECORDS = 3
 """Records of each family that are left: the newest and those before it."""
 NO_SPACE_ERRORS = frozenset({errno.ENOSPC, errno.EDQUOT})
 
@@ -78,7 +78,7 @@
         """The files of all records, whole or not."""
         return list_record_files(self.folder)
 
-    def numbers_of(self, family: str) -> list[int]:
+    def record_numbers(self, family: str) -> list[int]:
         """Numbers of all records of a family, whole or not; the newest first."""
         return sorted({file.number for file in self.record_files() if file.family == family}, reverse=True)
 
@@ -102,7 +102,7 @@
             except OSError as error:
                 self.remove_record(family, number)
                 raise RecordNotWritten(record_name(family, number), error) from error
-            self.whole_numbers[family] = sorted([*self.whole_numbers.get(family, ()), number])[-RECORDS_KEPT:]
+            self.whole_numbers[family] = sorted([*self.whole_numbers.get(family, ()), number])[-RETAINED_RECORDS:]
             self.remove_old_records(family)
 
     def write_record(self, family: str, number: int, record: Record) -> None:
@@ -129,8 +129,8 @@
 
     def sync_record(self, family: str, number: int) -> None:
         """Makes a record's files durable, then their names. Raises OSError."""
-        for ending in (DATA, INDEX):
-            self.sync_path(self.base_path(family, number) + ending)
+        for suffix in (DATA, INDEX):
+            self.sync_path(self.base_path(family, number) + suffix)
         self.sync_path(self.folder)
 
     def sync_path(self, path: str) -> None:
@@ -153,7 +153,7 @@
         torn: list[str] = []
         with self.disk_lock:
             try:
-                for number in self.numbers_of(family):
+                for number in self.record_numbers(family):
                     try:
                         record = self.read_record(family, number)
                     except TornRecord as error:
@@ -185,7 +185,7 @@
         """
         newest = self.whole_numbers[family][-1]
         with contextlib.suppress(OSError):
-            for number in self.numbers_of(family):
+            for number in self.record_numbers(family):
                 if number < newest and number not in self.whole_numbers[family]:
                     self.remove_record(family, number)
 
@@ -197,8 +197,8 @@
 
     def remove_record(self, family: str, number: int) -> None:
         """Removes a record's files, as far as the disk allows."""
-        for ending in (DATA, INDEX, BACKUP):
-            self.remove_file(self.base_path(family, number) + ending)
+        for suffix in (DATA, INDEX, BACKUP):
+            self.remove_file(self.base_path(family, number) + suffix)
 
     def remove_file(self, path: str) -> None:
         """Removes a file, if it is there and the disk allows."""
--- a/tests/system/test_controller_instances_and_lease.py
+++ b/tests/system/test_controller_instances_and_lease.py
@@ -69,7 +69,7 @@
             alone = cluster.controllers[name]
             await cluster.until(lambda alone=alone: not alone.has_quorum() and not alone.lease.is_held())
             for _ in range(2000):
-                assert alone.lease.holder_known() != name
+                assert alone.lease.known_holder() != name
                 await asyncio.sleep(0.01)
             cluster.cuts = set()
             await all_have_quorum(cluster)
--- a/tests/system/test_discovery_service.py
+++ b/tests/system/test_discovery_service.py
@@ -106,9 +106,9 @@
 
     def pull(self, name, other):
         """A whole pull, as a controller makes it."""
-        begun_at, source = self.clock(), self.services[other]
+        request_sent_at, source = self.clock(), self.services[other]
         self.services[name].merge_rows(source.registry.changes_since(0, self.clock()))
-        self.services[name].record_pull(other, source.synced(), begun_at)
+        self.services[name].record_pull(other, source.synced(), request_sent_at)
 
     async def pass_time(self, for_s):
         """Time in which all sweep."""
--- a/tests/system/test_heartbeat_ring.py
+++ b/tests/system/test_heartbeat_ring.py
@@ -2,7 +2,7 @@
 
 from ward import each, test
 
-from stoneyoke.controlplane.heartbeat_ring import WATCHER_COUNT, HeartbeatWatch, watchers
+from stoneyoke.controlplane.heartbeat_ring import WATCHER_COUNT, HeartbeatMonitor, watchers
 
 CONTROLLERS = [f"10.0.0.{at}" for at in range(7)]
 
@@ -20,7 +20,7 @@
 
 @test("a gateway is new with its first heartbeat, and again after it was forgotten")
 def _():
-    watch = HeartbeatWatch(timeout_s=10.0)
+    watch = HeartbeatMonitor(timeout_s=10.0)
     assert watch.record_heartbeat("edge-1", 0.0) and not watch.record_heartbeat("edge-1", 5.0)
     assert not watch.expire(15.0) and watch.expire(15.1)
     assert watch.record_heartbeat("edge-1", 16.0)
--- a/tests/system/test_record_store.py
+++ b/tests/system/test_record_store.py
@@ -14,7 +14,7 @@
 
 from stoneyoke.lab.simulation.disks import PowerLost, SimulatedRecordStore
 from stoneyoke.storage.errors import RecordNotRead, RecordNotWritten, StorageError, TornRecord
-from stoneyoke.storage.record_store import RECORDS_KEPT, RecordStore
+from stoneyoke.storage.record_store import RETAINED_RECORDS, RecordStore
 
 SEEDS = range(80)
 STEPS = 25
@@ -36,7 +36,7 @@
     assert RecordStore(folder).load("register") == ({b"body": b"5"}, [])
     assert RecordStore(folder).load("promise") == ({b"counter": b"x"}, [])
     left = {file.number for file in RecordStore(folder).record_files() if file.family == "register"}
-    assert len(left) == RECORDS_KEPT
+    assert len(left) == RETAINED_RECORDS
 
 
 @dataclass
@@ -135,10 +135,12 @@
     def assert_recovers(self):
         """On a healthy disk each family takes what it is given, and no more than its last records are left."""
         for family in self.histories:
-            for _ in range(RECORDS_KEPT):
+            for _ in range(RETAINED_RECORDS):
                 assert self.save(family)
         self.restart(loses_power=False)
-        assert len(self.store.record_files()) == len(self.histories) * RECORDS_KEPT * 2, sorted(os.listdir(self.folder))
+        assert len(self.store.record_files()) == len(self.histories) * RETAINED_RECORDS * 2, sorted(
+            os.listdir(self.folder)
+        )
 
 
 @test(
@@ -212,8 +214,8 @@
         store.save("register", {b"body": body + b"%d" % at})
         store.save("promise", {b"ballot": b"%d" % at})
     names = os.listdir(folder)
-    assert len(names) == 2 * 2 * RECORDS_KEPT  # two families, two files each
-    assert sum(os.path.getsize(os.path.join(folder, name)) for name in names) < RECORDS_KEPT * (5000 + 6 * 1024)
+    assert len(names) == 2 * 2 * RETAINED_RECORDS  # two families, two files each
+    assert sum(os.path.getsize(os.path.join(folder, name)) for name in names) < RETAINED_RECORDS * (5000 + 6 * 1024)
 
 
 @test("a full disk keeps the newest record alone, refuses what does not fit, and takes the next once there is space")
