--- a/stoneyoke/consensus/ballot.py
+++ b/stoneyoke/consensus/ballot.py
@@ -1,4 +1,4 @@
-"""Ballots: the numbers that order the rounds of all proposers."""
+"""Ballots: the numbers that order the rounds of all proposers (also known as proposal numbers)."""
 
 from typing import NamedTuple
 
@@ -7,9 +7,9 @@
     """The number of one round. The higher of two ballots takes precedence.
 
     Attributes:
-        counter: A proposer raises it above every counter that it has seen.
+        counter: Compared first. A proposer uses a counter above every counter that it has seen.
         proposer: Address and incarnation of the process that began the round. It makes a ballot unique: no other
-            process, and no later incarnation of this one, ever uses it.
+            process, and no later incarnation of this process, ever uses the same one.
     """
 
     counter: int = 0
--- a/stoneyoke/consensus/errors.py
+++ b/stoneyoke/consensus/errors.py
@@ -1,4 +1,4 @@
-"""The errors of this package. What a disk refuses is a `StorageError` of the storage package."""
+"""The errors of this package. A failure of the disk is a `StorageError` of the storage package."""
 
 
 class ConsensusError(Exception):
@@ -6,9 +6,9 @@
 
 
 class InvalidRecord(ConsensusError):
-    """A record is whole, but its fields aren't those of its family.
+    """A record is whole, but its fields aren't valid for its family.
 
-    Its digest matches, so it was written like this: by another release, or because of a fault in this one.
+    The record's digest matches, so the disk didn't damage it: another release wrote it, or this release has a fault.
 
     Attributes:
         family: The record's family.
@@ -16,6 +16,6 @@
     """
 
     def __init__(self, family: str, reason: object) -> None:
-        """Keeps what failed; the text is "family: reason"."""
+        """Stores both attributes; the error's text is "family: reason"."""
         super().__init__(f"{family}: {reason}")
         self.family, self.reason = family, reason
--- a/stoneyoke/consensus/record_formats.py
+++ b/stoneyoke/consensus/record_formats.py
@@ -1,7 +1,7 @@
-"""The register's records: values as byte fields, both ways, read strictly. No I/O.
+"""Encoding and strict decoding of the register's records, which map field names to bytes. No I/O.
 
-The forms are fixed: a release reads what the one before wrote. `tests/system/compatibility` has records of
-earlier releases.
+The formats are fixed, because a release has to read the records of the release before it.
+`tests/system/compatibility` has records of earlier releases.
 """
 
 import json
@@ -22,7 +22,7 @@
 from stoneyoke.storage.record_file import Record
 
 IDENTITY = "identity"
-"""Family of the disk's own name, written once."""
+"""Family of the disk's name, written once."""
 PROMISE = "promise"
 """Family of the highest ballot promised. The record is small, since every round writes one."""
 REGISTER = "register"
@@ -33,16 +33,16 @@
 LEGACY_VOTERS = "crew"
 """Family of the voters, in the release before the register."""
 LEGACY_VOTING = b"1"
-"""Set in a legacy record of the voters whose member had a vote."""
+"""Value of the field "standing" in a legacy record of the voters if the replica that wrote it had a vote."""
 
 
 def identity_record(disk: str) -> Record:
-    """The record of a disk's name."""
+    """Returns the record of a disk's name."""
     return {b"disk": disk.encode()}
 
 
 def read_identity(record: Record) -> str:
-    """The name of a disk. Raises InvalidRecord."""
+    """Returns the name of a disk. Raises InvalidRecord."""
     try:
         return record[b"disk"].decode()
     except (KeyError, UnicodeDecodeError) as error:
@@ -50,12 +50,12 @@
 
 
 def promise_record(ballot: Ballot) -> Record:
-    """The record of a promised ballot."""
+    """Returns the record of a promised ballot."""
     return {b"counter": b"%d" % ballot.counter, b"proposer": ballot.proposer.encode()}
 
 
 def read_promise(record: Record) -> Ballot:
-    """The promised ballot. Raises InvalidRecord."""
+    """Returns the promised ballot. Raises InvalidRecord."""
     try:
         return Ballot(int(record[b"counter"]), record[b"proposer"].decode())
     except (KeyError, ValueError) as error:
@@ -63,7 +63,7 @@
 
 
 def register_record(proposal: Proposal) -> Record:
-    """The record of an accepted proposal."""
+    """Returns the record of an accepted proposal."""
     value = proposal.value
     version = (value.version.number, value.version.digest)
     header = (tuple(proposal.ballot), value.voters.number, value.voters.members, value.previous, version)
@@ -71,7 +71,7 @@
 
 
 def read_register(record: Record) -> Proposal:
-    """The accepted proposal. Raises InvalidRecord."""
+    """Returns the accepted proposal. Raises InvalidRecord."""
     try:
         ballot, number, members, previous, version = msgpack.unpackb(record[b"header"], use_list=False)
         voters = VoterSet(number, replica_ids(members))
@@ -82,10 +82,10 @@
 
 
 def legacy_register(voters: Record | None, configuration: Record | None, version: Version) -> Proposal | None:
-    """The register as the release before it kept it, in two families.
+    """Returns the proposal in the records of the release before the register, which had two families for it.
 
-    A system that was stopped under that release and starts under this one goes on with it. The proposal with the
-    highest version goes first among the replicas, as it did in that release.
+    A system that was stopped under that release and starts under this one continues with its voters and configuration.
+    The proposal with the highest version gets the highest ballot, as that release preferred the highest version.
 
     Args:
         voters: The record of the voters.
@@ -93,7 +93,7 @@
         version: Version of the configuration's text.
 
     Returns:
-        None if this replica had no vote, or a change of the voters was under way.
+        The proposal; None if this replica had no vote, or a change of the voters was in progress.
 
     Raises:
         InvalidRecord: The record of the voters can't be read.
--- a/stoneyoke/consensus/recovery.py
+++ b/stoneyoke/consensus/recovery.py
@@ -1,7 +1,7 @@
-"""Starts again from one disk after a majority of the voters is lost for good. No I/O.
+"""Computes the register to restart from on one disk after a majority of the voters is lost for good. No I/O.
 
-The replicas that are left can't tell whether the others are lost or only cut off, so a person decides this. What was
-acknowledged and stood only on the lost disks is lost.
+The replicas that are left can't distinguish lost replicas from unreachable ones, so an operator has to decide this. A
+configuration that was acknowledged but is stored on the lost disks only is lost.
 """
 
 from dataclasses import replace
@@ -9,20 +9,20 @@
 from stoneyoke.consensus.ballot import Ballot
 from stoneyoke.consensus.register_value import Proposal, ReplicaId, VoterSet
 
-# The result has to be above any ballot and any voter set that a replica which wasn't asked may hold.
+# The result has to be above any ballot and any voter set number that another replica, which isn't read, may have.
 BALLOTS_SKIPPED = 1_000_000
 VOTER_SETS_SKIPPED = 1_000
 PROPOSER = "recovery"
 
 
 def recovered_register(accepted: Proposal, promised: Ballot, survivor: ReplicaId) -> Proposal:
-    """The survivor's register, with the survivor as its only voter.
+    """Returns the survivor's register, with the survivor as its only voter.
 
-    The other replicas join with empty disks as learners, and become voters two at a time.
+    The other replicas restart with empty disks as learners, and become voters two at a time.
 
     Args:
-        accepted: What the survivor has accepted.
-        promised: The highest ballot that it has promised.
+        accepted: The proposal that the survivor has accepted.
+        promised: The highest ballot that the survivor has promised.
         survivor: The replica that is left.
     """
     counter = max(accepted.ballot, promised).counter + BALLOTS_SKIPPED
--- a/stoneyoke/consensus/register_value.py
+++ b/stoneyoke/consensus/register_value.py
@@ -1,4 +1,4 @@
-"""The value of the replicated register: who votes, and the operator's configuration."""
+"""The value of the replicated register: the voter set and the operator's configuration."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
@@ -12,13 +12,13 @@
 
 
 class ReplicaId(NamedTuple):
-    """A replica, identified by its disk.
+    """The identity of a replica: its address and its disk.
 
-    A machine that comes back with an empty disk has forgotten its promises, so it must count as another replica.
+    A machine that restarts with an empty disk has lost its promises, so it must count as another replica.
 
     Attributes:
         address: IP address of the machine.
-        disk: Name that the disk was given when it was first used.
+        disk: Name that was written to the disk when it was first used.
     """
 
     address: str
@@ -26,11 +26,11 @@
 
 
 Group = tuple[ReplicaId, ...]
-"""Replicas of which a majority is needed."""
+"""Replicas, of which a majority has to promise, accept or respond."""
 
 
 def replica_ids(rows: Iterable[tuple[str, str]]) -> Group:
-    """The replicas of rows of address and disk, as messages and records hold them."""
+    """Returns the replicas of rows of address and disk, the form that messages and records use."""
     return tuple(ReplicaId(*row) for row in rows)
 
 
@@ -39,7 +39,7 @@
     """The replicas that vote.
 
     Attributes:
-        number: Rises by one with each change of the voters; 0: not known.
+        number: Rises by one with each change of the voters; 0: the voters aren't known.
         members: The voters, sorted.
     """
 
@@ -47,7 +47,7 @@
     members: Group = ()
 
     def addresses(self) -> tuple[str, ...]:
-        """Addresses of the voters, in the order of the members."""
+        """Returns the addresses of the voters, in the order of the members."""
         return tuple(member.address for member in self.members)
 
 
@@ -55,15 +55,15 @@
 class RegisterValue:
     """One value of the register.
 
-    Who votes is part of the value, so a change of the voters and a change of the configuration can't be chosen past
-    each other. A value with previous voters is joint: it needs a majority of both sets, until the change is known to
-    be chosen.
+    The voter set is part of the value, so that a change of the voters and a change of the configuration can't both be
+    chosen without one building on the other. A value with previous voters is joint: it needs a majority of both sets,
+    until the change is known to be chosen.
 
     Attributes:
         voters: The replicas that vote from this value on.
-        previous: The voters before, while the change to `voters` isn't known to be chosen; empty after that.
+        previous: The previous voters, while the change to `voters` isn't known to be chosen; empty after that.
         version: Version of the configuration.
-        body: Text of the configuration, as its operator sent it; empty where it was left out of a message.
+        body: Text of the configuration, as its operator sent it; empty where a message omits it.
     """
 
     voters: VoterSet
@@ -72,18 +72,18 @@
     body: bytes = b""
 
     def quorum_groups(self) -> tuple[Group, ...]:
-        """The groups that each have to accept this value by a majority before it is chosen."""
+        """Returns the groups of which a majority each has to accept this value before it is chosen."""
         return (self.voters.members, self.previous) if self.previous else (self.voters.members,)
 
     def without_body(self) -> "RegisterValue":
-        """The same value without the text of its configuration."""
+        """Returns the same value without the text of its configuration."""
         return replace(self, body=b"")
 
 
 class Proposal(NamedTuple):
     """A value and the ballot under which it was proposed. One ballot never has two values.
 
-    A proposal is accepted by one voter after another, and chosen once each of its groups has a majority of them.
+    Voters accept a proposal one by one. It is chosen once a majority of each of its groups has accepted it.
     """
 
     ballot: Ballot
@@ -91,19 +91,19 @@
 
 
 ChangeFunction = Callable[[RegisterValue], RegisterValue]
-"""What a round makes of the value that it found."""
+"""Maps the value that a round found to the value that it proposes."""
 
 
 def unchanged(value: RegisterValue) -> RegisterValue:
-    """The change of a round that only completes what another one left unfinished."""
+    """Returns the value as it is: the change function of a round that only completes an unfinished one."""
     return value
 
 
 def initial_value(seeds: Iterable[str]) -> Proposal:
-    """The value at the first start of the whole system, when all disks are empty.
+    """Returns the proposal that every voter starts from at the system's first start, when all disks are empty.
 
     Args:
-        seeds: Addresses of the first voters. Every replica is given the same ones, in any order.
+        seeds: Addresses of the first voters. Every replica has to get the same ones, in any order.
     """
     members = tuple(ReplicaId(address, INITIAL_DISK_NAME) for address in sorted(set(seeds)))
     return Proposal(NO_BALLOT, RegisterValue(VoterSet(1, members)))
