--- a/stoneyoke/consensus/learner.py
+++ b/stoneyoke/consensus/learner.py
@@ -1,4 +1,4 @@
-"""The learner's part: records chosen values, fetches them from other controllers and announces them."""
+"""The learner: records chosen proposals, fetches them from other controllers and announces them."""
 
 import zlib
 
@@ -15,30 +15,36 @@
 
 
 class Learner:
-    """Learns chosen proposals and spreads them."""
+    """Learns chosen proposals and distributes them."""
 
     def __init__(self, replica: Replica, peers: PeerDirectory, spawn: Spawn) -> None:
-        """Takes this process's replica, the other controllers, and how to start tasks."""
+        """Makes the learner of one process.
+
+        Args:
+            replica: This process's replica.
+            peers: The other controllers.
+            spawn: Starts a task.
+        """
         self.replica, self.peers, self.spawn = replica, peers, spawn
 
     def learn(self, chosen: Proposal) -> None:
-        """Takes a proposal for chosen at once; this disk may be slow or hang, and nobody waits for it."""
+        """Records a proposal as chosen in memory at once; a task writes it to the disk, which may be slow or hang."""
         self.replica.record_chosen(chosen)
         self.spawn(self.replica.store_chosen(chosen))
 
     def announce(self, ballot: Ballot) -> None:
-        """Tells all other controllers that the proposal under this ballot is chosen.
+        """Notifies all other controllers that the proposal with this ballot is chosen.
 
-        A controller that misses the notice learns of it with its next pull.
+        A controller that doesn't receive the notice learns the ballot with its next pull.
         """
         notice = ChosenNotice(address=self.peers.own_address, ballot=ballot_row(ballot))
         for address in list(self.peers):
             self.spawn(call_peer(self.peers, address, notice, CALL_TIMEOUT_S))
 
     async def catch_up(self, address: str, ballot: Ballot) -> None:
-        """Learns the proposal under a ballot that the controller at this address knows to be chosen.
+        """Learns the proposal with a ballot that the controller at this address knows to be chosen.
 
-        One fetch is enough, however many proposals were chosen since the last one known here.
+        A single fetch is enough, however many proposals were chosen since the last one known here.
         """
         if self.replica.learn_chosen_ballot(ballot):
             return
@@ -46,7 +52,7 @@
             self.learn(chosen)
 
     async def fetch(self, address: str, ballot: Ballot) -> Proposal | None:
-        """The proposal under this ballot, or a newer one that is chosen, with its body; None if it can't be had."""
+        """Returns the proposal with this ballot, or a newer chosen one, with its body; None if the fetch fails."""
         request = ValueRequest(ballot=ballot_row(ballot))
         response = await call_peer(self.peers, address, request, FETCH_TIMEOUT_S)
         if not isinstance(response, ValueResponse) or not response.found:
@@ -59,6 +65,8 @@
         try:
             body = zlib.decompress(compressed) if compressed else b""
         except zlib.error as error:
-            logger.error("a value from {} can't be decompressed and is ignored: {}", address, error)
+            logger.error(
+                "the configuration from controller {} can't be decompressed and is ignored: {}", address, error
+            )
             return None
         return Proposal(found, value_from_row(response.value._replace(body=body)))
--- a/stoneyoke/consensus/majority_read.py
+++ b/stoneyoke/consensus/majority_read.py
@@ -1,4 +1,4 @@
-"""Reads that write nothing: the newest chosen value, proven by what voters answer. No I/O."""
+"""Reads without a write: the newest chosen value, as the voters' responses prove it. No I/O."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -11,13 +11,13 @@
 class MajorityRead:
     """A linearizable read: it returns nothing older than what was chosen before it began.
 
-    It succeeds where a quorum already holds the newest value. Where the voters disagree, a proposal is under way or
-    was left unfinished; a round has to complete it before anything newer is known to be chosen.
+    It succeeds if a quorum has already accepted the newest value. If the voters disagree, a proposal is in progress or
+    was left unfinished, and a round has to complete it before anything newer is known to be chosen.
 
     Attributes:
         known: The newest proposal that this process knows.
         chosen_voters_number: Highest number of a voter set that is known to be chosen; 0: none.
-        replies: What each voter has accepted, with or without its body.
+        responses: The proposal that each voter has accepted, with or without its body; None: none.
     """
 
     known: Proposal
@@ -25,27 +25,27 @@
     responses: dict[ReplicaId, Proposal | None] = field(default_factory=dict)
 
     def newest_found(self) -> Proposal:
-        """The proposal with the highest ballot seen so far."""
+        """Returns the proposal with the highest ballot found so far."""
         return voter_groups.newest_proposal(self.known, self.responses.values())
 
     def required_groups(self) -> tuple[Group, ...]:
-        """The groups of which a majority each has to answer."""
+        """Returns the groups of which a majority each has to respond."""
         return voter_groups.groups_to_ask(self.known, self.newest_found(), self.chosen_voters_number)
 
     def addresses_to_ask(self) -> set[str]:
-        """Addresses to ask. The set grows as newer voter sets are found."""
+        """Returns the addresses to send requests to. The set grows as newer voter sets are found."""
         return voter_groups.addresses_of(self.required_groups())
 
     def on_response(self, voter: ReplicaId, accepted: Proposal | None) -> None:
-        """A voter has answered with what it has accepted."""
+        """Records a voter's response: the proposal that it has accepted."""
         self.responses[voter] = accepted
 
     def has_quorum(self) -> bool:
-        """Whether nothing that was chosen before the read began can be newer than `newest_found()`."""
+        """Returns whether nothing that was chosen before the read began can be newer than `newest_found()`."""
         return all(quorum.has_majority(group, self.responses) for group in self.required_groups())
 
     def chosen_proposal(self) -> Proposal | None:
-        """The newest chosen proposal, None while the replies don't prove one."""
+        """Returns the newest chosen proposal, None while the responses don't prove one."""
         if not self.has_quorum():
             return None
         newest = self.newest_found()
@@ -58,14 +58,14 @@
 
 
 def newest_view(views: Mapping[ReplicaId, Proposal]) -> Proposal | None:
-    """The newest of the proposals that replicas know, chosen or not.
+    """Returns the newest of the proposals that replicas know, chosen or not.
 
     Args:
         views: The newest proposal that each replica knows.
 
     Returns:
-        The one with the highest ballot, if so many of its voters are among `views` that nothing newer is chosen; None
-        if too few are.
+        The one with the highest ballot, if enough of its voters are among `views` to exclude that anything newer is
+        chosen; else None.
     """
     if not views:
         return None
--- a/stoneyoke/consensus/peer_calls.py
+++ b/stoneyoke/consensus/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls of this package to other controllers. Which controllers there are is known to the control plane."""
+"""Calls of this package to other controllers. The control plane provides the directory of controllers."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Iterator
@@ -8,19 +8,19 @@
 from stoneyoke.transport.messages import Message
 
 CALL_TIMEOUT_S = 0.7
-"""For one answer."""
+"""Time-out in seconds for the response to one call."""
 TRANSFER_S_PER_BYTE = 1.0 / (1 << 20)
-"""Added to a time-out for each byte of a configuration: a second for each MiB."""
+"""Seconds added to a time-out for each byte of a configuration: one second for each MiB."""
 
 Spawn = Callable[[Coroutine[Any, Any, Any]], "asyncio.Task[Any]"]
-"""Starts a task that its owner keeps until it is done."""
+"""Starts a task and keeps a reference to it until it is done."""
 
 
 class Link(Protocol):
     """A connection to another controller."""
 
     async def call(self, message: Message, timeout_s: float) -> Message:
-        """The answer. Raises PeerUnreachable."""
+        """Sends a message and returns the response. Raises PeerUnreachable."""
 
 
 class Peer(Protocol):
@@ -28,7 +28,7 @@
 
     @property
     def link(self) -> Link:
-        """The connection to it."""
+        """The connection to this controller."""
 
 
 class PeerDirectory(Protocol):
@@ -37,19 +37,19 @@
     own_address: str
 
     def add_peers(self, *addresses: str) -> bool:
-        """Adds those that aren't known yet."""
+        """Adds the controllers that aren't known yet; returns whether there were any."""
 
     def __getitem__(self, address: str) -> Peer:
-        """The controller at an address that was added."""
+        """Returns the controller at an address that was added."""
 
     def __iter__(self) -> Iterator[str]:
-        """Addresses of all of them."""
+        """Iterates over the addresses of all other controllers."""
 
 
 async def call_peer(peers: PeerDirectory, address: str, message: Message, timeout_s: float) -> Message | None:
-    """The answer of the controller at an address, None if there was none in time.
+    """Returns the response of the controller at an address, None if there was none in time.
 
-    A voter that isn't known yet is added: a value may name voters that this process has never heard of.
+    An address that isn't in the directory is added: a value may name voters that this process doesn't know yet.
     """
     peers.add_peers(address)
     try:
--- a/stoneyoke/consensus/proposer.py
+++ b/stoneyoke/consensus/proposer.py
@@ -1,4 +1,4 @@
-"""The proposer's part: carries out rounds over the network until one succeeds."""
+"""The proposer: runs rounds over the network until one succeeds."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
 from stoneyoke.transport.messages import AcceptRequest, AcceptResponse, PrepareRequest, PrepareResponse
 
 BACKOFF_S = 0.02
-"""Pause after a round that was lost to another proposer. It doubles each time, with jitter."""
+"""Pause in seconds after a round that failed. It doubles after each further one up to MAX_BACKOFF_S, with jitter."""
 MAX_BACKOFF_S = 0.3
 
 
@@ -20,7 +20,7 @@
     """Proposes changes of the register.
 
     Attributes:
-        name: This process's part of its ballots: its address and incarnation, never used by another process.
+        name: Identifies this process in its ballots: its address and incarnation, which no other process uses.
         counter: Counter of the last ballot used, or of a higher one seen.
     """
 
@@ -28,20 +28,21 @@
         """Makes the proposer of one process.
 
         Args:
-            learner: Learns what its rounds choose. The proposer uses its replica, peers and tasks.
+            learner: Learns what the rounds choose. The proposer uses its replica, peers and `spawn`.
             name: See the attribute.
-            random_source: Draws the jitter of the pauses.
+            random_source: Draws the jitter of the backoff.
         """
         self.learner, self.name, self.random_source = learner, name, random_source
         self.replica, self.peers, self.spawn = learner.replica, learner.peers, learner.spawn
         self.counter = 0
-        self.lock = asyncio.Lock()  # two rounds of one process would only refuse each other
+        self.lock = asyncio.Lock()  # two rounds of one process at once would only make each other fail
 
     async def propose(self, change: ChangeFunction, timeout_s: float) -> Proposal | None:
-        """Changes the register.
+        """Changes the register, with as many rounds as it takes.
 
         Returns:
-            The chosen proposal with the change applied; None if it isn't known in time. Then it may still be chosen.
+            The chosen proposal with the change applied; None if none is known in time. The change may still be chosen
+            later.
         """
         try:
             async with asyncio.timeout(timeout_s), self.lock:
@@ -55,7 +56,7 @@
             return None
 
     async def run_round(self, change: ChangeFunction) -> Proposal | None:
-        """Runs one round under a fresh ballot; None if it was lost or too few voters answered."""
+        """Runs one round with a new ballot; returns None if the round was lost or too few voters responded."""
         known = self.replica.view()
         if known is None:
             return None
@@ -75,13 +76,13 @@
         return chosen
 
     def next_ballot(self, known: Proposal) -> Ballot:
-        """A ballot above all that is known here."""
+        """Returns a ballot above every ballot known here."""
         promised = self.replica.acceptor.promised
         self.counter = max(self.counter, promised.counter, known.ballot.counter) + 1
         return Ballot(self.counter, self.name)
 
     async def run_phases(self, proposal_round: ProposalRound) -> None:
-        """Asks whom the round needs, in both phases, until it is decided or no answer is outstanding."""
+        """Sends the requests of both phases until the round is chosen or lost, or no request is pending."""
         asked: set[tuple[Phase, str]] = set()
         pending: set[asyncio.Task[None]] = set()
         while proposal_round.is_running():
@@ -95,7 +96,7 @@
             _, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
 
     async def send_prepare(self, proposal_round: ProposalRound, address: str) -> None:
-        """Asks one voter for its promise, and reports the answer to the round."""
+        """Asks one voter for its promise, and reports the response to the round."""
         if address == self.peers.own_address:
             await self.prepare_locally(proposal_round)
             return
@@ -110,7 +111,7 @@
             return
         accepted = proposal_from_rows(response.has_accepted, response.accepted_ballot, response.accepted)
         if accepted and accepted.ballot == proposal_round.known.ballot:
-            accepted = proposal_round.known  # the voter left out the body, since this process has it
+            accepted = proposal_round.known  # the response omits the body, since this process has it
         proposal_round.on_promised(ReplicaId(*response.replica), accepted)
 
     async def prepare_locally(self, proposal_round: ProposalRound) -> None:
@@ -122,7 +123,7 @@
             report_refusal(proposal_round, acceptor.promised)
 
     async def send_accept(self, proposal_round: ProposalRound, address: str) -> None:
-        """Asks one voter to accept the proposal, and reports the answer to the round."""
+        """Asks one voter to accept the proposal, and reports the response to the round."""
         assert proposal_round.proposed_value
         proposal = Proposal(proposal_round.ballot, proposal_round.proposed_value)
         if address == self.peers.own_address:
@@ -147,6 +148,9 @@
 
 
 def report_refusal(proposal_round: ProposalRound, promised: Ballot) -> None:
-    """Reports a refusal that names a higher promise. Without one the voter's disk failed, and others may be enough."""
+    """Reports a refusal by a voter that promised a higher ballot.
+
+    Without a higher ballot the voter's disk failed. That doesn't lose the round, since the other voters may be enough.
+    """
     if promised > proposal_round.ballot:
         proposal_round.on_refused(promised)
--- a/stoneyoke/consensus/reader.py
+++ b/stoneyoke/consensus/reader.py
@@ -1,4 +1,4 @@
-"""The reader's part: carries out linearizable reads over the network."""
+"""The reader: runs linearizable reads over the network."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 from stoneyoke.transport.messages import QueryRequest, QueryResponse
 
 AGREEMENT_TIMEOUT_S = 0.25
-"""A read waits so long for replies that agree. Then it runs a round."""
+"""Seconds that a read waits for responses that agree. After that it runs a round."""
 MIN_WAIT_S = 0.01
 
 
@@ -22,19 +22,19 @@
         """Makes the reader of one process.
 
         Args:
-            learner: Learns what is read. The reader uses its replica, peers and tasks.
-            proposer: Completes what another proposer left unfinished.
+            learner: Learns what is read. The reader uses its replica, peers and `spawn`.
+            proposer: Completes a proposal that another proposer left unfinished.
         """
         self.learner, self.proposer = learner, proposer
         self.replica, self.peers, self.spawn = learner.replica, learner.peers, learner.spawn
 
     async def read(self, timeout_s: float) -> Proposal | None:
-        """The newest chosen proposal, no older than any that was chosen before this call.
+        """Reads the newest chosen proposal, no older than any that was chosen before this call.
 
-        Nothing is written where a quorum agrees already. Otherwise a round completes what was left unfinished.
+        Nothing is written if a quorum agrees already. Otherwise a round completes the unfinished proposal.
 
         Returns:
-            None if too few voters answer in time.
+            The proposal with its body; None if too few voters respond in time.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -47,7 +47,7 @@
             return None
 
     async def query(self) -> Proposal | None:
-        """The newest chosen proposal if a quorum agrees on it, else None."""
+        """Returns the newest chosen proposal if a quorum agrees on it and its body is available, else None."""
         known = self.replica.view()
         if known is None:
             return None
@@ -56,9 +56,9 @@
         return await self.with_body(chosen, majority_read) if chosen else None
 
     async def query_voters(self, majority_read: MajorityRead) -> Proposal | None:
-        """Asks whom the read needs until the replies agree, the time for it is over or no answer is outstanding.
+        """Queries the voters until the responses agree, AGREEMENT_TIMEOUT_S is over or no request is pending.
 
-        The time only counts once a quorum has answered. Before that the read can't tell anything.
+        The time-out only applies once a quorum has responded: with fewer responses the read can't decide anything.
         """
         asked: set[str] = set()
         pending: set[asyncio.Task[None]] = set()
@@ -75,7 +75,7 @@
         return chosen
 
     async def query_voter(self, majority_read: MajorityRead, address: str) -> None:
-        """Asks one voter what it has accepted, and reports the answer to the read."""
+        """Asks one voter for its accepted proposal, and reports the response to the read."""
         if address == self.peers.own_address:
             majority_read.on_response(self.replica.identity, self.replica.acceptor.accepted)
             return
@@ -85,16 +85,16 @@
             majority_read.on_response(ReplicaId(*response.replica), accepted)
 
     async def with_body(self, chosen: Proposal, majority_read: MajorityRead) -> Proposal | None:
-        """The same proposal with its body, from this process or from a voter that holds it."""
+        """Returns the same proposal with its body, from this process or from a voter that has accepted it."""
         for local in (self.replica.acceptor.accepted, self.replica.chosen):
             if local and local.ballot == chosen.ballot:
                 return local
-        # A copy: replies that come in while a body is fetched add to the dictionary.
+        # Iterates over a copy, because responses that arrive during a fetch add to the dictionary.
         for voter, accepted in list(majority_read.responses.items()):
             if not accepted or accepted.ballot != chosen.ballot:
                 continue
             if voter == self.replica.identity:
-                return accepted  # accepted here when the read began; a newer one has taken its place since
+                return accepted  # accepted here when the read began and replaced by a newer proposal since
             if fetched := await self.learner.fetch(voter.address, chosen.ballot):
                 return fetched
         return None
--- a/stoneyoke/consensus/replica_server.py
+++ b/stoneyoke/consensus/replica_server.py
@@ -1,4 +1,4 @@
-"""Answers other controllers' requests about the register."""
+"""Handles other controllers' requests about the register."""
 
 import zlib
 
@@ -29,11 +29,11 @@
     """Serves this process's replica to the other controllers."""
 
     def __init__(self, learner: Learner) -> None:
-        """Takes the learner of this process, and its replica."""
+        """Makes the server for a learner's replica."""
         self.learner, self.replica = learner, learner.replica
 
     async def handle(self, request: RegisterRequest) -> RegisterResponse:
-        """The answer to a request."""
+        """Returns the response to a request."""
         match request:
             case PrepareRequest():
                 return await self.prepare(request)
@@ -48,7 +48,7 @@
                 return ChosenNoticeResponse()
 
     async def prepare(self, request: PrepareRequest) -> PrepareResponse:
-        """Promises a ballot. The body of a proposal that the proposer knows is left out."""
+        """Promises a ballot. The response omits the body of an accepted proposal that the proposer already has."""
         ok = await self.replica.prepare_or_refuse(Ballot(*request.ballot))
         acceptor = self.replica.acceptor
         with_body = ok and acceptor.accepted_ballot() != Ballot(*request.known_ballot)
@@ -70,7 +70,7 @@
         return AcceptResponse(ok=ok, replica=member_row(self.replica.identity), promised=promised)
 
     def query(self) -> QueryResponse:
-        """Tells what is accepted here, without its body."""
+        """Returns the proposal accepted here, without its body."""
         accepted = proposal_rows(self.replica.acceptor.accepted, with_body=False)
         return QueryResponse(
             replica=member_row(self.replica.identity),
@@ -80,7 +80,7 @@
         )
 
     def value(self, request: ValueRequest) -> ValueResponse:
-        """Tells the proposal under a ballot, or a newer one that is chosen, with its body compressed."""
+        """Returns the proposal with a ballot, or a newer one that is chosen, with its body compressed."""
         requested, chosen = Ballot(*request.ballot), self.replica.chosen
         is_chosen = chosen is not None and chosen.ballot >= requested
         proposal = chosen if is_chosen else self.accepted_with_ballot(requested)
@@ -92,6 +92,6 @@
         return ValueResponse(found=True, chosen=is_chosen, ballot=ballot_row(proposal.ballot), value=value)
 
     def accepted_with_ballot(self, ballot: Ballot) -> Proposal | None:
-        """The accepted proposal if it has this ballot."""
+        """Returns the accepted proposal if it has this ballot, else None."""
         accepted = self.replica.acceptor.accepted
         return accepted if accepted and accepted.ballot == ballot else None
--- a/stoneyoke/consensus/replica_start.py
+++ b/stoneyoke/consensus/replica_start.py
@@ -1,4 +1,4 @@
-"""What a replica finds on its disk when it starts, and what it makes of an empty one."""
+"""Loads a replica's state from its disk at the start, and initializes an empty disk."""
 
 import random
 from collections.abc import Callable
@@ -36,11 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """What is on disk when a replica starts to answer.
+    """What a replica reads from its disk before it handles requests.
 
     Attributes:
         disk: Name of the disk.
-        acceptor: Its promises and its accepted proposal.
+        acceptor: The promised ballot and the accepted proposal.
     """
 
     disk: str
@@ -53,13 +53,13 @@
     """Loads the state, and initializes a disk without an identity.
 
     Args:
-        disk: The replica's disk. It is tried until it answers.
+        disk: The replica's disk. Operations that fail are retried until they succeed.
         seeds: Addresses of the first voters.
         first_start: Whether the whole system starts for the first time.
         random_source: Draws the name of a new disk.
 
     Raises:
-        InvalidRecord: A whole record can't be read.
+        InvalidRecord: A record is whole but can't be decoded.
     """
     name = await load_value(disk, IDENTITY, read_identity)
     accepted = await load_value(disk, REGISTER, read_register)
@@ -70,7 +70,7 @@
 
 
 async def load_value(disk: ReplicaDisk, family: str, read: Callable[[Record], T]) -> T | None:
-    """The value of a family's newest whole record, None if there is no record. Raises InvalidRecord."""
+    """Returns the value of a family's newest whole record, None if there is no record. Raises InvalidRecord."""
     record = await disk.load(family)
     return read(record) if record else None
 
@@ -80,15 +80,16 @@
 ) -> StoredState:
     """Gives a disk its identity.
 
-    At the first start of the whole system the seeds vote with empty disks. Later an empty disk makes another replica,
-    since this one has forgotten its promises; it votes once the voters have decided so.
+    At the first start of the whole system the seeds vote with empty disks. Later an empty disk gets a random name and
+    counts as a new replica, because the promises of the previous one are lost; it votes once the voters have chosen a
+    voter set that contains it.
     """
     accepted = await load_legacy_register(disk)
     uses_initial_name = first_start or accepted is not None
     name = INITIAL_DISK_NAME if uses_initial_name else f"{random_source.getrandbits(DISK_NAME_BITS):016x}"
     if first_start and accepted is None:
         accepted = initial_value(seeds)
-    # The identity goes last: a start that ends before it is a start on an empty disk again.
+    # The identity is written last: after a crash before it, the next start initializes the disk from the beginning.
     if accepted:
         await disk.write_with_retry(REGISTER, register_record(accepted))
     await disk.write_with_retry(IDENTITY, identity_record(name))
@@ -96,11 +97,13 @@
 
 
 async def load_legacy_register(disk: ReplicaDisk) -> Proposal | None:
-    """The register from the records of the release before it, None if there are none that can be read."""
+    """Returns the register from the records of the release before it, None if there are none or they are invalid."""
     voters, configuration = await disk.load(LEGACY_VOTERS), await disk.load(LEGACY_CONFIGURATION)
     try:
         version = read_configuration(configuration[b"body"]).version if configuration else Version()
         return legacy_register(voters, configuration, version)
     except (InvalidRecord, InvalidField, KeyError) as error:
-        logger.error("disk: the records of the release before can't be read: {}. This controller starts empty", error)
+        logger.error(
+            "disk: the records of the previous release can't be read: {}. This controller starts without them", error
+        )
         return None
--- a/stoneyoke/consensus/replication.py
+++ b/stoneyoke/consensus/replication.py
@@ -1,4 +1,4 @@
-"""The replicated register of one process: proposer, reader, learner and acceptor, put together."""
+"""The replicated register of one process, made of its proposer, reader, learner and replica server."""
 
 import random
 
@@ -15,21 +15,21 @@
 class Replication:
     """Changes, reads and serves the register.
 
-    What is decided stands in `proposal_round`, `majority_read` and `acceptor`. The parts put together here send their
-    questions over the network and feed them the answers.
+    `proposal_round`, `majority_read` and `acceptor` contain the protocol's decisions. The parts that this class
+    combines send the requests over the network and report the responses to those decisions.
     """
 
     def __init__(
         self, replica: Replica, peers: PeerDirectory, proposer: str, spawn: Spawn, random_source: random.Random
     ) -> None:
-        """Puts the parts together.
+        """Makes the parts.
 
         Args:
             replica: This process's replica.
             peers: The other controllers.
-            proposer: This process's part of its ballots: its address and incarnation, never used by another process.
+            proposer: Identifies this process in its ballots: its address and incarnation, which no other process uses.
             spawn: Starts a task.
-            random_source: Draws the jitter of pauses.
+            random_source: Draws the jitter of the backoff.
         """
         self.replica, self.spawn = replica, spawn
         self.learner = Learner(replica, peers, spawn)
@@ -50,5 +50,5 @@
         await self.learner.catch_up(address, ballot)
 
     async def handle(self, request: RegisterRequest) -> RegisterResponse:
-        """The answer to another controller's request."""
+        """Returns the response to another controller's request."""
         return await self.replica_server.handle(request)
