--- a/stoneyoke/controlplane/__init__.py
+++ b/stoneyoke/controlplane/__init__.py
@@ -1,23 +1,23 @@
-"""The control plane: configuration, voters, instances, the quota lease, and the APIs through which they are used.
+"""The control plane: configuration, voters, instances, the quota lease, and the APIs to them.
 
-Composition and what all parts share:
+Composition and shared parts:
 
-* `settings`, `controller`: what a controller is started with; its parts and their lifecycle.
+* `settings`, `controller`: a controller's settings; its parts and their lifecycle.
 * `controller_context`, `cluster_view`: clock, tasks and change notifications; voters, links and quorum.
 
-Decisions without I/O:
+Decision logic, without I/O:
 
 * `instance_registry`, `startup_sync`: instances and how rows merge; whether every acknowledged drain is known.
-* `leases`, `heartbeat_ring`: grants and holders of leases; which controllers watch a gateway.
-* `status`: the report for people and stoneyokectl.
+* `leases`, `heartbeat_ring`: grants and holders of leases; which controllers receive a gateway's heartbeats.
+* `status`: the status report for operators and stoneyokectl.
 
-Services, which carry decisions out:
+Services, which execute the decisions:
 
 * `discovery_service`: heartbeats and leaves of instances, replicated to the voters.
 * `configuration_service`, `chosen_configuration`: the operators' calls; the newest configuration, for gateways.
 * `lease_voter`, `quota_lease`: the two sides of the quota lease, and quotas for gateways.
 * `membership`: which controllers vote.
-* `peers`, `peer_follower`, `gateway_tracker`: the other processes, and what they say of themselves.
+* `peers`, `peer_follower`, `gateway_tracker`: the state that other controllers and gateways report.
 
 Entry points:
 
@@ -25,6 +25,6 @@
 * `http_api`: calls of instances and operators.
 
 A drain is acknowledged in `discovery_service.DiscoveryService.acknowledge_by_majority`, a configuration in
-`configuration_service.ConfigurationService.replace`. Times are seconds of a steady clock; the time of day is never used
-(DEPLOY, Clocks).
+`configuration_service.ConfigurationService.replace`. Times are seconds of a monotonic clock; the time of day is never
+used (DEPLOY, Clocks).
 """
--- a/stoneyoke/controlplane/cluster_view.py
+++ b/stoneyoke/controlplane/cluster_view.py
@@ -1,4 +1,4 @@
-"""What a controller knows of the cluster at this moment: the voters, the links to peers, whether it has a quorum."""
+"""A controller's current view of the cluster: the voters, the links to peers, whether a quorum is reachable."""
 
 from collections.abc import Mapping
 from typing import Protocol
@@ -8,27 +8,27 @@
 
 
 class ClusterView(Protocol):
-    """The cluster as a service of this controller needs to see it."""
+    """The view of the cluster that a controller's services need."""
 
     @property
     def own_address(self) -> str:
         """This controller's address."""
 
     def voters(self) -> tuple[str, ...]:
-        """The addresses of the current voters; empty while they are not known."""
+        """Returns the addresses of the current voters; empty while they are not known."""
 
     def links(self) -> Mapping[str, PeerLink]:
-        """The connections to the other controllers, by address."""
+        """Returns the connections to the other controllers, by address."""
 
     def has_quorum(self) -> bool:
-        """Whether a majority of the voters is reachable, this controller included if it votes."""
+        """Returns whether a majority of the voters is reachable, counting this controller if it votes."""
 
 
 class ReplicatedClusterView:
-    """The cluster view that the replica's voters and the peers' answers give."""
+    """The cluster view from the replica's voters and the peers' responses."""
 
     def __init__(self, replica: Replica, peers: Peers) -> None:
-        """Reads both parts at each call and keeps nothing itself."""
+        """Stores references to both parts; each method reads their current state."""
         self._replica, self._peers = replica, peers
 
     @property
@@ -37,7 +37,7 @@
         return self._peers.own_address
 
     def voters(self) -> tuple[str, ...]:
-        """The addresses of the newest voters that are known here."""
+        """Returns the addresses of the newest voters that are known here."""
         return self._replica.voters().addresses()
 
     def links(self) -> Mapping[str, PeerLink]:
@@ -45,8 +45,8 @@
         return self._peers.links()
 
     def has_quorum(self) -> bool:
-        """Whether a majority of the voters answered a pull within the contact timeout.
+        """Returns whether a majority of the voters responded to a pull within CONTACT_TIMEOUT_S.
 
-        Voters count by disk: a machine that lost its disk is another member.
+        Voters are identified by address and disk: a machine that lost its disk is another member.
         """
         return self._peers.majority_reachable(self._replica.voters().members, self._replica.identity)
--- a/stoneyoke/controlplane/controller.py
+++ b/stoneyoke/controlplane/controller.py
@@ -1,4 +1,4 @@
-"""A controller: puts the parts of the control plane together, starts them, and passes calls on to them."""
+"""A controller: makes the parts of the control plane, starts them, and dispatches calls to them."""
 
 from stoneyoke.api.calls import (
     ApiCall,
@@ -37,7 +37,7 @@
 class Controller:
     """One controller's parts and their lifecycle.
 
-    Parts that depend on what the disk holds are made by `start`; before it returns, no message or call may come in.
+    `start` makes the parts that need the state on disk; no message or call may be passed in before it returns.
     """
 
     discovery: DiscoveryService
@@ -47,7 +47,7 @@
     router: MessageRouter
 
     def __init__(self, settings: ControllerSettings, environment: ControllerEnvironment) -> None:
-        """Makes the parts that need nothing from the disk; does no I/O."""
+        """Makes the parts that don't need the state on disk; does no I/O."""
         self.settings, self.clock = settings, environment.clock
         random_source = environment.random_source
         self.incarnation = f"{random_source.getrandbits(INCARNATION_BITS):012x}"
@@ -72,7 +72,7 @@
 
         Raises:
             StorageError: the disk can't be used.
-            InvalidRecord: a record on disk can't be read.
+            InvalidRecord: a record on disk is whole but can't be decoded.
         """
         await self.replica.load(self.settings.seeds, self.settings.first_start, self.context.random_source)
         is_first_start = self.settings.first_start and self.replica.acceptor.promised == NO_BALLOT
@@ -99,7 +99,7 @@
             self.tasks.spawn(work)
 
     def _make_discovery(self, is_first_start: bool) -> DiscoveryService:
-        # Every instance sends a heartbeat within the silence time-out, so all have been heard once it has passed.
+        # Every instance sends a heartbeat within the silence time-out, so after one time-out all have sent one.
         discovery = DiscoveryService(
             self.cluster,
             self.context,
@@ -153,43 +153,43 @@
         )
 
     async def leave(self, timeout_s: float) -> None:
-        """Hands this controller's vote to a learner, if there is one, before a shutdown.
+        """Transfers this controller's vote to a learner, if there is one, before a shutdown.
 
         Args:
-            timeout_s: returns after this many seconds at the latest.
+            timeout_s: the method returns after this many seconds at the latest.
         """
         self.context.changes.notify()
         await self.membership.leave(timeout_s)
 
     def has_quorum(self) -> bool:
-        """Whether a majority of the voters is reachable."""
+        """Returns whether a majority of the voters is reachable."""
         return self.cluster.has_quorum()
 
-    # ---- what parts report ----
+    # ---- events from the parts ----
 
     def add_peers(self, *addresses: str) -> None:
-        """Adds controllers by address, as when the settings are read again."""
+        """Adds controllers by address, for example when the settings were reloaded."""
         self.follower.add_peers(*addresses)
 
     def _on_new_peer(self, address: str, peer: Peer) -> None:
         self.follower.start_following(address, peer)
 
     def _on_chosen(self) -> None:
-        """The replica knows a newer chosen value."""
+        """Handles a newer chosen value of the replica: updates the configuration and the known peers."""
         chosen = self.replica.chosen
         if chosen:
             self.configuration.update(chosen)
             self.add_peers(*chosen.value.voters.addresses())
         self.context.changes.notify()
 
-    # ---- what other processes send ----
+    # ---- messages and calls from other processes ----
 
     async def handle_message(self, message: Message) -> Message | None:
-        """The answer to a message of a gateway or another controller; None for a message that is no request."""
+        """Returns the response to a message of a gateway or another controller; None if the message is no request."""
         return await self.router.dispatch(message)
 
     async def handle_call(self, call: ApiCall) -> ApiResult:
-        """The answer to a call of an instance or an operator."""
+        """Returns the result of a call of an instance or an operator."""
         match call:
             case Heartbeat():
                 return await self.discovery.heartbeat(call)
@@ -203,11 +203,11 @@
                 return Document(self.status())
 
     def status(self) -> bytes:
-        """The status report as JSON."""
+        """Returns the status report as JSON."""
         return status_json(self._status_sources(), self.clock())
 
     def gauges(self) -> dict[str, float]:
-        """The status report's figures by name."""
+        """Returns the status report's gauges by name."""
         return status_gauges(self._status_sources(), self.clock())
 
     def _status_sources(self) -> StatusSources:
--- a/stoneyoke/controlplane/controller_context.py
+++ b/stoneyoke/controlplane/controller_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one controller share: its clock, its random source, its tasks, its change notifications."""
+"""What the parts of one controller share: its clock, random source, background tasks and change notifications."""
 
 import asyncio
 import random
@@ -10,10 +10,10 @@
 
 
 class BackgroundTasks:
-    """Owns the tasks that a controller runs beside its requests.
+    """Owns a controller's background tasks.
 
-    asyncio keeps weak references to tasks only, so each is held here until it is done. A task that fails is reported by
-    the event loop's exception handler; the others go on.
+    asyncio keeps only weak references to tasks, so a reference to each task is kept here until it is done. A task that
+    fails is reported by the event loop's exception handler; the other tasks continue.
     """
 
     def __init__(self) -> None:
@@ -21,11 +21,11 @@
         self._running: set[asyncio.Task[Any]] = set()
 
     def __iter__(self) -> Iterator[asyncio.Task[Any]]:
-        """The tasks that are not done, in no particular order."""
+        """Iterates over the tasks that are not done, in no particular order."""
         return iter(self._running)
 
     def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
-        """Runs a coroutine as a task of its own."""
+        """Starts a task that runs a coroutine."""
         task = asyncio.get_running_loop().create_task(work)
         self._running.add(task)
         task.add_done_callback(self._running.discard)
@@ -33,34 +33,34 @@
 
 
 class ChangeNotifier:
-    """Wakes the pulls that are held until there is something to answer."""
+    """Wakes the long polls (pulls) that wait for a change."""
 
     def __init__(self) -> None:
-        """Starts with nobody waiting."""
+        """Starts without waiting pulls."""
         self._next_change = asyncio.Event()
 
     def notify(self) -> None:
-        """Wakes everyone who waits for the next change."""
+        """Wakes everything that waits for the next change."""
         self._next_change.set()
         self._next_change = asyncio.Event()
 
     def next_change(self) -> asyncio.Event:
-        """An event that the next change sets.
+        """Returns an event that the next change sets.
 
-        Take it before checking for news: a change between the check and the wait is then not missed.
+        Call this before checking for changes: otherwise a change between the check and the wait is missed.
         """
         return self._next_change
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControllerContext:
-    """Shared by the parts of one controller.
+    """The objects that the parts of one controller share.
 
     Attributes:
-        clock: seconds of a steady clock; only differences are meaningful.
-        random_source: for identities and jitter.
-        tasks: owns background work.
-        changes: to be notified when pulls have something new to deliver.
+        clock: returns seconds of a monotonic clock; only differences are meaningful.
+        random_source: draws identities and jitter.
+        tasks: owns the background tasks.
+        changes: must be notified when there is a change that pulls have to deliver.
     """
 
     clock: Callable[[], float]
--- a/stoneyoke/controlplane/http_api.py
+++ b/stoneyoke/controlplane/http_api.py
@@ -15,19 +15,19 @@
 from stoneyoke.net.stream import StreamProtocol
 
 IDLE_TIMEOUT_S = 30.0
-REJECT_LINGER_S = 0.2  # closing at once after a rejection would reset the connection before the answer is read
+REJECT_LINGER_S = 0.2  # closing at once after a rejection would reset the connection before the client reads it
 ACCEPT_BACKLOG = 512
 
 
 class HttpApi:
-    """Reads calls, has them handled, writes the answers."""
+    """Reads HTTP requests, passes them to a handler as calls, and writes the responses."""
 
     def __init__(self, handle: Callable[[ApiCall], Awaitable[ApiResult]], max_body_bytes: int) -> None:
-        """Does not listen yet.
+        """Makes a server that does not listen yet.
 
         Args:
-            handle: carries out a call and returns its answer.
-            max_body_bytes: a longer body is rejected.
+            handle: executes a call and returns its result.
+            max_body_bytes: requests with a longer body are rejected.
         """
         self.handle, self.max_body_bytes = handle, max_body_bytes
 
@@ -41,11 +41,11 @@
         self.server = await loop.create_server(lambda: StreamProtocol(self.serve), *address, backlog=ACCEPT_BACKLOG)
 
     def close(self) -> None:
-        """Takes no new connections; open ones go on."""
+        """Stops accepting connections; established ones continue."""
         self.server.close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves one connection until it is closed, idle for IDLE_TIMEOUT_S, or sends what is not HTTP."""
+        """Serves one connection until it is closed, is idle for IDLE_TIMEOUT_S seconds, or sends malformed HTTP."""
         messages = MessageReader(reader, responses=False, body_max_bytes=self.max_body_bytes)
         try:
             await self._serve_calls(messages, writer)
@@ -75,8 +75,8 @@
             return call if isinstance(call, Rejected) else await self.handle(call)
         except UnicodeDecodeError:
             return Rejected(HTTPStatus.BAD_REQUEST, "path", "characters that are not ASCII")
-        except Exception:  # outermost guard: a fault costs this one call, not the process
-            logger.exception("a call of an instance or operator failed; it is answered with 503")
+        except Exception:  # outermost handler: a fault fails this one call, not the process
+            logger.exception("a call of an instance or operator failed and is rejected with status 503")
             return Unavailable("failed here")
 
     def _write(self, writer: asyncio.StreamWriter, result: ApiResult, *, keep_alive: bool) -> None:
--- a/stoneyoke/controlplane/lease_voter.py
+++ b/stoneyoke/controlplane/lease_voter.py
@@ -1,4 +1,4 @@
-"""The voter's side of the quota lease: grants, as long as this controller is a voter of the current voter set."""
+"""The voter's side of the quota lease: grants leases while this controller is a member of the current voter set."""
 
 from collections.abc import Callable
 
@@ -15,9 +15,9 @@
         """Starts without grants.
 
         Args:
-            replica: tells whether this controller votes, and in which voter set.
-            first_start: the whole system starts for the first time, so that no earlier process granted anything.
-            clock: seconds of the controller's steady clock.
+            replica: knows whether this controller votes, and in which voter set.
+            first_start: whether the whole system starts for the first time, so that no earlier process granted a lease.
+            clock: returns seconds of the controller's monotonic clock.
         """
         self._replica, self._clock = replica, clock
         self._granter = LeaseGranter(clock(), first_start)
@@ -25,19 +25,19 @@
 
     @property
     def no_grants_before(self) -> float:
-        """Before this time this voter grants nothing."""
+        """The time before which this voter grants nothing."""
         return self._granter.no_grants_before
 
     def current_grant(self, lease_name: str) -> Grant | None:
-        """The unexpired grant of this voter."""
+        """Returns this voter's unexpired grant of a lease; None if there is none."""
         grant = self._granter.grants.get(lease_name)
         return grant if grant and self._clock() < grant.expires_at else None
 
     def grant(self, request: GrantRequest, voter_set_number: int) -> GrantDecision | None:
-        """Decides on a request from a candidate that counts the voters of set `voter_set_number`.
+        """Decides on a request from a candidate that counts the grants of voter set `voter_set_number`.
 
-        Grants only in the voter set that is known here to be chosen, and not once a newer one may have been chosen:
-        so grants of two voter sets never make up two majorities.
+        This voter grants only in the voter set that is known here to be chosen, and not if a newer one may have been
+        chosen. Otherwise two candidates could each get a majority, of two different voter sets.
 
         Returns:
             The decision; None if this controller may not vote in that set.
@@ -54,11 +54,11 @@
         return self._granter.request(request, now)
 
     def handle_request(self, request: LeaseRequest, known_holder: Callable[[], str]) -> LeaseResponse:
-        """Answers another controller's request.
+        """Returns the response to another controller's request.
 
         Args:
             request: the other controller's message.
-            known_holder: who holds the lease as far as known here, for a request that can't be decided.
+            known_holder: returns the lease holder known here, for a request that this voter can't decide.
         """
         grant_request = GrantRequest(
             lease_name=request.lease_name,
--- a/stoneyoke/controlplane/leases.py
+++ b/stoneyoke/controlplane/leases.py
@@ -1,8 +1,9 @@
 """Leases for roles that one controller holds at a time, granted by a majority of the voters. No I/O.
 
-A voter keeps its grants in memory. A voter that has just started may have granted a lease in its previous process, so
-it grants nothing until such a lease has run out. Clocks need not agree: a holder counts from before it asked, a voter
-from after it was asked, and the holder stops at HOLDER_TTL_FRACTION of the lease.
+A voter has its grants in memory only. A voter that has just started may have granted a lease in its previous process,
+so it grants nothing until such a lease has expired. Clocks need not be synchronized: a holder counts the lease from
+before it sent the requests, a voter from after it received one, and the holder stops at HOLDER_TTL_FRACTION of the
+lease.
 """
 
 from dataclasses import dataclass, field
@@ -11,20 +12,22 @@
 from stoneyoke.consensus.register_value import ReplicaId
 
 LEASE_TTL_S = 1.0
-HOLDER_TTL_FRACTION = 0.85  # of the lease, after which its holder stops: clocks drift apart by less
+HOLDER_TTL_FRACTION = (
+    0.85  # fraction of the lease after which its holder stops; clocks drift apart by less than the rest
+)
 RENEW_INTERVAL_S = 0.25
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GrantRequest:
-    """A candidate asks one voter for a lease, or releases it with a time of 0.
+    """A candidate's request to one voter for a lease, or its release with a `ttl_s` of 0.
 
     Attributes:
         lease_name: the role that the lease is for.
         holder: the candidate's address.
-        incarnation: the candidate's process.
-        ttl_s: for how long, in seconds; at most LEASE_TTL_S is granted.
-        round_number: of the candidate's round of requests; rises with each round.
+        incarnation: identifies the candidate's process.
+        ttl_s: the duration requested, in seconds; at most LEASE_TTL_S is granted.
+        round_number: the number of the candidate's round of requests; rises with each round.
     """
 
     lease_name: str
@@ -36,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantDecision:
-    """A voter's answer: whether it grants, who holds its grant ("" if unknown), for how many seconds more."""
+    """A voter's decision: whether it grants, who has its grant ("" if unknown), for how many more seconds."""
 
     granted: bool
     holder: str
@@ -45,7 +48,7 @@
 
 @dataclass(slots=True)
 class Grant:
-    """What a voter has granted. expires_at: by the voter's clock."""
+    """A grant of a lease by a voter. expires_at: by the voter's clock."""
 
     holder: str
     incarnation: str
@@ -60,14 +63,14 @@
         """Starts without grants.
 
         Args:
-            now: the voter's clock.
-            first_start: the whole system starts for the first time, so that no earlier process granted anything.
+            now: the current time by the voter's clock.
+            first_start: whether the whole system starts for the first time, so that no earlier process granted a lease.
         """
         self.no_grants_before = now if first_start else now + LEASE_TTL_S
         self.grants: dict[str, Grant] = {}  # by the lease's name
 
     def delay_grants(self, now: float) -> None:
-        """Waits before the next grant: the voters before this one may have granted a lease that still runs."""
+        """Grants nothing for LEASE_TTL_S: the previous voters may have granted a lease that hasn't expired."""
         self.no_grants_before = max(self.no_grants_before, now + LEASE_TTL_S)
 
     def request(self, request: GrantRequest, now: float) -> GrantDecision:
@@ -80,7 +83,7 @@
             is_same_holder = (grant.holder, grant.incarnation) == (request.holder, request.incarnation)
             if remaining_s > 0 and not is_same_holder:
                 return GrantDecision(False, grant.holder, remaining_s)
-            # Requests can overtake each other. A late release of an older round must not undo a newer grant.
+            # Requests can arrive out of order. A late release of an older round must not undo a newer grant.
             if is_same_holder and request.round_number < grant.round_number:
                 return GrantDecision(False, grant.holder, max(0.0, remaining_s))
         ttl_s = min(max(0.0, request.ttl_s), LEASE_TTL_S)
@@ -94,8 +97,8 @@
 
     Attributes:
         expires_at: when this holder stops, by its own clock.
-        round_started_at: before the requests of the current round were sent.
-        round_number: of the current round.
+        round_started_at: the time before the requests of the current round were sent.
+        round_number: the number of the current round.
         granted_by: the voters that granted in the current round.
     """
 
@@ -105,17 +108,17 @@
     granted_by: set[ReplicaId] = field(default_factory=set)
 
     def start_round(self, now: float) -> None:
-        """Begins a round; replies to earlier rounds no longer count."""
+        """Begins a round; grants of earlier rounds no longer count."""
         self.round_started_at, self.granted_by = now, set()
         self.round_number += 1
 
     def record_grant(self, voter: ReplicaId, voters: tuple[ReplicaId, ...], round_started_at: float) -> None:
-        """Counts a grant; with a majority of `voters` the lease is held, counted from the start of the round.
+        """Counts a grant; with a majority of `voters` the lease is held, for a time that counts from the round's start.
 
         Args:
             voter: the replica that granted.
             voters: all voters of the round.
-            round_started_at: of the round that the grant answers.
+            round_started_at: the start of the round whose request was granted.
         """
         if round_started_at != self.round_started_at or voter not in voters:
             return
@@ -124,5 +127,5 @@
             self.expires_at = max(self.expires_at, round_started_at + LEASE_TTL_S * HOLDER_TTL_FRACTION)
 
     def is_held(self, now: float) -> bool:
-        """Whether the lease is held at `now`."""
+        """Returns whether the lease is held at `now`."""
         return now < self.expires_at
--- a/stoneyoke/controlplane/membership.py
+++ b/stoneyoke/controlplane/membership.py
@@ -14,24 +14,26 @@
 
 CHECK_INTERVAL_S = 0.25
 STARTUP_CHECK_INTERVAL_S = 0.05  # while no value is known to be chosen: gateways that start wait for one
-CHECK_JITTER = 0.4  # intervals vary by this part, evenly around their length
+CHECK_JITTER = 0.4  # intervals are drawn evenly from a range of this fraction around their length
 PROPOSAL_TIMEOUT_S = 2.0  # for one change of the voters
-RESOLVE_DELAY_S = 0.4  # how long a value may be accepted and not known to be chosen: several times a round's duration
+# A value that is accepted but not known to be chosen is left to its proposer for this many seconds, which is several
+# times the duration of a round.
+RESOLVE_DELAY_S = 0.4
 LEAVE_POLL_S = 0.05
 
 
 @dataclass(eq=False, repr=False, kw_only=True)
 class Membership:
-    """Keeps the voter set at its size, made of controllers that answer.
+    """Maintains a voter set of the configured size, made of controllers that respond.
 
     Attributes:
         replication: proposes and reads values of the register.
         peers: the other controllers.
-        holds_lease: whether this controller is the one that proposes changes.
+        holds_lease: returns whether this controller holds the quota lease, and so is the one that proposes changes.
         size: how many voters there should be.
-        catch_up_s: the operators' bound, in seconds, for a machine that comes back or is new.
+        catch_up_s: the operators' bound, in seconds, for a machine that restarts or is new.
         context: shared parts of the controller.
-        leaving: this controller is shutting down, and another one should take its vote.
+        leaving: whether this controller is shutting down and another one should take its vote.
     """
 
     replication: Replication
@@ -43,19 +45,19 @@
     leaving: bool = False
 
     def __post_init__(self) -> None:
-        """Starts at the context's current time."""
+        """Initializes the state, with the current time as the start."""
         self.replica = self.replication.replica
         self.lost_after_s = LOST_FRACTION * self.catch_up_s
         self.started_at = self.context.clock()
-        self.resolve_at: float | None = None  # when to complete the value that is not known to be chosen
+        self.resolve_at: float | None = None  # when to complete the value that isn't known to be chosen; None: no value
 
     async def run(self) -> None:
         """Checks the voters for as long as the process runs."""
         while True:
             try:
                 await self.check()
-            except Exception:  # outermost guard: one failed check must not end the checks
-                logger.exception("checking the voters failed; the next check follows")
+            except Exception:  # outermost handler: one failed check must not end the task
+                logger.exception("check of the voters failed and is retried")
             interval_s = CHECK_INTERVAL_S if self.replica.chosen else STARTUP_CHECK_INTERVAL_S
             jitter = CHECK_JITTER * self.context.random_source.random()
             await asyncio.sleep(interval_s * (1 - CHECK_JITTER / 2 + jitter))
@@ -68,10 +70,10 @@
             await self.propose_change()
 
     def has_unresolved_value(self) -> bool:
-        """Whether the newest value known here has not been known to be chosen for a while.
+        """Returns whether the newest value known here has been unresolved, not known to be chosen, for too long.
 
-        This happens after a start, or because the value's proposer ended. Controllers wait for different times, so
-        that few of them complete the value at once.
+        This happens after a restart, or because the value's proposer crashed. Controllers wait for random times, so
+        that only few of them complete the value at once.
         """
         newest, chosen = self.replica.view(), self.replica.chosen
         if newest is None or (chosen and chosen.ballot >= newest.ballot):
@@ -84,7 +86,7 @@
         return now >= self.resolve_at
 
     async def propose_change(self) -> None:
-        """Proposes the next voters, or the end of a change that is chosen."""
+        """Proposes the next voters, or completes a change of the voters that is chosen but still joint."""
         chosen = self.replica.chosen
         if chosen is None:
             return
@@ -98,12 +100,12 @@
             await self.replication.propose(unchanged, PROPOSAL_TIMEOUT_S)
 
     def desired_members(self, voters: VoterSet) -> tuple[ReplicaId, ...]:
-        """The members that should vote next, given the current voters."""
+        """Returns the members that should vote next, given the current voters."""
         report = self.member_report(voters, self.context.clock())
         return next_voters(voters.members, report, self.size, self.lost_after_s)
 
     def member_report(self, voters: VoterSet, now: float) -> MemberReport:
-        """What this controller sees of the members: silence, shutdowns, candidates."""
+        """Returns this controller's report of the members: silent ones, those shutting down, and learners."""
         silence = {member: self.silence_s(member, now) for member in voters.members}
         leaving = [peer.replica for peer in self.peers.values() if peer.leaving and peer.replica]
         if self.leaving:
@@ -111,7 +113,7 @@
         return MemberReport(silence, frozenset(leaving), self.learners(voters, now))
 
     def silence_s(self, member: ReplicaId, now: float) -> float:
-        """For how many seconds this member has not answered, counted from this controller's start at the earliest."""
+        """Returns the seconds since this member's last response, or since this controller's start if that is later."""
         if member == self.replica.identity:
             return 0.0
         peer = self.peers.get(member.address)
@@ -119,7 +121,7 @@
         return now - max(last_response_at, self.started_at)
 
     def learners(self, voters: VoterSet, now: float) -> tuple[ReplicaId, ...]:
-        """Members without a vote that hold the chosen value, the longest reachable first."""
+        """Returns the members without a vote that have the chosen value, the one reachable for longest first."""
         candidates = [
             (peer.reachable_since, peer.replica)
             for peer in self.peers.reachable().values()
@@ -134,10 +136,10 @@
         )
 
     async def leave(self, timeout_s: float) -> None:
-        """Hands this controller's vote to a learner, if there is one.
+        """Transfers this controller's vote to a learner, if there is one.
 
         Args:
-            timeout_s: returns after this many seconds at the latest.
+            timeout_s: the method returns after this many seconds at the latest.
         """
         self.leaving = True
         members = self.replica.voters().members
@@ -145,11 +147,13 @@
             return
         try:
             async with asyncio.timeout(timeout_s):
-                while self.replica.is_voter() or self._change_is_pending():  # noqa: ASYNC110 -- no event tells of it
+                while self.replica.is_voter() or self._change_is_pending():  # noqa: ASYNC110 -- no event signals it
                     await asyncio.sleep(LEAVE_POLL_S)
         except TimeoutError:
             number = self.replica.voters().number
-            logger.warning("shutting down as a voter of set {}: no other controller took the vote in time", number)
+            logger.warning(
+                "this controller shuts down as a voter of voter set {}: no learner replaced it in time", number
+            )
 
     def _change_is_pending(self) -> bool:
         return self.replica.chosen is not None and bool(self.replica.chosen.value.previous)
--- a/stoneyoke/controlplane/message_router.py
+++ b/stoneyoke/controlplane/message_router.py
@@ -1,4 +1,4 @@
-"""Dispatches the messages of gateways and other controllers to the parts of a controller that answer them."""
+"""Dispatches the messages of gateways and other controllers to the parts of a controller that handle them."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -25,7 +25,7 @@
 
 
 class MessageRouter:
-    """A table of handlers by message type: those that answer at once, and those that wait for a disk or for news."""
+    """Tables of handlers by message type: synchronous ones, and asynchronous ones that wait for a disk or a change."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         lease: QuotaLease,
         configuration: ChosenConfiguration,
     ) -> None:
-        """Builds the table; each part answers the message types of its job."""
+        """Builds the tables from the parts' handlers."""
         self._handlers: dict[type, Callable[[Any], Message]] = {
             FetchRequest: lambda _: configuration.handle_fetch(replication.replica),
             InstanceUpdate: discovery.handle_update,
@@ -54,7 +54,7 @@
         }
 
     async def dispatch(self, message: Message) -> Message | None:
-        """The answer to a message; None for a message that is no request."""
+        """Returns the response to a message; None if the message is no request."""
         kind = type(message)
         if handler := self._handlers.get(kind):
             return handler(message)
--- a/stoneyoke/controlplane/peer_follower.py
+++ b/stoneyoke/controlplane/peer_follower.py
@@ -1,4 +1,4 @@
-"""Follows the other controllers: one task for each peer pulls what that peer knows."""
+"""Follows the other controllers: one task for each peer pulls that peer's state by long polling."""
 
 import asyncio
 from dataclasses import dataclass
@@ -17,11 +17,11 @@
 from stoneyoke.transport.messages.pull import CONTROLLER_KIND
 
 CALL_TIMEOUT_S = 0.7
-PULL_WAIT_S = 0.25  # how long a peer may hold a pull that it has nothing new for
+PULL_WAIT_S = 0.25  # how many seconds a peer may wait for a change before it responds to a pull
 PULL_INTERVAL_S = 0.05
 UNREACHABLE_PAUSE_S = 0.15
 FAILURE_PAUSE_S = 1.0
-NO_MEMBERSHIP_VERSION = -1  # the answer always contains the lists of controllers and gateways
+NO_MEMBERSHIP_VERSION = -1  # equals no peer's version, so the response contains the lists of controllers and gateways
 
 
 @dataclass(eq=False, repr=False, kw_only=True)
@@ -29,11 +29,11 @@
     """Pulls from each known peer, for as long as the process runs.
 
     Attributes:
-        settings: this controller's name and place, which each pull states.
-        incarnation: this controller's process.
-        peers: the other controllers; what they answer is kept there.
-        replication: catches up when a peer knows a newer chosen value.
-        discovery: takes the rows of instances.
+        settings: this controller's name, address and zone, which each pull contains.
+        incarnation: identifies this controller's process.
+        peers: the other controllers; their responses are recorded there.
+        replication: fetches a newer chosen value that a peer knows.
+        discovery: merges the rows of instances.
         context: shared parts of the controller.
         version: rises with each call of add_peers that added a controller.
     """
@@ -56,28 +56,28 @@
         self.context.tasks.spawn(self.follow(address, peer))
 
     async def follow(self, address: str, peer: Peer) -> None:
-        """Pulls from one peer again and again; a failure costs one pull."""
+        """Pulls from one peer for as long as the process runs; a failed pull is followed by the next one."""
         while True:
             try:
                 await self.pull(address, peer)
                 await asyncio.sleep(PULL_INTERVAL_S)
             except PeerUnreachable:
                 await asyncio.sleep(UNREACHABLE_PAUSE_S)
-            except Exception:  # outermost guard: without its follower a peer would count as unreachable for ever
-                logger.exception("pulling from controller {} failed; the next pull follows", address)
+            except Exception:  # outermost handler: without this task the peer would count as unreachable for ever
+                logger.exception("pull from controller {} failed and is retried", address)
                 await asyncio.sleep(FAILURE_PAUSE_S)
 
     async def pull(self, address: str, peer: Peer) -> None:
-        """Pulls once and takes over what is new.
+        """Pulls once and applies the changes in the response.
 
         Raises:
-            PeerUnreachable: there is no answer, or one of another kind.
+            PeerUnreachable: there is no response, or one of another message type.
         """
         request = self._pull_request(peer)
         request_sent_at = self.context.clock()
         response = await peer.link.call(request, CALL_TIMEOUT_S + PULL_WAIT_S)
         if not isinstance(response, PullResponse):
-            raise PeerUnreachable(f"{address}: an answer of another kind")
+            raise PeerUnreachable(f"{address}: the response to a pull is of another message type")
         peer.record_response(response, self.context.clock())
         self.discovery.merge_rows(response.instances)
         self.discovery.record_pull(address, response.instances_synced, request_sent_at)
--- a/stoneyoke/controlplane/peers.py
+++ b/stoneyoke/controlplane/peers.py
@@ -1,4 +1,4 @@
-"""The other controllers: the connection to each, what it last said of itself, since when it answers."""
+"""The other controllers: the connection to each, the state that it last reported, and since when it responds."""
 
 from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 from stoneyoke.consensus.register_value import Proposal, ReplicaId
 from stoneyoke.transport.messages import Message, PullResponse
 
-CONTACT_TIMEOUT_S = 1.2  # a peer that answered a pull within this time is reachable
+CONTACT_TIMEOUT_S = 1.2  # a peer that responded to a pull within this many seconds is reachable
 NEVER = -1e9
 
 
@@ -20,30 +20,30 @@
     address: tuple[str, int]
 
     async def call(self, message: Message, timeout_s: float) -> Message:
-        """Sends a message and returns the answer.
+        """Sends a message and returns the response.
 
         Raises:
-            PeerUnreachable: there is no answer within `timeout_s` seconds.
+            PeerUnreachable: there is no response within `timeout_s` seconds.
         """
 
 
 @dataclass(slots=True)
 class Peer:
-    """Another controller. All but `link` comes from its last answer to a pull.
+    """Another controller. All attributes but `link` come from its last response to a pull.
 
     Attributes:
         link: the connection to it.
-        replica: its replica; None before its first answer.
-        view: the newest value of the register that it knows, chosen or not, without the configuration's text.
-        chosen_ballot: of the newest value that it knows to be chosen.
-        last_response_at: when it last answered.
-        incarnation: its process.
-        seq: up to which change of its instance registry this controller has heard.
+        replica: its replica; None before its first response.
+        view: the newest proposal of the register that it knows, chosen or not, without the configuration's text.
+        chosen_ballot: the ballot of the newest proposal that it knows to be chosen.
+        last_response_at: when it last responded to a pull.
+        incarnation: identifies its process.
+        seq: the change number of its instance registry up to which this controller has received the changes.
         instances_synced: whether it knows each acknowledged drain (see startup_sync).
         gateways: names of the gateways whose heartbeats it receives.
-        lease_holder: the address of the quota lease's holder, as far as it knows.
+        lease_holder: the address of the quota lease's holder as far as it knows; empty if it knows none.
         leaving: whether it is shutting down.
-        reachable_since: since when it has answered without a break as the same process with the same disk.
+        reachable_since: since when it has responded without a break, as the same process with the same disk.
     """
 
     link: PeerLink
@@ -60,7 +60,7 @@
     reachable_since: float = NEVER
 
     def record_response(self, response: PullResponse, now: float) -> None:
-        """Takes over what the peer says of itself."""
+        """Updates the attributes from a peer's response to a pull."""
         replica = ReplicaId(*response.replica)
         was_silent = now - self.last_response_at > CONTACT_TIMEOUT_S
         if was_silent or self.incarnation != response.incarnation or self.replica != replica:
@@ -88,9 +88,9 @@
 
         Args:
             own_address: this controller's address, which is never added.
-            port: on which all controllers listen to each other.
-            dial: makes a connection to an address and port, without waiting.
-            clock: seconds of the controller's steady clock.
+            port: the port on which all controllers listen for each other.
+            dial: returns a connection to an address and port, without waiting until it is established.
+            clock: returns seconds of the controller's monotonic clock.
             on_new_peer: called with each peer that is added.
         """
         self.own_address, self.port, self.dial, self.clock = own_address, port, dial, clock
@@ -98,15 +98,15 @@
         self.known: dict[str, Peer] = {}
 
     def __getitem__(self, address: str) -> Peer:
-        """The peer at an address."""
+        """Returns the peer at an address."""
         return self.known[address]
 
     def __iter__(self) -> Iterator[str]:
-        """The addresses, in the order in which they became known."""
+        """Iterates over the addresses, in the order in which they became known."""
         return iter(self.known)
 
     def __len__(self) -> int:
-        """The number of known peers."""
+        """Returns the number of known peers."""
         return len(self.known)
 
     def add_peers(self, *addresses: str) -> bool:
@@ -118,20 +118,20 @@
         return bool(new)
 
     def links(self) -> dict[str, PeerLink]:
-        """The connection to each peer, by address."""
+        """Returns the connection to each peer, by address."""
         return {address: peer.link for address, peer in self.known.items()}
 
     def reachable(self) -> dict[str, Peer]:
-        """The peers that answered a pull within CONTACT_TIMEOUT_S."""
+        """Returns the peers that responded to a pull within CONTACT_TIMEOUT_S, by address."""
         now = self.clock()
         return {
             address: peer for address, peer in self.known.items() if now - peer.last_response_at < CONTACT_TIMEOUT_S
         }
 
     def majority_reachable(self, members: tuple[ReplicaId, ...], own: ReplicaId) -> bool:
-        """Whether a majority of these members is reachable; `own` is this controller's replica and always is.
+        """Returns whether a majority of these members is reachable; `own`, this controller's replica, always is.
 
-        A member is an address with a disk: a peer that answers at a member's address with another disk does not count.
+        A member is an address with a disk: a peer that responds at a member's address with another disk doesn't count.
         """
         reachable = {own, *(peer.replica for peer in self.reachable().values())}
         return bool(members) and sum(member in reachable for member in members) >= majority(len(members))
--- a/stoneyoke/controlplane/quota_lease.py
+++ b/stoneyoke/controlplane/quota_lease.py
@@ -23,16 +23,16 @@
 
 QUOTA_LEASE = "quotas"  # the lease's name in messages
 CALL_TIMEOUT_S = 0.7
-ROUND_TIMEOUT_S = 0.3  # a round waits this long for the voters' answers
+ROUND_TIMEOUT_S = 0.3  # a round waits this many seconds for the voters' responses
 RETRY_INTERVAL_S = 0.2
-RANK_DELAY_S = 0.1  # a voter waits this long for each voter before it in the list
+RANK_DELAY_S = 0.1  # a candidate waits this many seconds for each voter before it in the list
 JITTER_S = 0.05
 MIN_WAIT_S = 0.01
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRound:
-    """One round of requests: the voters that are asked, and when it started."""
+    """One round of requests: the voters that they are sent to, and when the round started."""
 
     voters: VoterSet
     started_at: float
@@ -42,17 +42,17 @@
 class QuotaLease:
     """The candidate's and holder's side of the quota lease.
 
-    A controller without the lease requests it while it votes, reaches a majority, and knows of no other holder. With
-    grants of a majority it holds the lease and allocates quotas. It renews the lease until a round fails and the time
-    granted runs out; then its allocator is dropped.
+    A controller without the lease requests it while it is a voter, reaches a majority, and knows of no other holder.
+    With the grants of a majority it holds the lease and allocates quotas. It renews the lease until a round fails and
+    the lease expires; then its allocator is discarded.
 
     Attributes:
         replica: this controller's replica; only voters request the lease.
         peers: the other controllers.
-        incarnation: this controller's process.
+        incarnation: identifies this controller's process.
         bounds: the operators' bounds, for the allocator.
-        voter: this controller's own vote.
-        gateways: the gateways that may still hold shares of quotas.
+        voter: the voter's side of the lease at this controller.
+        gateways: the gateways that may still have shares of the quotas.
         configuration: the tenants and their rates.
         context: shared parts of the controller.
     """
@@ -69,18 +69,18 @@
     def __post_init__(self) -> None:
         """Starts without the lease."""
         self.holder = LeaseHolder()
-        self.allocator: QuotaAllocator | None = None  # while the lease is held
+        self.allocator: QuotaAllocator | None = None  # exists only while the lease is held
 
     def is_held(self) -> bool:
-        """Whether this controller holds the lease now."""
+        """Returns whether this controller holds the lease now."""
         return self.holder.is_held(self.context.clock())
 
     def known_holder(self) -> str:
-        """The address of the lease holder as far as known here, "" if unknown.
+        """Returns the address of the lease holder as far as known here, "" if unknown.
 
-        A grant to this controller itself counts only once a majority has granted. Gateways that believed a
-        controller which was cut off left the true holder again and again (a cut of 20 s lowered a benchmark day's score
-        by 0.09).
+        This controller names itself only once a majority has granted it the lease. When an unreachable controller
+        named itself by its own grant alone, gateways that believed it repeatedly left the true holder (a network
+        partition of 20 s lowered a benchmark day's score by 0.09).
         """
         grant = self.voter.current_grant(QUOTA_LEASE)
         if grant is None:
@@ -89,20 +89,20 @@
         return "" if is_own and not self.is_held() else grant.holder
 
     def allocate(self, request: QuotaRequest) -> QuotaResponse:
-        """Answers a gateway's request for quota; `ok` is false without the lease."""
+        """Returns the response to a gateway's request for quota; its `ok` is false without the lease."""
         if self.allocator is None or not self.is_held():
             return QuotaResponse(ok=False, grants=[])
         self.allocator.set_tenants(self.configuration.tenants())
         grants = self.allocator.allocate(request, self.context.clock())
         return QuotaResponse(ok=True, grants=grants)
 
-    # ---- holding ----
+    # ---- acquiring and renewing ----
 
     async def run(self) -> None:
         """Requests and renews the lease for as long as the process runs."""
         while True:
             now, was_held = self.context.clock(), self.is_held()
-            if now < self.voter.no_grants_before:  # nobody can hold the lease before
+            if now < self.voter.no_grants_before:  # this voter grants nothing yet, not even to itself
                 await asyncio.sleep(max(MIN_WAIT_S, self.voter.no_grants_before - now))
                 continue
             if self.may_request(was_held):
@@ -111,7 +111,7 @@
             await asyncio.sleep(RENEW_INTERVAL_S if was_held else RETRY_INTERVAL_S)
 
     def may_request(self, is_held: bool) -> bool:
-        """Whether this controller renews the lease, or may try to get it."""
+        """Returns whether this controller may renew the lease, or may try to acquire it."""
         if self.replica.chosen is None or not self.replica.is_voter():
             return False
         if is_held:
@@ -121,14 +121,14 @@
         return has_quorum and self.known_holder() in ("", self.peers.own_address)
 
     async def request_after_rank_delay(self, is_held: bool) -> None:
-        """Runs a round. A candidate waits by its rank among the voters first, so that few compete."""
+        """Runs a round. A candidate first waits according to its rank among the voters, so that few compete."""
         if not is_held:
             rank = self.replica.voters().members.index(self.replica.identity)
             await asyncio.sleep(RANK_DELAY_S * rank + JITTER_S * self.context.random_source.random())
         await self.request_from_voters()
 
     async def request_from_voters(self) -> None:
-        """One round: asks all voters, counts their grants, releases them if they are no majority."""
+        """Runs one round: sends requests to all voters, counts the grants, and releases them without a majority."""
         lease_round = LeaseRound(self.replica.voters(), self.context.clock())
         self.holder.start_round(lease_round.started_at)
         own = self.voter.grant(self._grant_request(LEASE_TTL_S), lease_round.voters.number)
@@ -150,10 +150,9 @@
         self.holder.record_grant(voter, lease_round.voters.members, lease_round.started_at)
 
     async def release(self) -> None:
-        """Gives the grants of a failed round back, then waits.
+        """Releases the grants of a failed round, then waits for a random backoff.
 
-        Two candidates can each hold grants from a minority of voters and renew them for ever. Release ours, then retry
-        after a random backoff.
+        Otherwise two candidates could each have the grants of a minority of the voters and renew them for ever.
         """
         voters = self.replica.voters()
         self.holder.start_round(self.context.clock())
@@ -164,7 +163,7 @@
         await asyncio.sleep(ROUND_TIMEOUT_S * self.context.random_source.random())
 
     def update_allocator(self) -> None:
-        """Starts the allocator when the lease was acquired, drops it when the lease has ended."""
+        """Makes the allocator when the lease was acquired, discards it when the lease has expired."""
         now = self.context.clock()
         is_held = self.holder.is_held(now)
         if is_held and self.allocator is None:
@@ -172,14 +171,14 @@
             self.allocator = QuotaAllocator(self.bounds, now, self.gateways.recent_names())
             self.context.changes.notify()
         elif not is_held and self.allocator is not None:
-            logger.info("quota lease ended: this controller allocates no quotas")
+            logger.info("quota lease expired: this controller allocates no quotas")
             self.allocator = None
             self.context.changes.notify()
 
     # ---- messages ----
 
     def handle_request(self, request: LeaseRequest) -> LeaseResponse:
-        """Answers another candidate, as a voter."""
+        """Returns this voter's response to another candidate's request."""
         return self.voter.handle_request(request, self.known_holder)
 
     def _voting_peers(self, voters: VoterSet) -> list[Peer]:
--- a/stoneyoke/controlplane/settings.py
+++ b/stoneyoke/controlplane/settings.py
@@ -1,4 +1,4 @@
-"""What a controller is started with."""
+"""A controller's settings, and its interfaces to the process and the machine."""
 
 import asyncio
 import functools
@@ -15,7 +15,7 @@
 
 
 async def run_in_thread(work: Callable[..., Any], *args: Any, **kwargs: Any) -> Any:
-    """Runs a function that may wait for the disk, without holding up the event loop."""
+    """Runs a function that may wait for the disk in a thread, so that it doesn't block the event loop."""
     return await asyncio.get_running_loop().run_in_executor(None, functools.partial(work, *args, **kwargs))
 
 
@@ -24,15 +24,15 @@
     """One controller's settings.
 
     Attributes:
-        name: of the machine.
-        ip: the address at which the other controllers and the gateways reach it.
-        port: of the protocol between controllers and gateways.
+        name: the machine's name.
+        ip: the IP address at which the other controllers and the gateways reach this controller.
+        port: the port of the protocol between controllers and gateways.
         zone: the machine's zone.
-        seeds: addresses of controllers to contact first; at the system's first start these vote.
-        first_start: the whole system starts for the first time.
-        silence_timeout_s: an instance without a heartbeat for this long counts as silent.
+        seeds: addresses of the controllers to contact first; at the system's first start these are the voters.
+        first_start: whether the whole system starts for the first time.
+        silence_timeout_s: an instance without a heartbeat for this many seconds counts as silent.
         bounds: the operators' bounds, by name.
-        losses: how many machines with a disk may be lost at once.
+        losses: how many controller machines, with their disks, may be lost at once.
     """
 
     name: str
@@ -48,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControllerEnvironment:
-    """What a controller uses of its process and machine; simulations and tests bring their own.
+    """A controller's interfaces to its process and machine; simulations and tests replace them.
 
     Attributes:
         store: records on this machine's disk.
-        clock: seconds of a steady clock; only differences are used.
-        dial: makes a connection to an address and port, without waiting.
+        clock: returns seconds of a monotonic clock; only differences are used.
+        dial: returns a connection to an address and port, without waiting until it is established.
         run_blocking: runs a function that may wait for the disk.
-        random_source: for identities and jitter.
+        random_source: draws identities and jitter.
     """
 
     store: RecordStorage
