--- a/stoneyoke/controlplane/chosen_configuration.py
+++ b/stoneyoke/controlplane/chosen_configuration.py
@@ -18,7 +18,7 @@
 
 
 class ChosenConfiguration:
-    """Follows the replica's chosen value."""
+    """The parsed and the compressed configuration of the replica's chosen value."""
 
     def __init__(self) -> None:
         """Starts without a configuration."""
@@ -27,28 +27,28 @@
         self._compressed_body = b""
 
     def update(self, chosen: Proposal) -> None:
-        """Parses a newly chosen value, if its configuration is another one."""
+        """Parses the configuration of a newly chosen value, if it has another version."""
         if not chosen.value.body or chosen.value.version == self.version():
             return
         try:
             self.configuration = read_configuration(chosen.value.body)
         except InvalidField as error:
             logger.error(
-                "the chosen configuration {} can't be read, the one before stays: {}", chosen.value.version, error
+                "the chosen configuration {} is invalid, the previous one stays in use: {}", chosen.value.version, error
             )
 
     def version(self) -> Version:
-        """Of the parsed configuration; the zero version if there is none."""
+        """Returns the version of the parsed configuration; the zero version if there is none."""
         return self.configuration.version if self.configuration else Version()
 
     def tenants(self) -> Iterable[Mapping[str, Any]]:
-        """The tenants of the parsed configuration, the same object until it changes."""
+        """Returns the tenants of the parsed configuration, as the same object until the configuration changes."""
         if self.configuration is None:
             return []
         return self.configuration.tenants or []
 
     def handle_fetch(self, replica: Replica) -> FetchResponse:
-        """The chosen configuration's text, compressed once for each chosen value."""
+        """Returns the chosen configuration's text, which is compressed once for each chosen value."""
         chosen = replica.chosen
         if chosen is None:
             return FetchResponse(version=version_row(Version()), body=b"")
--- a/stoneyoke/controlplane/configuration_service.py
+++ b/stoneyoke/controlplane/configuration_service.py
@@ -1,4 +1,4 @@
-"""The operators' calls: a configuration is put in force by a decision of the voters, and read back from them."""
+"""The operators' calls: a configuration is replaced by a proposal to the voters, and read back from them."""
 
 import asyncio
 import functools
@@ -15,14 +15,15 @@
 from stoneyoke.consensus.replication import Replication
 from stoneyoke.controlplane.cluster_view import ClusterView
 
-RESPONSE_TIMEOUT_S = 0.85  # a caller tries another controller after a second without an answer (PROTOCOL, The operator)
-PROPOSAL_TIMEOUT_S = 3.0  # a proposal goes on after its operator was told that the outcome is unknown
+# A caller tries another controller after one second without a response (PROTOCOL, The operator).
+RESPONSE_TIMEOUT_S = 0.85
+PROPOSAL_TIMEOUT_S = 3.0  # a proposal continues after its operator got the response that the outcome is unknown
 NO_QUORUM = Unavailable("cut off from most controllers: ask another one")
 
 
 @dataclass(slots=True)
 class PendingReplacement:
-    """An operator's call that waits for its outcome. deadline: by the event loop's time."""
+    """An operator's pending call to replace the configuration. deadline: by the event loop's clock."""
 
     configuration: Configuration
     outcome: asyncio.Future[ApiResult]
@@ -30,9 +31,9 @@
 
 
 def apply_replacements(configurations: tuple[Configuration, ...], found: RegisterValue) -> RegisterValue:
-    """The register's value after these replacements.
+    """Returns the register's value after these replacements.
 
-    The highest number wins. A number keeps its first content for ever.
+    The highest number wins. A number never gets another content than its first one.
     """
     newer = [one for one in configurations if one.version.number > found.version.number]
     if not newer:
@@ -43,7 +44,7 @@
 
 
 def outcome_of(configuration: Configuration, chosen: RegisterValue) -> ApiResult | None:
-    """The answer to the operator of a replacement, given a chosen value; None if that does not decide it."""
+    """Returns the result of a replacement, given a chosen value; None if that value does not decide it."""
     if chosen.version.number > configuration.version.number or chosen.version == configuration.version:
         return Acknowledged()
     if chosen.version.number == configuration.version.number:
@@ -53,21 +54,21 @@
 
 
 class ConfigurationService:
-    """Replaces and reads the configuration; replacements that wait are decided together, in one proposal."""
+    """Replaces and reads the configuration. All pending replacements are decided together, by one proposal."""
 
     def __init__(self, replication: Replication, cluster: ClusterView) -> None:
         """Starts with nothing pending.
 
         Args:
             replication: proposes and reads values of the register.
-            cluster: tells whether a majority of the voters is reachable.
+            cluster: knows whether a majority of the voters is reachable.
         """
         self.replication, self.cluster = replication, cluster
         self.pending: deque[PendingReplacement] = deque()
         self.worker: asyncio.Task[None] | None = None
 
     async def replace(self, configuration: Configuration) -> ApiResult:
-        """Acknowledges a configuration once it, or one with a higher number, is chosen."""
+        """Replaces the configuration; acknowledges once it, or one with a higher number, is chosen."""
         if not self.cluster.has_quorum():
             return NO_QUORUM
         loop = asyncio.get_running_loop()
@@ -81,12 +82,13 @@
                 return await asyncio.shield(replacement.outcome)
         except TimeoutError:
             logger.warning(
-                "configuration {} was not chosen in time: its operator is told to send it again", configuration.version
+                "configuration {} was not chosen in time: the operator gets a 503 and may send it again",
+                configuration.version,
             )
             return Unavailable("no majority holds it yet: ask again, unchanged")
 
     async def run_worker(self) -> None:
-        """Decides the pending replacements, all that wait in one proposal, until none is left."""
+        """Decides the pending replacements, all of them in one proposal, until none is left."""
         while self.pending:
             batch = list(self.pending)
             configurations = tuple(replacement.configuration for replacement in batch)
@@ -94,13 +96,13 @@
             self.finish(batch, chosen)
 
     async def propose(self, configurations: tuple[Configuration, ...]) -> Proposal | None:
-        """Proposes the replacements; None if no outcome is known in time."""
+        """Proposes the replacements; returns the chosen proposal, None if none is known in time."""
         change = functools.partial(apply_replacements, configurations)
         timeout_s = PROPOSAL_TIMEOUT_S + TRANSFER_S_PER_BYTE * max(len(one.body) for one in configurations)
         return await self.replication.propose(change, timeout_s)
 
     def finish(self, batch: list[PendingReplacement], chosen: Proposal | None) -> None:
-        """Answers the replacements that are decided, and drops those past their deadline."""
+        """Sets the outcomes of the replacements that are decided, and removes those past their deadline."""
         now = asyncio.get_running_loop().time()
         for replacement in batch:
             outcome = outcome_of(replacement.configuration, chosen.value) if chosen else None
@@ -110,14 +112,17 @@
                 replacement.outcome.set_result(outcome)
 
     async def already_chosen(self, configurations: tuple[Configuration, ...]) -> Proposal | None:
-        """The chosen value, if it decides all these replacements (sent again, or late); nothing is written then."""
+        """Returns the chosen proposal if it decides all these replacements, without a write; else None.
+
+        This is the case for replacements that are sent again, or are older than the chosen configuration.
+        """
         known_number = self.replication.replica.version().number
         if any(one.version.number > known_number for one in configurations):
             return None
         return await self.replication.read(RESPONSE_TIMEOUT_S)
 
     async def read(self) -> ApiResult:
-        """The newest configuration, no older than any that was acknowledged or read before this call."""
+        """Returns the newest configuration, no older than any that was acknowledged or read before this call."""
         if not self.cluster.has_quorum():
             return NO_QUORUM
         chosen = await self.replication.read(RESPONSE_TIMEOUT_S)
--- a/stoneyoke/controlplane/discovery_service.py
+++ b/stoneyoke/controlplane/discovery_service.py
@@ -1,20 +1,20 @@
 """The discovery service of one controller: registers instances by their heartbeats and replicates them to its peers.
 
-The decisions are in instance_registry and startup_sync; this module carries them out. Heartbeats and leaves of
-instances come in by `heartbeat` and `leave`, rows of other controllers by `handle_update`, `handle_refresh` and
-`merge_rows`.
-
-A drain or a leave is acknowledged once a majority of the voters has it in memory. Four races are guarded against:
-
-* A voter answers, then restarts and loses the row, before its answer is counted. Counting it is safe: answers count
-  for ACK_WINDOW_S at most, by the clock at the count, and a restarted voter is synced again only by pulls that begin
-  after that window (see startup_sync).
-* The voters change while answers are counted. They must be the same before and after, or nothing is acknowledged.
-* A process is suspended between its count and its answer. An instance takes an answer only within a second and then
-  calls the next controller, so a later answer acknowledges nothing. An answer within that second states what was true
-  at the count, and restarts after the count do not matter to startup_sync. Controllers that still lack the drain get
-  it by the same update or by their pulls.
-* A process was suspended, and messages from before wait in its sockets. It refuses updates for a while, and says so.
+The decisions are in instance_registry and startup_sync; this module executes them. Heartbeats and leaves of instances
+arrive in `heartbeat` and `leave`, rows of other controllers in `handle_update`, `handle_refresh` and `merge_rows`.
+
+A drain or a leave is acknowledged once a majority of the voters has it in memory. The module handles four races:
+
+* A voter responds, then restarts and loses the row, before its response is counted. Counting it is safe: responses
+  count for at most ACK_WINDOW_S, by the counting controller's clock, and a restarted voter becomes synced again only
+  by pulls that begin after that window (see startup_sync).
+* The voters change while responses are counted. Unless they are the same before and after, nothing is acknowledged.
+* A process is suspended between its count and its response to the instance. An instance accepts a response only within
+  a second and then calls the next controller, so a later response acknowledges nothing. A response within that second
+  states what was true at the count, and startup_sync tolerates restarts after the count. Controllers that still lack
+  the drain receive it by the same update or by their pulls.
+* A process was suspended, and messages sent before are still in its sockets. It refuses updates for a while, and says
+  so in its responses.
 """
 
 import asyncio
@@ -39,9 +39,9 @@
 
 FORWARD_INTERVAL_S = 0.2
 SWEEP_INTERVAL_S = 0.25
-STALL_THRESHOLD_S = 2.0  # a sweep that is this late means that the process was suspended
-STALL_RECOVERY_S = 1.0  # for this long after a stall, messages may have been sent before it
-FORWARDED_SLACK = 100  # instances beyond twice the registry that may be remembered as forwarded
+STALL_THRESHOLD_S = 2.0  # this many seconds without a sweep mean that the process was suspended (stalled)
+STALL_RECOVERY_S = 1.0  # messages received within this many seconds after a stall may have been sent before it
+FORWARDED_SLACK = 100  # last_forwarded is cleared beyond twice the size of the registry plus this many instances
 NEVER = -1e9
 
 STALLED = Unavailable("stood still")
@@ -50,7 +50,7 @@
 
 
 class DiscoveryService:
-    """Instances at one controller, and what its peers know of them."""
+    """The instances at one controller, and their replication to its peers."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         """Starts with no instances, not synced.
 
         Args:
-            cluster: voters, links and quorum as they are now.
+            cluster: the current voters, links and quorum.
             context: shared parts of the controller.
             silence_timeout_s: see InstanceRegistry.
             heartbeat_round_s: see StartupSync.
@@ -73,17 +73,21 @@
         self.startup_sync = StartupSync(cluster.own_address, self.clock(), heartbeat_round_s)
         self.swept_at = self.clock()
         self.recovering_until = NEVER
-        self.last_forwarded: dict[str, InstanceRow] = {}  # the row that peers got last, by instance
-        self.pending_heartbeats: dict[str, None] = {}  # instances with a heartbeat that was not forwarded yet
+        self.last_forwarded: dict[str, InstanceRow] = {}  # the row last sent to the peers, by instance
+        self.pending_heartbeats: dict[str, None] = {}  # instances with a heartbeat that is not forwarded yet
 
     def mark_first_start(self) -> None:
-        """To be called once the disk has shown that the whole system starts for the first time."""
+        """Must be called once the disk has shown that the whole system starts for the first time."""
         self.startup_sync.mark_first_start()
 
     # ---- calls of instances ----
 
     async def heartbeat(self, request: Heartbeat) -> ApiResult:
-        """Takes a heartbeat. A drain is acknowledged by a majority, any other one by this controller with a quorum."""
+        """Handles a heartbeat.
+
+        A heartbeat that reports a drain is acknowledged once a majority of the voters has the drain. Any other one is
+        acknowledged by this controller alone, provided that it has a quorum.
+        """
         if self.recovering_from_stall():
             return STALLED
         if self.registry.merge(row_from_heartbeat(request), self.clock()):
@@ -94,13 +98,13 @@
         return Acknowledged() if self.cluster.has_quorum() else NO_QUORUM
 
     async def leave(self, request: Leave) -> ApiResult:
-        """Takes an instance's leave, acknowledged by a majority."""
+        """Handles an instance's leave, which is acknowledged once a majority of the voters has it."""
         row = self.registry.leave(request.instance, self.clock())
         self.context.changes.notify()
         return await self.acknowledge_by_majority(row)
 
     async def acknowledge_by_majority(self, row: InstanceRow) -> ApiResult:
-        """Replicates a row that must not be lost with this controller; acknowledges once a majority has it."""
+        """Replicates a row that must survive the loss of this controller; acknowledges it once a majority has it."""
         if not self.cluster.has_quorum():
             return NO_QUORUM
         voters = self.cluster.voters()
@@ -112,9 +116,9 @@
     # ---- to other controllers ----
 
     async def replicate(self, rows: list[InstanceRow], voters: tuple[str, ...]) -> int:
-        """Sends rows to all peers and returns how many of the voters have them, this controller included.
+        """Sends rows to all peers and returns how many of the voters have them, counting this controller if it votes.
 
-        Returns as soon as a majority has them. The other peers are sent the rows all the same.
+        Returns as soon as a majority has them. The requests to the other peers continue in the background.
         """
         started_at, update = self.clock(), InstanceUpdate(instances=list(rows))
         known, required = int(self.cluster.own_address in voters), majority(len(voters) or 1)
@@ -130,7 +134,7 @@
         return known
 
     async def send(self, link: PeerLink, message: InstanceUpdate | InstanceRefresh) -> bool:
-        """Sends a message and returns whether the peer took it."""
+        """Sends a message and returns whether the peer accepted it."""
         with contextlib.suppress(PeerUnreachable):
             response = await link.call(message, ACK_WINDOW_S)
             return isinstance(response, InstanceUpdateResponse) and response.accepted
@@ -147,7 +151,7 @@
                 self.last_forwarded.clear()
 
     async def forward_heartbeats(self, rows: list[InstanceRow]) -> None:
-        """Sends changed rows in full, the others as refreshes, which take a fifth of the bytes."""
+        """Sends changed rows in full and the others as refreshes, which are a fifth of the size."""
         changed: list[InstanceRow] = []
         repeated: list[HeartbeatRow] = []
         for row in rows:
@@ -166,14 +170,14 @@
     # ---- from other controllers ----
 
     def handle_update(self, update: InstanceUpdate) -> InstanceUpdateResponse:
-        """Takes another controller's rows, unless they may have been sent before a stall of this process."""
+        """Merges another controller's rows, unless they may have been sent before a stall of this process."""
         if self.recovering_from_stall():
             return InstanceUpdateResponse(accepted=False)
         self.merge_rows(update.instances)
         return InstanceUpdateResponse()
 
     def handle_refresh(self, refresh: InstanceRefresh) -> InstanceUpdateResponse:
-        """Takes heartbeats that repeat known rows, under the same condition."""
+        """Applies heartbeats that repeat known rows, unless they may have been sent before a stall of this process."""
         if self.recovering_from_stall():
             return InstanceUpdateResponse(accepted=False)
         now = self.clock()
@@ -190,20 +194,20 @@
             self.context.changes.notify()
 
     def record_pull(self, address: str, synced: bool, request_sent_at: float) -> None:
-        """Notes a pull from another controller, after its rows were merged.
+        """Records a pull from another controller, after its rows were merged.
 
         Args:
             address: the controller that was pulled from.
-            synced: whether that controller said that it is synced.
+            synced: whether that controller's response says that it is synced.
             request_sent_at: when the request was sent.
         """
         was_synced = self.startup_sync.synced
         self.startup_sync.update_voters(self.cluster.voters(), self.clock())
         self.startup_sync.record_pull(address, synced, request_sent_at)
         if self.synced() != was_synced:
-            self.context.changes.notify()  # gateways that start wait for it
+            self.context.changes.notify()  # gateways that start wait until controllers are synced
 
-    # ---- time ----
+    # ---- periodic work ----
 
     async def run_sweeper(self) -> None:
         """Sweeps for as long as the process runs."""
@@ -212,7 +216,7 @@
             self.sweep()
 
     def sweep(self) -> None:
-        """Notices stalls of this process, expires records, updates whether this controller is synced."""
+        """Detects stalls of this process, removes expired records, updates whether this controller is synced."""
         now, before = self.clock(), (self.registry.seq, self.startup_sync.synced)
         if now - self.swept_at > STALL_THRESHOLD_S:
             self.recovering_until = now + STALL_RECOVERY_S
@@ -223,12 +227,12 @@
             self.context.changes.notify()
 
     def recovering_from_stall(self) -> bool:
-        """Whether this process was suspended until a moment ago: messages may have waited in its sockets."""
+        """Returns whether this process was suspended until recently: messages may have waited in its sockets."""
         now = self.clock()
         return now < self.recovering_until or now - self.swept_at > STALL_THRESHOLD_S
 
     def synced(self) -> bool:
-        """Whether this controller knows each acknowledged drain (see startup_sync)."""
+        """Returns whether this controller knows each acknowledged drain (see startup_sync)."""
         if self.recovering_from_stall() or not self.cluster.has_quorum():
             self.startup_sync.record_gap(self.clock())
         return self.startup_sync.evaluate(self.cluster.voters(), self.clock())
--- a/stoneyoke/controlplane/gateway_tracker.py
+++ b/stoneyoke/controlplane/gateway_tracker.py
@@ -1,4 +1,4 @@
-"""The gateways that this controller and its peers have seen."""
+"""The gateways that pull from this controller or send heartbeats to it or its peers."""
 
 import asyncio
 from dataclasses import dataclass
@@ -10,13 +10,13 @@
 from stoneyoke.limits.quota_allocator import GATEWAY_TTL_S
 from stoneyoke.transport.messages import PullRequest
 
-GATEWAY_TIMEOUT_S = 10.0  # a gateway without a heartbeat for this long is forgotten
+GATEWAY_TIMEOUT_S = 10.0  # a gateway without a heartbeat for this many seconds is removed
 SWEEP_INTERVAL_S = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayPull:
-    """A gateway's last pull: the configuration in force there, when it pulled, whether it is ready."""
+    """A gateway's last pull: the version of the gateway's configuration, the time, whether the gateway is ready."""
 
     version: Version
     at: float
@@ -24,7 +24,7 @@
 
 
 class GatewayTracker:
-    """Notes gateways' pulls and heartbeats.
+    """Records gateways' pulls and heartbeats.
 
     A gateway sends its heartbeats to a few controllers (see heartbeat_ring) and pulls from all of them.
     """
@@ -39,17 +39,17 @@
         self._peers, self._context = peers, context
         self.last_pulls: dict[str, GatewayPull] = {}  # by gateway name
         self.heartbeats = HeartbeatMonitor(GATEWAY_TIMEOUT_S)
-        self.version = 0  # rises when a gateway's heartbeats begin or time out here
+        self.version = 0  # rises when the set of gateways whose heartbeats arrive here changes
 
     def record_pull(self, request: PullRequest) -> None:
-        """Notes a pull, and the heartbeat that it may carry."""
+        """Records a pull, and the heartbeat that it may contain."""
         now = self._context.clock()
         self.last_pulls[request.name] = GatewayPull(Version(*request.version), now, request.ready)
         if request.heartbeat and self.heartbeats.record_heartbeat(request.name, now):
             self._mark_changed()
 
     def recent_names(self) -> list[str]:
-        """The gateways seen recently, here or by a peer: they may still hold shares of quotas."""
+        """Returns the gateways seen recently by this controller or a peer: they may still have shares of quotas."""
         now = self._context.clock()
         seen_here = {name for name, pull in self.last_pulls.items() if now - pull.at < GATEWAY_TTL_S}
         recent_peers = (peer for peer in self._peers.values() if now - peer.last_response_at < GATEWAY_TTL_S)
@@ -57,7 +57,7 @@
         return sorted(seen_here | reported)
 
     async def run_sweeper(self) -> None:
-        """Forgets gateways whose heartbeats timed out, for as long as the process runs."""
+        """Removes gateways whose heartbeats timed out, for as long as the process runs."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             if self.heartbeats.expire(self._context.clock()):
--- a/stoneyoke/controlplane/pull_service.py
+++ b/stoneyoke/controlplane/pull_service.py
@@ -1,4 +1,4 @@
-"""Answers the pulls of gateways and other controllers: what changed at this controller since their last pull."""
+"""Handles the pulls (long polls) of gateways and other controllers: what changed here since their last pull."""
 
 import asyncio
 import contextlib
@@ -18,22 +18,22 @@
 from stoneyoke.transport.messages import PullRequest, PullResponse
 from stoneyoke.transport.messages.pull import CONTROLLER_KIND
 
-MAX_PULL_WAIT_S = 2.0  # a pull is answered after this time, with news or without
+MAX_PULL_WAIT_S = 2.0  # a pull gets its response after this many seconds, even without a change
 
 
 @dataclass(eq=False, repr=False, kw_only=True)
 class PullService:
-    """Holds a pull until there is news for it, for as long as the request allows.
+    """Responds to a pull once there is a change for it, or once the time that the request allows is over.
 
     Attributes:
         settings: this controller's address and zone.
-        incarnation: this controller's process; change numbers of another process mean nothing here.
+        incarnation: identifies this controller's process; change numbers of another process are meaningless here.
         replica: the newest values of the register.
         discovery: the instances.
-        lease: who holds the quota lease.
-        membership: whether this controller is shutting down.
-        gateways: notes the gateways that pull.
-        follower: learns the controllers that pull.
+        lease: knows the holder of the quota lease.
+        membership: knows whether this controller is shutting down.
+        gateways: records the gateways that pull.
+        follower: adds the controllers that pull to the peers.
         context: shared parts of the controller.
     """
 
@@ -48,7 +48,7 @@
     context: ControllerContext
 
     async def handle_pull(self, request: PullRequest) -> PullResponse:
-        """Answers at once if there is news, else when there is, or when the request's time is up."""
+        """Responds at once if there is a change, else at the next change or when the request's time is over."""
         if request.kind == CONTROLLER_KIND:
             self.follower.add_peers(request.ip)
         else:
@@ -61,17 +61,17 @@
         return self.response(request)
 
     def membership_version(self) -> int:
-        """Rises with each change of the known controllers and gateways."""
+        """Returns a number that rises with each change of the known controllers and gateways."""
         return self.follower.version + self.gateways.version
 
     def is_up_to_date(self, request: PullRequest) -> bool:
-        """Whether the requester knows everything that this controller knows."""
+        """Returns whether the requester already has everything that this controller would send."""
         has_instances = request.incarnation == self.incarnation and request.seq >= self.discovery.registry.seq
         has_lists = request.membership_version == self.membership_version() or request.kind == CONTROLLER_KIND
         return has_instances and has_lists and self.replica.version() <= Version(*request.version)
 
     def response(self, request: PullRequest) -> PullResponse:
-        """What changed since the request's change number, or everything if that is of another process."""
+        """Returns what changed since the request's change number, or everything if that is of another process."""
         is_same_process = request.incarnation == self.incarnation
         view, chosen = self.replica.view(), self.replica.chosen
         controllers: list[str] = []
--- a/stoneyoke/controlplane/status.py
+++ b/stoneyoke/controlplane/status.py
@@ -1,4 +1,4 @@
-"""A controller's status report, as JSON for people and for stoneyokectl. No I/O."""
+"""A controller's status report, as JSON for operators and for stoneyokectl. No I/O."""
 
 import json
 from dataclasses import dataclass
@@ -27,7 +27,7 @@
 
 
 class BallotStatus(TypedDict):
-    """Ballot counters of this controller's replica; None: there is no such value."""
+    """Ballot counters of this controller's replica; None: there is no such proposal."""
 
     promised: int
     accepted: int | None
@@ -35,14 +35,14 @@
 
 
 class VotersStatus(TypedDict):
-    """The newest voter set known here; members as address/disk."""
+    """The newest voter set known to this controller; members as address/disk."""
 
     number: int
     members: list[str]
 
 
 class ControllerStatus(TypedDict):
-    """Another controller. silent_s: seconds since its last answer."""
+    """Another controller. silent_s: seconds since its last response to a pull."""
 
     disk: str | None
     version: str | None
@@ -51,7 +51,7 @@
 
 
 class GatewayStatus(TypedDict):
-    """A gateway. silent_s: seconds since its last pull here."""
+    """A gateway. silent_s: seconds since its last pull from this controller."""
 
     version: str
     silent_s: float
@@ -72,8 +72,8 @@
     """The whole report.
 
     Attributes:
-        in_touch: the same as has_quorum; its name before, kept for one release.
-        keeper: the same as lease_holder; its name before, kept for one release.
+        in_touch: the same as has_quorum; its former name, which stays for one release.
+        keeper: the same as lease_holder; its former name, which stays for one release.
     """
 
     name: str
@@ -93,12 +93,12 @@
 
 
 def status_json(sources: StatusSources, now: float) -> bytes:
-    """The report as JSON; lengths of time in seconds."""
+    """Returns the report as JSON; durations are in seconds."""
     return json.dumps(read_status(sources, now), indent=1).encode()
 
 
 def read_status(sources: StatusSources, now: float) -> Status:
-    """Reads the report from the controller's parts."""
+    """Returns the report, from the state of the controller's parts."""
     replica, lease_holder, has_quorum = sources.replica, sources.lease.known_holder(), sources.cluster.has_quorum()
     voters = replica.voters()
     return Status(
@@ -123,7 +123,7 @@
 
 
 def status_gauges(sources: StatusSources, now: float) -> dict[str, float]:
-    """The report's figures as gauges: what is counted, and how long the longest silence of a controller lasts."""
+    """Returns the report's figures as gauges: counts, and the longest time since a controller's last response."""
     report = read_status(sources, now)
     phases = [backend["phase"] for backend in report["backends"].values()]
     silences = [controller["silent_s"] for controller in report["controllers"].values()]
--- a/stoneyoke/storage/__init__.py
+++ b/stoneyoke/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Records on a controller's disk that survive crashes and losses of power."""
+"""Records on a controller's disk that survive crashes and power losses."""
--- a/stoneyoke/storage/errors.py
+++ b/stoneyoke/storage/errors.py
@@ -6,38 +6,38 @@
 
 
 class WriteQueueFull(StorageError):
-    """The disk doesn't answer, and too many writes wait for it already."""
+    """The disk doesn't respond, and too many writes wait for it already."""
 
 
 class RecordError(StorageError):
-    """Something failed with one record.
+    """An operation on a record failed.
 
     Attributes:
-        record: Its name, made of family and number; the family alone where all its records are meant.
+        record: The record's name, made of family and number; the family alone if the error concerns all its records.
         reason: What went wrong.
     """
 
     FAILURE = "failed"
 
     def __init__(self, record: str, reason: object) -> None:
-        """Keeps what failed; the text is one sentence for a log line."""
+        """Stores both attributes; the error's text is one sentence for a log line."""
         super().__init__(f"{record} {self.FAILURE}: {reason}")
         self.record, self.reason = record, reason
 
 
 class RecordNotWritten(RecordError):
-    """The disk refused the record, or is full."""
+    """The write of a record failed, for example because the disk is full."""
 
     FAILURE = "could not be written"
 
 
 class RecordNotRead(RecordError):
-    """The disk refused the record, or the family. Which record is the newest whole one is unknown."""
+    """The read of a record or a family failed. So it is unknown which record is the newest whole one."""
 
     FAILURE = "could not be read"
 
 
 class TornRecord(RecordError):
-    """The record isn't whole, so its `save` never returned."""
+    """The record isn't whole, so the `save` that wrote it never returned."""
 
     FAILURE = "is torn"
--- a/stoneyoke/storage/record_file.py
+++ b/stoneyoke/storage/record_file.py
@@ -1,4 +1,4 @@
-"""One record as files: a `dbm.dumb` of its fields, with a digest that shows whether it is whole."""
+"""The files of one record: a `dbm.dumb` database of its fields, with a digest that shows whether it is whole."""
 
 import dbm.dumb
 import errno
@@ -16,9 +16,9 @@
 FORMAT = b"1"
 DIGEST_BYTES = 16
 MAX_REASON_CHARS = 200
-"""A torn index is quoted by the error that it causes, and may be long."""
+"""Bounds an error's reason, since the error that a torn index causes quotes that index, which may be long."""
 
-# Opening or seeking fails so where a file is missing, is a folder, or its index names a place outside of it.
+# Errors of opening or seeking if a file is missing or is a folder, or if the index has an offset outside of the data.
 TORN_ERRORS = frozenset({errno.ENOENT, errno.EISDIR, errno.ENOTDIR, errno.EINVAL})
 match_file_name = re.compile(r"([a-z]+)-(0|[1-9][0-9]*)(\.dat|\.dir|\.bak)").fullmatch
 
@@ -38,18 +38,18 @@
 
 
 def list_record_files(folder: str) -> list[RecordFile]:
-    """The files of all records in a folder, whole or not. Other files are left out."""
+    """Returns the files of all records in a folder, whole or torn, without other files."""
     matches = (match_file_name(name) for name in os.listdir(folder))
     return [RecordFile(match[1], int(match[2]), match[0]) for match in matches if match]
 
 
 def record_name(family: str, number: int) -> str:
-    """A record's name, to which its files add their endings."""
+    """Returns a record's name, to which its files add their suffixes."""
     return f"{family}-{number}"
 
 
 def record_digest(record: Record) -> bytes:
-    """The digest of a record's fields, whatever their order."""
+    """Returns the digest of a record's fields, which doesn't depend on their order."""
     digest = blake2b(digest_size=DIGEST_BYTES)
     for name in sorted(record):
         digest.update(b"%d:%d:" % (len(name), len(record[name])) + name + record[name])
@@ -68,7 +68,8 @@
 
     Raises:
         TornRecord: The record isn't whole.
-        RecordNotRead: Whether it is whole is unknown: no file descriptor is left, or the disk fails to read.
+        RecordNotRead: The record can't be read, so it is unknown whether it is whole: no file descriptor is left, no
+            memory is left, or the disk fails to read.
     """
     name = os.path.basename(path)
     try:
