--- a/stoneyoke/controlplane/gateway_tracker.py
+++ b/stoneyoke/controlplane/gateway_tracker.py
@@ -19,7 +19,7 @@
     """A gateway's last pull: the version of the gateway's configuration, the time, whether the gateway is ready."""
 
     version: Version
-    at: float
+    pulled_at: float
     ready: bool
 
 
@@ -51,7 +51,7 @@
     def recent_names(self) -> list[str]:
         """Returns the gateways seen recently by this controller or a peer: they may still have shares of quotas."""
         now = self._context.clock()
-        seen_here = {name for name, pull in self.last_pulls.items() if now - pull.at < GATEWAY_TTL_S}
+        seen_here = {name for name, pull in self.last_pulls.items() if now - pull.pulled_at < GATEWAY_TTL_S}
         recent_peers = (peer for peer in self._peers.values() if now - peer.last_response_at < GATEWAY_TTL_S)
         reported = {name for peer in recent_peers for name in peer.gateways}
         return sorted(seen_here | reported)
--- a/stoneyoke/controlplane/quota_lease.py
+++ b/stoneyoke/controlplane/quota_lease.py
@@ -131,8 +131,8 @@
         """Runs one round: sends requests to all voters, counts the grants, and releases them without a majority."""
         lease_round = LeaseRound(self.replica.voters(), self.context.clock())
         self.holder.start_round(lease_round.started_at)
-        own = self.voter.grant(self._grant_request(LEASE_TTL_S), lease_round.voters.number)
-        if own and own.granted:
+        own_decision = self.voter.grant(self._grant_request(LEASE_TTL_S), lease_round.voters.number)
+        if own_decision and own_decision.granted:
             self.record_grant(self.replica.identity, lease_round)
         message = self._lease_request(LEASE_TTL_S, lease_round.voters.number)
         requests = [
--- a/stoneyoke/controlplane/status.py
+++ b/stoneyoke/controlplane/status.py
@@ -115,7 +115,7 @@
         lease_holder=lease_holder,
         controllers={name: _controller_status(peer, voters, now) for name, peer in sources.peers.items()},
         gateways={
-            name: GatewayStatus(version=str(pull.version), silent_s=round(now - pull.at, 2), ready=pull.ready)
+            name: GatewayStatus(version=str(pull.version), silent_s=round(now - pull.pulled_at, 2), ready=pull.ready)
             for name, pull in sources.gateways.last_pulls.items()
         },
         backends={name: _backend_status(record, now) for name, record in sources.registry.records.items()},
