--- a/tests/system/compatibility/recorded_messages.py
+++ b/tests/system/compatibility/recorded_messages.py
@@ -96,7 +96,7 @@
 
 def recorded_values() -> list[Message]:
     """What each frame of the recording holds."""
-    return [*one_of_each_kind(), *edges()]
+    return [*one_of_each_kind(), *edge_cases()]
 
 
 def one_of_each_kind() -> list[Message]:
@@ -171,7 +171,7 @@
     ]
 
 
-def edges() -> list[Message]:
+def edge_cases() -> list[Message]:
     """Messages with empty, negative and large values."""
     return [
         PullRequest(
--- a/tests/system/compatibility/test_recorded_data_folders.py
+++ b/tests/system/compatibility/test_recorded_data_folders.py
@@ -81,10 +81,10 @@
 def started_replica(folder):
     """A replica that has started on this folder, as a controller does that was there before."""
 
-    async def run_at_once(work, *args):
-        return work(*args)
+    async def run_inline(operation, *args):
+        return operation(*args)
 
-    replica = Replica("10.0.0.3", RecordStore(folder), run_at_once, lambda: None)
+    replica = Replica("10.0.0.3", RecordStore(folder), run_inline, lambda: None)
     asyncio.run(replica.load((), False, random.Random(1)))
     return replica
 
--- a/tests/system/compatibility/write_messages.py
+++ b/tests/system/compatibility/write_messages.py
@@ -52,7 +52,7 @@
     messages.QuotaRequest("edge-1", "ab", 20, True, [("anna", 2.0, 3.0, 0.0, 0.5)]),
     messages.QuotaResponse(True, [("anna", 1.0, 0.0, 0.25, 3.0)]),
 ]
-EDGES = [
+EDGE_CASES = [
     messages.PullRequest("c-2", "10.0.0.2", "controller", "", "", 0, (0, b""), False, True, 0, "", -1),
     messages.PullResponse(
         "",
@@ -95,7 +95,7 @@
     """Writes a frame a line: the kind of message, the number of the call, the bytes."""
     recording = Path(sys.argv[1])
     lines = []
-    for number, message in enumerate([*ONE_OF_EACH_KIND, *EDGES], 1):
+    for number, message in enumerate([*ONE_OF_EACH_KIND, *EDGE_CASES], 1):
         data = messages.pack(number, message)
         assert messages.unpack(data[4:]) == (number, message)
         lines.append(f"{type(message).__name__} {number} {data.hex()}")
--- a/tests/system/compatibility/write_records.py
+++ b/tests/system/compatibility/write_records.py
@@ -14,14 +14,14 @@
 
 DISK = "4e1f0c9a77d2b358"
 CONFIGURATIONS = Path("tests/system/configurations.py")
-OLD_TEXT_NUMBER, NEW_TEXT_NUMBER = 5, 7
+OLD_CONFIGURATION_NUMBER, NEW_CONFIGURATION_NUMBER = 5, 7
 TORN_BYTES = 100
 
 MEMBERS = [["10.0.0.1", "first"], ["10.0.0.2", "first"], ["10.0.0.3", "first"]]
 NEXT_MEMBERS = [["10.0.0.1", "first"], ["10.0.0.2", "first"], ["10.0.0.3", DISK]]
 
 
-def example_text(number: int) -> bytes:
+def example_body(number: int) -> bytes:
     """The example configuration of that release's tests."""
     spec = importlib.util.spec_from_file_location("configurations", CONFIGURATIONS)
     assert spec and spec.loader
@@ -39,10 +39,14 @@
         {"ballot": [0, ""], "number": 1, "members": MEMBERS, "previous": [], "version": [0, ""], "body": ""}
     ]
     for ballot, voters, number in (
-        ([3, "10.0.0.2/0a1b2c3d4e5f"], {"number": 1, "members": MEMBERS, "previous": []}, OLD_TEXT_NUMBER),
-        ([8, "10.0.0.1/f5e4d3c2b1a0"], {"number": 2, "members": NEXT_MEMBERS, "previous": MEMBERS}, NEW_TEXT_NUMBER),
+        ([3, "10.0.0.2/0a1b2c3d4e5f"], {"number": 1, "members": MEMBERS, "previous": []}, OLD_CONFIGURATION_NUMBER),
+        (
+            [8, "10.0.0.1/f5e4d3c2b1a0"],
+            {"number": 2, "members": NEXT_MEMBERS, "previous": MEMBERS},
+            NEW_CONFIGURATION_NUMBER,
+        ),
     ):
-        body = example_text(number)
+        body = example_body(number)
         version = read_configuration(body).version
         values.append(
             {"ballot": ballot, **voters, "version": [version.number, version.digest.hex()], "body": body.decode()}
@@ -77,7 +81,7 @@
 
 def write_earlier_release(folder: str) -> dict[str, Any]:
     """The release before the register: the configuration in "word", the voters in "crew"."""
-    store, body = RecordStore(folder), example_text(OLD_TEXT_NUMBER)
+    store, body = RecordStore(folder), example_body(OLD_CONFIGURATION_NUMBER)
     names = [address for address, _ in MEMBERS]
     store.keep(
         "crew",
--- a/tests/system/controller_cluster.py
+++ b/tests/system/controller_cluster.py
@@ -17,7 +17,7 @@
 BOUNDS = ServiceBounds(catch_up_s=4.0, quota_window_s=5.0, quota_excess_ratio=0.1, quota_slack_units=20.0)
 SILENCE_TIMEOUT_S = 5.0
 POLL_S = 0.005
-PATIENCE_S = 60.0  # simulated; a condition that does not hold by then fails its test
+CONDITION_TIMEOUT_S = 60.0  # simulated; a condition that does not hold by then fails its test
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
@@ -48,12 +48,12 @@
     def __init__(self) -> None:
         self.records: dict[str, Record] = {}
         self.refuses = False
-        self.kept = 0
+        self.save_count = 0
 
     def save(self, family: str, record: Record) -> None:
         if self.refuses:
             raise StorageError("refused")
-        self.kept += 1
+        self.save_count += 1
         self.records[family] = dict(record)
 
     def load(self, family: str) -> LoadedRecord:
@@ -76,19 +76,19 @@
         self.seeds, self.losses = tuple(self.names[:seeds]), losses
         self.disks = {name: Disk() for name in self.names}
         self.controllers: dict[str, Controller] = {}
-        self.cuts: Iterable[set[str]] = ()
+        self.partitions: Iterable[set[str]] = ()
         self.down: set[str] = set()
         self.lost: dict[str, tuple[str, ...]] = {}
         self.carried: Counter[str] = Counter()
-        self.cutting: tuple[str, str] | None = None
+        self.isolate_after: tuple[str, str] | None = None
 
     def add(self, name: str) -> None:
         """A machine that was not there before, with an empty disk."""
         self.names.append(name)
         self.disks[name] = Disk()
 
-    def cut_after(self, name: str, kind: str) -> None:
-        self.cutting = (name, kind)
+    def isolate_after_sending(self, name: str, kind: str) -> None:
+        self.isolate_after = (name, kind)
 
     async def start(self, name: str, first: bool = False) -> Controller:
         self.down.discard(name)
@@ -119,17 +119,17 @@
         for task in list(self.controllers.pop(name).tasks):
             task.cancel()
 
-    async def until(self, holds: Callable[[], object]) -> None:
-        async with asyncio.timeout(PATIENCE_S):
+    async def wait_until(self, holds: Callable[[], object]) -> None:
+        async with asyncio.timeout(CONDITION_TIMEOUT_S):
             while not holds():  # noqa: ASYNC110 -- in simulated time, and nothing tells of the condition
                 await asyncio.sleep(POLL_S)
 
     def cut(self, name: str) -> None:
         """Cuts this controller off from all others; ends other cuts."""
-        self.cuts = [{name, other} for other in self.names if other != name]
+        self.partitions = [{name, other} for other in self.names if other != name]
 
-    def are_cut(self, one: str, other: str) -> bool:
-        return {one, other} in self.cuts
+    def are_partitioned(self, one: str, other: str) -> bool:
+        return {one, other} in self.partitions
 
 
 class ClusterLink:
@@ -144,14 +144,14 @@
         await asyncio.sleep(0)
         if other in cluster.down or other not in cluster.controllers:
             raise PeerUnreachable(other)
-        if cluster.are_cut(own, other) or kind in cluster.lost.get(other, ()):
+        if cluster.are_partitioned(own, other) or kind in cluster.lost.get(other, ()):
             await asyncio.sleep(timeout_s)  # a cut says nothing
             raise PeerUnreachable(other)
         answer = await cluster.controllers[other].handle_message(as_received(message))
-        if cluster.cutting == (own, kind):
-            cluster.cutting = None
+        if cluster.isolate_after == (own, kind):
+            cluster.isolate_after = None
             cluster.cut(own)
-        if cluster.are_cut(own, other) or own in cluster.down:
+        if cluster.are_partitioned(own, other) or own in cluster.down:
             raise PeerUnreachable(other)
         assert answer is not None, f"{kind} has no answer"
         return as_received(answer)
@@ -162,13 +162,13 @@
     return unpack(pack(1, message)[4:])[1]
 
 
-async def run_blocking(work: Callable[..., Any], *args: Any) -> Any:
+async def run_blocking(operation: Callable[..., Any], *args: Any) -> Any:
     """In place of a thread: the work is done at once, one turn of the loop later."""
     await asyncio.sleep(0)
-    return work(*args)
+    return operation(*args)
 
 
-def run(play: Callable[[Cluster], Coroutine[Any, Any, None]], **shape: int) -> None:
+def run(scenario: Callable[[Cluster], Coroutine[Any, Any, None]], **shape: int) -> None:
     """Plays a story with a cluster whose controllers have all started for the first time.
 
     Args:
@@ -177,18 +177,18 @@
     """
     cluster = Cluster(**shape)
 
-    async def story() -> None:
+    async def run_scenario() -> None:
         try:
             for name in cluster.names:
                 await cluster.start(name, first=True)
-            await play(cluster)
+            await scenario(cluster)
         finally:
             for name in list(cluster.controllers):
                 cluster.stop(name)
 
     loop = SimulatedLoop()
     try:
-        loop.run_until_complete(story())
+        loop.run_until_complete(run_scenario())
         loop.run_until_complete(asyncio.sleep(0))
     finally:
         loop.close()
--- a/tests/system/controller_steps.py
+++ b/tests/system/controller_steps.py
@@ -34,7 +34,7 @@
 
 async def all_have_quorum(cluster: Cluster) -> None:
     """Waits until every controller reaches a majority of the voters."""
-    await cluster.until(lambda: all(one.has_quorum() for one in cluster.controllers.values()))
+    await cluster.wait_until(lambda: all(one.has_quorum() for one in cluster.controllers.values()))
 
 
 def voters(cluster: Cluster, name: str = "10.0.0.2") -> VoterSet:
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -32,10 +32,10 @@
     return ProposalRound(ballot=ballot, known=known, chosen_voters_number=chosen_voters_number, change=change)
 
 
-def report_promises(current, *voters, accepted=INITIAL):
+def report_promises(proposal_round, *voters, accepted=INITIAL):
     for voter in voters:
-        current.on_promised(voter, accepted)
-    return current
+        proposal_round.on_promised(voter, accepted)
+    return proposal_round
 
 
 # ---- acceptor ----
@@ -80,44 +80,44 @@
 
 @test("a round needs a majority to prepare and one to be chosen")
 def _():
-    current = report_promises(start_round(), A)
-    assert current.phase is Phase.PREPARE and current.addresses_to_ask() == {"a", "b", "c"}
-    report_promises(current, A)
-    assert current.phase is Phase.PREPARE
-    report_promises(current, C)
-    assert current.phase is Phase.ACCEPT and current.proposed_value == VALUE_1
-    current.on_accepted(B)
-    current.on_accepted(B)
-    assert current.phase is Phase.ACCEPT
+    proposal_round = report_promises(start_round(), A)
+    assert proposal_round.phase is Phase.PREPARE and proposal_round.addresses_to_ask() == {"a", "b", "c"}
+    report_promises(proposal_round, A)
+    assert proposal_round.phase is Phase.PREPARE
+    report_promises(proposal_round, C)
+    assert proposal_round.phase is Phase.ACCEPT and proposal_round.proposed_value == VALUE_1
+    proposal_round.on_accepted(B)
+    proposal_round.on_accepted(B)
+    assert proposal_round.phase is Phase.ACCEPT
     with raises(AssertionError):
-        current.chosen_proposal()
-    current.on_accepted(A)
-    assert current.chosen_proposal() == Proposal(BALLOT_2, VALUE_1)
+        proposal_round.chosen_proposal()
+    proposal_round.on_accepted(A)
+    assert proposal_round.chosen_proposal() == Proposal(BALLOT_2, VALUE_1)
 
 
 @test("whoever does not vote counts for nothing, nor a member with another disk")
 def _():
-    current = report_promises(start_round(), A, D, ReplicaId("b", "new"))
-    assert current.phase is Phase.PREPARE
-    report_promises(current, B)
+    proposal_round = report_promises(start_round(), A, D, ReplicaId("b", "new"))
+    assert proposal_round.phase is Phase.PREPARE
+    report_promises(proposal_round, B)
     for voter in (A, D, ReplicaId("b", "new")):
-        current.on_accepted(voter)
-    assert current.phase is Phase.ACCEPT
+        proposal_round.on_accepted(voter)
+    assert proposal_round.phase is Phase.ACCEPT
 
 
 @test("a round builds on the highest value found, not on what it knew")
 def _():
-    current = start_round(change=lambda found: found, ballot=BALLOT_3, known=Proposal(BALLOT_1, VALUE_1))
-    current.on_promised(A, Proposal(BALLOT_1, VALUE_1))
-    current.on_promised(B, Proposal(BALLOT_2, VALUE_2))
-    assert current.proposed_value == VALUE_2 and current.newest_found() == Proposal(BALLOT_2, VALUE_2)
+    proposal_round = start_round(change=lambda found: found, ballot=BALLOT_3, known=Proposal(BALLOT_1, VALUE_1))
+    proposal_round.on_promised(A, Proposal(BALLOT_1, VALUE_1))
+    proposal_round.on_promised(B, Proposal(BALLOT_2, VALUE_2))
+    assert proposal_round.proposed_value == VALUE_2 and proposal_round.newest_found() == Proposal(BALLOT_2, VALUE_2)
 
 
 @test("an answer that comes late, or of a lost round, changes nothing")
 def _():
-    current = report_promises(start_round(change=lambda found: found), A, B)
-    current.on_promised(C, Proposal(BALLOT_1, VALUE_1))
-    assert current.proposed_value == INITIAL_VALUE
+    proposal_round = report_promises(start_round(change=lambda found: found), A, B)
+    proposal_round.on_promised(C, Proposal(BALLOT_1, VALUE_1))
+    assert proposal_round.proposed_value == INITIAL_VALUE
     early = start_round()
     early.on_accepted(A)
     assert not early.acceptances
@@ -128,11 +128,11 @@
 
 @test("a refusal after the decision takes nothing back")
 def _():
-    current = report_promises(start_round(), A, B)
-    current.on_accepted(A)
-    current.on_accepted(B)
-    current.on_refused(BALLOT_3)
-    assert current.phase is Phase.CHOSEN and current.highest_refusal == NO_BALLOT
+    proposal_round = report_promises(start_round(), A, B)
+    proposal_round.on_accepted(A)
+    proposal_round.on_accepted(B)
+    proposal_round.on_refused(BALLOT_3)
+    assert proposal_round.phase is Phase.CHOSEN and proposal_round.highest_refusal == NO_BALLOT
 
 
 # ---- change of voters ----
@@ -140,13 +140,13 @@
 
 @test("a change of voters is chosen by a majority of both sets")
 def _():
-    current = report_promises(start_round(with_voters_abd), A, B)
-    assert current.proposed_value == JOINT_VALUE and current.addresses_to_ask() == {"a", "b", "c", "d"}
-    current.on_accepted(A)
-    current.on_accepted(D)
-    assert current.phase is Phase.ACCEPT
-    current.on_accepted(C)
-    assert current.phase is Phase.CHOSEN
+    proposal_round = report_promises(start_round(with_voters_abd), A, B)
+    assert proposal_round.proposed_value == JOINT_VALUE and proposal_round.addresses_to_ask() == {"a", "b", "c", "d"}
+    proposal_round.on_accepted(A)
+    proposal_round.on_accepted(D)
+    assert proposal_round.phase is Phase.ACCEPT
+    proposal_round.on_accepted(C)
+    assert proposal_round.phase is Phase.CHOSEN
     other = report_promises(start_round(with_voters_abd), A, B)
     other.on_accepted(B)
     other.on_accepted(C)
@@ -155,29 +155,29 @@
 
 @test("a round that finds newer voters asks a majority of these too")
 def _():
-    current = start_round(ballot=BALLOT_3)
-    current.on_promised(B, INITIAL)
-    current.on_promised(C, Proposal(BALLOT_2, JOINT_VALUE))
-    assert current.phase is Phase.PREPARE and "d" in current.addresses_to_ask()
-    current.on_promised(D, Proposal(BALLOT_2, JOINT_VALUE))
-    assert current.phase is Phase.ACCEPT
+    proposal_round = start_round(ballot=BALLOT_3)
+    proposal_round.on_promised(B, INITIAL)
+    proposal_round.on_promised(C, Proposal(BALLOT_2, JOINT_VALUE))
+    assert proposal_round.phase is Phase.PREPARE and "d" in proposal_round.addresses_to_ask()
+    proposal_round.on_promised(D, Proposal(BALLOT_2, JOINT_VALUE))
+    assert proposal_round.phase is Phase.ACCEPT
 
 
 @test("an undecided change stays joint, and no other one is begun on it")
 def _():
     other = VoterSet(3, (A, D))
-    current = start_round(lambda found: replace(found, voters=other, version=VALUE_1.version), ballot=BALLOT_3)
-    report_promises(current, A, B, accepted=Proposal(BALLOT_2, JOINT_VALUE))
-    assert current.proposed_value == replace(JOINT_VALUE, version=VALUE_1.version)
+    proposal_round = start_round(lambda found: replace(found, voters=other, version=VALUE_1.version), ballot=BALLOT_3)
+    report_promises(proposal_round, A, B, accepted=Proposal(BALLOT_2, JOINT_VALUE))
+    assert proposal_round.proposed_value == replace(JOINT_VALUE, version=VALUE_1.version)
 
 
 @test("a change known to be chosen is joint no more, and the next one builds on it")
 def _():
     known = Proposal(BALLOT_2, JOINT_VALUE)
-    current = start_round(ballot=BALLOT_3, known=known, chosen_voters_number=2)
-    assert current.addresses_to_ask() == {"a", "b", "d"}
-    report_promises(current, A, D, accepted=known)
-    assert current.proposed_value == with_value_1(RegisterValue(JOINT_VALUE.voters))
+    proposal_round = start_round(ballot=BALLOT_3, known=known, chosen_voters_number=2)
+    assert proposal_round.addresses_to_ask() == {"a", "b", "d"}
+    report_promises(proposal_round, A, D, accepted=known)
+    assert proposal_round.proposed_value == with_value_1(RegisterValue(JOINT_VALUE.voters))
     following = VoterSet(3, (A, D))
     after = start_round(lambda found: replace(found, voters=following), BALLOT_3, known, 2)
     report_promises(after, A, D, accepted=known)
--- a/tests/system/test_controller_configuration.py
+++ b/tests/system/test_controller_configuration.py
@@ -12,7 +12,7 @@
 
 @test("a configuration acknowledged by one controller is read back at every other, also after a power loss of all")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         assert await cluster.controllers["10.0.0.1"].handle_call(put(5)) == Acknowledged()
         assert await cluster.controllers["10.0.0.2"].handle_call(ReadConfiguration()) == Document(example(5))
@@ -24,33 +24,33 @@
         await all_have_quorum(cluster)
         assert await cluster.controllers["10.0.0.3"].handle_call(ReadConfiguration()) == Document(example(5))
 
-    run(play)
+    run(scenario)
 
 
 @test("before the first replacement a read is rejected: there is no configuration")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         assert isinstance(await cluster.controllers["10.0.0.1"].handle_call(ReadConfiguration()), Rejected)
 
-    run(play)
+    run(scenario)
 
 
 @test("an older version, and the same one again, are acknowledged and change nothing")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         one = cluster.controllers["10.0.0.1"]
         assert await one.handle_call(put(9)) == Acknowledged() and await one.handle_call(put(9)) == Acknowledged()
         assert await cluster.controllers["10.0.0.2"].handle_call(put(4)) == Acknowledged()
         assert await one.handle_call(ReadConfiguration()) == Document(example(9))
 
-    run(play)
+    run(scenario)
 
 
 @test("two operators at two controllers at once: all controllers end with the higher number")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         one, other = cluster.controllers["10.0.0.1"], cluster.controllers["10.0.0.2"]
         await asyncio.gather(one.handle_call(put(6)), other.handle_call(put(7)))
@@ -60,12 +60,12 @@
             == Document(example(7))
         )
 
-    run(play)
+    run(scenario)
 
 
 @test("two contents under one number: one is acknowledged, the other conflicts, at every controller and for ever")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         one, other = cluster.controllers["10.0.0.1"], cluster.controllers["10.0.0.2"]
         answers = await asyncio.gather(one.handle_call(put(8)), other.handle_call(put(8, other_content)))
@@ -80,12 +80,12 @@
             assert isinstance(await controller.handle_call(second), Rejected)
             assert await controller.handle_call(ReadConfiguration()) == Document(first.configuration.body)
 
-    run(play)
+    run(scenario)
 
 
 @test("a replacement whose answer was lost is acknowledged when sent again, at any controller, also after later ones")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         cluster.lost = dict.fromkeys(cluster.names, ("AcceptRequest",))
         assert isinstance(await cluster.controllers["10.0.0.1"].handle_call(put(5)), Unavailable)
@@ -97,12 +97,12 @@
             assert await controller.handle_call(put(5)) == Acknowledged()
             assert await controller.handle_call(ReadConfiguration()) == Document(example(6))
 
-    run(play)
+    run(scenario)
 
 
 @test("a replacement that its controller left unfinished is completed by others, and keeps its number for its content")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         proposer, other = cluster.controllers["10.0.0.1"], cluster.controllers["10.0.0.2"]
         cluster.lost = {"10.0.0.2": ("AcceptRequest",), "10.0.0.3": ("AcceptRequest",)}
@@ -111,31 +111,31 @@
         assert isinstance(await other.handle_call(put(5, other_content)), Rejected)
         assert await other.handle_call(ReadConfiguration()) == Document(example(5))
 
-    run(play)
+    run(scenario)
 
 
 @test("a controller without a quorum acknowledges nothing and answers at once; the others go on")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         cluster.cut("10.0.0.1")
         alone = cluster.controllers["10.0.0.1"]
-        await cluster.until(lambda: not alone.has_quorum())
+        await cluster.wait_until(lambda: not alone.has_quorum())
         began = alone.clock()
         for call in (put(5), heartbeat(), heartbeat(2, "draining")):
             assert isinstance(await alone.handle_call(call), Unavailable)
         assert not alone.lease.is_held()
         assert alone.clock() - began < 0.1
         assert await cluster.controllers["10.0.0.2"].handle_call(put(5)) == Acknowledged()
-        cluster.cuts = set()
-        await cluster.until(lambda: alone.replica.version().number == 5)
+        cluster.partitions = set()
+        await cluster.wait_until(lambda: alone.replica.version().number == 5)
 
-    run(play)
+    run(scenario)
 
 
 @test("after hundreds of changes a member that was away holds the newest value in one step, and little else")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         cluster.stop("10.0.0.3")
         for number in range(1, 301):
@@ -143,8 +143,8 @@
         sent_before = cluster.carried["ValueRequest"]
         again = await cluster.start("10.0.0.3")
         assert again.replica.chosen is None and not again.lease.is_held()
-        await cluster.until(lambda: again.replica.version().number == 300)
+        await cluster.wait_until(lambda: again.replica.version().number == 300)
         assert cluster.carried["ValueRequest"] - sent_before <= 4
         assert sum(len(part) for part in cluster.disks["10.0.0.3"].records["register"].values()) < 2 * len(example(300))
 
-    run(play)
+    run(scenario)
--- a/tests/system/test_controller_instances_and_lease.py
+++ b/tests/system/test_controller_instances_and_lease.py
@@ -14,7 +14,7 @@
 
 @test("a drain is acknowledged once a majority knows it, and survives the controller that acknowledged it")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         one = cluster.controllers["10.0.0.1"]
         assert await one.handle_call(heartbeat()) == Acknowledged()
@@ -25,64 +25,64 @@
         cluster.lost = dict.fromkeys(cluster.names, ("InstanceUpdate",))
         assert isinstance(await one.handle_call(read_call("POST", "/instances/i-1/leave", b"")), Unavailable)
 
-    run(play)
+    run(scenario)
 
 
 @test("a controller that starts again learns of drains from the others before it is synced")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         assert await cluster.controllers["10.0.0.1"].handle_call(heartbeat(2, "draining")) == Acknowledged()
         cluster.stop("10.0.0.1")
         again = await cluster.start("10.0.0.1")
         assert not again.discovery.synced()
-        await cluster.until(again.discovery.synced)
+        await cluster.wait_until(again.discovery.synced)
         assert again.discovery.registry.records["i-1"].row.phase == Phase.DRAINING
 
-    run(play)
+    run(scenario)
 
 
 @test("one controller holds the quota lease; when it is cut off another one does, not before its lease has ended")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         def holders():
             return lease_holders(cluster)
 
-        await cluster.until(holders)
+        await cluster.wait_until(holders)
         first = holders()[0]
         cluster.cut(first)
         seen = []
-        await cluster.until(lambda: seen.append(tuple(holders())) or seen[-1] not in ((), (first,)))
+        await cluster.wait_until(lambda: seen.append(tuple(holders())) or seen[-1] not in ((), (first,)))
         assert all(len(one) <= 1 for one in seen)
 
-    run(play)
+    run(scenario)
 
 
 @test("a controller that is cut off from the others never names itself as the holder of the lease")
 def _():
-    async def play(cluster):
-        await cluster.until(lambda: lease_holders(cluster))
+    async def scenario(cluster):
+        await cluster.wait_until(lambda: lease_holders(cluster))
         first = lease_holders(cluster)[0]
         other = next(name for name in cluster.names if name != first)
         for name in (first, other):
             cluster.cut(name)
             alone = cluster.controllers[name]
-            await cluster.until(lambda alone=alone: not alone.has_quorum() and not alone.lease.is_held())
+            await cluster.wait_until(lambda alone=alone: not alone.has_quorum() and not alone.lease.is_held())
             for _ in range(2000):
                 assert alone.lease.known_holder() != name
                 await asyncio.sleep(0.01)
-            cluster.cuts = set()
+            cluster.partitions = set()
             await all_have_quorum(cluster)
-            await cluster.until(lambda: lease_holders(cluster))
+            await cluster.wait_until(lambda: lease_holders(cluster))
 
-    run(play)
+    run(scenario)
 
 
 @test("the status names quorum and lease holder, also by their names of the release before")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
-        await cluster.until(lambda: lease_holders(cluster))
+        await cluster.wait_until(lambda: lease_holders(cluster))
         await asyncio.sleep(1)
         found = status(cluster)
         assert found["has_quorum"] is found["in_touch"] is True
@@ -90,4 +90,4 @@
         assert found["voters"] == {"number": 1, "members": [f"{name}/{INITIAL_DISK_NAME}" for name in cluster.names]}
         assert set(found["controllers"]) == {"10.0.0.1", "10.0.0.3"}
 
-    run(play)
+    run(scenario)
--- a/tests/system/test_controller_voters.py
+++ b/tests/system/test_controller_voters.py
@@ -13,7 +13,7 @@
 
 @test("a disk that refuses writes does not count towards the majority; the others are enough")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         cluster.disks["10.0.0.1"].refuses = True
         assert await cluster.controllers["10.0.0.1"].handle_call(put(5)) == Acknowledged()
@@ -21,12 +21,12 @@
         cluster.disks["10.0.0.2"].refuses = True
         assert isinstance(await cluster.controllers["10.0.0.3"].handle_call(put(6)), Unavailable)
 
-    run(play)
+    run(scenario)
 
 
 @test("a machine whose disk is empty is another member: what it and one other held stays what is read")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         cluster.stop("10.0.0.3")
         assert await cluster.controllers["10.0.0.1"].handle_call(put(5)) == Acknowledged()
@@ -41,16 +41,16 @@
             assert isinstance(await wiped.handle_call(call), Unavailable)
             assert isinstance(await cluster.controllers["10.0.0.3"].handle_call(call), Unavailable)
         await cluster.start("10.0.0.2")
-        await cluster.until(wiped.replica.is_voter)
+        await cluster.wait_until(wiped.replica.is_voter)
         assert await wiped.handle_call(ReadConfiguration()) == Document(example(5))
         assert voters(cluster).number == 2 and wiped.replica.identity in voters(cluster).members
 
-    run(play)
+    run(scenario)
 
 
 @test("a machine that lost its disk votes again within the operators' bound, so that the next loss leaves a majority")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         for number, name in enumerate(cluster.names * 3, 5):
             others = [other for other in cluster.names if other != name]
@@ -62,14 +62,14 @@
             assert again.replica.is_voter()
             assert await again.handle_call(ReadConfiguration()) == Document(example(number))
 
-    run(play)
+    run(scenario)
 
 
 @test(
     "a machine exchanged for an empty one at another address is replaced as a voter within the bound, one after another"
 )
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         present = list(cluster.names)
         for number in range(5, 11):
@@ -85,96 +85,98 @@
             assert await cluster.controllers[new].handle_call(put(number)) == Acknowledged()
         assert len(present) == 3
 
-    run(play)
+    run(scenario)
 
 
 @test("a voter that was replaced while cut off decides nothing when it is back, nor together with former voters")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
-        await cluster.until(lambda: lease_holders(cluster))
+        await cluster.wait_until(lambda: lease_holders(cluster))
         cluster.cut("10.0.0.1")
-        await cluster.until(lambda: "10.0.0.4" in voters(cluster).addresses())
+        await cluster.wait_until(lambda: "10.0.0.4" in voters(cluster).addresses())
         assert await cluster.controllers["10.0.0.2"].handle_call(put(5)) == Acknowledged()
         old = cluster.controllers["10.0.0.1"]
         assert "10.0.0.1" in old.replica.voters().addresses()  # it cannot know
         assert isinstance(await old.handle_call(put(6)), Unavailable) and isinstance(
             await old.handle_call(ReadConfiguration()), Unavailable
         )
-        cluster.cuts = [{"10.0.0.1", "10.0.0.2"}, {"10.0.0.1", "10.0.0.4"}]  # with one former fellow voter alone
-        await cluster.until(lambda: old.replica.version().number == 5)
+        cluster.partitions = [{"10.0.0.1", "10.0.0.2"}, {"10.0.0.1", "10.0.0.4"}]  # with one former fellow voter alone
+        await cluster.wait_until(lambda: old.replica.version().number == 5)
         assert not old.replica.is_voter()
         assert isinstance(await old.handle_call(put(6)), Unavailable)  # it reaches one of three voters
-        cluster.cuts = []
+        cluster.partitions = []
         await all_have_quorum(cluster)
         assert await old.handle_call(put(6)) == Acknowledged()
 
-    run(play, count=4)
+    run(scenario, count=4)
 
 
 @test("five controllers that are to survive two losses: those that were not seeds become voters")
 def _():
-    async def play(cluster):
-        await cluster.until(lambda: all(len(one.replica.voters().members) == 5 for one in cluster.controllers.values()))
+    async def scenario(cluster):
+        await cluster.wait_until(
+            lambda: all(len(one.replica.voters().members) == 5 for one in cluster.controllers.values())
+        )
         assert {one.replica.voters().number for one in cluster.controllers.values()} == {2}
         await all_have_quorum(cluster)
         cluster.stop("10.0.0.1")
         cluster.stop("10.0.0.2")
         assert await cluster.controllers["10.0.0.3"].handle_call(put(5)) == Acknowledged()
 
-    run(play, count=5, losses=2)
+    run(scenario, count=5, losses=2)
 
 
 @test("a controller that shuts down hands its vote to a learner, and does not wait if there is none")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
-        leaver = cluster.controllers["10.0.0.1"]
-        await cluster.until(lambda: lease_holders(cluster))
+        stopping = cluster.controllers["10.0.0.1"]
+        await cluster.wait_until(lambda: lease_holders(cluster))
         await asyncio.sleep(3)
-        await leaver.leave(3.0)
+        await stopping.leave(3.0)
         assert voters(cluster).addresses() == ("10.0.0.2", "10.0.0.3", "10.0.0.4")
-        await cluster.until(cluster.controllers["10.0.0.4"].replica.is_voter)
+        await cluster.wait_until(cluster.controllers["10.0.0.4"].replica.is_voter)
         cluster.stop("10.0.0.1")
         cluster.stop("10.0.0.2")
         assert await cluster.controllers["10.0.0.3"].handle_call(put(5)) == Acknowledged()
 
     async def alone(cluster):
         await all_have_quorum(cluster)
-        begun = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         await cluster.controllers["10.0.0.1"].leave(3.0)
-        assert asyncio.get_running_loop().time() == begun
+        assert asyncio.get_running_loop().time() == started_at
         assert "10.0.0.1" in voters(cluster).addresses()
 
-    run(play, count=4)
+    run(scenario, count=4)
     run(alone)
 
 
 @test("a change of voters whose proposer is cut off after a {kind} is completed by the others, and replacements go on")
 def _(kind=each("PrepareRequest", "AcceptRequest", "ChosenNotice")):
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
-        await cluster.until(lambda: lease_holders(cluster))
+        await cluster.wait_until(lambda: lease_holders(cluster))
         assert await cluster.controllers["10.0.0.1"].handle_call(put(5)) == Acknowledged()
         holder = lease_holders(cluster)[0]
         gone = next(name for name in cluster.names[:3] if name != holder)
         cluster.stop(gone)
-        cluster.cut_after(holder, kind)
-        await cluster.until(lambda: cluster.cuts)
+        cluster.isolate_after_sending(holder, kind)
+        await cluster.wait_until(lambda: cluster.partitions)
         rest = [name for name in cluster.names if name not in (gone, holder)]
         await asyncio.sleep(3.0)
-        cluster.cuts = []  # it is back
-        await cluster.until(lambda: len({one.replica.voters() for one in cluster.controllers.values()}) == 1)
+        cluster.partitions = []  # it is back
+        await cluster.wait_until(lambda: len({one.replica.voters() for one in cluster.controllers.values()}) == 1)
         await all_have_quorum(cluster)
         assert await cluster.controllers[rest[0]].handle_call(put(6)) == Acknowledged()
-        await cluster.until(lambda: "10.0.0.4" in voters(cluster, rest[0]).addresses())
+        await cluster.wait_until(lambda: "10.0.0.4" in voters(cluster, rest[0]).addresses())
 
-    run(play, count=4)
+    run(scenario, count=4)
 
 
 @test("a new disk that refuses is tried again until it takes its name")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         cluster.stop("10.0.0.3")
         cluster.disks["10.0.0.3"].records.clear()
@@ -184,31 +186,31 @@
         assert not starting.done()
         cluster.disks["10.0.0.3"].refuses = False
         again = await starting
-        await cluster.until(again.replica.is_voter)
+        await cluster.wait_until(again.replica.is_voter)
 
-    run(play)
+    run(scenario)
 
 
 @test("a controller whose disk hangs acknowledges by the others' disks, and keeps its quorum")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         one = cluster.controllers["10.0.0.1"]
         assert await one.handle_call(put(5)) == Acknowledged()
         stalled = asyncio.Event()
 
-        async def stands_still(work, *args):
+        async def wait_for_disk(operation, *args):
             await stalled.wait()
-            return work(*args)
+            return operation(*args)
 
-        usual, one.replica.disk.run_blocking = one.replica.disk.run_blocking, stands_still
+        run_blocking, one.replica.disk.run_blocking = one.replica.disk.run_blocking, wait_for_disk
         for number in (6, 7, 8):
             assert await one.handle_call(put(number)) == Acknowledged()
         assert await one.handle_call(ReadConfiguration()) == Document(example(8))
         await asyncio.sleep(5)
         assert one.has_quorum() and cluster.disks["10.0.0.1"].records["register"][b"body"] == example(5)
-        one.replica.disk.run_blocking = usual
+        one.replica.disk.run_blocking = run_blocking
         stalled.set()
-        await cluster.until(lambda: cluster.disks["10.0.0.1"].records["register"][b"body"] == example(8))
+        await cluster.wait_until(lambda: cluster.disks["10.0.0.1"].records["register"][b"body"] == example(8))
 
-    run(play)
+    run(scenario)
--- a/tests/system/test_discovery_service.py
+++ b/tests/system/test_discovery_service.py
@@ -20,7 +20,7 @@
 from stoneyoke.transport.messages import HeartbeatRow, InstanceRefresh, InstanceUpdate, InstanceUpdateResponse
 
 HEARTBEAT_ROUND_S = 4.0
-COUNTED_S = ACK_WINDOW_S + CLOCK_MARGIN_S
+PULL_COUNTS_AFTER_S = ACK_WINDOW_S + CLOCK_MARGIN_S
 
 
 class Link:
@@ -37,7 +37,7 @@
         return self.handle(message)
 
 
-class OneView:
+class FakeClusterView:
     """One controller's view of the cluster."""
 
     def __init__(self, cluster, own_address, links):
@@ -53,7 +53,7 @@
         return self.cluster.quorum
 
 
-class RecordedChanges(ChangeNotifier):
+class RecordingNotifier(ChangeNotifier):
     """Notes who has notified of a change."""
 
     def __init__(self, name, notified):
@@ -68,18 +68,18 @@
 class DiscoveryCluster:
     """Discovery at several controllers, each with links to all others.
 
-    ahead_s: how far the clock jumped, as after a suspension.
+    clock_offset_s: how far the clock jumped, as after a suspension.
     """
 
     def __init__(self, count, first_start=True):
         self.names = [f"10.0.0.{at}" for at in range(1, count + 1)]
-        self.voters, self.quorum, self.ahead_s = tuple(self.names), True, 0.0
+        self.voters, self.quorum, self.clock_offset_s = tuple(self.names), True, 0.0
         self.tasks, self.services, self.links, self.notified = BackgroundTasks(), {}, {}, []
         for name in self.names:
             self.start(name, first_start)
 
     def clock(self):
-        return asyncio.get_running_loop().time() + self.ahead_s
+        return asyncio.get_running_loop().time() + self.clock_offset_s
 
     def start(self, name, first_start=False):
         links = {other: Link(lambda message, other=other: self.handle(other, message)) for other in self.names}
@@ -89,10 +89,10 @@
             clock=self.clock,
             random_source=random.Random(name),
             tasks=self.tasks,
-            changes=RecordedChanges(name, self.notified),
+            changes=RecordingNotifier(name, self.notified),
         )
         self.services[name] = DiscoveryService(
-            OneView(self, name, links), context, silence_timeout_s=5.0, heartbeat_round_s=HEARTBEAT_ROUND_S
+            FakeClusterView(self, name, links), context, silence_timeout_s=5.0, heartbeat_round_s=HEARTBEAT_ROUND_S
         )
         if first_start:
             self.services[name].mark_first_start()
@@ -119,16 +119,16 @@
                 service.sweep()
 
 
-def play(story, count=3, first_start=True):
-    async def whole():
+def run(scenario, count=3, first_start=True):
+    async def run_scenario():
         cluster = DiscoveryCluster(count, first_start)
-        await story(cluster)
+        await scenario(cluster)
         if running := list(cluster.tasks):
             await asyncio.wait(running)
 
     loop = SimulatedLoop()
     try:
-        loop.run_until_complete(whole())
+        loop.run_until_complete(run_scenario())
     finally:
         loop.close()
 
@@ -149,7 +149,7 @@
 
 @test("a drain is acknowledged once a majority of the voters has it, and only then")
 def _():
-    async def story(cluster):
+    async def scenario(cluster):
         one, links = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]
         assert await one.heartbeat(heartbeat_call()) == Acknowledged()
         for other in ("10.0.0.2", "10.0.0.3"):
@@ -166,16 +166,16 @@
         cluster.quorum = True
         assert await one.leave(Leave("i-1")) == Acknowledged()
 
-    play(story)
+    run(scenario)
 
 
 @test("an answer that comes after the process was suspended is not counted, nor one under other voters")
 def _():
-    async def story(cluster):
+    async def scenario(cluster):
         one, links = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]
 
         def suspend(_):
-            cluster.ahead_s += ACK_WINDOW_S + 0.1
+            cluster.clock_offset_s += ACK_WINDOW_S + 0.1
             return InstanceUpdateResponse()
 
         handle = links["10.0.0.2"].handle
@@ -191,16 +191,16 @@
         assert isinstance(await one.heartbeat(heartbeat_call(3, True)), Unavailable)
         assert await one.heartbeat(heartbeat_call(4, True)) == Acknowledged()
 
-    play(story)
+    run(scenario)
 
 
 @test("a process that was suspended takes no update and no heartbeat for a while: they may have waited in its sockets")
 def _():
-    async def story(cluster):
+    async def scenario(cluster):
         one = cluster.services["10.0.0.1"]
         await cluster.services["10.0.0.2"].heartbeat(heartbeat_call())
         row = cluster.services["10.0.0.2"].registry.records["i-1"].row
-        cluster.ahead_s += STALL_THRESHOLD_S + 0.1
+        cluster.clock_offset_s += STALL_THRESHOLD_S + 0.1
         for _ in range(2):  # before its first sweep and after it
             assert one.handle_update(InstanceUpdate(instances=[row])) == InstanceUpdateResponse(accepted=False)
             assert one.handle_refresh(InstanceRefresh(heartbeats=[HeartbeatRow("i-1", 9)])) == InstanceUpdateResponse(
@@ -213,12 +213,12 @@
         await cluster.pass_time(STALL_RECOVERY_S + 0.1)
         assert one.handle_update(InstanceUpdate(instances=[row])) == InstanceUpdateResponse(accepted=True)
 
-    play(story)
+    run(scenario)
 
 
 @test("a row that was forwarded is refreshed in short; a row that changed is forwarded in full")
 def _():
-    async def story(cluster):
+    async def scenario(cluster):
         one, link = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]["10.0.0.2"]
         for call_seq in (1, 2, 3):
             await one.heartbeat(heartbeat_call(call_seq))
@@ -229,17 +229,17 @@
         assert link.carried == [InstanceUpdate, InstanceRefresh, InstanceRefresh, InstanceUpdate, InstanceUpdate]
         assert cluster.services["10.0.0.2"].registry.records["i-1"].row.call_seq == 4
 
-    play(story)
+    run(scenario)
 
 
 @test("a controller that restarted is not synced by one synced peer: that one may lack a drain")
 def _():
-    async def story(cluster):
+    async def scenario(cluster):
         one, links = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]
         links["10.0.0.3"].lost = (InstanceUpdate,)
         assert await one.heartbeat(heartbeat_call(2, True)) == Acknowledged()  # 1 and 2 have it, 3 does not
         again = cluster.start("10.0.0.2")
-        await cluster.pass_time(COUNTED_S)
+        await cluster.pass_time(PULL_COUNTS_AFTER_S)
         cluster.pull("10.0.0.2", "10.0.0.3")
         assert not again.synced() and not again.registry.records
         cluster.notified.clear()
@@ -247,17 +247,17 @@
         assert cluster.notified == ["10.0.0.2", "10.0.0.2"]  # by the row and as it is synced
         assert again.synced() and again.registry.records["i-1"].row.phase == Phase.DRAINING
 
-    play(story)
+    run(scenario)
 
 
 @test("pulls count only from synced voters, and not while an answer of the process before may be counted")
 def _():
-    async def story(cluster):
+    async def scenario(cluster):
         again = cluster.start("10.0.0.1")
         for other in ("10.0.0.2", "10.0.0.3"):
             cluster.pull("10.0.0.1", other)  # at once: too early
         assert not again.synced()
-        await cluster.pass_time(COUNTED_S)
+        await cluster.pass_time(PULL_COUNTS_AFTER_S)
         cluster.pull("10.0.0.1", "10.0.0.2")
         again.record_pull("10.0.0.9", True, cluster.clock())
         again.record_pull("10.0.0.3", False, cluster.clock())
@@ -265,12 +265,12 @@
         again.record_pull("10.0.0.3", True, cluster.clock())
         assert again.synced()
 
-    play(story)
+    run(scenario)
 
 
 @test("five voters: one that answered and restarted before the count was done still learns of the drain")
 def _():
-    async def story(cluster):
+    async def scenario(cluster):
         one, links = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]
         for other in ("10.0.0.4", "10.0.0.5"):
             links[other].lost = (InstanceUpdate,)
@@ -283,17 +283,17 @@
             cluster.pull("10.0.0.2", other)
         assert await counting == Acknowledged()
         assert not again.synced()
-        await cluster.pass_time(COUNTED_S)
+        await cluster.pass_time(PULL_COUNTS_AFTER_S)
         for other in ("10.0.0.3", "10.0.0.4", "10.0.0.5"):
             cluster.pull("10.0.0.2", other)
         assert again.synced() and again.registry.records["i-1"].row.phase == Phase.DRAINING
 
-    play(story, count=5)
+    run(scenario, count=5)
 
 
 @test("with no synced voter to pull from, it takes one round of all instances' heartbeats, all of it with a quorum")
 def _():
-    async def story(cluster):
+    async def scenario(cluster):
         one = cluster.services["10.0.0.1"]
         await cluster.pass_time(HEARTBEAT_ROUND_S - 1.0)
         cluster.pull("10.0.0.1", "10.0.0.2")
@@ -304,13 +304,13 @@
         cluster.quorum = True
         await cluster.pass_time(HEARTBEAT_ROUND_S - 0.5)
         assert not one.synced()
-        cluster.ahead_s += HEARTBEAT_ROUND_S  # it was suspended and heard nobody meanwhile
+        cluster.clock_offset_s += HEARTBEAT_ROUND_S  # it was suspended and heard nobody meanwhile
         assert not one.synced()
         cluster.notified.clear()
         await cluster.pass_time(HEARTBEAT_ROUND_S + STALL_RECOVERY_S + 2 * SWEEP_INTERVAL_S)
         assert one.synced() and "10.0.0.1" in cluster.notified
 
-    play(story, first_start=False)
+    run(scenario, first_start=False)
 
 
 @test("the system's first start is synced at once; a controller that becomes a voter while it runs starts over")
@@ -320,6 +320,6 @@
     assert startup_sync.evaluate((), 0.0) and startup_sync.evaluate(("a", "b", "c"), 1.0)
     assert not startup_sync.evaluate(("a", "b", "d"), 9.0)
     for name in "ab":
-        startup_sync.record_pull(name, True, 9.0 + COUNTED_S)
+        startup_sync.record_pull(name, True, 9.0 + PULL_COUNTS_AFTER_S)
     assert startup_sync.evaluate(("a", "b", "d"), 10.0)
     assert not StartupSync("a", 0.0, HEARTBEAT_ROUND_S).evaluate((), 99.0)  # who votes is not known
--- a/tests/system/test_instance_registry.py
+++ b/tests/system/test_instance_registry.py
@@ -80,11 +80,11 @@
 
 @test("a controller that was suspended sends no instance as ready that it has not heard of since")
 def _():
-    for quiet_s, expected in ((1.0, [Phase.READY]), (SILENT_S + 2.0, [Phase.SILENT]), (RECORD_TTL_S + 1.0, [])):
+    for suspended_s, expected in ((1.0, [Phase.READY]), (SILENT_S + 2.0, [Phase.SILENT]), (RECORD_TTL_S + 1.0, [])):
         registry = InstanceRegistry(SILENT_S)
         registry.merge(row(), 0.0)
         registry.sweep(0.1)
-        assert [one.phase for one in registry.changes_since(0, quiet_s)] == expected
+        assert [one.phase for one in registry.changes_since(0, suspended_s)] == expected
 
 
 @test("no chain of rows outlives the tombstone: the silence of a row that arrives as silent counts as past")
--- a/tests/system/test_leases.py
+++ b/tests/system/test_leases.py
@@ -11,8 +11,8 @@
 STEPS = 400
 RESTART_CHANCE = 0.02
 ROUND_CHANCE = 0.3
-REQUEST_ARRIVES = 0.7
-REPLY_ARRIVES = 0.8
+REQUEST_ARRIVAL_CHANCE = 0.7
+RESPONSE_ARRIVAL_CHANCE = 0.8
 
 
 def request(holder, incarnation, round_number, ttl_s=LEASE_TTL_S):
@@ -29,7 +29,7 @@
         self.granters = {name: LeaseGranter(0.0, True) for name in NAMES}
         self.holders = {name: LeaseHolder() for name in NAMES}
         self.incarnations = dict.fromkeys(NAMES, 0)
-        self.requests, self.replies, self.now = [], [], 0.0  # under way, the time of arrival first
+        self.requests, self.responses, self.now = [], [], 0.0  # under way, the time of arrival first
 
     def step(self):
         chance = self.random_source.random
@@ -44,30 +44,30 @@
         if chance() < ROUND_CHANCE:
             self.start_round(name)
         self.deliver_requests()
-        self.deliver_replies()
+        self.deliver_responses()
 
     def start_round(self, candidate):
         holder = self.holders[candidate]
         holder.start_round(self.now)
         sent = request(candidate, f"{candidate}-{self.incarnations[candidate]}", holder.round_number)
         for voter in NAMES:
-            if self.random_source.random() < REQUEST_ARRIVES:
+            if self.random_source.random() < REQUEST_ARRIVAL_CHANCE:
                 arrives_at = self.now + self.random_source.random() * 0.3
                 self.requests.append((arrives_at, candidate, voter, self.now, sent))
 
     def deliver_requests(self):
-        for item in sorted((one for one in self.requests if one[0] <= self.now), key=lambda one: one[:4]):
-            self.requests.remove(item)
-            _, candidate, voter, round_started_at, sent = item
+        for message in sorted((one for one in self.requests if one[0] <= self.now), key=lambda one: one[:4]):
+            self.requests.remove(message)
+            _, candidate, voter, round_started_at, sent = message
             granted = self.granters[voter].request(sent, self.now).granted
-            if self.random_source.random() < REPLY_ARRIVES:
+            if self.random_source.random() < RESPONSE_ARRIVAL_CHANCE:
                 delay_s = self.random_source.choice((0.0, 0.05, 1.5)) * self.random_source.random()
-                self.replies.append((self.now + delay_s, candidate, voter, granted, round_started_at))
+                self.responses.append((self.now + delay_s, candidate, voter, granted, round_started_at))
 
-    def deliver_replies(self):
-        for item in sorted(one for one in self.replies if one[0] <= self.now):
-            self.replies.remove(item)
-            _, candidate, voter, granted, round_started_at = item
+    def deliver_responses(self):
+        for message in sorted(one for one in self.responses if one[0] <= self.now):
+            self.responses.remove(message)
+            _, candidate, voter, granted, round_started_at = message
             if granted:
                 self.holders[candidate].record_grant(voter, NAMES, round_started_at)
 
--- a/tests/system/test_record_store.py
+++ b/tests/system/test_record_store.py
@@ -87,7 +87,7 @@
         elif self.random_source.random() < 0.5:
             self.truncate_unsynced_files()
         self.store = SimulatedRecordStore(self.folder, self.store.state)
-        self.assert_nothing_forgotten()
+        self.assert_nothing_lost()
 
     def truncate_unsynced_files(self):
         """A killed process may have written a part of what it had not synced yet."""
@@ -96,7 +96,7 @@
             if content != self.store.state.contents.get(name) and self.random_source.random() < 0.5:
                 os.truncate(os.path.join(self.folder, name), self.random_source.randrange(len(content) + 1))
 
-    def assert_nothing_forgotten(self):
+    def assert_nothing_lost(self):
         for family, history in self.histories.items():
             history.assert_not_older(self.store.load(family).record)
 
@@ -122,7 +122,7 @@
             case "restart":
                 self.restart(self.random_source.random() < 0.7)
             case "load":
-                self.assert_nothing_forgotten()
+                self.assert_nothing_lost()
 
     def crash_in_save(self, family):
         """The process ends at some step of the next saves."""
@@ -244,16 +244,16 @@
     class StalledStore(SimulatedRecordStore):
         def sync_path(self, path):
             reached.set()
-            assert goes_on.wait(10)
+            assert resume.wait(10)
             super().sync_path(path)
 
-    reached, goes_on = threading.Event(), threading.Event()
+    reached, resume = threading.Event(), threading.Event()
     store = StalledStore(folder)
     threads = [threading.Thread(target=store.save, args=("register", {b"body": body})) for body in (b"1", b"2")]
     threads[0].start()
     assert reached.wait(10)
     threads[1].start()
-    goes_on.set()
+    resume.set()
     for thread in threads:
         thread.join(10)
     assert store.load("register").record == RecordStore(folder).load("register").record == {b"body": b"2"}
--- a/tests/system/test_recovery.py
+++ b/tests/system/test_recovery.py
@@ -35,7 +35,7 @@
 
 @test("the one replica that is left goes on with its configuration, and the others join with empty disks")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         assert await cluster.controllers["10.0.0.1"].handle_call(put(5)) == Acknowledged()
         for name in cluster.names:
@@ -49,17 +49,17 @@
         promised = read_promise(left[PROMISE])
         left[REGISTER] = register_record(recovered_register(read_register(left[REGISTER]), promised, A))
         alone = await cluster.start("10.0.0.1")
-        await cluster.until(lambda: alone.replica.chosen is not None)
+        await cluster.wait_until(lambda: alone.replica.chosen is not None)
         assert await alone.handle_call(ReadConfiguration()) == Document(example(5))
         assert await alone.handle_call(put(6)) == Acknowledged()
         for name in ("10.0.0.2", "10.0.0.3"):
             await cluster.start(name)
-        await cluster.until(lambda: len(voters(cluster).members) == 3)
+        await cluster.wait_until(lambda: len(voters(cluster).members) == 3)
         await all_have_quorum(cluster)
         cluster.stop("10.0.0.1")
         assert await cluster.controllers["10.0.0.2"].handle_call(ReadConfiguration()) == Document(example(6))
 
-    run(play)
+    run(scenario)
 
 
 @fixture
--- a/tests/system/test_replica.py
+++ b/tests/system/test_replica.py
@@ -14,30 +14,30 @@
 
 @test("a stalled disk holds a bounded number of writes, refuses further ones, and takes new ones once it goes on")
 async def _():
-    goes_on = asyncio.Event()
+    resume = asyncio.Event()
 
-    async def stall(work, *arguments):
-        await goes_on.wait()
-        return work(*arguments)
+    async def stall(operation, *arguments):
+        await resume.wait()
+        return operation(*arguments)
 
     replica = Replica("10.0.0.1", Disk(), stall, lambda: None)
-    waiting = [asyncio.create_task(replica.prepare(Ballot(at + 1, "a"))) for at in range(MAX_WAITING_WRITES)]
+    waiting_writes = [asyncio.create_task(replica.prepare(Ballot(at + 1, "a"))) for at in range(MAX_WAITING_WRITES)]
     await asyncio.sleep(0)
     with raises(WriteQueueFull):
         await replica.prepare(Ballot(100, "a"))
     assert not await replica.prepare_or_refuse(Ballot(100, "a"))
-    goes_on.set()
-    assert all(await asyncio.gather(*waiting)) and replica.acceptor.promised.counter == MAX_WAITING_WRITES
+    resume.set()
+    assert all(await asyncio.gather(*waiting_writes)) and replica.acceptor.promised.counter == MAX_WAITING_WRITES
     assert await replica.prepare(Ballot(100, "a"))
 
 
 @test("a disk that refuses leaves the promise and the accepted value as they were")
 async def _():
-    async def run_at_once(work, *arguments):
-        return work(*arguments)
+    async def run_inline(operation, *arguments):
+        return operation(*arguments)
 
     disk = Disk()
-    replica = Replica("10.0.0.1", disk, run_at_once, lambda: None)
+    replica = Replica("10.0.0.1", disk, run_inline, lambda: None)
     disk.refuses = True
     assert not await replica.prepare_or_refuse(Ballot(1, "a"))
     assert not await replica.accept_or_refuse(initial_value(["10.0.0.1"])._replace(ballot=Ballot(1, "a")))
--- a/tests/system/test_voter_set.py
+++ b/tests/system/test_voter_set.py
@@ -17,7 +17,7 @@
 from stoneyoke.consensus.voter_set import MemberReport, next_voters
 
 A, B, C, D, E = (ReplicaId(name, "first") for name in "abcde")
-LOST_S = 2.0
+LOST_AFTER_S = 2.0
 
 
 def report(silent=None, leaving=(), learners=()):
@@ -36,26 +36,26 @@
 @test("a voter that is silent, leaves or lost its disk gives its place to a learner, and to nobody else")
 def _():
     abc = (A, B, C)
-    assert next_voters(abc, report({C: 9.0}), 3, LOST_S) == abc
-    assert next_voters(abc, report({C: 1.0}, learners=[D]), 3, LOST_S) == abc
-    assert next_voters(abc, report({C: 2.1}, learners=[D, E]), 3, LOST_S) == (A, B, D)
-    assert next_voters(abc, report(leaving=[A], learners=[D]), 3, LOST_S) == (B, C, D)
-    assert next_voters(abc, report({C: 2.1}, leaving=[D], learners=[D]), 3, LOST_S) == abc
+    assert next_voters(abc, report({C: 9.0}), 3, LOST_AFTER_S) == abc
+    assert next_voters(abc, report({C: 1.0}, learners=[D]), 3, LOST_AFTER_S) == abc
+    assert next_voters(abc, report({C: 2.1}, learners=[D, E]), 3, LOST_AFTER_S) == (A, B, D)
+    assert next_voters(abc, report(leaving=[A], learners=[D]), 3, LOST_AFTER_S) == (B, C, D)
+    assert next_voters(abc, report({C: 2.1}, leaving=[D], learners=[D]), 3, LOST_AFTER_S) == abc
     wiped = ReplicaId("c", "5e")
-    assert next_voters(abc, report(learners=[D, wiped]), 3, LOST_S) == (A, B, wiped)
+    assert next_voters(abc, report(learners=[D, wiped]), 3, LOST_AFTER_S) == (A, B, wiped)
 
 
 @test("voters are added up to their wanted number, never to an even one")
 def _():
     abc = (A, B, C)
-    assert next_voters(abc, report(learners=[D]), 5, LOST_S) == abc
-    assert next_voters(abc, report(learners=[D, E]), 5, LOST_S) == (A, B, C, D, E)
-    assert next_voters((A,), report(learners=[B]), 3, LOST_S) == (A,)
-    assert next_voters((A,), report(learners=[B, C]), 3, LOST_S) == abc
-    assert next_voters((A, B), report(learners=[C, D]), 3, LOST_S) == abc
+    assert next_voters(abc, report(learners=[D]), 5, LOST_AFTER_S) == abc
+    assert next_voters(abc, report(learners=[D, E]), 5, LOST_AFTER_S) == (A, B, C, D, E)
+    assert next_voters((A,), report(learners=[B]), 3, LOST_AFTER_S) == (A,)
+    assert next_voters((A,), report(learners=[B, C]), 3, LOST_AFTER_S) == abc
+    assert next_voters((A, B), report(learners=[C, D]), 3, LOST_AFTER_S) == abc
     five = (A, B, C, D, E)
     others = [ReplicaId(name, "5e") for name in "fg"]
-    assert next_voters(five, report({D: 3.0, E: 4.0}, learners=others), 5, LOST_S) == (A, B, C, *others)
+    assert next_voters(five, report({D: 3.0, E: 4.0}, learners=others), 5, LOST_AFTER_S) == (A, B, C, *others)
 
 
 @test("the register comes back from its records as it was written, and from those of the release before")
@@ -65,8 +65,8 @@
     assert read_register(register_record(accepted)) == accepted
     assert read_promise(promise_record(Ballot(9, "b/2"))) == Ballot(9, "b/2")
     old = {b"number": b"2", b"names": b"a,b,c", b"standing": b"1", b"promised": b'[0, ""]', b"pending": b"null"}
-    held = legacy_register(old, {b"body": example(5)}, version)
-    assert held.value == RegisterValue(VoterSet(2, (A, B, C)), (), version, example(5))
+    migrated = legacy_register(old, {b"body": example(5)}, version)
+    assert migrated.value == RegisterValue(VoterSet(2, (A, B, C)), (), version, example(5))
     later = legacy_register(old, {b"body": example(6)}, version_of(6))
-    assert later.ballot > held.ballot  # of the copies the highest version goes first
+    assert later.ballot > migrated.ballot  # of the copies the highest version goes first
     assert legacy_register(old | {b"standing": b"0"}, None, Version()) is None
