--- a/tests/system/compatibility/__init__.py
+++ b/tests/system/compatibility/__init__.py
@@ -1,1 +1,1 @@
-"""What earlier texts of this software wrote, and the tests that today's text reads it."""
+"""Data written by earlier releases, and the tests that the current code reads it."""
--- a/tests/system/compatibility/recorded_messages.py
+++ b/tests/system/compatibility/recorded_messages.py
@@ -1,6 +1,6 @@
-"""The messages of 0c80eb9/messages.txt as values of today's types, in the file's order.
+"""The messages of 0c80eb9/messages.txt as values of the current types, in the file's order.
 
-The first are one of each kind; the others hold the edges: empty, negative and large values.
+The first are one of each kind; the others are edge cases: empty, negative and large values.
 """
 
 from pathlib import Path
@@ -81,7 +81,7 @@
 
 
 class RecordedFrame(NamedTuple):
-    """A frame as the earlier text packed it."""
+    """A frame as the earlier release packed it."""
 
     kind: str
     call_number: int
@@ -89,18 +89,18 @@
 
 
 def recorded_frames() -> list[RecordedFrame]:
-    """The frames of the recording."""
+    """Returns the frames of the recording."""
     lines = [line.split() for line in RECORDING.read_text().splitlines() if not line.startswith("#")]
     return [RecordedFrame(kind, int(number), bytes.fromhex(data)) for kind, number, data in lines]
 
 
 def recorded_values() -> list[Message]:
-    """What each frame of the recording holds."""
+    """Returns the message of each frame of the recording."""
     return [*one_of_each_kind(), *edge_cases()]
 
 
 def one_of_each_kind() -> list[Message]:
-    """A message of each kind, by tag."""
+    """Returns a message of each kind, in the order of their tags."""
     return [
         PullRequest(
             name="edge-1",
@@ -172,7 +172,7 @@
 
 
 def edge_cases() -> list[Message]:
-    """Messages with empty, negative and large values."""
+    """Returns messages with empty, negative and large values."""
     return [
         PullRequest(
             name="c-2",
--- a/tests/system/compatibility/test_recorded_data_folders.py
+++ b/tests/system/compatibility/test_recorded_data_folders.py
@@ -1,4 +1,4 @@
-"""Data folders that earlier releases wrote: today's code reads the same values, and writes the same bytes for them."""
+"""Data folders of earlier releases: the current code reads the same values, and writes the same bytes for them."""
 
 import asyncio
 import json
@@ -34,7 +34,7 @@
 
 @dataclass
 class StoredData:
-    """A copy of a release's data folder, and what it means."""
+    """A copy of a release's data folder, and the values that it contains."""
 
     release: str
     folder: str
@@ -79,7 +79,7 @@
 
 
 def started_replica(folder):
-    """A replica that has started on this folder, as a controller does that was there before."""
+    """Returns a replica that has loaded this folder, as a controller does that isn't at its first start."""
 
     async def run_inline(operation, *args):
         return operation(*args)
@@ -98,7 +98,7 @@
     assert read_configuration(replica.acceptor.accepted.value.body).version == replica.acceptor.accepted.value.version
 
 
-@test("a torn record of an earlier release is passed over and named")
+@test("a torn record of an earlier release is skipped and named")
 def _(stored=stored):
     record, torn = RecordStore(stored.folder).load(REGISTER)
     assert read_register(record) == register_value(stored.values["registers"][-1])
@@ -117,7 +117,7 @@
     ]
 
 
-@test("the same values make the same files, byte for byte")
+@test("the same values are written to the same files, byte for byte")
 def _(stored=stored, parent=parent):
     folder = Path(parent) / "written"
     store, values = RecordStore(str(folder)), stored.values
@@ -134,7 +134,7 @@
         assert (folder / name).read_bytes() == stored.original(name), name
 
 
-@test("a replica takes over the configuration and the voters of the release before the register")
+@test("a replica loads the configuration and the voters of the release before the register")
 def _(earlier=earlier):
     replica, values = started_replica(earlier.folder), earlier.values
     body = values["body"].encode()
--- a/tests/system/compatibility/test_recorded_messages.py
+++ b/tests/system/compatibility/test_recorded_messages.py
@@ -1,4 +1,4 @@
-"""Messages that an earlier text packed keep their bytes and their values."""
+"""The current codec unpacks messages of an earlier release to the same values, and packs these to the same bytes."""
 
 from ward import each, test
 
@@ -12,20 +12,20 @@
 EACH_VALUE = each(*VALUES)
 
 
-@test("the recording holds every kind of message")
+@test("the recording contains every kind of message")
 def _() -> None:
     assert len(FRAMES) == len(VALUES)
     assert {frame.kind for frame in FRAMES} == {kind.__name__ for kind in KINDS}
 
 
-@test("today's codec reads a recorded {frame.kind} to the same value and packs that to the same bytes")
+@test("the current codec unpacks a recorded {frame.kind} to the same value and packs that to the same bytes")
 def _(frame: RecordedFrame = EACH_FRAME, value: Message = EACH_VALUE) -> None:
     assert type(value).__name__ == frame.kind
     assert unpack(frame.data[LENGTH_BYTES:]) == (frame.call_number, value)
     assert pack(frame.call_number, value) == frame.data
 
 
-@test("a field of a message or of its rows is read under its own name, not only at its place")
+@test("each field of a message and of its rows is unpacked under its own name, not only at its position")
 def _() -> None:
     for frame, value in zip(FRAMES, VALUES, strict=True):
         assert repr(unpack(frame.data[LENGTH_BYTES:])[1]) == repr(value)
--- a/tests/system/compatibility/write_messages.py
+++ b/tests/system/compatibility/write_messages.py
@@ -1,7 +1,7 @@
 """Writes the messages of an earlier release, in a checkout of it: see README.md."""
 
 # mypy: ignore-errors
-# The messages are built by position, as that release built them.
+# The messages are built with positional arguments, as in that release.
 
 import sys
 from pathlib import Path
@@ -92,7 +92,7 @@
 
 
 def main() -> None:
-    """Writes a frame a line: the kind of message, the number of the call, the bytes."""
+    """Writes one frame per line: the kind of message, the number of the call, the bytes."""
     recording = Path(sys.argv[1])
     lines = []
     for number, message in enumerate([*ONE_OF_EACH_KIND, *EDGE_CASES], 1):
--- a/tests/system/compatibility/write_records.py
+++ b/tests/system/compatibility/write_records.py
@@ -1,6 +1,6 @@
 """Writes a data folder with the release whose checkout is the working directory. README.md says how to run it.
 
-The first argument is the folder to write into: `records/` for the files, `values.json` for what they mean.
+The first argument is the folder to write into: `records/` gets the files, `values.json` the values that they contain.
 """
 
 import importlib.util
@@ -22,7 +22,7 @@
 
 
 def example_body(number: int) -> bytes:
-    """The example configuration of that release's tests."""
+    """Returns the example configuration of that release's tests."""
     spec = importlib.util.spec_from_file_location("configurations", CONFIGURATIONS)
     assert spec and spec.loader
     module = importlib.util.module_from_spec(spec)
@@ -32,7 +32,7 @@
 
 
 def register_values() -> list[dict[str, Any]]:
-    """What the register held, oldest first: empty, a configuration, and another one amid a change of voters."""
+    """Returns the register's values, oldest first: empty, a configuration, another one during a change of voters."""
     from stoneyoke.api.configuration import read_configuration
 
     values: list[dict[str, Any]] = [
@@ -55,7 +55,7 @@
 
 
 def write_register_release(folder: str) -> dict[str, Any]:
-    """The release whose register is decided by ballots: families identity, promise and register."""
+    """Writes the records of the release whose register is decided by ballots: identity, promise and register."""
     from stoneyoke.controlplane.consensus import Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
     from stoneyoke.controlplane.record_formats import identity_record, promise_record, register_record
 
@@ -80,7 +80,7 @@
 
 
 def write_earlier_release(folder: str) -> dict[str, Any]:
-    """The release before the register: the configuration in "word", the voters in "crew"."""
+    """Writes the records of the release before the register: the configuration in "word", the voters in "crew"."""
     store, body = RecordStore(folder), example_body(OLD_CONFIGURATION_NUMBER)
     names = [address for address, _ in MEMBERS]
     store.keep(
@@ -98,7 +98,7 @@
 
 
 def main() -> None:
-    """Picks the families by what the old release has."""
+    """Writes the families of the old release, which is recognized by its source files."""
     target = Path(sys.argv[1])
     has_register = Path("stoneyoke/controlplane/consensus.py").exists()
     write = write_register_release if has_register else write_earlier_release
--- a/tests/system/controller_cluster.py
+++ b/tests/system/controller_cluster.py
@@ -1,4 +1,4 @@
-"""A cluster of controllers without sockets: links that call each other's handlers, disks in memory, simulated time."""
+"""A cluster of controllers without sockets: links call the receiver's handler, disks and time are simulated."""
 
 import asyncio
 from collections import Counter
@@ -17,22 +17,22 @@
 BOUNDS = ServiceBounds(catch_up_s=4.0, quota_window_s=5.0, quota_excess_ratio=0.1, quota_slack_units=20.0)
 SILENCE_TIMEOUT_S = 5.0
 POLL_S = 0.005
-CONDITION_TIMEOUT_S = 60.0  # simulated; a condition that does not hold by then fails its test
+CONDITION_TIMEOUT_S = 60.0  # simulated seconds; a condition that isn't true by then fails its test
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time passes only when nothing is left to do, and then at once: no test waits."""
+    """An event loop with simulated time, which advances without waiting when no callback is ready to run."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1000.0
-        selector: Any = self._selector  # type: ignore[attr-defined]  # asyncio's own, without a public name
+        selector: Any = self._selector  # type: ignore[attr-defined]  # private attribute of asyncio
         real_select = selector.select
 
         def select(timeout: float | None) -> Any:
             events = real_select(0)
             if not events:
-                assert timeout is not None, "everything waits for something else"
+                assert timeout is not None, "deadlock: nothing is ready to run and no timer is set"
                 self.now += timeout
             return events
 
@@ -43,7 +43,7 @@
 
 
 class Disk:
-    """A machine's records. refuses: each write fails."""
+    """A machine's disk, with its records in memory. refuses: each write fails."""
 
     def __init__(self) -> None:
         self.records: dict[str, Record] = {}
@@ -64,11 +64,11 @@
     """Controllers by address.
 
     Attributes:
-        cuts: pairs of controllers that can't reach each other.
-        down: controllers that are off.
-        lost: by receiver, the names of message types that are lost.
+        partitions: pairs of controllers that can't reach each other.
+        down: controllers that are stopped.
+        lost: by receiver, the names of the message types that it doesn't receive.
         carried: how often each message type was sent.
-        cutting: an address and a message type: this controller is cut off once it has sent such a message.
+        isolate_after: an address and a message type: this controller becomes unreachable after sending such a message.
     """
 
     def __init__(self, count: int = 3, seeds: int = 3, losses: int = 1) -> None:
@@ -83,7 +83,7 @@
         self.isolate_after: tuple[str, str] | None = None
 
     def add(self, name: str) -> None:
-        """A machine that was not there before, with an empty disk."""
+        """Adds a new machine with an empty disk."""
         self.names.append(name)
         self.disks[name] = Disk()
 
@@ -121,11 +121,11 @@
 
     async def wait_until(self, holds: Callable[[], object]) -> None:
         async with asyncio.timeout(CONDITION_TIMEOUT_S):
-            while not holds():  # noqa: ASYNC110 -- in simulated time, and nothing tells of the condition
+            while not holds():  # noqa: ASYNC110 -- in simulated time, and no event signals the condition
                 await asyncio.sleep(POLL_S)
 
     def cut(self, name: str) -> None:
-        """Cuts this controller off from all others; ends other cuts."""
+        """Partitions this controller from all others; ends other partitions."""
         self.partitions = [{name, other} for other in self.names if other != name]
 
     def are_partitioned(self, one: str, other: str) -> bool:
@@ -145,7 +145,7 @@
         if other in cluster.down or other not in cluster.controllers:
             raise PeerUnreachable(other)
         if cluster.are_partitioned(own, other) or kind in cluster.lost.get(other, ()):
-            await asyncio.sleep(timeout_s)  # a cut says nothing
+            await asyncio.sleep(timeout_s)  # a partition is noticed by the time-out only
             raise PeerUnreachable(other)
         answer = await cluster.controllers[other].handle_message(as_received(message))
         if cluster.isolate_after == (own, kind):
@@ -153,26 +153,26 @@
             cluster.cut(own)
         if cluster.are_partitioned(own, other) or own in cluster.down:
             raise PeerUnreachable(other)
-        assert answer is not None, f"{kind} has no answer"
+        assert answer is not None, f"{kind} got no response"
         return as_received(answer)
 
 
 def as_received(message: Message) -> Message:
-    """The message as its receiver unpacks it."""
+    """Returns the message as its receiver unpacks it."""
     return unpack(pack(1, message)[4:])[1]
 
 
 async def run_blocking(operation: Callable[..., Any], *args: Any) -> Any:
-    """In place of a thread: the work is done at once, one turn of the loop later."""
+    """Replaces the thread for disk operations: runs the operation in the next iteration of the event loop."""
     await asyncio.sleep(0)
     return operation(*args)
 
 
 def run(scenario: Callable[[Cluster], Coroutine[Any, Any, None]], **shape: int) -> None:
-    """Plays a story with a cluster whose controllers have all started for the first time.
+    """Runs a scenario with a cluster whose controllers have all started for the first time.
 
     Args:
-        play: the story.
+        scenario: a coroutine function that gets the cluster.
         shape: Cluster's arguments.
     """
     cluster = Cluster(**shape)
--- a/tests/system/controller_steps.py
+++ b/tests/system/controller_steps.py
@@ -1,4 +1,4 @@
-"""What tests of controllers at work together do and look at: calls of operators and instances, and their state."""
+"""Steps of tests with a cluster of controllers: calls of operators and instances, queries of the cluster's state."""
 
 import json
 from collections.abc import Callable
@@ -13,17 +13,22 @@
 
 
 def put(number: int, change: Callable[[Any], None] | None = None) -> ApiCall | Rejected:
-    """An operator's call that replaces the configuration by the example with this number, changed if asked for."""
+    """Returns an operator's call that replaces the configuration by the example with this number.
+
+    Args:
+        number: the configuration's number.
+        change: modifies the example; None: it stays as it is.
+    """
     return read_call("POST", "/config/replace", example(number, change))
 
 
 def other_content(configuration: dict[str, Any]) -> None:
-    """Changes a configuration without changing its number."""
+    """Changes a configuration's content without changing its number."""
     configuration.update(limits=None)
 
 
 def heartbeat(seq: int = 1, phase: str = "ready", instance: str = "i-1") -> ApiCall | Rejected:
-    """An instance's heartbeat."""
+    """Returns an instance's heartbeat."""
     body = {
         "address": "10.0.1.1:80",
         "details": {"target_service": "tide", "capacity": 2},
@@ -38,16 +43,16 @@
 
 
 def voters(cluster: Cluster, name: str = "10.0.0.2") -> VoterSet:
-    """The voters as one controller knows them."""
+    """Returns the voters that one controller knows."""
     return cluster.controllers[name].replica.voters()
 
 
 def status(cluster: Cluster, name: str = "10.0.0.2") -> dict[str, Any]:
-    """One controller's status report."""
+    """Returns one controller's status report."""
     report: dict[str, Any] = json.loads(cluster.controllers[name].status())
     return report
 
 
 def lease_holders(cluster: Cluster) -> list[str]:
-    """The controllers that hold the quota lease, by their own account."""
+    """Returns the controllers that consider themselves the holder of the quota lease."""
     return [name for name, one in cluster.controllers.items() if one.lease.is_held()]
--- a/tests/system/test_configuration_service.py
+++ b/tests/system/test_configuration_service.py
@@ -1,4 +1,4 @@
-"""What a replacement of the configuration comes to, given a chosen value."""
+"""The result of replacing the configuration, given a chosen value."""
 
 from configurations import example
 from ward import test
@@ -23,7 +23,7 @@
     return RegisterValue(VOTERS, version=configuration(number).version, body=example(number))
 
 
-@test("the highest number wins, an older one changes nothing, and one number keeps its first content")
+@test("the highest number wins, a lower one changes nothing, and the content of a number never changes")
 def _():
     found = register_with(5)
     assert apply_replacements((configuration(4), configuration(5, other_content)), found) is found
@@ -33,14 +33,14 @@
     assert apply_replacements((second, first), found).body == second.body
 
 
-@test("a replacement sent again is acknowledged, one that is overtaken too")
+@test("a replacement that is sent again, or is older than the chosen configuration, is acknowledged")
 def _():
     chosen = register_with(5)
     assert outcome_of(configuration(5), chosen) == Acknowledged()
     assert outcome_of(configuration(4), chosen) == Acknowledged()
 
 
-@test("another content of the chosen number conflicts, and a higher number is undecided")
+@test("other content under the chosen number is a conflict, and a higher number is undecided")
 def _():
     chosen = register_with(5)
     conflict = outcome_of(configuration(5, other_content), chosen)
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -1,4 +1,4 @@
-"""The consensus protocol, one step at a time: acceptor, round, change of voters, read, views."""
+"""The decision logic of the consensus protocol: acceptor, round, change of voters, read, views."""
 
 from dataclasses import replace
 
@@ -41,7 +41,7 @@
 # ---- acceptor ----
 
 
-@test("an acceptor refuses ballots below the one promised, and takes the same one again")
+@test("an acceptor refuses ballots below the one promised, and promises and accepts the same one again")
 def _():
     acceptor = Acceptor()
     acceptor.promise(BALLOT_2)
@@ -58,7 +58,7 @@
     )
 
 
-@test("an acceptor read from disk has promised what it has accepted; an older promise lowers nothing")
+@test("an acceptor read from disk has promised the ballot that it accepted; an older promise changes nothing")
 def _():
     acceptor = Acceptor(BALLOT_1, Proposal(BALLOT_2, VALUE_1))
     assert acceptor.promised == BALLOT_2
@@ -67,7 +67,7 @@
     assert Acceptor(BALLOT_3, Proposal(BALLOT_2, VALUE_1)).promised == BALLOT_3
 
 
-@test("a chosen value is lacking only where an older one, or none, is accepted")
+@test("an acceptor is behind a chosen proposal only if it has accepted an older one, or none")
 def _():
     assert Acceptor().is_behind(INITIAL) and Acceptor().accepted_ballot() == NO_BALLOT
     assert Acceptor(BALLOT_3, Proposal(BALLOT_1, VALUE_1)).is_behind(Proposal(BALLOT_2, VALUE_2))
@@ -95,7 +95,7 @@
     assert proposal_round.chosen_proposal() == Proposal(BALLOT_2, VALUE_1)
 
 
-@test("whoever does not vote counts for nothing, nor a member with another disk")
+@test("responses of replicas that don't vote, or of a member with another disk, don't count")
 def _():
     proposal_round = report_promises(start_round(), A, D, ReplicaId("b", "new"))
     assert proposal_round.phase is Phase.PREPARE
@@ -105,7 +105,7 @@
     assert proposal_round.phase is Phase.ACCEPT
 
 
-@test("a round builds on the highest value found, not on what it knew")
+@test("a round builds on the value found with the highest ballot, not on the one that its process knew")
 def _():
     proposal_round = start_round(change=lambda found: found, ballot=BALLOT_3, known=Proposal(BALLOT_1, VALUE_1))
     proposal_round.on_promised(A, Proposal(BALLOT_1, VALUE_1))
@@ -113,7 +113,7 @@
     assert proposal_round.proposed_value == VALUE_2 and proposal_round.newest_found() == Proposal(BALLOT_2, VALUE_2)
 
 
-@test("an answer that comes late, or of a lost round, changes nothing")
+@test("a response that arrives late, or for a lost round, changes nothing")
 def _():
     proposal_round = report_promises(start_round(change=lambda found: found), A, B)
     proposal_round.on_promised(C, Proposal(BALLOT_1, VALUE_1))
@@ -126,7 +126,7 @@
     assert early.phase is Phase.LOST and early.highest_refusal == BALLOT_3 and early.proposed_value is None
 
 
-@test("a refusal after the decision takes nothing back")
+@test("a refusal after the value is chosen changes nothing")
 def _():
     proposal_round = report_promises(start_round(), A, B)
     proposal_round.on_accepted(A)
@@ -153,7 +153,7 @@
     assert other.phase is Phase.ACCEPT
 
 
-@test("a round that finds newer voters asks a majority of these too")
+@test("a round that finds newer voters also needs a majority of these")
 def _():
     proposal_round = start_round(ballot=BALLOT_3)
     proposal_round.on_promised(B, INITIAL)
@@ -163,7 +163,7 @@
     assert proposal_round.phase is Phase.ACCEPT
 
 
-@test("an undecided change stays joint, and no other one is begun on it")
+@test("a change of voters that isn't known to be chosen stays joint, and no other one is begun on top of it")
 def _():
     other = VoterSet(3, (A, D))
     proposal_round = start_round(lambda found: replace(found, voters=other, version=VALUE_1.version), ballot=BALLOT_3)
@@ -171,7 +171,7 @@
     assert proposal_round.proposed_value == replace(JOINT_VALUE, version=VALUE_1.version)
 
 
-@test("a change known to be chosen is joint no more, and the next one builds on it")
+@test("a change of voters that is known to be chosen is no longer joint, and the next one builds on it")
 def _():
     known = Proposal(BALLOT_2, JOINT_VALUE)
     proposal_round = start_round(ballot=BALLOT_3, known=known, chosen_voters_number=2)
@@ -184,7 +184,7 @@
     assert after.proposed_value == RegisterValue(following, JOINT_VALUE.voters.members)
 
 
-@test("the voters before are asked until those after are known to be chosen")
+@test("the previous voters are required until the new ones are known to be chosen")
 def _():
     assert needed_groups(JOINT_VALUE, 1) == (JOINT_VALUE.voters.members, JOINT_VALUE.previous)
     assert needed_groups(JOINT_VALUE, 2) == (JOINT_VALUE.voters.members,)
@@ -193,7 +193,7 @@
 # ---- reads ----
 
 
-@test("a read takes a value that a majority holds, and only that")
+@test("a read returns only a value that a majority has accepted")
 def _():
     read = MajorityRead(INITIAL, 1)
     read.on_response(A, Proposal(BALLOT_1, VALUE_1))
@@ -215,7 +215,7 @@
     assert read.chosen_proposal() == changed
 
 
-@test("an empty disk's answer counts for no value")
+@test("the responses of empty disks count for the quorum, but prove no value")
 def _():
     read = MajorityRead(INITIAL, 1)
     read.on_response(A, None)
@@ -226,7 +226,9 @@
 # ---- views ----
 
 
-@test("views are enough when no majority can lack them, of the voters before a change too")
+@test(
+    "the newest view is known once no majority can lack it, for a joint value also no majority of the previous voters"
+)
 def _():
     changed = Proposal(BALLOT_2, JOINT_VALUE)
     assert newest_view({}) is None
@@ -237,7 +239,7 @@
     assert newest_view({A: changed, D: changed, C: INITIAL}) == changed
 
 
-@test("the seeds' first value is the same whatever their order")
+@test("the initial value is the same whatever the order of the seeds")
 def _():
     assert initial_value(("c", "b", "a", "a")) == INITIAL and INITIAL.ballot == NO_BALLOT
     assert INITIAL.value.voters == VoterSet(1, (A, B, C))
--- a/tests/system/test_controller_configuration.py
+++ b/tests/system/test_controller_configuration.py
@@ -1,4 +1,4 @@
-"""Controllers at work together: what operators put and read, under cuts, restarts and lost answers."""
+"""A cluster of controllers: what operators put and read during network partitions, restarts and lost responses."""
 
 import asyncio
 
@@ -36,7 +36,7 @@
     run(scenario)
 
 
-@test("an older version, and the same one again, are acknowledged and change nothing")
+@test("an older version and the current one sent again are acknowledged and change nothing")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
@@ -48,7 +48,7 @@
     run(scenario)
 
 
-@test("two operators at two controllers at once: all controllers end with the higher number")
+@test("two operators replace the configuration at two controllers at once: all end with the higher number")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
@@ -83,7 +83,7 @@
     run(scenario)
 
 
-@test("a replacement whose answer was lost is acknowledged when sent again, at any controller, also after later ones")
+@test("a replacement whose response was lost is acknowledged when sent again, at any controller, also after later ones")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
@@ -100,7 +100,7 @@
     run(scenario)
 
 
-@test("a replacement that its controller left unfinished is completed by others, and keeps its number for its content")
+@test("a replacement that its controller left unfinished is completed by others, so its number can't get other content")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
@@ -114,7 +114,7 @@
     run(scenario)
 
 
-@test("a controller without a quorum acknowledges nothing and answers at once; the others go on")
+@test("a controller without a quorum acknowledges nothing and responds at once; the others continue")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
@@ -133,7 +133,7 @@
     run(scenario)
 
 
-@test("after hundreds of changes a member that was away holds the newest value in one step, and little else")
+@test("a member that was down during 300 changes fetches the newest value in one step and stores little else")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
--- a/tests/system/test_controller_instances_and_lease.py
+++ b/tests/system/test_controller_instances_and_lease.py
@@ -1,4 +1,4 @@
-"""Controllers at work together: drains, the quota lease and the status report."""
+"""A cluster of controllers: drains, the quota lease and the status report."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 from stoneyoke.controlplane.instance_registry import Phase
 
 
-@test("a drain is acknowledged once a majority knows it, and survives the controller that acknowledged it")
+@test("a drain is acknowledged once a majority has it, so that it survives the controller that acknowledged it")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
@@ -28,7 +28,7 @@
     run(scenario)
 
 
-@test("a controller that starts again learns of drains from the others before it is synced")
+@test("a controller that restarts learns of drains from the others before it is synced")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
@@ -42,7 +42,7 @@
     run(scenario)
 
 
-@test("one controller holds the quota lease; when it is cut off another one does, not before its lease has ended")
+@test("one controller holds the quota lease; when it is unreachable another one does, once the lease has expired")
 def _():
     async def scenario(cluster):
         def holders():
@@ -58,7 +58,7 @@
     run(scenario)
 
 
-@test("a controller that is cut off from the others never names itself as the holder of the lease")
+@test("a controller that can't reach the others never names itself as the holder of the lease")
 def _():
     async def scenario(cluster):
         await cluster.wait_until(lambda: lease_holders(cluster))
@@ -78,7 +78,7 @@
     run(scenario)
 
 
-@test("the status names quorum and lease holder, also by their names of the release before")
+@test("the status contains quorum and lease holder, also under their names of the previous release")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
--- a/tests/system/test_controller_voters.py
+++ b/tests/system/test_controller_voters.py
@@ -1,4 +1,4 @@
-"""Controllers at work together: changes of the voters, lost and failing disks, members that come back."""
+"""A cluster of controllers: changes of the voters, lost and failing disks, members that restart or reconnect."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 from stoneyoke.consensus.register_value import INITIAL_DISK_NAME
 
 
-@test("a disk that refuses writes does not count towards the majority; the others are enough")
+@test("a voter whose disk fails to write does not count towards the majority; the others are enough")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
@@ -24,13 +24,13 @@
     run(scenario)
 
 
-@test("a machine whose disk is empty is another member: what it and one other held stays what is read")
+@test("a machine whose disk is empty is another member: a value that it had stored with one other is still read")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
         cluster.stop("10.0.0.3")
         assert await cluster.controllers["10.0.0.1"].handle_call(put(5)) == Acknowledged()
-        cluster.stop("10.0.0.2")  # held by 1 and 2 alone; 1 loses its disk
+        cluster.stop("10.0.0.2")  # only 1 and 2 have the value, and 1 loses its disk
         cluster.stop("10.0.0.1")
         cluster.disks["10.0.0.1"].records.clear()
         wiped = await cluster.start("10.0.0.1")
@@ -66,7 +66,7 @@
 
 
 @test(
-    "a machine exchanged for an empty one at another address is replaced as a voter within the bound, one after another"
+    "a machine replaced by an empty one at another address is replaced as a voter within the bound, six times in a row"
 )
 def _():
     async def scenario(cluster):
@@ -77,7 +77,7 @@
             cluster.stop(gone)
             await asyncio.sleep(1.0)
             cluster.add(new)
-            cluster.seeds = tuple(present)  # the operator's list as it is now
+            cluster.seeds = tuple(present)  # the operator's current list
             await cluster.start(new)
             present.append(new)
             await asyncio.sleep(4.0)
@@ -88,7 +88,7 @@
     run(scenario)
 
 
-@test("a voter that was replaced while cut off decides nothing when it is back, nor together with former voters")
+@test("a voter that was replaced while unreachable decides nothing when it reconnects, not even with a former voter")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
@@ -97,11 +97,14 @@
         await cluster.wait_until(lambda: "10.0.0.4" in voters(cluster).addresses())
         assert await cluster.controllers["10.0.0.2"].handle_call(put(5)) == Acknowledged()
         old = cluster.controllers["10.0.0.1"]
-        assert "10.0.0.1" in old.replica.voters().addresses()  # it cannot know
+        assert "10.0.0.1" in old.replica.voters().addresses()  # it hasn't learned of its replacement
         assert isinstance(await old.handle_call(put(6)), Unavailable) and isinstance(
             await old.handle_call(ReadConfiguration()), Unavailable
         )
-        cluster.partitions = [{"10.0.0.1", "10.0.0.2"}, {"10.0.0.1", "10.0.0.4"}]  # with one former fellow voter alone
+        cluster.partitions = [
+            {"10.0.0.1", "10.0.0.2"},
+            {"10.0.0.1", "10.0.0.4"},
+        ]  # it reaches only one of the former voters, 10.0.0.3
         await cluster.wait_until(lambda: old.replica.version().number == 5)
         assert not old.replica.is_voter()
         assert isinstance(await old.handle_call(put(6)), Unavailable)  # it reaches one of three voters
@@ -112,7 +115,7 @@
     run(scenario, count=4)
 
 
-@test("five controllers that are to survive two losses: those that were not seeds become voters")
+@test("five controllers that tolerate two losses: those that were not seeds become voters")
 def _():
     async def scenario(cluster):
         await cluster.wait_until(
@@ -127,7 +130,7 @@
     run(scenario, count=5, losses=2)
 
 
-@test("a controller that shuts down hands its vote to a learner, and does not wait if there is none")
+@test("a controller that shuts down transfers its vote to a learner, and does not wait if there is none")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
@@ -152,7 +155,7 @@
     run(alone)
 
 
-@test("a change of voters whose proposer is cut off after a {kind} is completed by the others, and replacements go on")
+@test("a change of voters whose proposer is isolated after a {kind} is completed by others, and replacements continue")
 def _(kind=each("PrepareRequest", "AcceptRequest", "ChosenNotice")):
     async def scenario(cluster):
         await all_have_quorum(cluster)
@@ -165,7 +168,7 @@
         await cluster.wait_until(lambda: cluster.partitions)
         rest = [name for name in cluster.names if name not in (gone, holder)]
         await asyncio.sleep(3.0)
-        cluster.partitions = []  # it is back
+        cluster.partitions = []  # the holder reconnects
         await cluster.wait_until(lambda: len({one.replica.voters() for one in cluster.controllers.values()}) == 1)
         await all_have_quorum(cluster)
         assert await cluster.controllers[rest[0]].handle_call(put(6)) == Acknowledged()
@@ -174,7 +177,7 @@
     run(scenario, count=4)
 
 
-@test("a new disk that refuses is tried again until it takes its name")
+@test("initializing a new disk that fails to write is retried until it succeeds")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
@@ -191,7 +194,7 @@
     run(scenario)
 
 
-@test("a controller whose disk hangs acknowledges by the others' disks, and keeps its quorum")
+@test("a controller whose disk hangs acknowledges once the others' disks have the value, and still has a quorum")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
--- a/tests/system/test_discovery_service.py
+++ b/tests/system/test_discovery_service.py
@@ -1,4 +1,4 @@
-"""The discovery service alone: links that answer as the test says, a clock set by hand, no waiting."""
+"""The discovery service alone, with simulated links, which the tests control, and simulated time."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 
 class Link:
-    """A controller's link to another one: `handle` answers, after delay_s."""
+    """A controller's link to another one: `handle` returns the response, after delay_s."""
 
     def __init__(self, handle):
         self.handle, self.delay_s, self.lost, self.carried = handle, 0.0, (), []
@@ -33,7 +33,7 @@
         self.carried.append(type(message))
         await asyncio.sleep(min(self.delay_s, timeout_s))
         if self.delay_s > timeout_s or type(message) in self.lost:
-            raise PeerUnreachable("no answer")
+            raise PeerUnreachable("no response")
         return self.handle(message)
 
 
@@ -54,7 +54,7 @@
 
 
 class RecordingNotifier(ChangeNotifier):
-    """Notes who has notified of a change."""
+    """Records the name of each controller that notifies of a change."""
 
     def __init__(self, name, notified):
         super().__init__()
@@ -66,9 +66,9 @@
 
 
 class DiscoveryCluster:
-    """Discovery at several controllers, each with links to all others.
+    """The discovery services of several controllers, each with links to all others.
 
-    clock_offset_s: how far the clock jumped, as after a suspension.
+    clock_offset_s: seconds that the clock jumped ahead, as after a suspension of the process.
     """
 
     def __init__(self, count, first_start=True):
@@ -105,13 +105,13 @@
         )
 
     def pull(self, name, other):
-        """A whole pull, as a controller makes it."""
+        """Makes one controller pull all rows from another, as PeerFollower does."""
         request_sent_at, source = self.clock(), self.services[other]
         self.services[name].merge_rows(source.registry.changes_since(0, self.clock()))
         self.services[name].record_pull(other, source.synced(), request_sent_at)
 
     async def pass_time(self, for_s):
-        """Time in which all sweep."""
+        """Lets this many seconds pass, in which all controllers sweep."""
         until = self.clock() + for_s
         while self.clock() < until:
             await asyncio.sleep(SWEEP_INTERVAL_S)
@@ -158,7 +158,7 @@
         links["10.0.0.3"].lost = ()
         assert await one.heartbeat(heartbeat_call(3, True)) == Acknowledged()
         assert cluster.services["10.0.0.3"].registry.records["i-1"].row.phase == Phase.DRAINING
-        cluster.voters = ("10.0.0.1", "10.0.0.2")  # the third has it, and does not vote
+        cluster.voters = ("10.0.0.1", "10.0.0.2")  # the third controller has the drain, but does not vote
         assert isinstance(await one.leave(Leave("i-1")), Unavailable)
         cluster.quorum = False
         links["10.0.0.2"].lost = ()
@@ -169,7 +169,7 @@
     run(scenario)
 
 
-@test("an answer that comes after the process was suspended is not counted, nor one under other voters")
+@test("a response is not counted if it arrives after a suspension of the process, or if the voters changed meanwhile")
 def _():
     async def scenario(cluster):
         one, links = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]
@@ -194,7 +194,7 @@
     run(scenario)
 
 
-@test("a process that was suspended takes no update and no heartbeat for a while: they may have waited in its sockets")
+@test("a process that was suspended refuses updates and heartbeats for a while: they may have waited in its sockets")
 def _():
     async def scenario(cluster):
         one = cluster.services["10.0.0.1"]
@@ -216,7 +216,7 @@
     run(scenario)
 
 
-@test("a row that was forwarded is refreshed in short; a row that changed is forwarded in full")
+@test("a row that was forwarded and did not change is sent as a refresh, a row that changed in full")
 def _():
     async def scenario(cluster):
         one, link = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]["10.0.0.2"]
@@ -232,7 +232,7 @@
     run(scenario)
 
 
-@test("a controller that restarted is not synced by one synced peer: that one may lack a drain")
+@test("a pull from a single synced peer does not make a restarted controller synced: that peer may lack a drain")
 def _():
     async def scenario(cluster):
         one, links = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]
@@ -244,18 +244,18 @@
         assert not again.synced() and not again.registry.records
         cluster.notified.clear()
         cluster.pull("10.0.0.2", "10.0.0.1")
-        assert cluster.notified == ["10.0.0.2", "10.0.0.2"]  # by the row and as it is synced
+        assert cluster.notified == ["10.0.0.2", "10.0.0.2"]  # for the row, and for being synced
         assert again.synced() and again.registry.records["i-1"].row.phase == Phase.DRAINING
 
     run(scenario)
 
 
-@test("pulls count only from synced voters, and not while an answer of the process before may be counted")
+@test("pulls count only from synced voters, and not while a response of the previous process may be counted")
 def _():
     async def scenario(cluster):
         again = cluster.start("10.0.0.1")
         for other in ("10.0.0.2", "10.0.0.3"):
-            cluster.pull("10.0.0.1", other)  # at once: too early
+            cluster.pull("10.0.0.1", other)  # right after the start, which is too early
         assert not again.synced()
         await cluster.pass_time(PULL_COUNTS_AFTER_S)
         cluster.pull("10.0.0.1", "10.0.0.2")
@@ -268,7 +268,7 @@
     run(scenario)
 
 
-@test("five voters: one that answered and restarted before the count was done still learns of the drain")
+@test("five voters: one that responded and restarted before the end of the count still learns of the drain")
 def _():
     async def scenario(cluster):
         one, links = cluster.services["10.0.0.1"], cluster.links["10.0.0.1"]
@@ -277,7 +277,7 @@
         links["10.0.0.3"].delay_s = 0.5
         counting = cluster.tasks.spawn(one.heartbeat(heartbeat_call(2, True)))
         await asyncio.sleep(0.1)
-        assert cluster.services["10.0.0.2"].registry.records  # it has answered, and now it ends
+        assert cluster.services["10.0.0.2"].registry.records  # it has responded, and now it restarts
         again = cluster.start("10.0.0.2")
         for other in ("10.0.0.3", "10.0.0.4", "10.0.0.5"):
             cluster.pull("10.0.0.2", other)
@@ -291,7 +291,7 @@
     run(scenario, count=5)
 
 
-@test("with no synced voter to pull from, it takes one round of all instances' heartbeats, all of it with a quorum")
+@test("with no synced voter to pull from, a controller is synced after a full heartbeat round with a quorum")
 def _():
     async def scenario(cluster):
         one = cluster.services["10.0.0.1"]
@@ -304,7 +304,7 @@
         cluster.quorum = True
         await cluster.pass_time(HEARTBEAT_ROUND_S - 0.5)
         assert not one.synced()
-        cluster.clock_offset_s += HEARTBEAT_ROUND_S  # it was suspended and heard nobody meanwhile
+        cluster.clock_offset_s += HEARTBEAT_ROUND_S  # it was suspended and received nothing meanwhile
         assert not one.synced()
         cluster.notified.clear()
         await cluster.pass_time(HEARTBEAT_ROUND_S + STALL_RECOVERY_S + 2 * SWEEP_INTERVAL_S)
@@ -313,7 +313,9 @@
     run(scenario, first_start=False)
 
 
-@test("the system's first start is synced at once; a controller that becomes a voter while it runs starts over")
+@test(
+    "a controller is synced at once at the system's first start, and not synced once it becomes a voter while it runs"
+)
 def _():
     startup_sync = StartupSync("d", 0.0, HEARTBEAT_ROUND_S)
     startup_sync.mark_first_start()
@@ -322,4 +324,4 @@
     for name in "ab":
         startup_sync.record_pull(name, True, 9.0 + PULL_COUNTS_AFTER_S)
     assert startup_sync.evaluate(("a", "b", "d"), 10.0)
-    assert not StartupSync("a", 0.0, HEARTBEAT_ROUND_S).evaluate((), 99.0)  # who votes is not known
+    assert not StartupSync("a", 0.0, HEARTBEAT_ROUND_S).evaluate((), 99.0)  # the voters are not known
--- a/tests/system/test_heartbeat_ring.py
+++ b/tests/system/test_heartbeat_ring.py
@@ -1,4 +1,4 @@
-"""Which controllers receive a gateway's heartbeats, and when a gateway is forgotten."""
+"""Which controllers receive a gateway's heartbeats, and when a gateway is removed."""
 
 from ward import each, test
 
@@ -7,7 +7,7 @@
 CONTROLLERS = [f"10.0.0.{at}" for at in range(7)]
 
 
-@test("{name} has the same watchers for all who compute them, in whatever order they know the controllers")
+@test("{name} has the same watchers on every machine that computes them, whatever the order of the controllers")
 def _(name=each("edge-1", "edge-2", "edge-3")):
     found = watchers(name, CONTROLLERS)
     assert found == watchers(name, reversed(CONTROLLERS)) and len(set(found)) == WATCHER_COUNT == 2
@@ -18,7 +18,7 @@
     assert len({tuple(watchers(f"edge-{at}", CONTROLLERS)) for at in range(50)}) > 3
 
 
-@test("a gateway is new with its first heartbeat, and again after it was forgotten")
+@test("a gateway is new with its first heartbeat, and again after it was removed")
 def _():
     watch = HeartbeatMonitor(timeout_s=10.0)
     assert watch.record_heartbeat("edge-1", 0.0) and not watch.record_heartbeat("edge-1", 5.0)
--- a/tests/system/test_instance_registry.py
+++ b/tests/system/test_instance_registry.py
@@ -1,4 +1,4 @@
-"""What a controller remembers of backends: which row wins, for how long an end is remembered, and how much is kept."""
+"""A controller's records of backends: which row wins, when a tombstone expires, and how many records there are."""
 
 import itertools
 import random
@@ -30,9 +30,7 @@
     return record and Phase(record.row.phase)
 
 
-@test(
-    "rows of one instance merge to the same in every order; a drain holds though a row with a higher call_seq is ready"
-)
+@test("rows of one instance merge to the same row in every order; a drain wins over a ready row with a higher call_seq")
 def _():
     rows = [row(call_seq=5), row(call_seq=7, phase=Phase.DRAINING), row(call_seq=9)]
     for order in itertools.permutations(rows):
@@ -43,20 +41,22 @@
         assert (record.row.phase, record.row.call_seq) == (Phase.DRAINING, 9), order
 
 
-@test("a drain that arrives with the call_seq of a later heartbeat is a change for a controller that missed it")
+@test("a drain that arrives with the call_seq of a later heartbeat is a change for a controller that didn't receive it")
 def _():
     knows, missed = InstanceRegistry(SILENT_S), InstanceRegistry(SILENT_S)
     for registry in (knows, missed):
         registry.merge(row(call_seq=5), 0.0)
     knows.merge(row(call_seq=7, phase=Phase.DRAINING), 1.0)
     knows.merge(row(call_seq=9, phase=Phase.DRAINING), 2.0)
-    assert not missed.refresh("i-1", 9, 2.0)  # the row of the drain was lost, the refresh of the next heartbeat was not
+    assert not missed.refresh(
+        "i-1", 9, 2.0
+    )  # it received the refresh of the next heartbeat, but not the row of the drain
     seq = missed.seq
     assert [missed.merge(one, 2.1) for one in knows.changes_since(0, 2.1)] == [True]
     assert [one.phase for one in missed.changes_since(seq, 2.2)] == [Phase.DRAINING]
 
 
-@test("a late heartbeat, row or refresh does not bring back an instance that left")
+@test("a late heartbeat, row or refresh does not restore an instance that left")
 def _():
     registry = InstanceRegistry(SILENT_S)
     registry.merge(row(call_seq=5), 0.0)
@@ -69,7 +69,7 @@
     assert phase(registry) is None
 
 
-@test("a leave that overtakes its instance's heartbeats holds against them")
+@test("a leave that arrives before its instance's heartbeats is not undone by them")
 def _():
     registry = InstanceRegistry(SILENT_S)
     registry.merge(row("i-2"), 0.0)
@@ -78,7 +78,7 @@
     assert phase(registry, "i-2") == Phase.READY
 
 
-@test("a controller that was suspended sends no instance as ready that it has not heard of since")
+@test("a controller that was suspended sends no instance as ready if it has received no heartbeat of it since")
 def _():
     for suspended_s, expected in ((1.0, [Phase.READY]), (SILENT_S + 2.0, [Phase.SILENT]), (RECORD_TTL_S + 1.0, [])):
         registry = InstanceRegistry(SILENT_S)
@@ -87,7 +87,7 @@
         assert [one.phase for one in registry.changes_since(0, suspended_s)] == expected
 
 
-@test("no chain of rows outlives the tombstone: the silence of a row that arrives as silent counts as past")
+@test("rows that controllers send each other don't outlive the tombstone: the silence of a silent row counts as past")
 def _():
     first, second = InstanceRegistry(SILENT_S), InstanceRegistry(SILENT_S)
     first.merge(row(), 0.0)
@@ -98,7 +98,7 @@
     assert not second.records
 
 
-@test("an address used again: the instance before is silent; rows that are gone or silent change nothing there")
+@test("an instance at a used address makes the previous one silent; gone or silent rows with that address don't")
 def _():
     registry = InstanceRegistry(SILENT_S)
     registry.merge(row("i-1", 9), 0.0)
@@ -111,7 +111,7 @@
     assert phase(registry, "i-2") == Phase.READY
 
 
-@test("10,000 instances that come and go leave a bounded registry, and the last of them are known as gone")
+@test("after 10,000 instances came and went the registry is bounded, and the last of them are known as gone")
 def _():
     registry = InstanceRegistry(SILENT_S)
     for at in range(10_000):
@@ -140,7 +140,7 @@
     assert phase(registry, "i-0") is None and phase(registry, f"i-{MAX_ENDED_RECORDS}") == Phase.GONE
 
 
-@test("a gateway remembers as many instances that left as a controller, the last ones, for longer")
+@test("a gateway has tombstones for at least as many instances as a controller, the last ones, and for longer")
 def _():
     assert instance_directory.GONE_MAX >= instance_registry.MAX_ENDED_RECORDS
     assert instance_directory.GONE_MEMORY_S > instance_registry.TOMBSTONE_TTL_S
@@ -156,7 +156,7 @@
     assert not directory.gone_at
 
 
-@test("the order of heartbeats does not matter, and what is gone stays gone")
+@test("the order of heartbeats does not matter, and an instance that is gone stays gone")
 def _():
     rows = [row(call_seq=1), row(call_seq=2), row(call_seq=3, phase=Phase.DRAINING), row(call_seq=3, phase=Phase.GONE)]
     for seed in range(50):
@@ -171,7 +171,7 @@
     assert registry.records["i-1"].row.phase == Phase.DRAINING
 
 
-@test("a heartbeat that repeats the known row is no change; silence is, and so is a heartbeat after it")
+@test("a heartbeat that repeats the known row is no change; silence is a change, and so is a heartbeat after it")
 def _():
     registry = InstanceRegistry(SILENT_S)
     assert registry.merge(row(call_seq=1), 0.0) and not registry.merge(row(call_seq=2), 1.0)
@@ -183,14 +183,14 @@
     assert registry.merge(row(call_seq=3), 7.0) and registry.records["i-1"].row.phase == Phase.READY
 
 
-@test("a refresh wakes a silent instance, never a gone one, and call_seq counts only forwards")
+@test("a refresh makes a silent instance ready, but never a gone one, and counts only with a higher call_seq")
 def _():
     registry = InstanceRegistry(SILENT_S)
     registry.merge(row(call_seq=3), 0.0)
     assert not registry.refresh("i-1", 3, 1.0) and not registry.refresh("i-2", 9, 1.0)
     assert not registry.refresh("i-1", 4, 4.0)
     registry.sweep(8.0)
-    assert registry.records["i-1"].row.phase == Phase.READY  # heard at 4
+    assert registry.records["i-1"].row.phase == Phase.READY  # the last heartbeat was at 4.0
     registry.sweep(10.0)
     assert registry.records["i-1"].row.phase == Phase.SILENT
     assert registry.refresh("i-1", 5, 11.0) and registry.records["i-1"].row.phase == Phase.READY
@@ -198,7 +198,7 @@
     assert not registry.refresh("i-1", 9, 13.0) and registry.records["i-1"].row.phase == Phase.GONE
 
 
-@test("a new instance at an address makes the one before silent, not the other way round")
+@test("a new instance at an address makes the previous one silent, not the other way round")
 def _():
     registry = InstanceRegistry(SILENT_S)
     registry.merge(row("i-1", 9), 0.0)
@@ -214,7 +214,7 @@
     return phase(registry, "i-1") == Phase.DRAINING
 
 
-@test("a drain survives another instance at its address, and the seeded defect that forgets it is seen")
+@test("a drain survives another instance at its address, and the seeded defect that loses it is detected")
 def _():
     assert drain_survives_reuse_of_its_address()
     with seeded("drain_lost_to_new_instance"):
--- a/tests/system/test_leases.py
+++ b/tests/system/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: one holder at most, whatever happens to messages and processes."""
+"""Leases: at most one holder, whatever happens to messages and processes."""
 
 import random
 
@@ -22,14 +22,14 @@
 
 
 class LeaseHistory:
-    """Voters that are candidates too. Messages are lost, late or out of order; voters and candidates restart."""
+    """Voters that are also candidates. Messages are lost, late or out of order; voters and candidates restart."""
 
     def __init__(self, seed):
         self.random_source = random.Random(seed)
         self.granters = {name: LeaseGranter(0.0, True) for name in NAMES}
         self.holders = {name: LeaseHolder() for name in NAMES}
         self.incarnations = dict.fromkeys(NAMES, 0)
-        self.requests, self.responses, self.now = [], [], 0.0  # under way, the time of arrival first
+        self.requests, self.responses, self.now = [], [], 0.0  # in flight, each with its time of arrival first
 
     def step(self):
         chance = self.random_source.random
@@ -75,7 +75,7 @@
         return [name for name in NAMES if self.holders[name].is_held(self.now)]
 
 
-@test("a lease has one holder at most, whatever is lost, late, restarted or asked again")
+@test("a lease has at most one holder, whatever messages are lost, late or retried and whatever processes restart")
 def _():
     assert HOLDER_TTL_FRACTION < 1
     for seed in range(300):
@@ -87,7 +87,7 @@
 
 
 def late_release_changes_nothing():
-    """A release of an older round comes after a newer grant: the grant stands."""
+    """Returns whether a release of an older round, which arrives after a newer grant, leaves that grant valid."""
     granter = LeaseGranter(0.0, True)
     granter.request(request("a", "life", 2), 1.0)
     granter.request(request("a", "life", 1, ttl_s=0.0), 1.1)
@@ -95,14 +95,14 @@
 
 
 def restarted_voter_waits():
-    """It may have granted in its previous process: it grants nothing until that lease has run out."""
+    """Returns whether a restarted voter grants nothing until a lease granted by its previous process has expired."""
     granter = LeaseGranter(0.0, False)
     early = granter.request(request("b", "other", 1), 0.9 * LEASE_TTL_S)
     late = granter.request(request("b", "other", 1), LEASE_TTL_S)
     return not early.granted and late.granted
 
 
-@test("a late release and a restart free no lease that still runs; the defect {defect} is seen")
+@test("a late release and a restart free no lease that hasn't expired; the defect {defect} is detected")
 def _(
     holds=each(late_release_changes_nothing, restarted_voter_waits),
     defect=each("late_release_counts", "grants_right_after_start"),
--- a/tests/system/test_reader.py
+++ b/tests/system/test_reader.py
@@ -1,4 +1,4 @@
-"""The reader of the register: how a read gets the body of what is chosen."""
+"""The reader of the register: how a read gets the body of the chosen proposal."""
 
 from types import SimpleNamespace
 
@@ -13,7 +13,7 @@
 OWN, LOST, HOLDER, LATE = (ReplicaId(address, "disk") for address in ("own", "lost", "holder", "late"))
 
 
-@test("a read goes on to the next holder of the body though a reply comes in while the first one is asked")
+@test("a read fetches the body from the next voter that has it, also if a response arrives during the first fetch")
 async def _():
     initial = initial_value([voter.address for voter in (OWN, LOST, HOLDER, LATE)])
     chosen = initial._replace(ballot=BALLOT)
--- a/tests/system/test_record_store.py
+++ b/tests/system/test_record_store.py
@@ -1,4 +1,4 @@
-"""The record store: what was saved or loaded is never forgotten, through crashes, losses of power and full disks."""
+"""The record store: what was saved or loaded is never lost, through crashes, power losses and full disks."""
 
 import builtins
 import contextlib
@@ -18,7 +18,7 @@
 
 SEEDS = range(80)
 STEPS = 25
-TORN_RECORDS = 15  # of each damage
+TORN_RECORDS = 15  # for each kind of damage
 
 
 @fixture
@@ -27,7 +27,7 @@
         yield name
 
 
-@test("a new start reads back the newest record of each family")
+@test("a new process reads the newest record of each family")
 def _(folder=folder):
     store = RecordStore(folder)
     for number in range(6):
@@ -44,22 +44,22 @@
     """The records of one family, in the order of their saves.
 
     Attributes:
-        attempted: Each record that a save was called for.
-        confirmed: Index of the newest one that a save or a load has confirmed; -1: none.
+        attempted: Each record for which `save` was called.
+        confirmed: Index of the newest record that a save or a load has confirmed; -1: none.
     """
 
     attempted: list[dict[bytes, bytes]] = field(default_factory=list)
     confirmed: int = -1
 
     def assert_not_older(self, loaded):
-        """A load returns nothing older than what was confirmed, and confirms what it returns."""
+        """Checks that a loaded record isn't older than the confirmed one, and records it as confirmed."""
         index = self.attempted.index(loaded) if loaded is not None else -1
         assert index >= self.confirmed, f"record {index} is older than {self.confirmed}"
         self.confirmed = index
 
 
 class RandomDiskHistory:
-    """A store through random saves, failures, crashes and losses of power. Each start is checked."""
+    """A store that goes through random saves, failures, crashes and power losses, and is checked at each start."""
 
     def __init__(self, folder, seed):
         self.folder, self.random_source = folder, random.Random(seed)
@@ -67,7 +67,7 @@
         self.store = SimulatedRecordStore(folder)
 
     def save(self, family):
-        """Whether the store took the next record of a family."""
+        """Saves the next record of a family; returns whether the store accepted it."""
         history = self.histories[family]
         size = self.random_source.choice((0, 30, 600, 3000)) if family == "register" else 8
         number = len(history.attempted)
@@ -80,7 +80,7 @@
         return True
 
     def restart(self, loses_power):
-        """The process has ended, with its machine's power or without; the next one starts."""
+        """Starts the next process after the previous one crashed, with or without a power loss of the machine."""
         self.store.steps_left = -1
         if loses_power:
             self.store.lose_power(self.random_source)
@@ -90,7 +90,7 @@
         self.assert_nothing_lost()
 
     def truncate_unsynced_files(self):
-        """A killed process may have written a part of what it had not synced yet."""
+        """Truncates files at random: a killed process may have written only a part of what it had not synced yet."""
         for name in sorted(os.listdir(self.folder)):
             content = self.store.content(name)
             if content != self.store.state.contents.get(name) and self.random_source.random() < 0.5:
@@ -101,7 +101,7 @@
             history.assert_not_older(self.store.load(family).record)
 
     def step(self):
-        """One random event."""
+        """Executes one random event."""
         family = self.random_source.choice(list(self.histories))
         event = self.random_source.choice(
             ("save", "save", "save", "refuse", "full", "crash", "crash", "restart", "load")
@@ -125,7 +125,7 @@
                 self.assert_nothing_lost()
 
     def crash_in_save(self, family):
-        """The process ends at some step of the next saves."""
+        """Crashes the process at a random step of the next two saves."""
         self.store.steps_left = self.random_source.randrange(12)
         with contextlib.suppress(PowerLost):
             for _ in range(2):
@@ -133,7 +133,7 @@
         self.restart(self.random_source.random() < 0.7)
 
     def assert_recovers(self):
-        """On a healthy disk each family takes what it is given, and no more than its last records are left."""
+        """Checks that on a healthy disk each family accepts saves, and that only its last records are retained."""
         for family in self.histories:
             for _ in range(RETAINED_RECORDS):
                 assert self.save(family)
@@ -144,7 +144,8 @@
 
 
 @test(
-    "no load returns less than was saved or loaded before, through failures, crashes and losses of power: seed {seed}"
+    "no load returns a record older than one saved or loaded before, in spite of failures, crashes and power losses: "
+    "seed {seed}"
 )
 def _(seed=each(*SEEDS)):
     with tempfile.TemporaryDirectory() as folder:
@@ -154,7 +155,7 @@
         history.assert_recovers()
 
 
-@test("what a killed process wrote without a sync is synced before a load returns it, or not returned")
+@test("a record that a killed process wrote without a sync is synced before a load returns it, or not returned")
 def _(folder=folder):
     store = SimulatedRecordStore(folder)
     store.save("register", {b"body": b"1"})
@@ -192,7 +193,7 @@
     assert RecordStore(folder).load("register").record == {b"body": b"2"}
 
 
-@test("half records and files of other names hide no record, and their numbers are not used again")
+@test("incomplete records and files with other names hide no record, and their numbers are not used again")
 def _(folder=folder):
     for name in ("register-9.dat", "register-8.dir", "register-7.bak", "register-007.dir", "register-1.dat.old", "x"):
         with open(os.path.join(folder, name), "wb") as file:
@@ -207,7 +208,7 @@
     assert again.load("register").record == {b"body": b"1"} and again.next_number == 21
 
 
-@test("500 records leave the last few on disk")
+@test("after 500 saves only the last few records are on disk")
 def _(folder=folder):
     store, body = SimulatedRecordStore(folder), b"x" * 5000
     for at in range(500):
@@ -218,7 +219,9 @@
     assert sum(os.path.getsize(os.path.join(folder, name)) for name in names) < RETAINED_RECORDS * (5000 + 6 * 1024)
 
 
-@test("a full disk keeps the newest record alone, refuses what does not fit, and takes the next once there is space")
+@test(
+    "a full disk retains only the newest record, fails saves that don't fit, and accepts the next once there is space"
+)
 def _(folder=folder):
     store = SimulatedRecordStore(folder)
     for at in range(5):
@@ -229,7 +232,7 @@
         store.save("register", {b"body": b"%d" % (at % 10) * 4000})
     with raises(StorageError):
         store.save("register", {b"body": b"z" * 16000})
-    for _ in range(30):  # many failures leave nothing either
+    for _ in range(30):  # repeated failures must not leave files behind
         with raises(StorageError):
             store.save("promise", {b"ballot": b"z" * 16000})
     again = SimulatedRecordStore(folder, store.state)
@@ -239,7 +242,7 @@
     again.save("register", {b"body": b"z" * 16000})
 
 
-@test("a save that waited for a stalled disk does not replace the one that was called after it")
+@test("a save that waited for a stalled disk does not replace the record of a save that was called after it")
 def _(folder=folder):
     class StalledStore(SimulatedRecordStore):
         def sync_path(self, path):
@@ -260,7 +263,7 @@
 
 
 def removed(_data, _index):
-    """The file is lost."""
+    """Returns None: the file is lost."""
 
 
 def truncated(data, index):
@@ -275,7 +278,7 @@
     return data[:index] + bytes([data[index] ^ 0x55]) + data[index + 1 :]
 
 
-@test("a record that is {damage.__name__} anywhere is passed over and named, and the one before it is read")
+@test("a record that is {damage.__name__} at any offset is skipped and named, and the previous one is read")
 def _(folder=folder, damage=each(removed, truncated, zeroed, flipped)):
     random_source = random.Random(5)
     for round_number in range(TORN_RECORDS):
@@ -306,14 +309,14 @@
     assert torn.raised.record == "register-1" and isinstance(torn.raised, StorageError)
 
 
-@test("a number is never used again, though its record was removed")
+@test("a new process continues above the highest number on disk")
 def _(folder=folder):
     store = RecordStore(folder)
     store.save("register", {b"body": b"1"})
     assert RecordStore(folder).next_number == 2
 
 
-@test("files and folder are synced before a save returns, and a disk that refuses fails the save")
+@test("files and folder are synced before a save returns, and a save fails if a sync fails")
 def _(folder=folder):
     synced, real = [], os.fsync
     store = RecordStore(folder)
--- a/tests/system/test_recovery.py
+++ b/tests/system/test_recovery.py
@@ -1,4 +1,4 @@
-"""A majority of the voters is lost for good: what the operator's command does on the disk that is left."""
+"""Recovery after a majority of the voters is lost for good: the operator's command on the remaining disk."""
 
 import tempfile
 
@@ -33,7 +33,7 @@
 PROMISED = Ballot(9, "10.0.0.3/cd")
 
 
-@test("the one replica that is left goes on with its configuration, and the others join with empty disks")
+@test("the one replica that is left continues with its configuration, and the others join with empty disks")
 def _():
     async def scenario(cluster):
         await all_have_quorum(cluster)
@@ -64,7 +64,7 @@
 
 @fixture
 def folder():
-    """A stopped controller's data folder: it voted with two others, which are lost."""
+    """The data folder of a stopped controller that voted with two others, which are lost."""
     with tempfile.TemporaryDirectory() as name:
         store = RecordStore(name)
         store.save(IDENTITY, identity_record(INITIAL_DISK_NAME))
--- a/tests/system/test_replica.py
+++ b/tests/system/test_replica.py
@@ -1,4 +1,4 @@
-"""One replica and its disk: what a disk that stalls or refuses does to requests."""
+"""One replica and its disk: how it handles requests while the disk stalls or fails."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 from stoneyoke.storage.errors import WriteQueueFull
 
 
-@test("a stalled disk holds a bounded number of writes, refuses further ones, and takes new ones once it goes on")
+@test("a bounded number of writes waits for a stalled disk, further ones fail, and new ones succeed once it resumes")
 async def _():
     resume = asyncio.Event()
 
@@ -31,7 +31,7 @@
     assert await replica.prepare(Ballot(100, "a"))
 
 
-@test("a disk that refuses leaves the promise and the accepted value as they were")
+@test("a disk that fails to write leaves the promise and the accepted value unchanged")
 async def _():
     async def run_inline(operation, *arguments):
         return operation(*arguments)
--- a/tests/system/test_voter_set.py
+++ b/tests/system/test_voter_set.py
@@ -1,4 +1,4 @@
-"""Who votes next, how many voters a majority and a read need, and the register's records on disk."""
+"""The next voters, the sizes of majorities and read quorums, and the register's records on disk."""
 
 from configurations import example
 from ward import each, test
@@ -28,12 +28,12 @@
     return read_configuration(example(number)).version
 
 
-@test("of read_quorum({voters}) voters one holds what a majority of {voters} acknowledged; one fewer may miss it")
+@test("of read_quorum({voters}) voters one has what a majority of {voters} acknowledged; one fewer may all lack it")
 def _(voters=each(1, 2, 3, 4, 5, 6, 7, 8, 9)):
     assert majority(voters) + read_quorum(voters) == voters + 1
 
 
-@test("a voter that is silent, leaves or lost its disk gives its place to a learner, and to nobody else")
+@test("a voter that doesn't respond, shuts down or lost its disk is replaced by a learner, and by nothing else")
 def _():
     abc = (A, B, C)
     assert next_voters(abc, report({C: 9.0}), 3, LOST_AFTER_S) == abc
@@ -45,7 +45,7 @@
     assert next_voters(abc, report(learners=[D, wiped]), 3, LOST_AFTER_S) == (A, B, wiped)
 
 
-@test("voters are added up to their wanted number, never to an even one")
+@test("voters are added up to the configured number, never to an even one")
 def _():
     abc = (A, B, C)
     assert next_voters(abc, report(learners=[D]), 5, LOST_AFTER_S) == abc
@@ -58,7 +58,7 @@
     assert next_voters(five, report({D: 3.0, E: 4.0}, learners=others), 5, LOST_AFTER_S) == (A, B, C, *others)
 
 
-@test("the register comes back from its records as it was written, and from those of the release before")
+@test("the register is read from its records as it was written, and from those of the previous release")
 def _():
     version = version_of(5)
     accepted = Proposal(Ballot(7, "a/1"), RegisterValue(VoterSet(3, (A, B, D)), (A, B, C), version, example(5)))
@@ -68,5 +68,5 @@
     migrated = legacy_register(old, {b"body": example(5)}, version)
     assert migrated.value == RegisterValue(VoterSet(2, (A, B, C)), (), version, example(5))
     later = legacy_register(old, {b"body": example(6)}, version_of(6))
-    assert later.ballot > migrated.ballot  # of the copies the highest version goes first
+    assert later.ballot > migrated.ballot  # so that the replica with the highest version wins
     assert legacy_register(old | {b"standing": b"0"}, None, Version()) is None
