--- a/stoneyoke/controlplane/leases.py
+++ b/stoneyoke/controlplane/leases.py
@@ -12,9 +12,8 @@
 from stoneyoke.consensus.register_value import ReplicaId
 
 LEASE_TTL_S = 1.0
-HOLDER_TTL_FRACTION = (
-    0.85  # fraction of the lease after which its holder stops; clocks drift apart by less than the rest
-)
+# A holder stops after this fraction of the lease. The rest is a margin: the clocks of two machines drift apart by less.
+HOLDER_TTL_FRACTION = 0.85
 RENEW_INTERVAL_S = 0.25
 
 
