--- a/stoneyoke/controlplane/membership.py
+++ b/stoneyoke/controlplane/membership.py
@@ -152,7 +152,7 @@
         except TimeoutError:
             number = self.replica.voters().number
             logger.warning(
-                "this controller shuts down as a voter of voter set {}: no learner replaced it in time", number
+                "this controller shuts down while it votes in voter set {}: no learner replaced it in time", number
             )
 
     def _change_is_pending(self) -> bool:
--- a/tests/system/test_instance_registry.py
+++ b/tests/system/test_instance_registry.py
@@ -203,7 +203,7 @@
     registry = InstanceRegistry(SILENT_S)
     registry.merge(row("i-1", 9), 0.0)
     registry.merge(row("i-2", 1, service="quay"), 1.0)
-    registry.merge(row("i-1", 10), 1.1)  # late
+    registry.merge(row("i-1", 10), 1.1)  # a late row
     assert registry.records["i-2"].row.phase == Phase.READY
 
 
--- a/tests/system/test_record_store.py
+++ b/tests/system/test_record_store.py
@@ -227,7 +227,7 @@
     for at in range(5):
         store.save("register", {b"body": b"%d" % at * 4000})
         store.save("promise", {b"ballot": b"%d" % at})
-    store.capacity_bytes = 14000  # two of the register and one promise
+    store.capacity_bytes = 14000  # space for two records of the register and one promise
     for at in range(5, 20):
         store.save("register", {b"body": b"%d" % (at % 10) * 4000})
     with raises(StorageError):
