--- a/stoneyoke/controlplane/cluster_view.py
+++ b/stoneyoke/controlplane/cluster_view.py
@@ -41,7 +41,7 @@
         return self._replica.voters().addresses()
 
     def links(self) -> Mapping[str, PeerLink]:
-        """The connections to the other controllers, by address."""
+        """Returns the connections to the other controllers, by address."""
         return self._peers.links()
 
     def has_quorum(self) -> bool:
--- a/stoneyoke/controlplane/discovery_service.py
+++ b/stoneyoke/controlplane/discovery_service.py
@@ -77,7 +77,7 @@
         self.pending_heartbeats: dict[str, None] = {}  # instances with a heartbeat that is not forwarded yet
 
     def mark_first_start(self) -> None:
-        """Must be called once the disk has shown that the whole system starts for the first time."""
+        """Marks this controller as synced; to be called if the disk shows that the system starts for the first time."""
         self.startup_sync.mark_first_start()
 
     # ---- calls of instances ----
--- a/stoneyoke/controlplane/membership.py
+++ b/stoneyoke/controlplane/membership.py
@@ -15,7 +15,7 @@
 CHECK_INTERVAL_S = 0.25
 STARTUP_CHECK_INTERVAL_S = 0.05  # while no value is known to be chosen: gateways that start wait for one
 CHECK_JITTER = 0.4  # intervals are drawn evenly from a range of this fraction around their length
-PROPOSAL_TIMEOUT_S = 2.0  # for one change of the voters
+PROPOSAL_TIMEOUT_S = 2.0  # for one proposal, or for one read that completes an unfinished value
 # A value that is accepted but not known to be chosen is left to its proposer for this many seconds, which is several
 # times the duration of a round.
 RESOLVE_DELAY_S = 0.4
--- a/tests/system/compatibility/test_recorded_data_folders.py
+++ b/tests/system/compatibility/test_recorded_data_folders.py
@@ -70,7 +70,7 @@
 
 
 def register_value(value):
-    """A register's value from its plain form in values.json."""
+    """Returns a proposal of the register from its plain form in values.json."""
     number, digest = value["version"]
     voters = VoterSet(value["number"], members(value["members"]))
     version = Version(number, bytes.fromhex(digest))
