--- a/tests/system/test_controller_voters.py
+++ b/tests/system/test_controller_voters.py
@@ -101,10 +101,8 @@
         assert isinstance(await old.handle_call(put(6)), Unavailable) and isinstance(
             await old.handle_call(ReadConfiguration()), Unavailable
         )
-        cluster.partitions = [
-            {"10.0.0.1", "10.0.0.2"},
-            {"10.0.0.1", "10.0.0.4"},
-        ]  # it reaches only one of the former voters, 10.0.0.3
+        # It reaches only one of the former voters, 10.0.0.3.
+        cluster.partitions = [{"10.0.0.1", "10.0.0.2"}, {"10.0.0.1", "10.0.0.4"}]
         await cluster.wait_until(lambda: old.replica.version().number == 5)
         assert not old.replica.is_voter()
         assert isinstance(await old.handle_call(put(6)), Unavailable)  # it reaches one of three voters
--- a/tests/system/test_instance_registry.py
+++ b/tests/system/test_instance_registry.py
@@ -48,9 +48,8 @@
         registry.merge(row(call_seq=5), 0.0)
     knows.merge(row(call_seq=7, phase=Phase.DRAINING), 1.0)
     knows.merge(row(call_seq=9, phase=Phase.DRAINING), 2.0)
-    assert not missed.refresh(
-        "i-1", 9, 2.0
-    )  # it received the refresh of the next heartbeat, but not the row of the drain
+    # It received the refresh of the next heartbeat, but not the row of the drain.
+    assert not missed.refresh("i-1", 9, 2.0)
     seq = missed.seq
     assert [missed.merge(one, 2.1) for one in knows.changes_since(0, 2.1)] == [True]
     assert [one.phase for one in missed.changes_since(seq, 2.2)] == [Phase.DRAINING]
