--- a/tests/system/compatibility/test_recorded_data_folders.py
+++ b/tests/system/compatibility/test_recorded_data_folders.py
@@ -1,4 +1,4 @@
-"""Data folders that earlier releases wrote: today's code reads the same values, and writes the same bytes for them."""
+"""Data folders of earlier releases: the current code reads the same values, and writes the same bytes for them."""
 
 import asyncio
 import json
@@ -24,7 +24,7 @@
     read_register,
     register_record,
 )
-from stoneyoke.consensus.register_value import FIRST_DISK, Proposal, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.register_value import INITIAL_DISK_NAME, Proposal, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.consensus.replica import Replica
 from stoneyoke.storage.record_store import RecordStore
 
@@ -34,7 +34,7 @@
 
 @dataclass
 class StoredData:
-    """A copy of a release's data folder, and what it means."""
+    """A copy of a release's data folder, and the values that it contains."""
 
     release: str
     folder: str
@@ -70,7 +70,7 @@
 
 
 def register_value(value):
-    """A register's value from its plain form in values.json."""
+    """Returns a proposal of the register from its plain form in values.json."""
     number, digest = value["version"]
     voters = VoterSet(value["number"], members(value["members"]))
     version = Version(number, bytes.fromhex(digest))
@@ -79,12 +79,12 @@
 
 
 def started_replica(folder):
-    """A replica that has started on this folder, as a controller does that was there before."""
+    """Returns a replica that has loaded this folder, as a controller does that isn't at its first start."""
 
-    async def run_at_once(work, *args):
-        return work(*args)
+    async def run_inline(operation, *args):
+        return operation(*args)
 
-    replica = Replica("10.0.0.3", RecordStore(folder), run_at_once, lambda: None)
+    replica = Replica("10.0.0.3", RecordStore(folder), run_inline, lambda: None)
     asyncio.run(replica.load((), False, random.Random(1)))
     return replica
 
@@ -98,7 +98,7 @@
     assert read_configuration(replica.acceptor.accepted.value.body).version == replica.acceptor.accepted.value.version
 
 
-@test("a torn record of an earlier release is passed over and named")
+@test("a torn record of an earlier release is skipped and named")
 def _(stored=stored):
     record, torn = RecordStore(stored.folder).load(REGISTER)
     assert read_register(record) == register_value(stored.values["registers"][-1])
@@ -117,7 +117,7 @@
     ]
 
 
-@test("the same values make the same files, byte for byte")
+@test("the same values are written to the same files, byte for byte")
 def _(stored=stored, parent=parent):
     folder = Path(parent) / "written"
     store, values = RecordStore(str(folder)), stored.values
@@ -134,12 +134,12 @@
         assert (folder / name).read_bytes() == stored.original(name), name
 
 
-@test("a replica takes over the configuration and the voters of the release before the register")
+@test("a replica loads the configuration and the voters of the release before the register")
 def _(earlier=earlier):
     replica, values = started_replica(earlier.folder), earlier.values
     body = values["body"].encode()
     version = read_configuration(body).version
     expected = RegisterValue(VoterSet(values["number"], members(values["members"])), (), version, body)
     assert replica.acceptor.accepted == Proposal(Ballot(version.number, version.digest.hex()), expected)
-    assert replica.identity == ReplicaId("10.0.0.3", FIRST_DISK) and replica.is_voter()
+    assert replica.identity == ReplicaId("10.0.0.3", INITIAL_DISK_NAME) and replica.is_voter()
     assert started_replica(earlier.folder).acceptor.accepted == replica.acceptor.accepted
--- a/tests/system/compatibility/write_records.py
+++ b/tests/system/compatibility/write_records.py
@@ -1,6 +1,6 @@
 """Writes a data folder with the release whose checkout is the working directory. README.md says how to run it.
 
-The first argument is the folder to write into: `records/` for the files, `values.json` for what they mean.
+The first argument is the folder to write into: `records/` gets the files, `values.json` the values that they contain.
 """
 
 import importlib.util
@@ -14,15 +14,15 @@
 
 DISK = "4e1f0c9a77d2b358"
 CONFIGURATIONS = Path("tests/system/configurations.py")
-OLD_TEXT_NUMBER, NEW_TEXT_NUMBER = 5, 7
+OLD_CONFIGURATION_NUMBER, NEW_CONFIGURATION_NUMBER = 5, 7
 TORN_BYTES = 100
 
 MEMBERS = [["10.0.0.1", "first"], ["10.0.0.2", "first"], ["10.0.0.3", "first"]]
 NEXT_MEMBERS = [["10.0.0.1", "first"], ["10.0.0.2", "first"], ["10.0.0.3", DISK]]
 
 
-def example_text(number: int) -> bytes:
-    """The example configuration of that release's tests."""
+def example_body(number: int) -> bytes:
+    """Returns the example configuration of that release's tests."""
     spec = importlib.util.spec_from_file_location("configurations", CONFIGURATIONS)
     assert spec and spec.loader
     module = importlib.util.module_from_spec(spec)
@@ -32,17 +32,21 @@
 
 
 def register_values() -> list[dict[str, Any]]:
-    """What the register held, oldest first: empty, a configuration, and another one amid a change of voters."""
+    """Returns the register's values, oldest first: empty, a configuration, another one during a change of voters."""
     from stoneyoke.api.configuration import read_configuration
 
     values: list[dict[str, Any]] = [
         {"ballot": [0, ""], "number": 1, "members": MEMBERS, "previous": [], "version": [0, ""], "body": ""}
     ]
     for ballot, voters, number in (
-        ([3, "10.0.0.2/0a1b2c3d4e5f"], {"number": 1, "members": MEMBERS, "previous": []}, OLD_TEXT_NUMBER),
-        ([8, "10.0.0.1/f5e4d3c2b1a0"], {"number": 2, "members": NEXT_MEMBERS, "previous": MEMBERS}, NEW_TEXT_NUMBER),
+        ([3, "10.0.0.2/0a1b2c3d4e5f"], {"number": 1, "members": MEMBERS, "previous": []}, OLD_CONFIGURATION_NUMBER),
+        (
+            [8, "10.0.0.1/f5e4d3c2b1a0"],
+            {"number": 2, "members": NEXT_MEMBERS, "previous": MEMBERS},
+            NEW_CONFIGURATION_NUMBER,
+        ),
     ):
-        body = example_text(number)
+        body = example_body(number)
         version = read_configuration(body).version
         values.append(
             {"ballot": ballot, **voters, "version": [version.number, version.digest.hex()], "body": body.decode()}
@@ -51,7 +55,7 @@
 
 
 def write_register_release(folder: str) -> dict[str, Any]:
-    """The release whose register is decided by ballots: families identity, promise and register."""
+    """Writes the records of the release whose register is decided by ballots: identity, promise and register."""
     from stoneyoke.controlplane.consensus import Accepted, Ballot, RegisterValue, ReplicaId, VoterSet
     from stoneyoke.controlplane.record_formats import identity_record, promise_record, register_record
 
@@ -76,8 +80,8 @@
 
 
 def write_earlier_release(folder: str) -> dict[str, Any]:
-    """The release before the register: the configuration in "word", the voters in "crew"."""
-    store, body = RecordStore(folder), example_text(OLD_TEXT_NUMBER)
+    """Writes the records of the release before the register: the configuration in "word", the voters in "crew"."""
+    store, body = RecordStore(folder), example_body(OLD_CONFIGURATION_NUMBER)
     names = [address for address, _ in MEMBERS]
     store.keep(
         "crew",
@@ -94,7 +98,7 @@
 
 
 def main() -> None:
-    """Picks the families by what the old release has."""
+    """Writes the families of the old release, which is recognized by its source files."""
     target = Path(sys.argv[1])
     has_register = Path("stoneyoke/controlplane/consensus.py").exists()
     write = write_register_release if has_register else write_earlier_release
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -1,4 +1,4 @@
-"""The consensus protocol, one step at a time: acceptor, round, change of voters, read, views."""
+"""The decision logic of the consensus protocol: acceptor, round, change of voters, read, views."""
 
 from dataclasses import replace
 
@@ -32,16 +32,16 @@
     return ProposalRound(ballot=ballot, known=known, chosen_voters_number=chosen_voters_number, change=change)
 
 
-def report_promises(current, *voters, accepted=INITIAL):
+def report_promises(proposal_round, *voters, accepted=INITIAL):
     for voter in voters:
-        current.on_promised(voter, accepted)
-    return current
+        proposal_round.on_promised(voter, accepted)
+    return proposal_round
 
 
 # ---- acceptor ----
 
 
-@test("an acceptor refuses ballots below the one promised, and takes the same one again")
+@test("an acceptor refuses ballots below the one promised, and promises and accepts the same one again")
 def _():
     acceptor = Acceptor()
     acceptor.promise(BALLOT_2)
@@ -58,7 +58,7 @@
     )
 
 
-@test("an acceptor read from disk has promised what it has accepted; an older promise lowers nothing")
+@test("an acceptor read from disk has promised the ballot that it accepted; an older promise changes nothing")
 def _():
     acceptor = Acceptor(BALLOT_1, Proposal(BALLOT_2, VALUE_1))
     assert acceptor.promised == BALLOT_2
@@ -67,7 +67,7 @@
     assert Acceptor(BALLOT_3, Proposal(BALLOT_2, VALUE_1)).promised == BALLOT_3
 
 
-@test("a chosen value is lacking only where an older one, or none, is accepted")
+@test("an acceptor is behind a chosen proposal only if it has accepted an older one, or none")
 def _():
     assert Acceptor().is_behind(INITIAL) and Acceptor().accepted_ballot() == NO_BALLOT
     assert Acceptor(BALLOT_3, Proposal(BALLOT_1, VALUE_1)).is_behind(Proposal(BALLOT_2, VALUE_2))
@@ -80,44 +80,44 @@
 
 @test("a round needs a majority to prepare and one to be chosen")
 def _():
-    current = report_promises(start_round(), A)
-    assert current.phase is Phase.PREPARE and current.addresses_to_ask() == {"a", "b", "c"}
-    report_promises(current, A)
-    assert current.phase is Phase.PREPARE
-    report_promises(current, C)
-    assert current.phase is Phase.ACCEPT and current.proposed_value == VALUE_1
-    current.on_accepted(B)
-    current.on_accepted(B)
-    assert current.phase is Phase.ACCEPT
+    proposal_round = report_promises(start_round(), A)
+    assert proposal_round.phase is Phase.PREPARE and proposal_round.addresses_to_ask() == {"a", "b", "c"}
+    report_promises(proposal_round, A)
+    assert proposal_round.phase is Phase.PREPARE
+    report_promises(proposal_round, C)
+    assert proposal_round.phase is Phase.ACCEPT and proposal_round.proposed_value == VALUE_1
+    proposal_round.on_accepted(B)
+    proposal_round.on_accepted(B)
+    assert proposal_round.phase is Phase.ACCEPT
     with raises(AssertionError):
-        current.chosen_proposal()
-    current.on_accepted(A)
-    assert current.chosen_proposal() == Proposal(BALLOT_2, VALUE_1)
+        proposal_round.chosen_proposal()
+    proposal_round.on_accepted(A)
+    assert proposal_round.chosen_proposal() == Proposal(BALLOT_2, VALUE_1)
 
 
-@test("whoever does not vote counts for nothing, nor a member with another disk")
+@test("responses of replicas that don't vote, or of a member with another disk, don't count")
 def _():
-    current = report_promises(start_round(), A, D, ReplicaId("b", "new"))
-    assert current.phase is Phase.PREPARE
-    report_promises(current, B)
+    proposal_round = report_promises(start_round(), A, D, ReplicaId("b", "new"))
+    assert proposal_round.phase is Phase.PREPARE
+    report_promises(proposal_round, B)
     for voter in (A, D, ReplicaId("b", "new")):
-        current.on_accepted(voter)
-    assert current.phase is Phase.ACCEPT
+        proposal_round.on_accepted(voter)
+    assert proposal_round.phase is Phase.ACCEPT
 
 
-@test("a round builds on the highest value found, not on what it knew")
+@test("a round builds on the value found with the highest ballot, not on the one that its process knew")
 def _():
-    current = start_round(change=lambda found: found, ballot=BALLOT_3, known=Proposal(BALLOT_1, VALUE_1))
-    current.on_promised(A, Proposal(BALLOT_1, VALUE_1))
-    current.on_promised(B, Proposal(BALLOT_2, VALUE_2))
-    assert current.proposed_value == VALUE_2 and current.newest_found() == Proposal(BALLOT_2, VALUE_2)
+    proposal_round = start_round(change=lambda found: found, ballot=BALLOT_3, known=Proposal(BALLOT_1, VALUE_1))
+    proposal_round.on_promised(A, Proposal(BALLOT_1, VALUE_1))
+    proposal_round.on_promised(B, Proposal(BALLOT_2, VALUE_2))
+    assert proposal_round.proposed_value == VALUE_2 and proposal_round.newest_found() == Proposal(BALLOT_2, VALUE_2)
 
 
-@test("an answer that comes late, or of a lost round, changes nothing")
+@test("a response that arrives late, or for a lost round, changes nothing")
 def _():
-    current = report_promises(start_round(change=lambda found: found), A, B)
-    current.on_promised(C, Proposal(BALLOT_1, VALUE_1))
-    assert current.proposed_value == INITIAL_VALUE
+    proposal_round = report_promises(start_round(change=lambda found: found), A, B)
+    proposal_round.on_promised(C, Proposal(BALLOT_1, VALUE_1))
+    assert proposal_round.proposed_value == INITIAL_VALUE
     early = start_round()
     early.on_accepted(A)
     assert not early.acceptances
@@ -126,13 +126,13 @@
     assert early.phase is Phase.LOST and early.highest_refusal == BALLOT_3 and early.proposed_value is None
 
 
-@test("a refusal after the decision takes nothing back")
+@test("a refusal after the value is chosen changes nothing")
 def _():
-    current = report_promises(start_round(), A, B)
-    current.on_accepted(A)
-    current.on_accepted(B)
-    current.on_refused(BALLOT_3)
-    assert current.phase is Phase.CHOSEN and current.highest_refusal == NO_BALLOT
+    proposal_round = report_promises(start_round(), A, B)
+    proposal_round.on_accepted(A)
+    proposal_round.on_accepted(B)
+    proposal_round.on_refused(BALLOT_3)
+    assert proposal_round.phase is Phase.CHOSEN and proposal_round.highest_refusal == NO_BALLOT
 
 
 # ---- change of voters ----
@@ -140,51 +140,51 @@
 
 @test("a change of voters is chosen by a majority of both sets")
 def _():
-    current = report_promises(start_round(with_voters_abd), A, B)
-    assert current.proposed_value == JOINT_VALUE and current.addresses_to_ask() == {"a", "b", "c", "d"}
-    current.on_accepted(A)
-    current.on_accepted(D)
-    assert current.phase is Phase.ACCEPT
-    current.on_accepted(C)
-    assert current.phase is Phase.CHOSEN
+    proposal_round = report_promises(start_round(with_voters_abd), A, B)
+    assert proposal_round.proposed_value == JOINT_VALUE and proposal_round.addresses_to_ask() == {"a", "b", "c", "d"}
+    proposal_round.on_accepted(A)
+    proposal_round.on_accepted(D)
+    assert proposal_round.phase is Phase.ACCEPT
+    proposal_round.on_accepted(C)
+    assert proposal_round.phase is Phase.CHOSEN
     other = report_promises(start_round(with_voters_abd), A, B)
     other.on_accepted(B)
     other.on_accepted(C)
     assert other.phase is Phase.ACCEPT
 
 
-@test("a round that finds newer voters asks a majority of these too")
+@test("a round that finds newer voters also needs a majority of these")
 def _():
-    current = start_round(ballot=BALLOT_3)
-    current.on_promised(B, INITIAL)
-    current.on_promised(C, Proposal(BALLOT_2, JOINT_VALUE))
-    assert current.phase is Phase.PREPARE and "d" in current.addresses_to_ask()
-    current.on_promised(D, Proposal(BALLOT_2, JOINT_VALUE))
-    assert current.phase is Phase.ACCEPT
+    proposal_round = start_round(ballot=BALLOT_3)
+    proposal_round.on_promised(B, INITIAL)
+    proposal_round.on_promised(C, Proposal(BALLOT_2, JOINT_VALUE))
+    assert proposal_round.phase is Phase.PREPARE and "d" in proposal_round.addresses_to_ask()
+    proposal_round.on_promised(D, Proposal(BALLOT_2, JOINT_VALUE))
+    assert proposal_round.phase is Phase.ACCEPT
 
 
-@test("an undecided change stays joint, and no other one is begun on it")
+@test("a change of voters that isn't known to be chosen stays joint, and no other one is begun on top of it")
 def _():
     other = VoterSet(3, (A, D))
-    current = start_round(lambda found: replace(found, voters=other, version=VALUE_1.version), ballot=BALLOT_3)
-    report_promises(current, A, B, accepted=Proposal(BALLOT_2, JOINT_VALUE))
-    assert current.proposed_value == replace(JOINT_VALUE, version=VALUE_1.version)
+    proposal_round = start_round(lambda found: replace(found, voters=other, version=VALUE_1.version), ballot=BALLOT_3)
+    report_promises(proposal_round, A, B, accepted=Proposal(BALLOT_2, JOINT_VALUE))
+    assert proposal_round.proposed_value == replace(JOINT_VALUE, version=VALUE_1.version)
 
 
-@test("a change known to be chosen is joint no more, and the next one builds on it")
+@test("a change of voters that is known to be chosen is no longer joint, and the next one builds on it")
 def _():
     known = Proposal(BALLOT_2, JOINT_VALUE)
-    current = start_round(ballot=BALLOT_3, known=known, chosen_voters_number=2)
-    assert current.addresses_to_ask() == {"a", "b", "d"}
-    report_promises(current, A, D, accepted=known)
-    assert current.proposed_value == with_value_1(RegisterValue(JOINT_VALUE.voters))
+    proposal_round = start_round(ballot=BALLOT_3, known=known, chosen_voters_number=2)
+    assert proposal_round.addresses_to_ask() == {"a", "b", "d"}
+    report_promises(proposal_round, A, D, accepted=known)
+    assert proposal_round.proposed_value == with_value_1(RegisterValue(JOINT_VALUE.voters))
     following = VoterSet(3, (A, D))
     after = start_round(lambda found: replace(found, voters=following), BALLOT_3, known, 2)
     report_promises(after, A, D, accepted=known)
     assert after.proposed_value == RegisterValue(following, JOINT_VALUE.voters.members)
 
 
-@test("the voters before are asked until those after are known to be chosen")
+@test("the previous voters are required until the new ones are known to be chosen")
 def _():
     assert needed_groups(JOINT_VALUE, 1) == (JOINT_VALUE.voters.members, JOINT_VALUE.previous)
     assert needed_groups(JOINT_VALUE, 2) == (JOINT_VALUE.voters.members,)
@@ -193,14 +193,14 @@
 # ---- reads ----
 
 
-@test("a read takes a value that a majority holds, and only that")
+@test("a read returns only a value that a majority has accepted")
 def _():
     read = MajorityRead(INITIAL, 1)
-    read.on_reply(A, Proposal(BALLOT_1, VALUE_1))
+    read.on_response(A, Proposal(BALLOT_1, VALUE_1))
     assert not read.has_quorum() and read.chosen_proposal() is None
-    read.on_reply(B, INITIAL)
+    read.on_response(B, INITIAL)
     assert read.has_quorum() and read.chosen_proposal() is None
-    read.on_reply(C, Proposal(BALLOT_1, VALUE_1))
+    read.on_response(C, Proposal(BALLOT_1, VALUE_1))
     assert read.chosen_proposal() == Proposal(BALLOT_1, VALUE_1)
 
 
@@ -208,25 +208,27 @@
 def _():
     read = MajorityRead(INITIAL, 1)
     changed = Proposal(BALLOT_1, JOINT_VALUE)
-    read.on_reply(A, changed)
-    read.on_reply(D, changed)
+    read.on_response(A, changed)
+    read.on_response(D, changed)
     assert read.addresses_to_ask() == {"a", "b", "c", "d"} and not read.has_quorum() and read.chosen_proposal() is None
-    read.on_reply(C, changed)
+    read.on_response(C, changed)
     assert read.chosen_proposal() == changed
 
 
-@test("an empty disk's answer counts for no value")
+@test("the responses of empty disks count for the quorum, but prove no value")
 def _():
     read = MajorityRead(INITIAL, 1)
-    read.on_reply(A, None)
-    read.on_reply(B, None)
+    read.on_response(A, None)
+    read.on_response(B, None)
     assert read.has_quorum() and read.chosen_proposal() is None
 
 
 # ---- views ----
 
 
-@test("views are enough when no majority can lack them, of the voters before a change too")
+@test(
+    "the newest view is known once no majority can lack it, for a joint value also no majority of the previous voters"
+)
 def _():
     changed = Proposal(BALLOT_2, JOINT_VALUE)
     assert newest_view({}) is None
@@ -237,7 +239,7 @@
     assert newest_view({A: changed, D: changed, C: INITIAL}) == changed
 
 
-@test("the seeds' first value is the same whatever their order")
+@test("the initial value is the same whatever the order of the seeds")
 def _():
     assert initial_value(("c", "b", "a", "a")) == INITIAL and INITIAL.ballot == NO_BALLOT
     assert INITIAL.value.voters == VoterSet(1, (A, B, C))
--- a/tests/system/test_reader.py
+++ b/tests/system/test_reader.py
@@ -1,4 +1,4 @@
-"""The reader of the register: how a read gets the body of what is chosen."""
+"""The reader of the register: how a read gets the body of the chosen proposal."""
 
 from types import SimpleNamespace
 
@@ -13,19 +13,19 @@
 OWN, LOST, HOLDER, LATE = (ReplicaId(address, "disk") for address in ("own", "lost", "holder", "late"))
 
 
-@test("a read goes on to the next holder of the body though a reply comes in while the first one is asked")
+@test("a read fetches the body from the next voter that has it, also if a response arrives during the first fetch")
 async def _():
     initial = initial_value([voter.address for voter in (OWN, LOST, HOLDER, LATE)])
     chosen = initial._replace(ballot=BALLOT)
     read = MajorityRead(initial, 1)
-    read.on_reply(LOST, chosen)
-    read.on_reply(HOLDER, chosen)
+    read.on_response(LOST, chosen)
+    read.on_response(HOLDER, chosen)
     asked = []
 
     async def fetch(address, ballot):
         asked.append((address, ballot))
         if address == LOST.address:
-            read.on_reply(LATE, chosen)
+            read.on_response(LATE, chosen)
             return None
         return chosen
 
--- a/tests/system/test_recovery.py
+++ b/tests/system/test_recovery.py
@@ -1,4 +1,4 @@
-"""A majority of the voters is lost for good: what the operator's command does on the disk that is left."""
+"""Recovery after a majority of the voters is lost for good: the operator's command on the remaining disk."""
 
 import tempfile
 
@@ -22,20 +22,20 @@
     register_record,
 )
 from stoneyoke.consensus.recovery import recovered_register
-from stoneyoke.consensus.register_value import FIRST_DISK, Proposal, RegisterValue, ReplicaId, VoterSet
+from stoneyoke.consensus.register_value import INITIAL_DISK_NAME, Proposal, RegisterValue, ReplicaId, VoterSet
 from stoneyoke.programs.commands import data_folder
 from stoneyoke.programs.commands.errors import CommandError
 from stoneyoke.storage.record_store import RecordStore
 
-A, B, C = (ReplicaId(f"10.0.0.{at}", FIRST_DISK) for at in (1, 2, 3))
+A, B, C = (ReplicaId(f"10.0.0.{at}", INITIAL_DISK_NAME) for at in (1, 2, 3))
 VERSION = read_configuration(example(5)).version
 ACCEPTED = Proposal(Ballot(7, "10.0.0.2/ab"), RegisterValue(VoterSet(4, (A, B, C)), (), VERSION, example(5)))
 PROMISED = Ballot(9, "10.0.0.3/cd")
 
 
-@test("the one replica that is left goes on with its configuration, and the others join with empty disks")
+@test("the one replica that is left continues with its configuration, and the others join with empty disks")
 def _():
-    async def play(cluster):
+    async def scenario(cluster):
         await all_have_quorum(cluster)
         assert await cluster.controllers["10.0.0.1"].handle_call(put(5)) == Acknowledged()
         for name in cluster.names:
@@ -49,25 +49,25 @@
         promised = read_promise(left[PROMISE])
         left[REGISTER] = register_record(recovered_register(read_register(left[REGISTER]), promised, A))
         alone = await cluster.start("10.0.0.1")
-        await cluster.until(lambda: alone.replica.chosen is not None)
+        await cluster.wait_until(lambda: alone.replica.chosen is not None)
         assert await alone.handle_call(ReadConfiguration()) == Document(example(5))
         assert await alone.handle_call(put(6)) == Acknowledged()
         for name in ("10.0.0.2", "10.0.0.3"):
             await cluster.start(name)
-        await cluster.until(lambda: len(voters(cluster).members) == 3)
+        await cluster.wait_until(lambda: len(voters(cluster).members) == 3)
         await all_have_quorum(cluster)
         cluster.stop("10.0.0.1")
         assert await cluster.controllers["10.0.0.2"].handle_call(ReadConfiguration()) == Document(example(6))
 
-    run(play)
+    run(scenario)
 
 
 @fixture
 def folder():
-    """A stopped controller's data folder: it voted with two others, which are lost."""
+    """The data folder of a stopped controller that voted with two others, which are lost."""
     with tempfile.TemporaryDirectory() as name:
         store = RecordStore(name)
-        store.save(IDENTITY, identity_record(FIRST_DISK))
+        store.save(IDENTITY, identity_record(INITIAL_DISK_NAME))
         store.save(PROMISE, promise_record(PROMISED))
         store.save(REGISTER, register_record(ACCEPTED))
         yield name
