--- a/stoneyoke/lab/plan.py
+++ b/stoneyoke/lab/plan.py
@@ -1,4 +1,7 @@
-"""All that a seed makes of a scenario: customers, arrivals and fault events. One seed always gives the same."""
+"""Draws the plan of a run from its scenario and seed: customers, arrivals and fault events.
+
+The same scenario and seed give the same plan in every process and on every machine.
+"""
 
 import hashlib
 from typing import NamedTuple
@@ -18,41 +21,41 @@
 
 
 class Customer(Struct, frozen=True):
-    """A customer: its plan, the gateways that it comes through, and how much of its quota it uses."""
+    """A customer: its plan, the gateways that it sends to, and how much of its quota it uses."""
 
     account: int
     plan: int
-    first: int  # the number of its first gateway; the others follow
-    width: int  # the number of its gateways
-    use: float  # of its rate
+    first: int  # the number of its first gateway; its other gateways have the next numbers
+    width: int  # how many gateways it sends to
+    use: float  # its load as a multiple of its quota's rate
 
 
 class Arrival(Struct, frozen=True, array_like=True):
     """A request that a client sends."""
 
-    at_us: int  # since the start
+    at_us: int  # since the run's start
     number: int
     customer: int
     method: int
     gateway: int
-    wait_us: int
+    wait_us: int  # from the first try to the request's deadline
 
 
 class FaultEvent(Struct, frozen=True):
-    """The begin or the end of a fault."""
+    """The start or the end of a fault."""
 
     at_us: int
     kind: str
-    begins: bool  # else it ends
+    begins: bool  # false: the fault ends
     processes: list[str] = msgspec.field(name="on")
-    source: str = msgspec.field(name="from_")  # globs of a link's two ends; of other faults empty
-    destination: str = msgspec.field(name="to")
+    source: str = msgspec.field(name="from_")  # glob of a link's one end; empty for other faults
+    destination: str = msgspec.field(name="to")  # glob of its other end
     fault: Fault
-    number: int  # of the fault; its end has the same
+    number: int  # identifies the fault; its start and its end have the same number
 
 
 class RunPlan(Struct, frozen=True):
-    """All that a seed makes of a scenario."""
+    """All random choices of a run, drawn with its seed."""
 
     seed: int
     customers: list[Customer]
@@ -60,7 +63,7 @@
     fault_events: list[FaultEvent] = msgspec.field(name="strikes")
 
     def digest(self) -> str:
-        """Equal plans have equal digests, in every process and on every machine."""
+        """Returns a digest that equal plans share in every process and on every machine."""
         return hashlib.sha256(msgspec.json.encode(self)).hexdigest()[:16]
 
 
@@ -76,7 +79,7 @@
 
 
 def draw_customers(scenario: Scenario, random_source: np.random.Generator) -> list[Customer]:
-    """Draws customers of each plan, until they use the plan's share of the load."""
+    """Draws customers of each plan until the load inside their quotas adds up to the plan's share."""
     mean_units = sum(method.units * method.share for method in scenario.method) / sum(
         method.share for method in scenario.method
     )
@@ -96,7 +99,7 @@
 
 
 class ArrivalRow(NamedTuple):
-    """An arrival before all are numbered in the order of time."""
+    """An arrival before it gets its number; numbers follow the order of time."""
 
     at_us: int
     customer: int
@@ -105,7 +108,7 @@
 
 
 def draw_arrivals(scenario: Scenario, customers: list[Customer], random_source: np.random.Generator) -> list[Arrival]:
-    """Draws Poisson arrivals of each customer. Its gateways take shares of 1 / rank ** skew, ranked at random."""
+    """Draws Poisson arrivals of each customer. Its gateways are ranked at random and weighted by 1 / rank ** skew."""
     rows: list[ArrivalRow] = []
     for number, customer in enumerate(customers):
         rows += draw_customer_arrivals(scenario, number, customer, random_source)
@@ -120,7 +123,7 @@
 def draw_customer_arrivals(
     scenario: Scenario, number: int, customer: Customer, random_source: np.random.Generator
 ) -> list[ArrivalRow]:
-    """Draws the arrivals of one customer: as many as at the greatest burst, of which the surplus is dropped."""
+    """Draws the arrivals of one customer: at the rate of its greatest burst, then drops the surplus at other times."""
     methods, shares = scenario.method, method_shares(scenario)
     units = float(sum(method.units * share for method, share in zip(methods, shares, strict=True)))
     rate_per_s = customer.use * scenario.plan[customer.plan].rate / units
@@ -147,18 +150,18 @@
 
 
 def method_shares(scenario: Scenario) -> npt.NDArray[np.float64]:
-    """The share of each method of the requests; the sum is 1."""
+    """Returns each method's share of the requests; the shares add up to 1."""
     shares = np.array([method.share for method in scenario.method])
     return shares / sum(method.share for method in scenario.method)
 
 
 def burst_factor(bursts: list[Fault], at_s: float) -> float:
-    """The factor on the load at a time."""
+    """Returns the factor by which bursts multiply the load at a time."""
     return max([1.0, *(burst.factor for burst in bursts if burst.at_s <= at_s < burst.at_s + burst.for_s)])
 
 
 def gateway_shifts_s(scenario: Scenario) -> list[float]:
-    """When customers change their busiest gateways."""
+    """Returns the times at which the ranks of all customers' gateways are drawn anew."""
     shifts_s = sorted(fault.at_s for fault in scenario.fault if fault.kind == "shift")
     if scenario.clients.shift_s:
         shifts_s += list(np.arange(scenario.clients.shift_s, scenario.seconds, scenario.clients.shift_s))
@@ -169,7 +172,7 @@
 
 
 def draw_fault_events(scenario: Scenario, random_source: np.random.Generator) -> list[FaultEvent]:
-    """The scenario's faults, and those that the seed draws, as events in the order of time."""
+    """Returns the events of the scenario's own faults and of the random ones, in the order of time."""
     faults = list(scenario.fault)
     if scenario.random:
         faults += [draw_fault(scenario, scenario.random, random_source) for _ in range(scenario.random.faults)]
@@ -183,7 +186,7 @@
 
 
 def draw_fault(scenario: Scenario, bounds: RandomFaults, random_source: np.random.Generator) -> Fault:
-    """Draws one fault within the bounds."""
+    """Draws one fault within the bounds of the scenario's random faults."""
     kind = bounds.kinds[int(random_source.integers(len(bounds.kinds)))]
     at_s = round(float(random_source.uniform(0.1, 0.7)) * scenario.seconds, 2)
     for_s = round(float(random_source.uniform(0.2, 1.0)) * bounds.longest_s, 2)
@@ -203,7 +206,7 @@
 
 
 def link_fault_events(fault: Fault, number: int) -> list[FaultEvent]:
-    """The begin of a link's fault and, unless it is for good, its end."""
+    """Returns the start of a link's fault and, unless the fault is permanent, its end."""
     begin_us = int(fault.at_s * 1e6)
     source, destination = fault.from_ or "*", fault.to or "*"
     events = [FaultEvent(begin_us, fault.kind, True, [], source, destination, fault, number)]
@@ -216,7 +219,7 @@
 def process_fault_events(
     scenario: Scenario, fault: Fault, number: int, random_source: np.random.Generator
 ) -> list[FaultEvent]:
-    """The begins and ends of a fault at each of the processes that it strikes."""
+    """Returns the starts and the ends of a fault at each of the processes that it affects."""
     candidates = matching_processes(scenario, fault)
     count = max(1, round(len(candidates) * fault.part)) if candidates else 0
     names = candidates
--- a/stoneyoke/lab/rules.py
+++ b/stoneyoke/lab/rules.py
@@ -1,4 +1,4 @@
-"""The five rules that hold in every run, checked from the ledger alone."""
+"""The five invariants of every run, checked from the ledger alone."""
 
 import bisect
 from collections import defaultdict
@@ -12,27 +12,31 @@
 from stoneyoke.lab.ledger_rows import GAVE_UP, NO_ANSWER, EndpointsSent
 from stoneyoke.lab.quota_bucket import CustomerBuckets
 
-# The protocol allows 50 ms; a busy machine adds the rest. A run whose stand-ins lag more than that is void.
+# Tolerance for all times in the rules. The protocol allows 50 ms; the rest covers delays on a busy machine. A run whose
+# stand-ins lag more than that is void.
 SLACK_US = 150_000
-RATE_LIMIT_SLACK_S = 0.15  # of a limit's rate, beside the slack of its burst. Source: the protocol page.
+# A customer may exceed its rate limit by as many units as the limit's rate allows in this time, in addition to a
+# tolerance for the burst. Source: the protocol page.
+RATE_LIMIT_SLACK_S = 0.15
 REJECTED_STATUSES = (429, 503)
-ENDPOINT_LOOKBACK_US = 1_000_000  # a fault so long before an endpoint list may have withheld it from the gateway
+# A link fault up to this long before an endpoint list was sent may have kept the list from reaching the gateway.
+ENDPOINT_LOOKBACK_US = 1_000_000
 MAX_VIOLATION_IDS = 20
 ACTIVE, LEFT = "active", "left"
 
 
 class Rule(StrEnum):
-    """A guarantee. The values are those of stored results."""
+    """An invariant. Stored results hold the values."""
 
-    ANSWERED = "lost"  # each try gets one final answer by its deadline, made for it
-    ONCE = "twice"  # nothing but an idempotent request runs twice
-    DRAINED = "drain"  # nothing new reaches a backend after the grace of its drain
-    WARMED_UP = "cold"  # a cold backend is not sent more than it can do
+    ANSWERED = "lost"  # each try gets one final response by its deadline, and it is the response to this try
+    ONCE = "twice"  # only an idempotent request runs twice; only one attempt of a try is in flight at a time
+    DRAINED = "drain"  # no new attempt reaches a draining backend after the grace period
+    WARMED_UP = "cold"  # a backend that is warming up is not overloaded
     LIMITED = "ceiling"  # no customer exceeds its plan's rate limit
 
 
 class Violation(Struct):
-    """One break of a rule, with the ledger's rows about its ids."""
+    """One violation of a rule, with the ledger's rows about the tries concerned."""
 
     rule: str  # a Rule
     at_us: int
@@ -42,7 +46,7 @@
 
 
 def violations(index: LedgerIndex) -> list[Violation]:
-    """All breaks of all rules, with their rows."""
+    """Returns all violations of all rules, with the ledger's rows about them."""
     found = [
         *unanswered_tries(index),
         *repeated_executions(index),
@@ -56,7 +60,7 @@
 
 
 def unanswered_tries(index: LedgerIndex) -> list[Violation]:
-    """Tries without an answer of their own by their deadline, unless a fault or the client is the reason."""
+    """Finds tries that got no response of their own by their deadline, unless a fault or the client is the reason."""
     found = []
     for client_try in index.tries.values():
         id = client_try.id
@@ -74,7 +78,7 @@
 
 
 def _is_excused(index: LedgerIndex, client_try: ClientTry) -> bool:
-    """Whether the try's gateway or the link to it failed meanwhile."""
+    """Whether the try's gateway was unavailable, or the link to it faulty, while the try was pending."""
     gateway, sent_us = client_try.gateway, client_try.sent_at_us
     until_us = max(client_try.deadline_us, client_try.answered_at_us)
     if index.was_unavailable(gateway, sent_us, until_us):
@@ -83,7 +87,7 @@
 
 
 def repeated_executions(index: LedgerIndex) -> list[Violation]:
-    """Effects that happened twice or despite a rejection, and tries with two attempts at once."""
+    """Finds requests that ran twice or although they were rejected, and tries with two attempts in flight at once."""
     found = []
     for client_try in index.tries.values():
         id, effect = client_try.id, index.methods[client_try.method].effect
@@ -101,7 +105,8 @@
     found = []
     for attempt, following in zip(client_try.attempts, client_try.attempts[1:], strict=False):
         end = client_try.end_of(attempt)
-        # An attempt that the gateway gave up closed its connection, so nobody received its answer.
+        # The gateway cancels an attempt by closing its connection. The backend's response is then not received, so
+        # the attempt was not in flight any more.
         if end and end.at_us > following.at_us and not end.outcome.startswith(("unheard", "answer lost")):
             detail = f"{client_try.id} had two attempts at once"
             found.append(Violation(Rule.ONCE, following.at_us, detail, [client_try.id]))
@@ -109,14 +114,14 @@
 
 
 class StatusChange(NamedTuple):
-    """A backend's status from a time on, as discovery has told one gateway."""
+    """A backend's status from a time on, as discovery has sent it to one gateway."""
 
     at_us: int
     status: str
 
 
 def status_changes(rows: list[EndpointsSent]) -> dict[str, list[StatusChange]]:
-    """The statuses that discovery has sent one gateway, by backend."""
+    """Returns the changes of status that discovery has sent to one gateway, by backend."""
     changes: dict[str, list[StatusChange]] = defaultdict(list)
     for row in rows:
         statuses = dict(row.endpoints)
@@ -130,7 +135,7 @@
 
 
 def attempts_after_drain(index: LedgerIndex) -> list[Violation]:
-    """Attempts later than the grace after their gateway learned that the backend drains."""
+    """Finds attempts that arrived after the grace period, which starts when their gateway is sent the drain."""
     grace_us = index.scenario.backends.grace_ms * 1000
     changes = {gateway: status_changes(rows) for gateway, rows in index.endpoints_sent.items()}
     found = []
@@ -154,7 +159,10 @@
 
 
 def _may_not_know(index: LedgerIndex, client_try: ClientTry, attempt: Attempt, learned_us: int) -> bool:
-    """Whether the gateway has restarted since, or a fault has withheld the change from it."""
+    """Whether the gateway may not know of the change of status.
+
+    It has restarted since, or a fault affected the gateway, its link to discovery or its link to the backend.
+    """
     gateway = client_try.gateway
     started_us = max((start for start in index.gateway_starts.get(gateway, []) if start <= attempt.at_us), default=0)
     if learned_us < started_us or index.was_unavailable(gateway, learned_us, attempt.at_us):
@@ -166,7 +174,7 @@
 
 
 class Work(NamedTuple):
-    """Work that an attempt brought to a backend."""
+    """The work of an attempt: its arrival at the backend, its mean service time and its try's id."""
 
     at_us: int
     seconds: float
@@ -174,7 +182,7 @@
 
 
 def overloaded_cold_backends(index: LedgerIndex) -> list[Violation]:
-    """Work sent to a backend within a window after its start, compared with what it could do then."""
+    """Finds backends that were sent more work in a window during their warm-up than their capacity then allows."""
     work: dict[str, list[Work]] = defaultdict(list)
     for client_try in index.tries.values():
         for attempt in client_try.attempts:
@@ -191,7 +199,7 @@
 
 
 def _first_overload(index: LedgerIndex, backend: str, start_us: int, received: list[Work]) -> Violation | None:
-    """The first overload of a backend while it warms up after a start."""
+    """Returns the first overload of a backend while it warms up after a start."""
     settings = index.scenario.backends
     window_us, warm_up_us = settings.overload_window_s * 1e6, settings.warm_up_s * 1e6
     slack_s = 4 * max(method.work_ms for method in index.methods) / 1000
@@ -214,7 +222,7 @@
 
 
 def exceeded_rate_limits(index: LedgerIndex) -> list[Violation]:
-    """Tries that reached a backend beyond the rate limit of their customer's plan."""
+    """Finds tries that reached a backend although they exceeded the rate limit of their customer's plan."""
     buckets = CustomerBuckets()
     most_units = max(method.units for method in index.methods)
     found = []
--- a/stoneyoke/lab/run.py
+++ b/stoneyoke/lab/run.py
@@ -1,6 +1,7 @@
-"""One run: starts everything, carries out the plan's faults, ends everything, and has the ledger judged.
+"""One run: starts all processes, injects the plan's faults, stops all processes and has the ledger evaluated.
 
-Every process is a child of this one or of the supervisor, and ends with its standard input.
+Each worker is a child of this process and exits when its standard input closes. The gateways are children of the
+supervisor, a worker that kills them when it exits. So no process outlives the run.
 """
 
 import asyncio
@@ -32,9 +33,9 @@
 READY_POLL_S = 0.05
 READY_REQUEST = b"GET /healthz HTTP/1.1\r\nHost: lab\r\n\r\n"
 READY_REQUEST_TIMEOUT_S = 1.0
-START_DELAY_NS = 200_000_000  # from the order to begin until the run's start, so that all workers know it
-DRAIN_SLACK_S = 3  # beside the longest deadline
-STEP_S = 0.1  # the run looks at least this often whether a worker has ended
+START_DELAY_NS = 200_000_000  # between the Begin command and the run's start, so that all workers receive it in time
+DRAIN_SLACK_S = 3  # time for the clients to drain, in addition to the longest deadline of a method
+STEP_S = 0.1  # longest interval between two checks whether a worker has exited
 MAX_REPLY_BYTES = 1 << 22
 
 
@@ -49,14 +50,14 @@
         port: int = 7070,
         progress: Callable[[float], None] = lambda _: None,
     ) -> None:
-        """Draws the plan; starts nothing yet.
+        """Draws the plan, but starts no process.
 
         Args:
-            scenario: What the run is made of.
-            seed: Of the plan.
-            out: Folder for everything that the run leaves.
-            port: Of all processes.
-            progress: Called now and then with the time since the start in seconds.
+            scenario: The processes, the load and the faults of the run.
+            seed: The seed of the plan.
+            out: The folder for the run's ledger, logs, configurations and result.
+            port: The port of all processes.
+            progress: Called at least every STEP_S with the time since the run's start in seconds.
         """
         self.scenario = scenario
         self.out = out
@@ -64,16 +65,16 @@
         self.addresses = Addresses(scenario, port)
         self.plan = draw_plan(scenario, seed)
         self.workers: dict[str, WorkerProcess] = {}
-        self.crashes: list[str] = []  # one line for each gateway that died unexpectedly
-        self.reasons: list[str] = []  # remarks for the result
+        self.crashes: list[str] = []  # one line for each gateway that exited unexpectedly
+        self.reasons: list[str] = []  # further lines for the result's reasons; they don't change the verdict
         self.faults = FaultOrders(self.addresses, self.workers, self)
         self.files = GatewayFiles(scenario, self.addresses, seed, out)
 
     async def play(self) -> Result:
-        """Plays the run from its start to its end. A run that is cancelled is judged as partial.
+        """Executes the whole run and evaluates it. A run that is cancelled gets the verdict partial.
 
         Raises:
-            CannotRun: The machine can't hold it, or something did not start or stay.
+            CannotRun: The machine lacks the resources, or a process did not start or exited during the run.
         """
         began_s, partial = time.monotonic(), ""
         check_capacity(self.scenario, self.addresses)
@@ -90,7 +91,7 @@
     # ---- gateways ----
 
     def settings(self, gateway: int) -> dict[str, Any]:
-        """A gateway's settings, as the protocol's first message would give them."""
+        """Returns a gateway's settings, with the keys of the protocol's first message."""
         return gateway_settings(self.scenario, self.addresses, gateway)
 
     def configure(self, gateway: int, restarts: int = 0) -> Path:
@@ -102,7 +103,12 @@
         return self.files.write(gateway, restarts, self.settings(gateway))
 
     def start_gateway(self, gateway: int, restarts: int = 0) -> None:
-        """Configures a gateway that was started so often before, and has the supervisor start it."""
+        """Writes a gateway's files and has the supervisor start it.
+
+        Args:
+            gateway: The gateway's number.
+            restarts: How often the gateway was started before.
+        """
         name, path = self.addresses.gateway_names[gateway], self.configure(gateway, restarts)
         env = {"NODE_CONFIG": str(path), "NODE_NAME": name}
         if self.scenario.fleet.on:
@@ -114,7 +120,8 @@
         """Waits until gateways are ready.
 
         Raises:
-            NotReady: Names the first that is not in time, with its last line.
+            NotReady: A gateway has exited, or is not ready within READY_TIMEOUT_S. The text names the first one, and
+                for one that has exited its last log line.
         """
         deadline_s = time.monotonic() + READY_TIMEOUT_S
         for gateway in gateways:
@@ -170,7 +177,7 @@
     # ---- the run ----
 
     async def _start(self) -> None:
-        """Starts the workers, then the gateways in waves."""
+        """Starts the workers, then the gateways, `wave` of them at a time."""
         for folder in ("ledger", "logs", "configs"):
             (self.out / folder).mkdir(parents=True, exist_ok=True)
         self.files.write_keys()
@@ -187,7 +194,7 @@
             await self._wait_for_gateways(gateways)
 
     async def _play_plan(self) -> None:
-        """Lets the clients begin, carries out the fault events in time, and drains the clients."""
+        """Starts the clients, injects the fault events at their times, and drains the clients."""
         self._started_ns = time.monotonic_ns() + START_DELAY_NS
         for worker in self.workers.values():
             worker.send(Begin(self._started_ns))
@@ -195,14 +202,14 @@
             remaining = await self._carry_out_events()
             for event in remaining:
                 if not event.begins:
-                    self._carry_out(event)  # ends the faults that still last, so that all that is pending can end
+                    self._carry_out(event)  # ends the remaining faults, so that all pending requests can complete
             await self._drain_clients()
 
     async def _carry_out_events(self) -> list[FaultEvent]:
-        """Carries out fault events until the run's time is over.
+        """Injects fault events until the run's duration is over.
 
         Returns:
-            The events after that.
+            The events with later times.
         """
         events, end_s = list(self.plan.fault_events), self.scenario.seconds
         while (now_s := self._now_s()) < end_s:
@@ -223,7 +230,7 @@
                 raise CannotRun(f"{name} ended during the run: see {self._log_path(name)}")
 
     def _carry_out(self, event: FaultEvent) -> None:
-        """Writes a fault event into the ledger and orders it."""
+        """Writes a fault event into the ledger and has the workers inject it."""
         at_us = (time.monotonic_ns() - self._started_ns) // 1000
         fields = (event.number, event.kind, event.begins, event.processes, event.source, event.destination)
         self._ledger.write(msgspec.json.encode(("fault", at_us, *fields)) + b"\n")
@@ -241,7 +248,7 @@
             self.reasons.append("clients still waited at the end")
 
     async def _end(self) -> None:
-        """Ends every process: first the clients, then the gateways, then all others."""
+        """Shuts down all workers: first the clients, then the supervisor with the gateways, then all others."""
         first = [CLIENTS, SUPERVISOR]
         for name in first + [name for name in self.workers if name not in first]:
             if name in self.workers:
@@ -249,17 +256,17 @@
 
 
 def run_scenario(scenario: Scenario, seed: int, out: Path, port: int, progress: Callable[[float], None]) -> Result:
-    """Plays a run to its end, or to SIGINT or SIGTERM: then what there is is judged as partial.
+    """Executes a run. SIGINT or SIGTERM stops it early; what it has recorded is then evaluated as partial.
 
     Args:
-        scenario: What the run is made of.
-        seed: Of the plan.
-        out: Folder of the run; what it holds is deleted.
-        port: Of all processes.
-        progress: Called now and then with the time since the start in seconds.
+        scenario: The processes, the load and the faults of the run.
+        seed: The seed of the plan.
+        out: The folder of the run; an existing one is deleted first.
+        port: The port of all processes.
+        progress: Called at least every STEP_S with the time since the run's start in seconds.
 
     Raises:
-        CannotRun: The machine can't hold it, or something did not start or stay.
+        CannotRun: The machine lacks the resources, or a process did not start or exited during the run.
     """
     if out.exists():
         shutil.rmtree(out)
--- a/stoneyoke/lab/scenario_file.py
+++ b/stoneyoke/lab/scenario_file.py
@@ -33,7 +33,7 @@
 
 
 def check(scenario: Scenario) -> None:
-    """Checks what the types alone can't say.
+    """Checks the constraints that the types alone don't express.
 
     Raises:
         InvalidScenario: The text is 'KEY: REASON'.
