--- a/stoneyoke/lab/datagram_links.py
+++ b/stoneyoke/lab/datagram_links.py
@@ -1,4 +1,4 @@
-"""UDP links that lead to one gateway: they lose, delay and so reorder datagrams, by their senders."""
+"""UDP links to one gateway. By sender, they drop datagrams or delay them, which reorders them."""
 
 import asyncio
 import random
@@ -12,15 +12,15 @@
 
 
 class DatagramLinks(asyncio.DatagramProtocol):
-    """The links from all senders to one gateway. Each leads one way only."""
+    """The links from all senders to one gateway. Each link forwards in one direction only."""
 
     def __init__(self, gateway: str, address: Address, senders: dict[Address, str]) -> None:
-        """Carries datagrams once it is connected.
+        """Forwards datagrams once its socket is open.
 
         Args:
-            gateway: Name of the gateway.
-            address: Where the gateway receives.
-            senders: Names by the addresses that datagrams come from.
+            gateway: The name of the gateway.
+            address: The address at which the gateway receives datagrams.
+            senders: The names of the senders, by the addresses that they send from.
         """
         self.gateway = gateway
         self.bytes_carried = self.datagrams_carried = 0
@@ -30,7 +30,7 @@
         self._random_source = random.Random(f"0 {gateway}")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the open socket."""
+        """Stores the open socket's transport."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def close(self) -> None:
@@ -38,7 +38,7 @@
         self._transport.close()
 
     def datagram_received(self, data: bytes, source: Address) -> None:
-        """Sends a datagram on, unless it gets lost."""
+        """Forwards a datagram, with the delay of its link, or drops it."""
         conditions = self._conditions_from(self._senders.get(source, UNKNOWN_SENDER))
         self.bytes_carried += len(data)
         self.datagrams_carried += 1
@@ -51,7 +51,7 @@
             self._transport.sendto(data, self._address)
 
     def change_fault(self, number: int, fault: Fault, begins: bool, sender: str) -> None:
-        """Begins or ends a fault of the link from one sender."""
+        """Starts or ends a fault of the link from one sender."""
         self._conditions_from(sender).change(number, fault, begins)
 
     def _conditions_from(self, sender: str) -> LinkConditions:
--- a/stoneyoke/lab/fault_kinds.py
+++ b/stoneyoke/lab/fault_kinds.py
@@ -6,7 +6,7 @@
 
 
 class FaultTarget(StrEnum):
-    """What a fault affects. Of processes, the value starts their names within a zone."""
+    """What a fault affects. Apart from LINK, the value is the prefix of the process names within a zone."""
 
     LINK = "link"
     GATEWAY = "g"
@@ -26,7 +26,7 @@
 }
 TARGET_BY_KIND = {kind: target for target, kinds in KINDS_BY_TARGET.items() for kind in kinds}
 
-# The key that each of these kinds is of no use without, and the value by which the key counts as not given.
+# The key without which a fault of this kind has no effect, and the key's default, which counts as missing.
 REQUIRED_KEYS = {
     "delay": ("ms", 0.0),
     "throttle": ("bytes_s", 0.0),
@@ -38,7 +38,7 @@
 
 
 def target_of(kind: str) -> FaultTarget:
-    """What faults of a kind affect.
+    """Returns what faults of a kind affect.
 
     Raises:
         UnknownFaultKind: There is no such kind.
--- a/stoneyoke/lab/fault_orders.py
+++ b/stoneyoke/lab/fault_orders.py
@@ -1,4 +1,4 @@
-"""Turns the fault events of a plan into orders to the workers that carry them out."""
+"""Turns the fault events of a plan into commands to the workers, which inject the faults."""
 
 import time
 from pathlib import Path
@@ -28,7 +28,7 @@
 
 ACTIVE, LEAVING, LEFT = "active", "leaving", "left"
 
-# The worker and the order for a fault of each service of which there is one.
+# The worker and the type of command for a fault of the counter service, of discovery and of the clients.
 SERVICE_ORDERS: dict[FaultTarget, tuple[str, type[ChangeFault]]] = {
     FaultTarget.COUNTER: (COUNTER, ChangeCounterFault),
     FaultTarget.DISCOVERY: (DISCOVERY, ChangeDiscoveryFault),
@@ -37,25 +37,25 @@
 
 
 class GatewayStarter(Protocol):
-    """Starts and configures gateways."""
+    """Configures and starts gateways. `restarts` is how often the gateway was started before."""
 
     def start_gateway(self, gateway: int, restarts: int = 0) -> None:
-        """Starts a gateway that was started so often before."""
+        """Writes a gateway's files and starts it."""
 
     def configure(self, gateway: int, restarts: int = 0) -> Path:
-        """Writes a gateway's files anew."""
+        """Overwrites a gateway's files."""
 
 
 class FaultOrders:
-    """Orders from each worker its part of a fault event."""
+    """Sends each worker the commands for its part of a fault event."""
 
     def __init__(self, addresses: Addresses, workers: dict[str, WorkerProcess], gateways: GatewayStarter) -> None:
-        """Orders nothing yet.
+        """Sends no command yet.
 
         Args:
-            addresses: Numbers gateways and backends by name.
-            workers: By name; filled until the run begins.
-            gateways: Starts gateways again.
+            addresses: The names of the gateways and backends, in the order of their numbers.
+            workers: The workers by name. The run adds them after this call, before it injects the first fault.
+            gateways: Configures gateways and restarts them.
         """
         self._addresses = addresses
         self._workers = workers
@@ -63,7 +63,7 @@
         self._restarts: dict[str, int] = {}  # by gateway
 
     def carry_out(self, event: FaultEvent) -> None:
-        """Begins or ends a fault."""
+        """Starts or ends a fault."""
         target = target_of(event.kind)
         if target == FaultTarget.LINK:
             self._carry_out_on_links(event)
--- a/stoneyoke/lab/link_conditions.py
+++ b/stoneyoke/lab/link_conditions.py
@@ -1,4 +1,4 @@
-"""What the faults that lie on a link at a time make of it. No I/O."""
+"""The combined effect of the faults that are active on a link. No I/O."""
 
 from enum import IntEnum
 
@@ -8,20 +8,20 @@
 class Direction(IntEnum):
     """A direction over a link, as an index."""
 
-    FORTH = 0  # from where the link is entered
+    FORTH = 0  # from the side that opens connections to the link
     BACK = 1
 
 
 class LinkConditions:
-    """The faults on one link, by their numbers, and their joint effect.
+    """The active faults of one link, by their numbers, and their combined effect.
 
     Attributes:
-        silent: By direction, whether nothing passes.
+        silent: By direction, whether no data passes.
         refuses: Whether new connections are refused.
-        delay_s: Added to each piece of data.
-        jitter_s: The greatest random delay beside that.
-        bytes_s: The bandwidth; 0: not limited.
-        loss: The share of datagrams that get lost.
+        delay_s: The delay of each piece of data.
+        jitter_s: The maximum random delay in addition.
+        bytes_s: The bandwidth in bytes per second; 0: not limited.
+        loss: The share of datagrams that are lost.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         self._update()
 
     def change(self, number: int, fault: Fault, begins: bool) -> None:
-        """Begins or ends a fault."""
+        """Starts or ends a fault."""
         if begins:
             self._faults[number] = fault
         else:
@@ -53,10 +53,10 @@
 
     @property
     def faultless(self) -> bool:
-        """Whether data passes at once."""
+        """Whether no fault is active, so that data passes immediately."""
         return not self._faults
 
     @property
     def silent_in_any_direction(self) -> bool:
-        """Whether nothing passes in at least one direction."""
+        """Whether no data passes in at least one direction."""
         return any(self.silent)
--- a/stoneyoke/lab/link_process.py
+++ b/stoneyoke/lab/link_process.py
@@ -1,4 +1,4 @@
-"""The role of a process that carries links."""
+"""The role of a worker process that runs links."""
 
 import asyncio
 import random
@@ -15,15 +15,15 @@
 
 
 def existing(protocol: DatagramLinks) -> DatagramLinks:
-    """The factory that the event loop asks for a protocol: it gives this one."""
+    """Returns the protocol itself, to serve as the event loop's protocol factory."""
     return protocol
 
 
 class LinkProcess:
-    """TCP links, and the UDP links that lead to some of the gateways."""
+    """Runs a part of the TCP links, and the UDP links that lead to a part of the gateways."""
 
     def __init__(self, setup: LinksSetup, ledger: LedgerWriter) -> None:
-        """Opens nothing yet."""
+        """Creates the links, but opens no socket."""
         self.ledger = ledger
         self._links = [Link(addresses) for addresses in setup.links]
         senders = {peer.address: peer.gateway for peer in setup.peers}
@@ -42,7 +42,7 @@
             await loop.create_datagram_endpoint(partial(existing, links), entry)
 
     async def carry_out(self, order: Order) -> Reply | None:
-        """Begins or ends a fault on the links that it matches."""
+        """Starts or ends a fault on the links that it matches."""
         if isinstance(order, ChangeLinkFault):
             affected = self._affected_links(order)
             for link in affected:
@@ -52,7 +52,10 @@
         return None
 
     def _affected_links(self, order: ChangeLinkFault) -> list[Link]:
-        """The TCP links between the fault's ends, or a random part of them. A fault's end finds the same ones."""
+        """Returns the TCP links that match the fault's globs, or a random part of them.
+
+        The random choice depends only on the fault's number, so its start and its end affect the same links.
+        """
         links = [
             link
             for link in self._links
@@ -65,7 +68,7 @@
         return links
 
     def _change_datagram_links(self, order: ChangeLinkFault) -> None:
-        """Changes the UDP links between the fault's ends. Each direction is a link of its own."""
+        """Starts or ends a fault on the UDP links that match its globs. Each direction is a separate link."""
         kind = order.fault.kind
         one_way = msgspec.structs.replace(order.fault, kind="cut" if kind.startswith("cut") else kind)
         for _, links in self._datagram_links:
@@ -76,7 +79,7 @@
                     links.change_fault(order.number, one_way, order.begins, sender)
 
     async def end(self) -> None:
-        """Notes what was carried, and closes everything."""
+        """Writes how much the links carried to the ledger, and closes all links and connections."""
         datagram_links = [links for _, links in self._datagram_links]
         for links in datagram_links:
             links.close()
@@ -90,5 +93,5 @@
 
 
 def matches(order: ChangeLinkFault, source: str, destination: str) -> bool:
-    """Whether a fault's globs match the ends of a link in this order."""
+    """Whether a fault's globs match a link's source and destination."""
     return fnmatchcase(source, order.source) and fnmatchcase(destination, order.destination)
--- a/stoneyoke/lab/links.py
+++ b/stoneyoke/lab/links.py
@@ -1,7 +1,7 @@
-"""TCP links. Each listens at its own address, leads to another one, and takes on faults.
+"""TCP links: proxies that forward connections from their own address to a destination, with injected faults.
 
-Data that comes while a link is silent is queued until the fault ends, as a network would retransmit it. Open
-connections stay open meanwhile, and new ones never come up.
+While a link is silent, data is queued until the fault ends, as TCP would retransmit it after a network partition. Open
+connections stay open meanwhile, and attempts to connect get no reply.
 """
 
 import asyncio
@@ -18,32 +18,32 @@
 from stoneyoke.lab.scenario import Fault
 
 BACKLOG = 256
-ACCEPTS_PER_TURN = 16  # of the event loop
-# Connections of our own that fill the queue of a listener. The system then answers no further ones.
+ACCEPTS_PER_TURN = 16  # connections accepted in one iteration of the event loop
+# So many own connections fill a listener's queue of length 0. The system then doesn't reply to further connects.
 QUEUE_FILLERS = 2
 END_OF_STREAM = None  # in a queue of data
 
 
 class LinkEnd(asyncio.Protocol):
-    """One end of a connection over a link. What it receives is sent on at the other end."""
+    """One end of a connection over a link. It forwards what it receives to the other end."""
 
     def __init__(self, link: "Link", direction: Direction) -> None:
-        """Serves once it is connected.
+        """Waits for its connection.
 
         Args:
-            link: Opens the other end.
-            direction: Of the data that this end receives.
+            link: The link, which opens the other end.
+            direction: The direction of the data that this end receives.
         """
         self.other: LinkEnd | None = None
         self._link = link
         self._direction = direction
         self._transport: asyncio.Transport | None = None
-        self._queue: deque[bytes | None] = deque()  # received and not sent on: the link is silent or slow
-        self._queue_free_at_s = 0.0  # loop time
+        self._queue: deque[bytes | None] = deque()  # received and not yet forwarded: the link is silent or slow
+        self._queue_free_at_s = 0.0  # loop time when all that is queued may have been forwarded
 
     @property
     def is_open(self) -> bool:
-        """Whether it is connected and not about to close."""
+        """Whether the connection is established and not closing."""
         return self._transport is not None and not self._transport.is_closing()
 
     @property
@@ -51,14 +51,14 @@
         return self._link.conditions.silent[self._direction]
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Opens the other end, if this is the one that was entered."""
+        """Opens the other end, if this one was accepted by the link's listener."""
         self._transport = cast(asyncio.Transport, transport)
         self._link.ends.add(self)
         if self._direction == Direction.FORTH:
             self._link.open_other_end(self)
 
     def data_received(self, data: bytes) -> None:
-        """Sends data on at once, or queues it while faults lie on the link."""
+        """Forwards data immediately, or queues it while the link has faults or queued data."""
         self._link.bytes_carried += len(data)
         other = self.other
         if other and other._transport and not self._queue and self._link.conditions.faultless:
@@ -67,12 +67,15 @@
             self._enqueue(data)
 
     def eof_received(self) -> bool:
-        """Sends the end of the stream on, after the data before it."""
+        """Forwards the end of the stream, after the queued data."""
         self._enqueue(END_OF_STREAM)
         return True
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Ends the other end in the same way, unless the link is silent: then it ends once the link is not."""
+        """Closes or resets the other end in the same way, or later if the link is silent.
+
+        While the link is silent, the other end stays open until the queued end of the stream can be forwarded.
+        """
         if error:
             self._enqueue(END_OF_STREAM)
         if not self._queue:
@@ -98,7 +101,7 @@
         loop.call_at(self._queue_free_at_s, self._send_on, 1)
 
     def send_all_on(self) -> None:
-        """Sends on what is queued, as far as the link is not silent."""
+        """Forwards the queued data, unless the link is silent."""
         self._send_on(len(self._queue))
 
     def _send_on(self, max_pieces: int) -> None:
@@ -107,7 +110,7 @@
                 return
             max_pieces -= 1
             data = self._queue.popleft()
-            if data is END_OF_STREAM and not self.is_open:  # it was lost, and can't be written to either
+            if data is END_OF_STREAM and not self.is_open:  # this end was lost and can't be written to either
                 self.other._transport.close()
             elif data is END_OF_STREAM:
                 self.other._write_eof()
@@ -117,13 +120,14 @@
             self._link.ends.discard(self)
 
     def _write_eof(self) -> None:
-        # A connection that was reset meanwhile can't be shut down, and the end of a fault must not end this process.
+        # write_eof raises OSError if the connection was reset meanwhile. Uncaught, that would end this process when
+        # the fault ends.
         with contextlib.suppress(OSError):
             if self._transport and self._transport.can_write_eof() and not self._transport.is_closing():
                 self._transport.write_eof()
 
     def reset(self) -> None:
-        """Ends the connection with a reset."""
+        """Closes the connection with a TCP reset."""
         if not self._transport or not self.is_open:
             return
         sock = self._transport.get_extra_info("socket")
@@ -133,16 +137,16 @@
         self._transport.abort()
 
     def abort(self) -> None:
-        """Closes the connection at once."""
+        """Closes the connection immediately."""
         if self._transport:
             self._transport.abort()
 
 
 class Link:
-    """One TCP link: where it is entered, where it leads, and its conditions."""
+    """One TCP link: its addresses, its faults and its connections."""
 
     def __init__(self, addresses: LinkAddresses) -> None:
-        """Opens nothing; see `listen`."""
+        """Opens no socket; see `listen`."""
         self.addresses = addresses
         self.conditions = LinkConditions()
         self.ends: set[LinkEnd] = set()
@@ -161,7 +165,7 @@
         asyncio.get_running_loop().add_reader(self._listener, self._accept)
 
     def close(self) -> None:
-        """Refuses new connections; open ones stay."""
+        """Stops listening, so that new connections are refused. Open ones stay open."""
         if self._listener:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
@@ -169,7 +173,7 @@
         self._close_fillers()
 
     def _stop_answering(self) -> None:
-        """Lets new connections never come up: the listener's queue is made as short as possible, and filled."""
+        """Keeps new connections from being established: sets the listener's backlog to 0 and fills its queue."""
         if not self._listener or self._queue_fillers:
             return
         asyncio.get_running_loop().remove_reader(self._listener)
@@ -213,7 +217,7 @@
             sock.close()
 
     def open_other_end(self, end: LinkEnd) -> None:
-        """Connects an end that was entered to where the link leads."""
+        """Connects to the link's destination, for an end that its listener accepted."""
         self._spawn(self._connect(end))
 
     async def _connect(self, end: LinkEnd) -> None:
@@ -232,7 +236,7 @@
     # ---- faults ----
 
     def change_fault(self, number: int, fault: Fault, begins: bool) -> None:
-        """Begins or ends a fault. A reset ends all open connections at once, and has no end."""
+        """Starts or ends a fault. A reset closes all open connections immediately and has no duration."""
         if fault.kind == "reset":
             if begins:
                 self.reset_connections()
--- a/stoneyoke/lab/spread.py
+++ b/stoneyoke/lab/spread.py
@@ -1,7 +1,7 @@
-"""How evenly backends were used, compared with a dispatcher that sees everything. No I/O.
+"""Measures how evenly the load was spread over the backends, and simulates a central dispatcher for comparison. No I/O.
 
-The dispatcher is given the same arrivals and the same service times, and sends each to the backend with the fewest
-requests at work for its speed. No gateway alone can reach that.
+The dispatcher gets the same arrivals with the same service times, and sends each to the backend with the fewest
+requests in flight relative to its speed. Gateways can't reach that evenness, as none of them sees the whole load.
 """
 
 import heapq
@@ -13,11 +13,11 @@
 
 BoolMatrix = npt.NDArray[np.bool_]
 FloatMatrix = npt.NDArray[np.float64]
-MIN_DUE_ARRIVALS = 2.0  # of a backend in a window, to count as idle if it gets none
+MIN_DUE_ARRIVALS = 2.0  # a backend counts as idle in a window only if at least so many arrivals were expected there
 
 
 class Use(Struct, frozen=True):
-    """An attempt at a backend, in microseconds: when it came, and how long it was there."""
+    """An attempt at a backend: when it arrived and how long it was in flight there, both in microseconds."""
 
     at: int
     took: int
@@ -25,24 +25,28 @@
 
 
 class Spread(Struct):
-    """Evenness over windows of one length. A backend's load is relative to its part of the capacity that is up."""
+    """Evenness over windows of one length.
+
+    A backend's relative load in a window is its arrivals, divided by its expected arrivals: those to all healthy
+    backends, shared out in proportion to their speeds.
+    """
 
     window_s: float
-    most: float  # mean over windows of the greatest relative load
-    varies: float  # coefficient of variation of the relative loads
-    idle: float  # share of the windows of healthy backends that should have had arrivals and had none
-    jump: float  # the greatest rise of one backend's arrivals from a window to the next, in its parts
+    most: float  # mean over the windows of the greatest relative load
+    varies: float  # mean over the windows of the relative loads' coefficient of variation
+    idle: float  # share of windows without arrivals at a backend, of those in which it should have had MIN_DUE_ARRIVALS
+    jump: float  # greatest rise of a backend's arrivals from a window to the next, in expected arrivals of the latter
 
 
 def spread(uses: list[Use], speeds: list[float], healthy: BoolMatrix, window_us: int, end_us: int) -> Spread:
-    """Measures the evenness of uses.
+    """Measures the evenness of attempts.
 
     Args:
-        uses: In any order.
-        speeds: Of the backends, about 1.
-        healthy: By window and backend, whether it was up throughout.
-        window_us: Length of a window.
-        end_us: End of the run.
+        uses: The attempts, in any order.
+        speeds: The relative speeds of the backends, about 1.
+        healthy: By window and backend, whether the backend was up throughout the window.
+        window_us: The length of a window.
+        end_us: The end of the run.
     """
     window_s = window_us / 1e6
     counts = arrivals_by_window(uses, len(speeds), window_us, end_us)
@@ -63,7 +67,7 @@
 
 
 def arrivals_by_window(uses: list[Use], backends: int, window_us: int, end_us: int) -> FloatMatrix:
-    """Arrivals by window and backend."""
+    """Counts arrivals by window and backend."""
     windows = max(1, end_us // window_us)
     counts = np.zeros((windows, backends))
     for use in uses:
@@ -73,7 +77,7 @@
 
 
 def expected_arrivals(counts: FloatMatrix, speeds: list[float], healthy: BoolMatrix) -> FloatMatrix:
-    """The arrivals of each window, divided over its healthy backends by their speeds."""
+    """Shares out each window's arrivals at healthy backends among these, in proportion to their speeds."""
     weights = np.where(healthy, np.array(speeds), 0.0)
     window_weights = weights.sum(axis=1, keepdims=True)
     totals = np.where(healthy, counts, 0.0).sum(axis=1, keepdims=True)
@@ -83,7 +87,7 @@
 
 
 def greatest_jump(counts: FloatMatrix, expected: FloatMatrix) -> float:
-    """The greatest rise of a backend's arrivals from a window to the next, in expected arrivals of the latter."""
+    """Returns the greatest rise of a backend's arrivals between two windows, in expected arrivals of the second."""
     due = expected > 0
     rises = []
     for window in range(len(counts) - 1):
@@ -95,13 +99,13 @@
 
 
 def central_dispatch(uses: list[Use], speeds: list[float], up: BoolMatrix, step_us: int) -> list[Use]:
-    """The same work as a dispatcher that sees everything would place it.
+    """Assigns the same attempts to backends as a dispatcher that sees the whole load would.
 
     Args:
-        uses: What the gateways did, in any order.
-        speeds: Of the backends, about 1.
-        up: By step and backend, whether it is up.
-        step_us: Length of a step.
+        uses: The gateways' attempts, in any order.
+        speeds: The relative speeds of the backends, about 1.
+        up: By step and backend, whether the backend is up.
+        step_us: The length of a step.
     """
     at_work, received = [0] * len(speeds), [0] * len(speeds)
     ends: list[tuple[int, int]] = []
@@ -112,7 +116,8 @@
         usable = up[min(len(up) - 1, max(0, use.at // step_us))]
         best, least = use.backend, (math.inf, math.inf)
         for backend, speed in enumerate(speeds):
-            # Of equals the one that has received least is taken, or the first would always be.
+            # Among equally loaded backends the dispatcher takes the one that has received the fewest attempts relative
+            # to its speed; otherwise it would always take the first.
             load = at_work[backend] / speed, received[backend] / speed
             if usable[backend] and load < least:
                 best, least = backend, load
