--- a/stoneyoke/lab/__init__.py
+++ b/stoneyoke/lab/__init__.py
@@ -1,1 +1,4 @@
-"""Gateway processes between stand-ins, over links that fail. Nothing on the serving path imports it."""
+"""Test runs of real gateway processes between stand-ins, over links with injected faults.
+
+Nothing on the serving path imports this package.
+"""
--- a/stoneyoke/lab/addresses.py
+++ b/stoneyoke/lab/addresses.py
@@ -7,7 +7,8 @@
 
 Address = tuple[str, int]
 
-# The second parts of the addresses. Each process has one address; each link that leads to it has another one.
+# The second numbers of the addresses, by what listens there. Each process has one address; each link that leads to it
+# has another one.
 GATEWAY, BACKEND, COUNTER, DISCOVERY_AGENT = 10, 11, 12, 13
 LINK_TO_GATEWAY, LINK_TO_COUNTER, LINK_TO_DISCOVERY, LINK_TO_PEER = 14, 15, 16, 17
 LINK_TO_BACKEND, BACKENDS_PER_PORT = 20, 200
@@ -15,7 +16,7 @@
 
 
 class LinkAddresses(NamedTuple):
-    """A link: the names of the processes at its two ends, where it is entered and where it leads."""
+    """A link: the names of the processes at its two ends, the address where it listens and the one it connects to."""
 
     source: str
     destination: str
@@ -24,22 +25,23 @@
 
 
 def numbered_address(block: int, number: int, port: int) -> Address:
-    """The address of the numbered process or link of a block."""
+    """Returns the address of a process or link, by its number within a block of addresses."""
     return f"127.{block}.{number // 250}.{number % 250 + 1}", port
 
 
 class Addresses:
-    """A gateway reaches every other process over a link of its own, so each link has an address of its own.
+    """The addresses of all processes and links of a run.
 
-    Gateways and backends go by their number in the scenario.
+    A gateway reaches every other process over a separate link, so each link has its own address. Gateways and backends
+    are identified by their number in the scenario.
     """
 
     def __init__(self, scenario: Scenario, port: int) -> None:
         """Takes the names of the processes from the scenario.
 
         Args:
-            scenario: Names the processes.
-            port: Of all processes; links to backends beyond the 200th take the ports after it.
+            scenario: The scenario of the run.
+            port: The port of all processes. Links to backends beyond the 200th use the ports after it.
         """
         self.port = port
         self.gateway_names = scenario.gateway_names()
@@ -49,48 +51,48 @@
         self.discovery_name = scenario.discovery_name()
 
     def gateway(self, gateway: int) -> Address:
-        """Where a gateway listens."""
+        """Returns where a gateway listens."""
         return numbered_address(GATEWAY, gateway, self.port)
 
     def backend(self, backend: int) -> Address:
-        """Where a backend listens."""
+        """Returns where a backend listens."""
         return numbered_address(BACKEND, backend, self.port)
 
     def counter_half(self, half: int) -> Address:
-        """Where a half of the counter service listens."""
+        """Returns where a half of the counter service listens."""
         return numbered_address(COUNTER, half, self.port)
 
     def discovery_agent(self, gateway: int) -> Address:
-        """Where discovery listens for one gateway."""
+        """Returns where discovery listens for one gateway."""
         return numbered_address(DISCOVERY_AGENT, gateway, self.port)
 
     def link_to_gateway(self, gateway: int) -> Address:
-        """Where clients reach a gateway."""
+        """Returns where clients reach a gateway."""
         return numbered_address(LINK_TO_GATEWAY, gateway, self.port)
 
     def link_to_counter(self, gateway: int) -> Address:
-        """Where a gateway reaches the counter service."""
+        """Returns where a gateway reaches the counter service."""
         return numbered_address(LINK_TO_COUNTER, gateway, self.port)
 
     def link_to_discovery(self, gateway: int) -> Address:
-        """Where a gateway reaches discovery."""
+        """Returns where a gateway reaches discovery."""
         return numbered_address(LINK_TO_DISCOVERY, gateway, self.port)
 
     def link_to_backend(self, gateway: int, backend: int) -> Address:
-        """Where a gateway reaches a backend."""
+        """Returns where a gateway reaches a backend."""
         block = LINK_TO_BACKEND + backend % BACKENDS_PER_PORT
         return numbered_address(block, gateway, self.port + backend // BACKENDS_PER_PORT)
 
     def peer(self, gateway: int) -> Address:
-        """Where a gateway receives datagrams and sends its own from, so that a link knows the sender."""
+        """Returns where a gateway receives datagrams. It sends from there, too, so that a link knows the sender."""
         return self.gateway(gateway)
 
     def link_to_peer(self, gateway: int) -> Address:
-        """Where other gateways send the datagrams for a gateway."""
+        """Returns where other gateways send the datagrams for a gateway."""
         return numbered_address(LINK_TO_PEER, gateway, self.port)
 
     def links(self) -> list[LinkAddresses]:
-        """All TCP links."""
+        """Returns all TCP links."""
         links: list[LinkAddresses] = []
         for gateway, name in enumerate(self.gateway_names):
             counter_half = self.counter_half(gateway % COUNTER_HALVES)
@@ -108,12 +110,12 @@
 
 
 def address_text(address: Address) -> str:
-    """As configurations write it: HOST:PORT."""
+    """Returns the address as configurations contain it: HOST:PORT."""
     return f"{address[0]}:{address[1]}"
 
 
 def can_listen(address: Address) -> bool:
-    """Whether the address is free."""
+    """Whether a socket can be bound to the address."""
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
--- a/stoneyoke/lab/client_try.py
+++ b/stoneyoke/lab/client_try.py
@@ -1,4 +1,4 @@
-"""One try of a client, and what the rows of a ledger say of it. Times are microseconds since the run's start."""
+"""One try of a client, as the rows of a ledger describe it. Times are microseconds since the run's start."""
 
 from typing import NamedTuple
 
@@ -6,25 +6,25 @@
 
 
 class Interval(NamedTuple):
-    """A time with its end excluded."""
+    """A time interval; its end is excluded."""
 
     start_us: int
     end_us: int
 
     def overlaps(self, start_us: int, end_us: int) -> bool:
-        """Whether any of the other time is within this one."""
+        """Whether this interval and another one have any time in common."""
         return self.start_us < end_us and start_us < self.end_us
 
 
 class Attempt(NamedTuple):
-    """An attempt at a backend."""
+    """The arrival of an attempt at a backend, or its execution there."""
 
     at_us: int
     backend: str
 
 
 class AttemptEnd(NamedTuple):
-    """A backend's answer to an attempt."""
+    """A backend's response to an attempt, or the loss of that response."""
 
     at_us: int
     backend: str
@@ -32,7 +32,7 @@
 
 
 class ClientTry:
-    """One try of a client, and all that rows say of it."""
+    """One try of a client, with its response, its attempts and their executions."""
 
     __slots__ = (
         "answered_at_us",
@@ -52,7 +52,7 @@
     )
 
     def __init__(self, row: TrySent) -> None:
-        """Starts without an answer."""
+        """Takes the fields of the row; there is no response yet."""
         self.id = row.id
         self.first_sent_at_us = self.sent_at_us = row.at_us
         self.number, self.customer, self.method = row.number, row.customer, row.method
@@ -63,9 +63,9 @@
         self.executions: list[Attempt] = []
 
     def send_again(self, row: TrySent) -> None:
-        """Notes that the try is sent once more, on a new connection."""
+        """Records that the try is sent once more, on a new connection."""
         self.sent_at_us, self.gateway, self.status = row.at_us, row.gateway, 0
 
     def end_of(self, attempt: Attempt) -> AttemptEnd | None:
-        """The first answer of the attempt's backend since the attempt."""
+        """Returns the first response of the attempt's backend at or after the attempt; None if there is none."""
         return next((end for end in self.ends if end.backend == attempt.backend and end.at_us >= attempt.at_us), None)
--- a/stoneyoke/lab/clients.py
+++ b/stoneyoke/lab/clients.py
@@ -1,4 +1,4 @@
-"""The clients: they send the plan's requests over connections that they keep, and retry."""
+"""The clients: they send the plan's requests over persistent connections, and retry."""
 
 import asyncio
 import random
@@ -15,26 +15,26 @@
 from stoneyoke.lab.plan import Arrival
 from stoneyoke.lab.worker_messages import Begin, ChangeClientsFault, ClientsSetup, Drain, Drained, Order, Reply
 
-UNSENT = 0  # in place of a status: no connection to the gateway came up
+UNSENT = 0  # in place of a status: no connection to the gateway was established
 RETRIED_STATUSES = (429, 503, UNSENT)
-MAX_RETRIES = 2  # beside those that return after a rejection
-RETURN_RETRIES = 8  # counted for a client that returns, so that its ids differ from those before
+MAX_RETRIES = 2  # of one request; requests that the fault return_at_once sends again have as many of their own
+RETURN_RETRIES = 8  # number of the first try that return_at_once sends, so that try ids differ from earlier ones
 MAX_REJECTED_CLIENTS = 500
-MIN_RETRY_TIME_US = 50_000  # with less time left a client does not retry
-DOWN_S = 1.0  # so long a gateway that refused a connection is passed over
+MIN_RETRY_TIME_US = 50_000  # a client doesn't retry with less time than this until the deadline
+DOWN_S = 1.0  # how long clients skip a gateway that refused a connection
 MIN_TIMEOUT_S, MAX_CONNECT_S = 0.05, 1.0
-RESPONSE_SLACK_S = 0.5  # beyond the deadline
-GIVE_UP_SHARE = 0.5  # of the time, for clients that give up
+RESPONSE_SLACK_S = 0.5  # how long after the deadline a client still waits for a response
+GIVE_UP_SHARE = 0.5  # share of the time to the deadline after which a client that gives up stops waiting
 DRAIN_POLL_S = 0.2
 
 
 @dataclass(slots=True, kw_only=True)
 class ClientRequest:
-    """A request of a client, over all of its tries."""
+    """A request of a client, with the state of its tries."""
 
     arrival: Arrival
     deadline_us: int  # since the run's start
-    retries: int  # tries before the next one
+    retries: int  # how many tries were made before the next one
     max_retries: int
     random_source: random.Random
 
@@ -48,25 +48,25 @@
 
 
 class ClientFleet:
-    """The role of all clients."""
+    """The role of the worker that runs all clients."""
 
     def __init__(self, setup: ClientsSetup, ledger: LedgerWriter) -> None:
-        """Sends nothing before the run begins."""
+        """Sends nothing until it receives Begin."""
         self.ledger = ledger
         self._setup = setup
         self._settings = setup.settings
         self._pool = ConnectionPool()
-        self._tasks: set[asyncio.Task[None]] = set()  # requests, and the one that starts them
+        self._tasks: set[asyncio.Task[None]] = set()  # one for each request, and one that starts them
         self._down_until_s: dict[int, float] = {}  # loop time, by gateway that refused a connection
-        # Arrivals, with their last gateways, whose last try was rejected: a fault brings these clients back at once.
+        # Arrivals whose last try was rejected, with the gateway of that try. The fault return_at_once sends them again.
         self._rejected: deque[Arrival] = deque(maxlen=MAX_REJECTED_CLIENTS)
         self._sending = True
 
     async def start(self) -> None:
-        """Has nothing to open."""
+        """Does nothing: clients don't listen."""
 
     async def carry_out(self, order: Order) -> Reply | None:
-        """Begins, drains, or lets rejected clients return."""
+        """Starts sending, drains, or sends rejected requests again."""
         match order:
             case Begin():
                 self._spawn(self._send_arrivals())
@@ -77,20 +77,20 @@
         return None
 
     async def end(self) -> None:
-        """Ends all requests and connections."""
+        """Cancels all requests and closes all idle connections."""
         for task in self._tasks:
             task.cancel()
         self._pool.close()
 
     async def _drain(self) -> Drained:
-        """Sends nothing new, and waits for the ends of all requests."""
+        """Sends no new requests, and waits until none is pending."""
         self._sending = False
         while self._tasks:
             await asyncio.wait(self._tasks, timeout=DRAIN_POLL_S)
         return Drained()
 
     def _return_at_once(self) -> None:
-        """Lets all clients that were rejected last send again, on new connections."""
+        """Sends the most recently rejected requests again, on new connections."""
         self._pool.close()
         while self._rejected:
             self._spawn(self._send_request(self._rejected.popleft(), retries=RETURN_RETRIES))
@@ -112,7 +112,7 @@
             self._spawn(self._send_request(arrival))
 
     async def _send_request(self, arrival: Arrival, retries: int = 0) -> None:
-        """Sends one request with its retries. Its time runs from its first try."""
+        """Sends one request with its retries. The time to its deadline starts with its first try."""
         request = ClientRequest(
             arrival=arrival,
             deadline_us=self.ledger.now_us() + arrival.wait_us,
@@ -139,7 +139,7 @@
         return request.random_source.random() < share
 
     def _retry_pause_s(self, request: ClientRequest, outcome: TryOutcome) -> float:
-        """The client's own backoff, or the gateway's Retry-After if it honours that."""
+        """Returns the wait before a retry: the client's own backoff, or Retry-After if the client honours it."""
         backoff_s = self._settings.backoff_ms / 1000 * (0.5 + request.random_source.random())
         if self._draws(request, self._settings.honour):
             return min(outcome.retry_after_s, self._settings.longest_wait_ms / 1000)
@@ -150,7 +150,7 @@
         return (customer.first + request.random_source.randrange(customer.width)) % len(self._setup.gateways)
 
     def _gateway_up(self, gateway: int, customer_number: int) -> int:
-        """The next of a customer's gateways that is not known to be down."""
+        """Returns the gateway, or if it is known to be down the next of the customer's gateways that is not."""
         customer = self._setup.customers[customer_number]
         now_s = asyncio.get_running_loop().time()
         for step in range(customer.width):
@@ -163,7 +163,7 @@
     # ---- one try ----
 
     async def _send_try(self, request: ClientRequest, gateway: int) -> TryOutcome:
-        """Sends one try; once more on a new connection if the idle one had been closed."""
+        """Sends one try; sends it again on a new connection if an idle connection was closed during it."""
         arrival = request.arrival
         try_id = f"{arrival.number:010x}{request.retries:02x}"
         time_left_s = (request.deadline_us - self.ledger.now_us()) / 1e6
@@ -192,7 +192,7 @@
                 self.ledger.add("ans", try_id, CONNECTION_CLOSED, "closed", 0.0)
                 if not is_kept:
                     return TryOutcome(CONNECTION_CLOSED)
-                connection, is_kept = None, False  # the gateway may have closed before the request came
+                connection, is_kept = None, False  # the gateway may have closed it before the request arrived
                 continue
             self._pool.put_back(gateway, connection)
             return self._note_response(try_id, response)
@@ -212,7 +212,7 @@
         return TryOutcome(response.status, retry_after_s)
 
     def _encode(self, request: ClientRequest, try_id: str, time_left_s: float) -> bytes:
-        """The bytes of a try."""
+        """Returns the HTTP request of a try."""
         arrival = request.arrival
         customer, method = self._setup.customers[arrival.customer], self._setup.methods[arrival.method]
         is_safe = method.effect == "idempotent"
--- a/stoneyoke/lab/connection_pool.py
+++ b/stoneyoke/lab/connection_pool.py
@@ -12,7 +12,7 @@
     idle: dict[int, list[ClientConnection]] = field(default_factory=dict)
 
     def take(self, gateway: int) -> ClientConnection | None:
-        """Removes an open connection."""
+        """Removes an open connection from the pool and returns it; None if there is none."""
         connections = self.idle.setdefault(gateway, [])
         while connections:
             connection = connections.pop()
@@ -21,7 +21,7 @@
         return None
 
     def put_back(self, gateway: int, connection: ClientConnection) -> None:
-        """Keeps a connection for the next request, if it is open."""
+        """Adds a connection to the pool, if it is open."""
         if not connection.closed:
             self.idle.setdefault(gateway, []).append(connection)
 
--- a/stoneyoke/lab/errors.py
+++ b/stoneyoke/lab/errors.py
@@ -6,16 +6,16 @@
 
 
 class InvalidScenario(LabError):
-    """A scenario can't be used. The text is one line: the file, the key and the reason."""
+    """A scenario is invalid. The text is one line: the file, the key and the reason."""
 
 
 class UnknownFaultKind(LabError):
-    """No fault has this name."""
+    """There is no kind of fault with this name."""
 
 
 class CannotRun(LabError):
-    """The machine can't hold a run. The text is one line."""
+    """A run is not possible: the machine lacks resources, or a process failed. The text is one line."""
 
 
 class NotReady(CannotRun):
-    """A gateway did not become ready. The text names it, with the last line that it printed."""
+    """A gateway did not become ready. The text names it, with its last log line if it has exited."""
--- a/stoneyoke/lab/figures.py
+++ b/stoneyoke/lab/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a run, from the ledger alone, and whether the run says anything of the gateways."""
+"""The figures of a run, from the ledger alone, and whether the run is a valid measurement of the gateways."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable
@@ -12,18 +12,19 @@
 from stoneyoke.lab.quota_bucket import CustomerBuckets
 from stoneyoke.lab.rules import REJECTED_STATUSES, SLACK_US
 
-# A stand-in whose event loop is later than this in more than one look of fifty may itself have been the bottleneck.
+# A process of the laboratory may itself have been the bottleneck if its event loop was later than this in more than 2%
+# of its measurements. With 20 measurements or fewer that isn't decided.
 MAX_LAG_MS = 100.0
 MAX_LATE_SHARE = 0.02
 MIN_LAG_LOOKS = 20
 MAX_LATENCY_US = 60_000_000
-FAILING_KINDS = ("hang", "black_hole")  # faults in which a backend serves nothing
-DETECTION_US = 1_000_000  # from a fault's start until attempts at the backend count against the gateways
+FAILING_KINDS = ("hang", "black_hole")  # faults during which a backend responds to no request with success
+DETECTION_US = 1_000_000  # time that gateways have to detect such a fault; attempts at the backend count after it
 THIRDS = 3
 
 
 def void(index: LedgerIndex) -> str:
-    """Why the run says nothing of the gateways; empty if it does."""
+    """Returns why the run is no valid measurement of the gateways; empty if it is one."""
     for process, lags_ms in index.lags_ms.items():
         late = sum(lag_ms > MAX_LAG_MS for lag_ms in lags_ms)
         if len(lags_ms) > MIN_LAG_LOOKS and late > MAX_LATE_SHARE * len(lags_ms):
@@ -33,7 +34,7 @@
 
 
 def figures(index: LedgerIndex) -> dict[str, float]:
-    """All figures. Shares are from 0 to 1, times in ms, memory in MB, CPU in ms a try."""
+    """Returns all figures. Shares are from 0 to 1, times in ms, memory in MB, CPU in ms per try."""
     return goodput_figures(index) | try_figures(index) | resource_figures(index)
 
 
@@ -42,18 +43,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OfferedRequest:
-    """A request that the plan has a client send."""
+    """A request that a client sends according to the plan."""
 
     inside_quota: bool
     customer: int
     method: int
     gateway: int
     at_us: int
-    value: float  # of its answer in time: utility, units and price
+    value: float  # of a response in time: the product of utility, units and price
 
 
 def offered_requests(index: LedgerIndex) -> dict[int, OfferedRequest]:
-    """All requests of the plan, by number."""
+    """Returns all requests of the plan, by number."""
     quotas = CustomerBuckets()
     offered: dict[int, OfferedRequest] = {}
     for arrival in index.plan.arrivals:
@@ -71,7 +72,7 @@
 
 
 def served_in_time(index: LedgerIndex, offered: dict[int, OfferedRequest]) -> set[int]:
-    """Numbers of the requests that were served within their method's latency target."""
+    """Returns the numbers of the requests that were served within their method's latency target."""
     served_at_us: dict[int, int] = {}
     for client_try in index.tries.values():
         if client_try.status == 200 and client_try.answered_at_us <= client_try.deadline_us + SLACK_US:
@@ -85,7 +86,7 @@
 
 
 def goodput_figures(index: LedgerIndex) -> dict[str, float]:
-    """The share of the value inside quotas that was served in time: in all, by method, plan, zone and third."""
+    """Returns which share of the value inside quotas was served in time: in total, by method, plan, zone and third."""
     offered = offered_requests(index)
     in_time = served_in_time(index, offered)
     scenario, customers = index.scenario, index.plan.customers
@@ -107,7 +108,7 @@
 def goodput_by(
     offered: dict[int, OfferedRequest], in_time: set[int], group_of: Callable[[OfferedRequest], int | str]
 ) -> dict[int | str, float]:
-    """The goodput of each group of requests; 1 where a group asked for nothing inside quotas."""
+    """Returns the goodput of each group of requests; 1 for a group without requests inside quotas."""
     asked: dict[int | str, float] = defaultdict(float)
     served: dict[int | str, float] = defaultdict(float)
     for request in offered.values():
@@ -125,7 +126,7 @@
 
 
 def try_figures(index: LedgerIndex) -> dict[str, float]:
-    """Counts and shares of tries, their attempts and their latency."""
+    """Returns counts and shares of tries and attempts, and the latency of tries."""
     tries = index.tries.values()
     try_count = max(1, len(tries))
     attempts = sum(len(client_try.attempts) for client_try in tries)
@@ -147,13 +148,13 @@
 
 
 def crossed_zones(client_try: ClientTry) -> int:
-    """How many attempts of a try went to another zone than its gateway's."""
+    """Returns how many attempts of a try went to another zone than its gateway's."""
     zone = client_try.gateway.split("/")[0]
     return sum(attempt.backend.split("/")[0] != zone for attempt in client_try.attempts)
 
 
 def latency_histogram(tries: Iterable[ClientTry]) -> HdrHistogram:
-    """Latencies of the served tries, in microseconds."""
+    """Returns the latencies of the served tries, in microseconds."""
     histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
     for client_try in tries:
         if client_try.status == 200:
@@ -162,7 +163,7 @@
 
 
 def share_beyond_quota(index: LedgerIndex) -> float:
-    """The share of the units that reached backends beyond their customers' quotas."""
+    """Returns which share of the units that reached backends was beyond the customers' quotas."""
     sent = beyond = 0.0
     for _, units, inside in units_sent(index):
         sent += units
@@ -171,7 +172,7 @@
 
 
 def units_sent(index: LedgerIndex) -> Iterable[tuple[int, float, bool]]:
-    """The units of each try that reached a backend: when, how many, and whether its customer's quota held them."""
+    """Yields for each try that reached a backend its time, its units, and whether these were inside the quota."""
     quotas = CustomerBuckets()
     for client_try in index.first_attempts():
         plan, units = index.scenario.plan[index.plan_of(client_try)], index.units(client_try)
@@ -180,7 +181,10 @@
 
 
 def attempts_at_failing_per_s(index: LedgerIndex) -> float:
-    """Attempts a second at each backend that hangs or fails everything, from shortly after that began to its end."""
+    """Returns the attempts per second at a backend that hangs or fails every request.
+
+    Only attempts at least DETECTION_US after the start of the fault and before its end count.
+    """
     failing = failing_intervals(index)
     seconds = sum(max(0, end_us - start_us) for rows in failing.values() for start_us, end_us in rows) / 1e6
     attempts = sum(
@@ -192,7 +196,7 @@
 
 
 def failing_intervals(index: LedgerIndex) -> dict[str, list[Interval]]:
-    """When each backend served nothing, by backend, without the time to detect that."""
+    """Returns the intervals in which each backend hung or failed every request, without the time to detect that."""
     began: dict[tuple[int, str], int] = {}
     found: dict[str, list[Interval]] = defaultdict(list)
     for fault in index.faults:
@@ -212,7 +216,7 @@
 
 
 def resource_figures(index: LedgerIndex) -> dict[str, float]:
-    """What the links carried and what the gateways used."""
+    """Returns how much data the links forwarded and which resources the gateways used."""
     scenario = index.scenario
     uses = [row for rows in index.uses.values() for row in rows]
     cpu_s = sum(cpu_seconds(rows) for rows in index.uses.values())
@@ -228,7 +232,7 @@
 
 
 def cpu_seconds(rows: list[GatewayUse]) -> float:
-    """CPU seconds that a gateway used. A fall of the sum is a restart, which counts from 0."""
+    """Returns the CPU seconds that a gateway used. Where the value falls, it has restarted and counts from 0."""
     total_s = last_s = 0.0
     for row in rows:
         total_s += row.cpu_s - last_s if row.cpu_s >= last_s else row.cpu_s
--- a/stoneyoke/lab/gateway_files.py
+++ b/stoneyoke/lab/gateway_files.py
@@ -1,4 +1,4 @@
-"""The files that a gateway process of a run is given: its configuration, its options and the key that all share."""
+"""The files of a run's gateway processes: the configuration and the options of each, and the key that all share."""
 
 import json
 from pathlib import Path
@@ -7,7 +7,7 @@
 from stoneyoke.lab.addresses import Addresses, address_text
 from stoneyoke.lab.scenario import Scenario
 
-# Settings of the protocol that are the same at every gateway.
+# Settings that are the same at every gateway.
 MAX_TRIES = 4
 DIAL_TIMEOUT_US = 250_000
 ANSWER_SLACK_US = 5000
@@ -17,7 +17,7 @@
 
 
 def gateway_settings(scenario: Scenario, addresses: Addresses, gateway: int) -> dict[str, Any]:
-    """The settings of a gateway, with the keys of the protocol's first message."""
+    """Returns the settings of a gateway, with the keys of the protocol's first message."""
     zones = scenario.zones()
     return {
         "balancers": scenario.gateways.count,
@@ -81,7 +81,7 @@
 
 
 def endpoint_entry(addresses: Addresses, backend: int) -> dict[str, Any]:
-    """A backend as discovery lists it, without its address."""
+    """Returns a backend as discovery lists it, without its address."""
     name = addresses.backend_names[backend]
     return {
         "name": name,
@@ -98,12 +98,12 @@
     """Writes the files of a run's gateways into its folder."""
 
     def __init__(self, scenario: Scenario, addresses: Addresses, seed: int, out: Path) -> None:
-        """Writes nothing yet.
+        """Writes no file yet.
 
         Args:
-            scenario: What the run is made of.
-            addresses: Of all processes and links.
-            seed: Of the run; each gateway's seed follows from it.
+            scenario: The scenario of the run.
+            addresses: The addresses of all processes and links.
+            seed: The seed of the run; each gateway's seed is derived from it.
             out: The run's folder.
         """
         self.scenario = scenario
@@ -113,7 +113,7 @@
         self.keys = out.resolve() / "configs" / "keys"
 
     def write_keys(self) -> None:
-        """Writes the key that all gateways share, once and before any starts: a starting gateway reads it."""
+        """Writes the key that all gateways share. Call it once, before any gateway starts, as gateways read it then."""
         if self.scenario.fleet.on:
             self.keys.write_text(f"{self.seed:032x}\n")
 
@@ -121,9 +121,9 @@
         """Writes the configuration for a gateway's next start, with its options beside it.
 
         Args:
-            gateway: Its number.
-            restarts: How often it was started before; each start has a seed of its own.
-            settings: See gateway_settings.
+            gateway: The gateway's number.
+            restarts: How often the gateway was started before; each start has a different seed.
+            settings: The gateway's settings; see gateway_settings.
 
         Returns:
             The configuration's path.
@@ -153,7 +153,7 @@
         }
 
     def _options(self, gateway: int) -> str:
-        """The gateway's own options: where it receives datagrams, and over which links the others reach it."""
+        """Returns a gateway's options: its address for datagrams, and the links over which other gateways reach it."""
         addresses = self.addresses
         seed_count = min(self.scenario.fleet.seeds, self.scenario.gateways.count)
         seeds = ", ".join(f'"{address_text(addresses.link_to_peer(seed))}"' for seed in range(seed_count))
--- a/stoneyoke/lab/ledger.py
+++ b/stoneyoke/lab/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: all rows of a run, and what they alone say of it."""
+"""The ledger: all rows of a run, and its evaluation from these rows alone."""
 
 from stoneyoke.lab import figures, rules
 from stoneyoke.lab.ledger_index import LedgerIndex
@@ -9,13 +9,13 @@
     """All rows of a run, with its violations and figures."""
 
     def violations(self) -> list[Violation]:
-        """All breaks of the rules."""
+        """Returns all violations of the rules."""
         return rules.violations(self)
 
     def void(self) -> str:
-        """Why the run says nothing of the gateways; empty if it does."""
+        """Returns why the run is no valid measurement of the gateways; empty if it is one."""
         return figures.void(self)
 
     def figures(self) -> dict[str, float]:
-        """The run's figures. Shares are from 0 to 1, times in ms, memory in MB, CPU in ms a try."""
+        """Returns the run's figures. Shares are from 0 to 1, times in ms, memory in MB, CPU in ms per try."""
         return figures.figures(self)
--- a/stoneyoke/lab/ledger_index.py
+++ b/stoneyoke/lab/ledger_index.py
@@ -1,4 +1,7 @@
-"""The rows that all processes of a run wrote, indexed by what they are about. Times: microseconds since its start."""
+"""The ledger rows of all processes of a run, indexed by try, gateway and backend.
+
+Times are microseconds since the run's start.
+"""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -35,25 +38,27 @@
 from stoneyoke.lab.scenario import Method, Scenario
 
 FOREVER_US = 1 << 62
-# A restarted gateway needs a moment to be ready, a resumed one to catch up.
+# How long a gateway still counts as unavailable after a restart, when it gets ready, or after SIGCONT, when it catches
+# up.
 RECOVERY_US = 1_500_000
-# A restarted gateway asks discovery before it listens; until a moment after the answer its link ends with a reset.
+# A restarted gateway queries discovery before it listens, and connections over its link are reset until then. So it
+# also counts as unavailable until this long after discovery's first response.
 LISTENING_DELAY_US = 500_000
-LINK_RECOVERY_US = 1_000_000  # so long after a fault's end a link may still be affected
-MAX_LINES = 60  # of a violation
+LINK_RECOVERY_US = 1_000_000  # how long after the end of a fault a link may still be affected
+MAX_LINES = 60  # maximum number of rows shown for a violation
 STOPPING_SIGNALS = ("SIGKILL", "SIGSTOP")
 
 
 class LedgerIndex:
-    """What the rows say of each try, gateway, backend and fault."""
+    """The events of each try, gateway, backend and fault, as the rows describe them."""
 
     def __init__(self, rows: list[list[Any]], scenario: Scenario, plan: RunPlan) -> None:
-        """Reads all rows.
+        """Indexes all rows.
 
         Args:
-            rows: In any order, as the ledger's files have them.
-            scenario: What the run was made of.
-            plan: What its seed made of that.
+            rows: The decoded lines of the ledger's files, in any order.
+            scenario: The scenario of the run.
+            plan: The plan that was drawn from the scenario and the seed.
         """
         self.rows = sorted(rows, key=lambda row: row[1])
         self.scenario = scenario
@@ -79,7 +84,7 @@
         self._extend_restarts()
 
     def _add(self, row: Any) -> None:
-        """Dispatches a row by its type."""
+        """Passes a row to the handler of its type."""
         HANDLERS[type(row)](self, row)
 
     # ---- rows ----
@@ -149,7 +154,7 @@
             self.crashes.append(row)
 
     def _extend_restarts(self) -> None:
-        """Extends the time in which a restarted gateway is unavailable until discovery has answered it."""
+        """Extends each time in which a gateway was unavailable until it listens after discovery's first response."""
         for gateway, intervals in self.unavailable.items():
             answered_at_us = [row.at_us for row in self.endpoints_sent.get(gateway, [])]
             for at, (start_us, end_us) in enumerate(intervals):
@@ -160,31 +165,31 @@
     # ---- questions ----
 
     def units(self, client_try: ClientTry) -> float:
-        """The units of quota that a try costs."""
+        """Returns the units of quota that a try costs."""
         return float(self.methods[client_try.method].units)
 
     def plan_of(self, client_try: ClientTry) -> int:
-        """The number of the customer plan of a try."""
+        """Returns the number of the customer plan of a try."""
         return int(self.plan.customers[client_try.customer].plan)
 
     def first_attempts(self) -> list[ClientTry]:
-        """The tries that reached a backend, by the time when they first did."""
+        """Returns the tries that reached a backend, sorted by their first arrival at one."""
         reached = [client_try for client_try in self.tries.values() if client_try.attempts]
         return sorted(reached, key=lambda client_try: (client_try.attempts[0].at_us, client_try.id))
 
     def was_unavailable(self, gateway: str, since_us: int, until_us: int) -> bool:
-        """Whether a gateway was dead, frozen or recovering at any time within these."""
+        """Whether a gateway was dead, frozen or recovering at any time in the interval."""
         return any(interval.overlaps(since_us, until_us) for interval in self.unavailable.get(gateway, ()))
 
     def link_was_faulty(self, one: str, other: str, since_us: int, until_us: int) -> bool:
-        """Whether a fault affected the link between two processes at any time within these."""
+        """Whether a fault affected the link between two processes at any time in the interval."""
         return any(
             Interval(start_us, end_us + LINK_RECOVERY_US).overlaps(since_us, until_us) and is_between(fault, one, other)
             for fault, start_us, end_us in self._link_faults()
         )
 
     def _link_faults(self) -> list[tuple[FaultChanged, int, int]]:
-        """The faults of links, each with its start and its end."""
+        """Returns the faults of links, each with its start and its end."""
         begun: dict[int, FaultChanged] = {}
         found: list[tuple[FaultChanged, int, int]] = []
         for fault in self.faults:
@@ -200,7 +205,7 @@
         return found
 
     def lines(self, ids: set[str]) -> list[Any]:
-        """The first rows about any of these ids."""
+        """Returns the first rows about any of these tries."""
         return [row for row in self.rows if len(row) > 2 and row[2] in ids][:MAX_LINES]
 
 
@@ -230,7 +235,10 @@
 
 
 def read_rows(folder: Path) -> list[list[Any]]:
-    """All rows that a run's processes wrote; a line that was cut off by a kill is left out."""
+    """Reads all rows that a run's processes wrote.
+
+    Lines that can't be decoded are omitted: a process that is killed may leave a truncated line.
+    """
     decode = msgspec.json.Decoder().decode
     rows: list[list[Any]] = []
     for path in sorted(folder.glob("*.jsonl")):
--- a/stoneyoke/lab/ledger_rows.py
+++ b/stoneyoke/lab/ledger_rows.py
@@ -1,34 +1,38 @@
 """The rows of a ledger. Each is a JSON array: its kind, microseconds since the run's start, then the fields below.
 
-Processes write rows with `LedgerWriter`. Rows of other kinds are not evaluated.
+Processes write rows with `LedgerWriter`. They also write rows of kinds that are not listed here; nothing evaluates
+those.
 """
 
 from msgspec import Struct
 
 
 class Row(Struct, array_like=True, frozen=True):
-    """What all rows begin with."""
+    """The fields that all rows begin with."""
 
     at_us: int
 
 
 class TrySent(Row, frozen=True, tag="rpc"):
-    """A client sends a try. The same id again: the connection was closed under it, and it is sent once more."""
+    """A client sends a try.
+
+    A second row with the same id means that the connection was closed during the try, and that it was sent again.
+    """
 
     id: str
-    number: int  # of the client's request
+    number: int  # the number of the client's request
     customer: int
     method: int
     gateway: str
-    retries: int  # tries of the request before this one
+    retries: int  # how many tries of the request were made before this one
     deadline_us: int
 
 
 class TryEnded(Row, frozen=True, tag="ans"):
-    """A try's response has come, or the client has stopped waiting for one."""
+    """A client has received the response to a try, has stopped waiting for it, or its connection was closed."""
 
     id: str
-    status: int  # HTTP status; NO_ANSWER or CONNECTION_CLOSED
+    status: int  # the HTTP status, NO_ANSWER or CONNECTION_CLOSED
     words: str  # the first two words of the response's body, or why there is none
     retry_after_s: float
 
@@ -54,15 +58,15 @@
 
 
 class AttemptAnswered(Row, frozen=True, tag="end"):
-    """A backend has answered an attempt, or lost its answer."""
+    """A backend has responded to an attempt, or a fault has dropped its response."""
 
     id: str
     backend: str
-    outcome: str  # starts with "unheard" if the connection was closed by then
+    outcome: str  # starts with "unheard" if the connection was closed before the response was sent
 
 
 class AttemptExecuted(Row, frozen=True, tag="ran"):
-    """An attempt has its effect at a backend."""
+    """A backend executes an attempt, so that it has its effect."""
 
     id: str
     backend: str
@@ -70,11 +74,11 @@
 
 
 class EndpointsSent(Row, frozen=True, tag="told"):
-    """Discovery has sent a gateway endpoints."""
+    """Discovery has sent endpoints to a gateway."""
 
     gateway: str
     index: int
-    complete: bool  # an endpoint that is not in it is gone
+    complete: bool  # true: endpoints that are not listed no longer exist
     endpoints: list[tuple[str, str]]  # name and status
 
 
@@ -86,18 +90,18 @@
 
 
 class FaultChanged(Row, frozen=True, tag="fault"):
-    """A fault begins or ends."""
+    """A fault starts or ends."""
 
     number: int
     kind: str
     begins: bool
     processes: list[str]
-    source: str  # globs of a link's ends; of other faults empty
-    destination: str
+    source: str  # glob of a link's one end; empty for other faults
+    destination: str  # glob of its other end
 
 
 class GatewayUse(Row, frozen=True, tag="use"):
-    """What a gateway's process uses."""
+    """The resources that a gateway's process uses."""
 
     gateway: str
     memory_bytes: int
@@ -106,39 +110,39 @@
 
 
 class LoopLag(Row, frozen=True, tag="lag"):
-    """How late the event loop of a process of the laboratory was."""
+    """The delay of a timer in the event loop of one of the laboratory's processes."""
 
     process: str
     lag_ms: float
 
 
 class CounterCall(Row, frozen=True, tag="count"):
-    """The counter service has answered a call."""
+    """The counter service has replied to a call."""
 
     name: str
-    value: float | None  # None: rejected
+    value: float | None  # the counter's total; None: the call was rejected
 
 
 class BytesCarried(Row, frozen=True, tag="carried"):
-    """What the TCP links of one process have carried."""
+    """How much data the TCP links of one process have forwarded."""
 
     bytes: int
 
 
 class DatagramsCarried(Row, frozen=True, tag="between"):
-    """What the UDP links of one process have carried."""
+    """How much data the UDP links of one process have received."""
 
     bytes: int
     datagrams: int
 
 
 class ProcessChanged(Row, frozen=True, tag="process"):
-    """A gateway's process has started or ended, was sent a signal, or uses too much."""
+    """A gateway's process has started or exited, was sent a signal, or exceeds its limits."""
 
     gateway: str
     change: str  # STARTED, ENDED, OVER_LIMITS or the name of a signal
-    detail: int = 0  # the process's id; of ENDED the exit code; of OVER_LIMITS its memory in bytes
-    expected: int | bool = False  # of ENDED: whether it was ordered to end; of OVER_LIMITS its descriptors
+    detail: int = 0  # the process id; for ENDED the exit code; for OVER_LIMITS the memory in bytes
+    expected: int | bool = False  # for ENDED whether the run stopped it; for OVER_LIMITS its open descriptors
 
 
 NO_ANSWER, CONNECTION_CLOSED = -1, -2  # in place of a status
--- a/stoneyoke/lab/ledger_writer.py
+++ b/stoneyoke/lab/ledger_writer.py
@@ -1,4 +1,4 @@
-"""Writes one process's part of the ledger while the run goes on."""
+"""Writes one process's file of the ledger during the run."""
 
 import time
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 class EarlyRow(NamedTuple):
-    """A row from before the start is known, with its time on the monotonic clock."""
+    """A row that was added before the run's start is known, with its time on the monotonic clock."""
 
     at_ns: int
     kind: str
@@ -18,16 +18,16 @@
 
 
 class LedgerWriter:
-    """Writes rows as JSON arrays, one a line: the kind, microseconds since the run's start, and the fields.
+    """Writes rows as JSON arrays, one per line: the kind, microseconds since the run's start, and the fields.
 
-    Rows that are added before the start is known are buffered, and written with times below 0.
+    Rows that are added before the start is known are buffered, and written with negative times if they precede it.
     """
 
     def __init__(self, path: Path) -> None:
         """Opens the file; rows are appended.
 
         Args:
-            path: Of the file.
+            path: The path of the file.
         """
         self._file = path.open("ab")
         self._unwritten: list[bytes] = []
@@ -36,7 +36,7 @@
         self._encode = msgspec.json.Encoder().encode
 
     def now_us(self) -> int:
-        """Microseconds since the run's start."""
+        """Returns the microseconds since the run's start."""
         return (time.monotonic_ns() - self._started_ns) // 1000
 
     def begin(self, at_ns: int) -> None:
@@ -48,7 +48,7 @@
         self.flush()
 
     def add(self, kind: str, *fields: Any) -> None:
-        """Adds a row with the time of now; see ledger_rows for the kinds."""
+        """Adds a row with the current time; see ledger_rows for the kinds."""
         if self._early_rows is not None:
             self._early_rows.append(EarlyRow(time.monotonic_ns(), kind, fields))
             return
@@ -57,15 +57,15 @@
             self.flush()
 
     def flush(self) -> None:
-        """Writes the rows that are not yet in the file."""
+        """Writes the rows that are not yet in the file, once the run's start is known."""
         if self._unwritten:
             self._file.write(b"\n".join(self._unwritten) + b"\n")
             self._file.flush()
             self._unwritten.clear()
 
     def close(self) -> None:
-        """Writes everything and closes the file."""
-        if self._early_rows is not None:  # the run never began
+        """Writes all rows and closes the file."""
+        if self._early_rows is not None:  # the run never started
             self.begin(self._started_ns)
         self.flush()
         self._file.close()
--- a/stoneyoke/lab/machine_limits.py
+++ b/stoneyoke/lab/machine_limits.py
@@ -1,4 +1,4 @@
-"""Whether the machine can hold a run, found out before anything starts."""
+"""Checks, before any process starts, whether the machine has the resources for a run."""
 
 import math
 import resource
@@ -9,25 +9,25 @@
 from stoneyoke.lab.errors import CannotRun
 from stoneyoke.lab.scenario import Scenario
 
-LINKS_PER_PROCESS = 6000  # listening sockets; each connection over a link takes two more
-SPARE_DESCRIPTORS = 4000  # of a process of links, for connections
-GATEWAY_MB = 22  # what a gateway process uses
-WORKER_MB = 150
-OTHER_WORKERS = 4
-LINKS_PER_MB = 50
-PROBED_LINKS = 200
+LINKS_PER_PROCESS = 6000  # each link takes one descriptor to listen; each connection over it takes two more
+SPARE_DESCRIPTORS = 4000  # for the connections over the links of one process
+GATEWAY_MB = 22  # memory of a gateway process, in MB
+WORKER_MB = 150  # memory of a worker, in MB
+OTHER_WORKERS = 4  # workers beside those with links, as the memory check counts them
+LINKS_PER_MB = 50  # links per MB of memory
+PROBED_LINKS = 200  # approximate number of links whose ports are checked
 
 
 def link_process_count(addresses: Addresses) -> int:
-    """How many processes carry the links."""
+    """Returns how many processes run the links."""
     return math.ceil(len(addresses.links()) / LINKS_PER_PROCESS)
 
 
 def check_capacity(scenario: Scenario, addresses: Addresses) -> None:
-    """Checks descriptors, memory and ports, and raises this process's limit of descriptors for its children.
+    """Checks descriptors, memory and ports, and raises this process's descriptor limit, which its children inherit.
 
     Raises:
-        CannotRun: Something does not suffice; the text says what is needed.
+        CannotRun: A resource is not sufficient; the text says how much of it is needed.
     """
     processes = link_process_count(addresses)
     _provide_descriptors(len(addresses.links()), processes)
--- a/stoneyoke/lab/quota_bucket.py
+++ b/stoneyoke/lab/quota_bucket.py
@@ -1,11 +1,11 @@
-"""Token buckets by customer, that show which load is inside a quota or a rate limit."""
+"""Token buckets by customer. They show which load is inside a quota or a rate limit."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class Bucket:
-    """A level at a time."""
+    """A token bucket's level and the time for which it was computed."""
 
     level: float
     at_us: int
@@ -19,7 +19,7 @@
         self._buckets: dict[int, Bucket] = {}
 
     def level(self, customer: int, rate_per_s: float, burst: float, at_us: int) -> float:
-        """Refills a customer's bucket up to a time; times must not step back."""
+        """Refills a customer's bucket up to a time and returns its level. Times must not go backwards."""
         bucket = self._buckets.get(customer)
         if bucket is None:
             bucket = self._buckets[customer] = Bucket(burst, at_us)
@@ -32,7 +32,7 @@
         self._buckets[customer].level = level
 
     def take(self, customer: int, units: float, rate_per_s: float, burst: float, at_us: int) -> bool:
-        """Takes units if the bucket holds them; false if it does not."""
+        """Takes units from a customer's bucket and returns true; returns false if it holds fewer."""
         level = self.level(customer, rate_per_s, burst, at_us)
         if level < units:
             return False
--- a/stoneyoke/lab/report.py
+++ b/stoneyoke/lab/report.py
@@ -1,4 +1,4 @@
-"""A run as one HTML page: verdict, figures, plots with the faults marked, violations with their rows."""
+"""The HTML report of a run: verdict, figures, plots with the faults marked, violations with their ledger rows."""
 
 import base64
 import html
@@ -33,11 +33,11 @@
 
 
 def load(out: Path) -> tuple[Scenario, RunPlan, Result]:
-    """Reads what a run has left in its folder.
+    """Reads the scenario, the plan and the result from a run's folder.
 
     Raises:
-        OSError: A file is missing.
-        msgspec.DecodeError: A file holds something else.
+        OSError: A file is missing or can't be read.
+        msgspec.DecodeError: A file has invalid contents.
     """
     return (
         msgspec.json.decode((out / "scenario.json").read_bytes(), type=Scenario),
@@ -47,10 +47,10 @@
 
 
 def write(out: Path) -> Path:
-    """Writes a run's page into its folder.
+    """Writes a run's report into its folder.
 
     Returns:
-        The page's path.
+        The path of the report.
     """
     scenario, plan, result = load(out)
     ledger = Ledger(read_rows(out / "ledger"), scenario, plan)
@@ -76,13 +76,13 @@
 
 
 def html_table(rows: list[tuple[str, ...]]) -> str:
-    """Rows as an HTML table."""
+    """Returns rows as an HTML table."""
     cells = ["<tr>" + "".join(f"<td>{html.escape(str(cell))}</td>" for cell in row) + "</tr>" for row in rows]
     return f"<table>{''.join(cells)}</table>"
 
 
 def spread_table(spreads: dict[str, Spread]) -> str:
-    """How evenly backends were used, as an HTML table."""
+    """Returns the evenness of the load on the backends as an HTML table."""
     rows: list[tuple[str, ...]] = [("", "most", "varies", "idle", "largest jump")]
     for name, one in spreads.items():
         rows.append((name, f"{one.most:g}", f"{one.varies:g}", f"{one.idle:g}", f"{one.jump:g}"))
@@ -90,7 +90,7 @@
 
 
 def violation_html(violation: Violation) -> str:
-    """A violation with its first rows."""
+    """Returns a violation with its first ledger rows as HTML."""
     rows = "\n".join(msgspec.json.encode(line).decode() for line in violation.lines[:MAX_VIOLATION_ROWS])
     return (
         f"<p><b>{violation.rule}</b> at {violation.at_us / 1e6:.3f} s: {html.escape(violation.what)}</p>"
@@ -102,7 +102,7 @@
 
 
 def plots(ledger: Ledger) -> list[tuple[str, str]]:
-    """The title and the image of each plot."""
+    """Returns the title and the image of each plot."""
     return [
         ("Answers, by when the try was sent", plot_answers(ledger)),
         ("Load by backend", plot_backends(ledger)),
@@ -112,12 +112,12 @@
 
 
 def second_bins(ledger: Ledger) -> Any:
-    """The edges of the run's seconds."""
+    """Returns the edges of histogram bins of one second over the run."""
     return np.arange(0, ledger.scenario.seconds + 1, 1.0)
 
 
 def image_html(figure: Any) -> str:
-    """A figure as an image within the page."""
+    """Returns a plot as an image that is embedded in the page."""
     data = io.BytesIO()
     figure.savefig(data, format="png", dpi=80, bbox_inches="tight")
     plt.close(figure)
@@ -125,7 +125,7 @@
 
 
 def mark_faults(axis: Any, ledger: Ledger) -> None:
-    """Marks on a plot over time when faults began."""
+    """Marks the starts of the faults on a plot over time."""
     marked = set()
     for fault in ledger.faults:
         if fault.begins and (fault.number, fault.kind) not in marked:
@@ -136,14 +136,14 @@
 
 
 def answer_label(status: int) -> str:
-    """The name of a try's answer in the plot."""
+    """Returns the label of a try's status in the plot."""
     if status in REJECTED_STATUSES:
         return "rejected"
     return "ok" if status == 200 else "other"
 
 
 def plot_answers(ledger: Ledger) -> str:
-    """Tries a second, by how they were answered."""
+    """Plots tries per second, by the kind of response."""
     bins = second_bins(ledger)
     times_s: dict[str, list[float]] = {"ok": [], "rejected": [], "other": []}
     for client_try in ledger.tries.values():
@@ -159,7 +159,7 @@
 
 
 def plot_backends(ledger: Ledger) -> str:
-    """Attempts a second, by backend."""
+    """Plots attempts per second, by backend."""
     numbers = {name: number for number, name in enumerate(ledger.scenario.backend_names())}
     counts = np.zeros((len(numbers), len(second_bins(ledger)) - 1))
     for client_try in ledger.tries.values():
@@ -177,7 +177,7 @@
 
 
 def plot_units(ledger: Ledger) -> str:
-    """Units a second that reached backends, inside and beyond the customers' quotas."""
+    """Plots the units per second that reached backends, inside and beyond the customers' quotas."""
     bins = second_bins(ledger)
     inside_quota, beyond = np.zeros(len(bins) - 1), np.zeros(len(bins) - 1)
     for at_us, units, inside in units_sent(ledger):
@@ -196,7 +196,7 @@
 
 
 def plot_resources(ledger: Ledger) -> str:
-    """Memory and descriptors, a line for each gateway."""
+    """Plots memory and open descriptors, with a line for each gateway."""
     figure, axes = plt.subplots(1, 2, figsize=(WIDTH_INCHES, 2.6))
     for rows in ledger.uses.values():
         times_s = [row.at_us / 1e6 for row in rows]
@@ -211,12 +211,12 @@
 
 
 def compare(sides: list[list[Result]]) -> list[tuple[str, ...]]:
-    """One row for each figure: its name, and the mean of each side with the least and the most of its runs."""
+    """Returns a row for each figure: its name, and for each side the mean, the minimum and the maximum of its runs."""
     return [(name, *(summary(side, name) for side in sides)) for name in sides[0][0].figures]
 
 
 def summary(results: list[Result], name: str) -> str:
-    """The mean of a figure over runs, with the least and the most if there are several."""
+    """Returns the mean of a figure over runs, with the minimum and the maximum if there are several runs."""
     values = [result.figures[name] for result in results if name in result.figures]
     if not values:
         return "-"
--- a/stoneyoke/lab/result.py
+++ b/stoneyoke/lab/result.py
@@ -1,4 +1,4 @@
-"""The result of a run, judged from the ledger alone."""
+"""The result of a run, evaluated from the ledger alone."""
 
 import math
 from collections.abc import Iterator
@@ -20,27 +20,27 @@
 from stoneyoke.lab.spread import BoolMatrix, Spread, Use, central_dispatch, spread
 
 SPREAD_WINDOWS_S = (1, 3)
-STEP_US = 250_000  # in which a backend's health is taken for constant
-REINSTATEMENT_US = 4_000_000  # after a fault's end until the gateways must know of it
-REPLACED_SUFFIX = "-new"  # of the name of an instance that has replaced another one
+STEP_US = 250_000  # time step of the health of backends, which counts as constant within a step
+REINSTATEMENT_US = 4_000_000  # a backend counts as healthy so long after a fault, when the gateways must use it again
+REPLACED_SUFFIX = "-new"  # appended to a backend's name to name the instance that replaces it
 
 
 class Verdict(StrEnum):
-    """How a run ended. The first that applies of PARTIAL, VOID and FAILED holds."""
+    """The verdict on a run: the first that applies of PARTIAL, VOID and FAILED, otherwise PASSED."""
 
     PASSED = "passed"
     FAILED = "failed"
-    VOID = "void"  # the laboratory itself was the bottleneck
+    VOID = "void"  # the laboratory itself was the bottleneck, so the run is no valid measurement
     PARTIAL = "partial"  # the run was interrupted
 
 
 class Result(Struct):
-    """What is kept of a run, beside its ledger."""
+    """The result of a run, as result.json stores it."""
 
     scenario: str
     seed: int
-    plan: str  # a digest of all arrivals and faults
-    verdict: str  # a Verdict
+    plan: str  # digest of the run's plan
+    verdict: str  # value of a Verdict
     reasons: list[str]
     figures: dict[str, float]
     spread: dict[str, Spread]  # "gateways 1 s", "central 1 s", ...
@@ -51,16 +51,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunEnd:
-    """What is known of a run's end beside its ledger."""
+    """How a run ended, as far as the ledger doesn't show it."""
 
-    seconds: float  # in all, with start and end
-    crashes: list[str] = field(default_factory=list)  # one line for each gateway that died
-    reasons: list[str] = field(default_factory=list)  # remarks for the result
-    partial: str = ""  # why the run did not come to its end
+    seconds: float  # duration of the whole run, with the start and the shutdown of its processes
+    crashes: list[str] = field(default_factory=list)  # one line for each gateway that exited unexpectedly
+    reasons: list[str] = field(default_factory=list)  # further lines for the result's reasons
+    partial: str = ""  # why the run was stopped early; empty if it was not
 
 
 def backend_speeds(scenario: Scenario) -> list[float]:
-    """The speeds of the backends, about 1."""
+    """Returns the relative speeds of the backends, about 1."""
     spread = scenario.backends.speed_spread
     return [round(1 + spread * math.sin(7.1 * (number + 1)), 4) for number in range(scenario.backends.count)]
 
@@ -70,9 +70,9 @@
 
     Args:
         out: The run's folder.
-        scenario: What the run was made of.
-        plan: What its seed made of that.
-        end: How it ended.
+        scenario: The scenario of the run.
+        plan: The plan that was drawn from the scenario and the seed.
+        end: How the run ended.
     """
     ledger = Ledger(read_rows(out / "ledger"), scenario, plan)
     violations, figures = ledger.violations(), ledger.figures()
@@ -102,7 +102,13 @@
 
 
 def verdict(partial: str, void: str, failures: list[str]) -> Verdict:
-    """The verdict that follows from why a run is partial or void, and from its failures."""
+    """Returns the verdict on a run.
+
+    Args:
+        partial: Why the run is partial; empty if it is not.
+        void: Why the run is void; empty if it is not.
+        failures: The reasons for which the run failed.
+    """
     if partial:
         return Verdict.PARTIAL
     if void:
@@ -111,20 +117,20 @@
 
 
 def process_failures(ledger: Ledger, crashes: list[str]) -> list[str]:
-    """Gateways that crashed or used more than they may."""
+    """Returns a reason for crashed gateways, and one for each gateway that exceeded its limits."""
     failures = [f"{len(crashes)} gateways crashed"] if crashes else []
     over_limits = {row.gateway for row in ledger.crashes if row.change == OVER_LIMITS}
     return failures + [f"{gateway} went over its limits" for gateway in sorted(over_limits)]
 
 
 def rule_failures(violations: list[Violation]) -> list[str]:
-    """How often each rule was broken."""
+    """Returns a reason for each rule that was violated, with the number of violations."""
     counts = {rule: sum(violation.rule == rule for violation in violations) for rule in Rule}
     return [f"rule {rule} broken {count} times" for rule, count in counts.items() if count]
 
 
 def bound_failures(bounds: list[Bound], figures: dict[str, float]) -> Iterator[str]:
-    """The figures that are out of the scenario's bounds."""
+    """Yields a reason for each figure that is missing or out of the scenario's bounds."""
     for bound in bounds:
         value = figures.get(bound.figure)
         if value is None:
@@ -136,7 +142,7 @@
 
 
 def spread_figures(spreads: dict[str, Spread]) -> dict[str, float]:
-    """The figures of how evenly backends were used."""
+    """Returns the figures of how evenly the load was spread over the backends."""
     figures: dict[str, float] = {}
     for seconds in SPREAD_WINDOWS_S:
         own, central = spreads[f"gateways {seconds} s"], spreads[f"central {seconds} s"]
@@ -148,7 +154,7 @@
 
 
 def spreads_of(ledger: Ledger, scenario: Scenario) -> dict[str, Spread]:
-    """How evenly backends were used, by the gateways and by a dispatcher that sees everything."""
+    """Measures how evenly the gateways, and for comparison a central dispatcher, spread the load over the backends."""
     speeds, end_us = backend_speeds(scenario), int(scenario.seconds * 1e6)
     up = backends_up(ledger, scenario, end_us)
     uses = backend_uses(ledger, scenario)
@@ -164,7 +170,7 @@
 
 
 def backends_up(ledger: Ledger, scenario: Scenario, end_us: int) -> BoolMatrix:
-    """By step and backend, whether it is healthy and the gateways know it."""
+    """Returns by step and backend whether the backend is healthy and the gateways must know that it is."""
     numbers = {name: number for number, name in enumerate(scenario.backend_names())}
     up = np.ones((end_us // STEP_US + 1, scenario.backends.count), dtype=bool)
     for fault in ledger.faults:
@@ -180,7 +186,7 @@
 
 
 def backend_uses(ledger: Ledger, scenario: Scenario) -> list[Use]:
-    """All attempts at backends, with how long each was there."""
+    """Returns all attempts at backends. One without a response counts as in flight for 1 ms."""
     numbers = {name: number for number, name in enumerate(scenario.backend_names())}
     uses = []
     for client_try in ledger.tries.values():
--- a/stoneyoke/lab/role.py
+++ b/stoneyoke/lab/role.py
@@ -1,4 +1,7 @@
-"""The main loop of a worker: it carries out orders, replies, and ends with its input, so nothing outlives the run."""
+"""The main loop of a worker: it executes commands and replies to them.
+
+It exits when its input closes, so no worker outlives the run.
+"""
 
 import asyncio
 import sys
@@ -8,22 +11,22 @@
 from stoneyoke.lab.ledger_writer import LedgerWriter
 from stoneyoke.lab.worker_messages import ORDER_DECODER, Begin, End, Order, Ready, Reply, encode_line
 
-LAG_INTERVAL_S = 0.05  # a worker measures this often how late its own event loop is
+LAG_INTERVAL_S = 0.05  # interval at which a worker measures how late its own event loop is
 
 
 class Role(Protocol):
-    """What a worker is: a set of stand-ins, of links, or the gateways' supervisor."""
+    """The role of a worker: it runs stand-ins, clients, links or the gateways' supervisor."""
 
     ledger: LedgerWriter
 
     async def start(self) -> None:
-        """Opens what it listens on."""
+        """Starts to listen, or to watch the gateways."""
 
     async def carry_out(self, order: Order) -> Reply | None:
-        """Carries out an order and returns the reply, if there is one. Orders for other roles are ignored."""
+        """Executes a command and returns the reply, if there is one. Commands for other roles are ignored."""
 
     async def end(self) -> None:
-        """Closes and ends everything."""
+        """Closes all sockets and stops all tasks and child processes."""
 
 
 def send_reply(reply: Reply) -> None:
@@ -33,7 +36,7 @@
 
 
 async def measure_lag(ledger: LedgerWriter, name: str) -> None:
-    """Notes again and again how late the event loop is."""
+    """Writes to the ledger, every LAG_INTERVAL_S, how late the event loop is."""
     while True:
         due_s = time.monotonic() + LAG_INTERVAL_S
         await asyncio.sleep(LAG_INTERVAL_S)
@@ -42,7 +45,7 @@
 
 
 async def serve(role: Role, name: str, lines: asyncio.StreamReader) -> None:
-    """Carries out orders until an order or the end of the input ends it."""
+    """Executes commands until it receives End or its input closes, and then shuts the role down."""
     await role.start()
     measuring = asyncio.create_task(measure_lag(role.ledger, name))
     send_reply(Ready())
