--- a/stoneyoke/lab/http.py
+++ b/stoneyoke/lab/http.py
@@ -11,7 +11,7 @@
 
 
 class Request:
-    """A complete request, and the connection to answer it on."""
+    """A complete request, and the connection for its response."""
 
     __slots__ = ("body", "connection", "headers", "method", "target")
 
@@ -22,12 +22,12 @@
         self.headers: Headers = {}  # by name in lower case
 
     def respond(self, status: int, body: bytes = b"", headers: bytes = b"") -> bool:
-        """Answers the request; false if its connection is closed. See ServerConnection.respond."""
+        """Sends a response; returns false if the connection is closed. See ServerConnection.respond."""
         return self.connection.respond(status, body, headers)
 
 
 class ServerConnection(asyncio.Protocol):
-    """A connection of a stand-in that serves. Each complete request goes to its handler.
+    """A stand-in's connection from a client. It passes each complete request to a handler.
 
     The methods named on_... are the parser's callbacks.
     """
@@ -38,11 +38,11 @@
         accept: Callable[["ServerConnection"], bool] | None = None,
         lost: Callable[["ServerConnection"], None] | None = None,
     ) -> None:
-        """Serves once it is connected.
+        """Waits for its connection.
 
         Args:
             handler: Called with each complete request.
-            accept: Asked when the connection opens; false aborts it.
+            accept: Called when the connection opens. If it returns false, the connection is aborted.
             lost: Called when the connection has closed.
         """
         self._handler, self._accept, self._lost = handler, accept, lost
@@ -51,38 +51,38 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps or aborts the connection."""
+        """Stores the transport, and aborts the connection if it is not accepted."""
         self._transport = cast(asyncio.Transport, transport)
         if self._accept and not self._accept(self):
             self._transport.abort()
 
     def connection_lost(self, _: Exception | None) -> None:
-        """Reports the end of the connection."""
+        """Calls the handler for the loss of the connection."""
         self._transport = None
         if self._lost:
             self._lost(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parses data; what is no HTTP ends the connection."""
+        """Parses data; closes the connection if it is not valid HTTP."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.abort()
 
     def on_url(self, url: bytes) -> None:
-        """Takes a piece of the target."""
+        """Appends a piece of the target."""
         self._request.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Stores a header."""
         self._request.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        """Takes a piece of the body."""
+        """Appends a piece of the body."""
         self._request.body += body
 
     def on_message_complete(self) -> None:
-        """Passes the request on."""
+        """Passes the request to the handler."""
         request, self._request = self._request, Request(self)
         request.method = self._parser.get_method()
         self._handler(request)
@@ -93,7 +93,7 @@
         Args:
             status: HTTP status.
             body: The response's body.
-            headers: Lines of further headers, each with its line end.
+            headers: The lines of additional headers, each with its line end.
 
         Returns:
             Whether the connection was still open.
@@ -105,7 +105,7 @@
         return True
 
     def abort(self) -> None:
-        """Closes the connection at once."""
+        """Closes the connection immediately."""
         if self._transport:
             self._transport.abort()
 
@@ -127,7 +127,7 @@
     """
 
     def __init__(self) -> None:
-        """Can send once it is connected."""
+        """Waits for its connection."""
         self.closed = False
         self._parser: Any = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
@@ -136,32 +136,32 @@
         self._body = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the open connection."""
+        """Stores the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, _: Exception | None) -> None:
-        """Fails the request that waits."""
+        """Fails the pending request."""
         self.closed = True
         if self._waiter and not self._waiter.done():
             self._waiter.set_exception(ConnectionResetError("closed under a request"))
 
     def data_received(self, data: bytes) -> None:
-        """Parses data; what is no HTTP ends the connection."""
+        """Parses data; closes the connection if it is not valid HTTP."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.close()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Stores a header."""
         self._headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        """Takes a piece of the body."""
+        """Appends a piece of the body."""
         self._body += body
 
     def on_message_complete(self) -> None:
-        """Ends the request that waits."""
+        """Completes the pending request with the response."""
         headers, body, self._headers, self._body = self._headers, self._body, {}, b""
         if headers.get(b"connection", b"").lower() == b"close":
             self.closed = True
@@ -173,11 +173,11 @@
 
         Args:
             data: The whole request.
-            timeout_s: For the whole response.
+            timeout_s: The time limit for the whole response, in seconds.
 
         Raises:
-            TimeoutError: The response did not come in time.
-            ConnectionError: The connection is or was closed.
+            TimeoutError: The response did not arrive in time.
+            ConnectionError: The connection was closed before the request or during it.
         """
         if self.closed or not self._transport:
             raise ConnectionResetError("closed before")
@@ -187,7 +187,7 @@
             return await self._waiter
 
     def close(self) -> None:
-        """Closes the connection at once."""
+        """Closes the connection immediately."""
         self.closed = True
         if self._transport:
             self._transport.abort()
@@ -197,7 +197,7 @@
     """Connects to a server.
 
     Raises:
-        OSError: The connection did not come up; a TimeoutError is one, too.
+        OSError: The connection was not established; a time-out raises its subclass TimeoutError.
     """
     async with asyncio.timeout(timeout_s):
         _, connection = await asyncio.get_running_loop().create_connection(ClientConnection, *address)
--- a/stoneyoke/lab/stand_in_backends.py
+++ b/stoneyoke/lab/stand_in_backends.py
@@ -1,4 +1,4 @@
-"""Stand-ins of backends, as the protocol describes them. Many live in one process."""
+"""Stand-ins for backends that behave as the protocol describes. One process runs all of them."""
 
 import asyncio
 import math
@@ -14,10 +14,10 @@
 
 BACKLOG = 512
 STATUS_PATHS = (b"/healthz", b"/load")
-DECLINED = b"Srv-Declined: 1\r\n"  # the request has not run
-DEFAULT_WORK_MS = 50.0
-WORK_MU, WORK_SIGMA = -0.125, 0.5  # of the log-normal service times; their mean is 1
-MAX_REMEMBERED_KEYS = 10_000  # longer than any memory
+DECLINED = b"Srv-Declined: 1\r\n"  # says that the request was not executed
+DEFAULT_WORK_MS = 50.0  # mean service time of a request whose method is unknown
+WORK_MU, WORK_SIGMA = -0.125, 0.5  # parameters of the log-normal factor of service times; its mean is 1
+MAX_REMEMBERED_KEYS = 10_000  # so many that no key is evicted before its method's memory_ms is over
 
 KeyMemory = dict[bytes, float]  # by idempotency key: loop time of its execution, the oldest first
 
@@ -31,7 +31,7 @@
 
 
 class ActiveFault(NamedTuple):
-    """A fault that lasts, with the loop time of its begin."""
+    """A fault that is active, with the loop time of its start."""
 
     fault: Fault
     since_s: float
@@ -41,19 +41,19 @@
     """A backend with slots, a queue, a warm-up and faults.
 
     It listens from its start until it crashes. While it drains it declines new requests. An instance that replaces it
-    has the same address and another name.
+    has the same address and a different name.
     """
 
     def __init__(
         self, setup: BackendSetup, run: BackendsSetup, memories: dict[str, KeyMemory], ledger: LedgerWriter
     ) -> None:
-        """Opens nothing; see `listen`.
+        """Opens no socket; see `listen`.
 
         Args:
-            setup: Of this backend.
-            run: Of all backends.
-            memories: The keys that backends remember together, by group.
-            ledger: Takes what happens to requests.
+            setup: The setup of this backend.
+            run: The setup of all backends.
+            memories: The idempotency keys that backends share, by group of backends.
+            ledger: Records what happens to requests.
         """
         self.name = setup.name
         self.faults: dict[int, ActiveFault] = {}  # by number
@@ -68,19 +68,19 @@
         self._ledger = ledger
         self._queue: deque[QueuedRequest] = deque()
         self._working = 0  # requests in slots
-        self._crashes = 0  # work from before a crash is lost
+        self._crashes = 0  # a request that was started before the last crash gets no response
         self._connections: set[ServerConnection] = set()
         self._started_at_s = -math.inf  # loop time; cold for warm_up_s from then on
         self._server: asyncio.Server | None = None
 
     def fault(self, kind: str) -> ActiveFault | None:
-        """The first fault of a kind that lasts."""
+        """Returns the first active fault of a kind; None if there is none."""
         return next((active for active in self.faults.values() if active.fault.kind == kind), None)
 
     # ---- start and end ----
 
     async def listen(self) -> None:
-        """Accepts connections."""
+        """Starts to accept connections."""
         self._server = await asyncio.get_running_loop().create_server(
             lambda: ServerConnection(self._receive, self._accept, self._connections.discard),
             *self._address,
@@ -94,7 +94,7 @@
         return True
 
     def crash(self) -> None:
-        """Ends at once, with all that it has."""
+        """Stops immediately: closes its listener and its connections and drops all requests."""
         self._crashes += 1
         if self._server:
             self._server.close()
@@ -105,10 +105,10 @@
         self._ledger.add("backend", self.name, "crashed")
 
     async def restart(self, name: str = "") -> None:
-        """Starts again, cold.
+        """Starts again at the cold share of its capacity, and warms up.
 
         Args:
-            name: Of the new instance; empty: the same.
+            name: The name of the new instance; if empty, the name stays the same.
         """
         self.name = name or self.name
         self.draining = False
@@ -117,7 +117,7 @@
         await self.listen()
 
     def _warmth(self) -> float:
-        """Its part of the full capacity."""
+        """Returns the current share of the full capacity, which is below 1 during the warm-up."""
         age = (asyncio.get_running_loop().time() - self._started_at_s) / self._settings.warm_up_s
         cold_share = self._settings.cold_share
         return 1.0 if age >= 1 else cold_share + (1 - cold_share) * age
@@ -146,7 +146,7 @@
             self._fill_slots()
 
     def _respond(self, request: Request, outcome: str, status: int, headers: bytes = b"", body: bytes = b"") -> None:
-        """Answers and notes the outcome; an answer to a closed connection is noted as unheard."""
+        """Responds and records the outcome, which starts with "unheard" if the connection was already closed."""
         heard = request.respond(status, body, headers)
         attempt_id = request.headers[b"req-id"].decode()
         self._ledger.add("end", attempt_id, self.name, outcome if heard else "unheard " + outcome)
@@ -161,14 +161,14 @@
             method = self._methods.get(queued.request.target.split(b"/")[1].split(b"?")[0])
             self._execute(queued, method)
             if self.fault("hang"):
-                continue  # it has run and is never answered; nobody waits in its slot
+                continue  # the request was executed, but gets no response; it doesn't occupy a slot
             self._working += 1
             loop.call_later(
                 self._service_time_s(queued.attempt_id, method), self._finish, queued.request, self._crashes
             )
 
     def _execute(self, queued: QueuedRequest, method: Method | None) -> None:
-        """Notes the effect, unless the method remembers the idempotency key."""
+        """Records the execution, unless the idempotency key is remembered from an earlier one."""
         now_s = asyncio.get_running_loop().time()
         key = queued.request.headers.get(b"idempotency-key", b"")
         memory = self._memories.setdefault(self._memory_groups[method.group if method else "all"], {})
@@ -176,7 +176,7 @@
         if key and method and now_s - executed_at_s < method.memory_ms / 1000:
             return
         if key:
-            memory.pop(key, None)  # so that the oldest stays first
+            memory.pop(key, None)  # re-inserted below, so that the keys stay sorted by age
             memory[key] = now_s
             while len(memory) > MAX_REMEMBERED_KEYS:
                 memory.pop(next(iter(memory)))
@@ -209,21 +209,21 @@
 
 
 class StandInBackends:
-    """The role of all backends."""
+    """The role of the worker that runs all backends."""
 
     def __init__(self, setup: BackendsSetup, ledger: LedgerWriter) -> None:
-        """Listens once it is started."""
+        """Creates the backends, which listen after `start`."""
         self.ledger = ledger
         memories: dict[str, KeyMemory] = {}
         self._backends = {backend.name: StandInBackend(backend, setup, memories, ledger) for backend in setup.backends}
 
     async def start(self) -> None:
-        """Starts all backends, warmed up."""
+        """Starts all backends at full capacity."""
         for backend in self._backends.values():
             await backend.listen()
 
     async def carry_out(self, order: Order) -> Reply | None:
-        """Begins or ends a backend's fault."""
+        """Starts or ends a fault of a backend."""
         if isinstance(order, ChangeBackendFault) and order.name in self._backends:
             await self._change_fault(self._backends[order.name], order)
         return None
@@ -247,6 +247,6 @@
                 backend.faults.pop(order.number, None)
 
     async def end(self) -> None:
-        """Ends all backends."""
+        """Stops all backends."""
         for backend in self._backends.values():
             backend.crash()
--- a/stoneyoke/lab/stand_in_counter.py
+++ b/stoneyoke/lab/stand_in_counter.py
@@ -1,4 +1,4 @@
-"""A stand-in of the counter service, in two halves that a fault can split from each other."""
+"""A stand-in for the counter service, in two halves that a fault can partition from each other."""
 
 import asyncio
 import random
@@ -9,28 +9,28 @@
 from stoneyoke.lab.worker_messages import Begin, ChangeCounterFault, CounterSetup, Order, Reply
 
 BACKLOG = 1024
-MAX_LIFE_S = 60.0  # of a counter, from its first addition
+MAX_LIFE_S = 60.0  # maximum lifetime of a counter, from its first addition
 ADD_TARGET = re.compile(rb"^/counters/([0-9a-zA-Z._-]{1,64})\?by=([-+0-9.eE]+)&expire_ms=([0-9]+)$").match
 
 CounterValues = dict[bytes, tuple[float, float]]  # by name: the value, and the loop time when it expires
 
 
 class StandInCounter:
-    """Adds to counters by name. Each partition serves one call after the other, at a bounded rate."""
+    """Adds to counters by name. Each partition serves its calls one at a time, at a bounded rate."""
 
     def __init__(self, setup: CounterSetup, ledger: LedgerWriter) -> None:
-        """Listens once it is started, and rejects calls until the run begins."""
+        """Listens after `start`, and rejects calls until it receives Begin."""
         self.ledger = ledger
         self._addresses = setup.addresses
         self._settings = setup.settings
-        self._values: list[CounterValues] = [{}, {}]  # by half; both halves use the first unless they are split
+        self._values: list[CounterValues] = [{}, {}]  # by half; both halves use the first unless partitioned
         self._free_at_s = [0.0] * setup.settings.parts  # by partition: loop time when its queue is empty
         self._silent = self._split = False
         self._slowness = 1.0
         self._serving = False
 
     async def start(self) -> None:
-        """Listens at both halves."""
+        """Starts to listen at the addresses of both halves."""
         self._servers = [await self._listen(half) for half in range(len(self._addresses))]
 
     async def _listen(self, half: int) -> asyncio.Server:
@@ -72,7 +72,7 @@
         request.respond(200, b"%.6f" % value)
 
     async def carry_out(self, order: Order) -> Reply | None:
-        """Begins to serve, and begins or ends faults."""
+        """Starts to serve calls, or starts or ends a fault."""
         if isinstance(order, Begin):
             self._serving = True
         elif isinstance(order, ChangeCounterFault):
@@ -103,6 +103,6 @@
             del self._values[0][name]
 
     async def end(self) -> None:
-        """Stops to listen."""
+        """Stops listening."""
         for server in self._servers:
             server.close()
--- a/stoneyoke/lab/stand_in_discovery.py
+++ b/stoneyoke/lab/stand_in_discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in of discovery: the endpoints of all backends, which each gateway learns of with a delay of its own."""
+"""A stand-in for discovery: it lists the endpoints of all backends, to each gateway with a different delay."""
 
 import asyncio
 import math
@@ -21,33 +21,33 @@
 
 BACKLOG = 16
 PATH = "/v1/servers"
-TIMER_SLACK_S = 0.001  # so that a timer does not come due just before its time
+TIMER_SLACK_S = 0.001  # added to timers, so that none fires just before the time that it waits for
 LEFT = "left"
 
 Endpoint = dict[str, Any]  # as the protocol lists it, without its address
 
 
 class EndpointChange(NamedTuple):
-    """An endpoint as it is from a time on."""
+    """A new state of an endpoint, from a time on."""
 
     at_s: float  # loop time
-    backend: int  # number, for the address
+    backend: int  # number of the backend, which determines the address
     endpoint: Endpoint
 
 
 class WaitingRequest(NamedTuple):
-    """A request that waits for changes after an index."""
+    """A long poll: a request that waits for changes after an index."""
 
     request: Request
-    after: int  # an index
-    deadline_s: float  # loop time; answered then even without changes
+    after: int  # index after which the gateway wants changes
+    deadline_s: float  # loop time at which the request gets a response even without changes
 
 
 class StandInDiscovery:
     """The role of discovery. Its index is the number of changes."""
 
     def __init__(self, setup: DiscoverySetup, ledger: LedgerWriter) -> None:
-        """Listens once it is started."""
+        """Listens after `start`."""
         self.ledger = ledger
         self.down = self.reorders = False
         self.changes = [
@@ -58,12 +58,12 @@
         self._agents = [DiscoveryAgent(self, agent) for agent in setup.agents]
 
     async def start(self) -> None:
-        """Listens for each gateway."""
+        """Starts to listen at a separate address for each gateway."""
         for agent in self._agents:
             await agent.listen()
 
     async def carry_out(self, order: Order) -> Reply | None:
-        """Changes an endpoint, or begins or ends a fault."""
+        """Changes an endpoint, or starts or ends a fault."""
         match order:
             case ChangeEndpoint():
                 self._change_endpoint(order)
@@ -98,7 +98,7 @@
             agent.check_after_delay()
 
     async def end(self) -> None:
-        """Stops to listen."""
+        """Stops listening."""
         for agent in self._agents:
             agent.close()
 
@@ -107,33 +107,33 @@
     """Discovery as one gateway reaches it."""
 
     def __init__(self, discovery: StandInDiscovery, setup: AgentSetup) -> None:
-        """Opens nothing; see `listen`."""
+        """Opens no socket; see `listen`."""
         self._discovery = discovery
         self._setup = setup
-        self._frozen_at_s = math.inf  # loop time; later changes are not seen
+        self._frozen_at_s = math.inf  # loop time; later changes are not visible to the gateway
         self._waiting: list[WaitingRequest] = []
         self._is_odd_answer = False
 
     async def listen(self) -> None:
-        """Accepts connections of the gateway."""
+        """Starts to accept connections of the gateway."""
         self._server = await asyncio.get_running_loop().create_server(
             lambda: ServerConnection(self._receive), *self._setup.address, backlog=BACKLOG
         )
 
     def close(self) -> None:
-        """Stops to listen."""
+        """Stops listening."""
         self._server.close()
 
     def set_frozen(self, frozen: bool) -> None:
-        """Lets later changes stay unseen, or be seen again."""
+        """Hides later changes from the gateway, or shows them again."""
         self._frozen_at_s = asyncio.get_running_loop().time() if frozen else math.inf
 
     def check_after_delay(self) -> None:
-        """Looks for changes once the last one may be known here."""
+        """Responds to waiting requests once the latest change is visible to this gateway."""
         asyncio.get_running_loop().call_later(self._setup.delay_s + TIMER_SLACK_S, self._check)
 
     def _visible_index(self) -> int:
-        """How many of the changes this gateway may know by now."""
+        """Returns how many of the changes are visible to this gateway now."""
         now_s = min(asyncio.get_running_loop().time(), self._frozen_at_s)
         return sum(change.at_s + self._setup.delay_s <= now_s for change in self._discovery.changes)
 
@@ -152,7 +152,7 @@
         self._check()
 
     def _check(self) -> None:
-        """Answers the requests for which there are changes, or whose time is over."""
+        """Responds to the waiting requests for which there are changes, or whose deadline has passed."""
         now_s, visible = asyncio.get_running_loop().time(), self._visible_index()
         still_waiting = []
         for waiting in self._waiting:
@@ -163,13 +163,13 @@
         self._waiting = still_waiting
 
     def _answer(self, request: Request, since: int | None) -> None:
-        """Sends the changes after an index, or all endpoints."""
+        """Sends the changes after an index; all endpoints if it is None."""
         if self._discovery.down:
             return
         index = self._visible_index()
         self._is_odd_answer = not self._is_odd_answer
         if self._discovery.reorders and self._is_odd_answer and index > 1:
-            index, since = index - 1, None  # an older complete list comes after a newer one
+            index, since = index - 1, None  # sends an older complete list after a newer one
         complete = since is None
         latest = {change.endpoint["name"]: change for change in self._discovery.changes[since or 0 : index]}
         if complete:
--- a/stoneyoke/lab/supervisor.py
+++ b/stoneyoke/lab/supervisor.py
@@ -1,4 +1,4 @@
-"""Supervises the gateway processes: starts, signals and watches them, and ends them all with itself."""
+"""Supervises the gateway processes: starts, signals and watches them, and kills them when it shuts down."""
 
 import asyncio
 import os
@@ -13,24 +13,24 @@
 from stoneyoke.lab.worker_messages import GatewayDied, Order, Reply, SignalGateway, StartGateway, SupervisorSetup
 
 WATCH_INTERVAL_S = 1.0
-REPORTED_LOG_LINES = 12  # of a gateway that died unexpectedly
+REPORTED_LOG_LINES = 12  # last lines of the log that are reported for a gateway that exited unexpectedly
 
 
 class Supervisor:
-    """The role that holds all gateway processes of a run."""
+    """The role of the worker whose children are all gateway processes of a run."""
 
     def __init__(self, setup: SupervisorSetup, ledger: LedgerWriter) -> None:
-        """Starts nothing yet."""
+        """Starts no process yet."""
         self.ledger = ledger
         self._log_folder = Path(setup.out) / "logs"
         self._max_descriptors = setup.max_descriptors
         self._max_memory_bytes = setup.max_memory_bytes
         self._processes: dict[str, asyncio.subprocess.Process] = {}
         self._told_to_end: set[str] = set()
-        self._tasks: set[asyncio.Task[None]] = set()  # one that watches, and one that waits for each process
+        self._tasks: set[asyncio.Task[None]] = set()  # one watches the gateways; one for each process waits for its exit
 
     async def start(self) -> None:
-        """Starts to watch."""
+        """Starts to watch the gateways."""
         self._keep(asyncio.create_task(self._watch()))
 
     def _keep(self, task: asyncio.Task[None]) -> None:
@@ -84,7 +84,7 @@
         send_reply(GatewayDied(name, code, expected, lines))
 
     async def _watch(self) -> None:
-        """Notes the memory, descriptors and CPU of each gateway, once a second."""
+        """Records the memory, descriptors and CPU time of each gateway every WATCH_INTERVAL_S."""
         while True:
             await asyncio.sleep(WATCH_INTERVAL_S)
             for name, process in list(self._processes.items()):
--- a/stoneyoke/lab/worker.py
+++ b/stoneyoke/lab/worker.py
@@ -1,4 +1,4 @@
-"""The program of a worker: the first line of its input says what it is, the following ones are orders."""
+"""The program of a worker. The first line of its input is its setup, the following lines are commands."""
 
 import asyncio
 import sys
@@ -23,11 +23,11 @@
     SupervisorSetup,
 )
 
-MAX_LINE_BYTES = 1 << 28  # a setup holds all arrivals
+MAX_LINE_BYTES = 1 << 28  # the clients' setup contains all arrivals
 
 
 def role_of(setup: AnySetup, ledger: LedgerWriter) -> Role:
-    """The role that a setup describes."""
+    """Returns the role that a setup describes."""
     match setup:
         case LinksSetup():
             return LinkProcess(setup, ledger)
@@ -44,7 +44,7 @@
 
 
 async def main() -> None:
-    """Reads the setup, and serves in its role until the end."""
+    """Reads the setup and runs its role until the worker is shut down."""
     lines = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
     setup = SETUP_DECODER.decode(await lines.readline())
--- a/stoneyoke/lab/worker_messages.py
+++ b/stoneyoke/lab/worker_messages.py
@@ -1,6 +1,7 @@
-"""Messages between a run and its workers, each a line of JSON: a setup, then orders one way and replies the other.
+"""Messages between a run and its workers. Each is a line of JSON.
 
-A worker is a process that holds stand-ins, links or the gateways' supervisor.
+A worker is a process that runs stand-ins, clients, links or the gateways' supervisor. It first receives a setup, then
+commands, and sends replies.
 """
 
 from typing import Any
@@ -12,7 +13,7 @@
 from stoneyoke.lab.plan import Arrival, Customer
 from stoneyoke.lab.scenario import Backends, Clients, Counter, Fault, Method
 
-# Names of workers, which name their ledgers and logs, too.
+# Names of workers. Their files in the ledger and their logs have the same names.
 CLIENTS, SUPERVISOR, BACKENDS, COUNTER, DISCOVERY = "front", "keeper", "backends", "counter", "discovery"
 LINKS_PREFIX = "links"  # a number follows
 
@@ -20,26 +21,26 @@
 
 
 class WorkerSetup(Struct, tag_field="kind", frozen=True, kw_only=True):
-    """What every setup holds."""
+    """The fields of every setup."""
 
     name: str
-    ledger: str = ""  # path; filled in by the run
+    ledger: str = ""  # path of the worker's ledger file; filled in by the run
 
 
 class PeerAddresses(Struct, array_like=True, frozen=True):
     """The UDP link to one gateway."""
 
-    gateway: str  # name
-    address: Address  # where the gateway receives and sends from
-    entry: Address  # where the others send to
+    gateway: str  # the gateway's name
+    address: Address  # where the gateway receives datagrams and sends from
+    entry: Address  # where other gateways send datagrams for it
 
 
 class LinksSetup(WorkerSetup, frozen=True, kw_only=True, tag="links"):
-    """The links that one process carries."""
+    """The links that one process runs."""
 
     links: list[LinkAddresses]
-    peers: list[PeerAddresses]  # of all gateways: each link has to know the senders
-    index: int  # of this process; it carries each `processes`-th UDP link from here on
+    peers: list[PeerAddresses]  # those of all gateways, as each UDP link identifies senders by their addresses
+    index: int  # number of this process; it runs every `processes`-th UDP link, beginning with this number
     processes: int
 
 
@@ -48,12 +49,12 @@
 
     name: str
     address: Address
-    speed: float  # about 1
-    memory_groups: dict[str, str]  # by Method.group: the backends that remember idempotency keys together
+    speed: float  # relative speed, about 1
+    memory_groups: dict[str, str]  # by Method.group: the group of backends that shares idempotency keys with this one
 
 
 class BackendsSetup(WorkerSetup, frozen=True, kw_only=True, tag="backends"):
-    """The stand-ins of all backends."""
+    """The stand-ins for all backends."""
 
     seed: int
     methods: list[Method]
@@ -62,25 +63,25 @@
 
 
 class CounterSetup(WorkerSetup, frozen=True, kw_only=True, tag="counter"):
-    """The stand-in of the counter service."""
+    """The stand-in for the counter service."""
 
-    addresses: list[Address]  # of its halves
+    addresses: list[Address]  # one for each of its halves
     settings: Counter
 
 
 class AgentSetup(Struct, array_like=True, frozen=True):
-    """Discovery as one gateway reaches it."""
+    """The part of discovery that serves one gateway."""
 
-    gateway: str  # name
+    gateway: str  # the gateway's name
     address: Address
-    delay_s: float  # from a change to the time when this gateway may know it
+    delay_s: float  # from a change until it is visible to this gateway
     backend_addresses: list[str]  # where this gateway reaches each backend
 
 
 class DiscoverySetup(WorkerSetup, frozen=True, kw_only=True, tag="discovery"):
-    """The stand-in of discovery."""
+    """The stand-in for discovery."""
 
-    endpoints: list[dict[str, Any]]  # as the protocol lists them, without address
+    endpoints: list[dict[str, Any]]  # as the protocol lists them, without their addresses
     agents: list[AgentSetup]
 
 
@@ -88,11 +89,11 @@
     """All clients."""
 
     seed: int
-    gateways: list[str]  # names
+    gateways: list[str]  # names of the gateways
     entries: list[Address]  # where clients reach each gateway
     settings: Clients
     methods: list[Method]
-    plans: list[str]  # names
+    plans: list[str]  # names of the customer plans
     customers: list[Customer]
     arrivals: list[Arrival]
 
@@ -107,7 +108,7 @@
 
 AnySetup = LinksSetup | BackendsSetup | CounterSetup | DiscoverySetup | ClientsSetup | SupervisorSetup
 
-# ---- orders: from a run to a worker ----
+# ---- commands: from a run to a worker ----
 
 
 class Order(Struct, tag_field="do", frozen=True):
@@ -115,17 +116,17 @@
 
 
 class Begin(Order, frozen=True, tag="go"):
-    """The run begins at this time of the monotonic clock."""
+    """The run starts at this time of the monotonic clock."""
 
     at_ns: int
 
 
 class End(Order, frozen=True, tag="end"):
-    """The worker ends, and everything with it."""
+    """The worker shuts down, with its child processes."""
 
 
 class Drain(Order, frozen=True, tag="drain"):
-    """The clients send nothing new, and reply once all that is pending has ended."""
+    """The clients send no new requests, and reply once none is pending."""
 
 
 class StartGateway(Order, frozen=True, tag="start"):
@@ -141,7 +142,7 @@
 
     name: str
     signal: str  # such as SIGTERM
-    ends: bool = False  # the gateway is to end by it
+    ends: bool = False  # whether the gateway is expected to exit because of the signal
 
 
 class ChangeEndpoint(Order, frozen=True, tag="list"):
@@ -150,11 +151,11 @@
     name: str
     status: str  # active, leaving or left
     since_ms: int = 0  # when the instance started, Unix time
-    replaces: int | None = None  # the number of the backend whose address a new instance has
+    replaces: int | None = None  # for a new instance, the number of the backend whose address it takes over
 
 
 class ChangeFault(Order, frozen=True):
-    """A fault begins or ends."""
+    """A fault starts or ends."""
 
     number: int
     fault: Fault
@@ -162,7 +163,7 @@
 
 
 class ChangeLinkFault(ChangeFault, frozen=True, tag="link"):
-    """A fault of the links between two sets of processes, by the globs of their names."""
+    """A fault of the links between two sets of processes, which are globs of their names."""
 
     source: str
     destination: str
@@ -172,7 +173,7 @@
     """A fault of one backend."""
 
     name: str
-    replacement: str  # name of the instance that replaces it, if the fault does that
+    replacement: str  # name of the instance that replaces the backend, for faults that replace it
 
 
 class ChangeCounterFault(ChangeFault, frozen=True, tag="counter"):
@@ -209,20 +210,20 @@
 
 
 class Ready(Reply, frozen=True, tag="ready"):
-    """The worker listens and takes orders."""
+    """The worker listens and accepts commands."""
 
 
 class Drained(Reply, frozen=True, tag="drained"):
-    """All that the clients had pending has ended."""
+    """The clients have drained: no request is pending."""
 
 
 class GatewayDied(Reply, frozen=True, tag="died"):
-    """A gateway's process has ended."""
+    """A gateway's process has exited."""
 
     name: str
     code: int
-    expected: bool  # it was ordered to
-    lines: list[str]  # the last ones of its log, if not
+    expected: bool  # whether a signal of the run was to make it exit
+    lines: list[str]  # the last lines of its log if the exit was not expected
 
 
 AnyReply = Ready | Drained | GatewayDied
@@ -234,5 +235,5 @@
 
 
 def encode_line(message: WorkerSetup | Order | Reply) -> bytes:
-    """A message as a line of JSON."""
+    """Returns a message as a line of JSON."""
     return ENCODER.encode(message) + b"\n"
--- a/stoneyoke/lab/worker_process.py
+++ b/stoneyoke/lab/worker_process.py
@@ -1,4 +1,4 @@
-"""A worker as its run sees it: a child process that takes orders and replies, line by line."""
+"""The run's side of a worker: a child process that receives commands and sends replies, one per line."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,23 +18,23 @@
 
 
 class WorkerProcess:
-    """A worker in a process of its own.
+    """A worker and its process.
 
     Attributes:
-        ready: Set once it takes orders, or has ended.
-        drained: Set once the clients have drained, or it has ended.
-        ended: Set once its output has ended.
+        ready: Set once the worker accepts commands or has exited.
+        drained: Set once the clients have drained or the worker has exited.
+        ended: Set once the worker has closed its output, which it does when it exits.
     """
 
     def __init__(
         self, name: str, process: asyncio.subprocess.Process, gateway_died: Callable[[GatewayDied], None]
     ) -> None:
-        """Reads the process's replies from now on.
+        """Starts to read the process's replies.
 
         Args:
             name: The worker's name.
-            process: With pipes for its input and output.
-            gateway_died: Called for each reply that a gateway has died.
+            process: The worker's process, with pipes for its input and output.
+            gateway_died: Called for each reply that a gateway has exited.
         """
         self.name = name
         self.ready, self.drained, self.ended = asyncio.Event(), asyncio.Event(), asyncio.Event()
@@ -57,12 +57,12 @@
         self.drained.set()
 
     def send(self, message: WorkerSetup | Order) -> None:
-        """Sends a setup or an order, unless the process's input is closed."""
+        """Sends a setup or a command, unless the process's input is closed."""
         if self._process.stdin and not self._process.stdin.is_closing():
             self._process.stdin.write(encode_line(message))
 
     async def end(self) -> None:
-        """Ends the process, and kills it if it does not end in time."""
+        """Shuts the worker down, and kills its process if it does not exit within END_TIMEOUT_S."""
         self.send(End())
         if self._process.stdin:
             self._process.stdin.close()
--- a/stoneyoke/lab/worker_setup.py
+++ b/stoneyoke/lab/worker_setup.py
@@ -33,7 +33,7 @@
 
 
 def worker_setups(scenario: Scenario, addresses: Addresses, plan: RunPlan, out: Path) -> list[WorkerSetup]:
-    """All workers of a run, in the order in which they start."""
+    """Returns the setups of all workers of a run, in the order in which they start."""
     return [
         *links_setups(addresses),
         backends_setup(scenario, addresses, plan.seed),
@@ -45,7 +45,7 @@
 
 
 def links_setups(addresses: Addresses) -> list[LinksSetup]:
-    """The processes that carry the links, each with its part of them."""
+    """Returns the setups of the processes that run the links, each with its part of them."""
     links, processes = addresses.links(), link_process_count(addresses)
     peers = [
         PeerAddresses(name, addresses.peer(gateway), addresses.link_to_peer(gateway))
@@ -60,7 +60,7 @@
 
 
 def backends_setup(scenario: Scenario, addresses: Addresses, seed: int) -> BackendsSetup:
-    """The stand-ins of all backends."""
+    """Returns the setup of all backends."""
     backends = []
     for number, (name, speed) in enumerate(zip(addresses.backend_names, backend_speeds(scenario), strict=True)):
         zone = name.split("/")[0]
@@ -72,13 +72,13 @@
 
 
 def counter_setup(scenario: Scenario, addresses: Addresses) -> CounterSetup:
-    """The stand-in of the counter service."""
+    """Returns the setup of the counter service."""
     halves = [addresses.counter_half(0), addresses.counter_half(1)]
     return CounterSetup(name=COUNTER, addresses=halves, settings=scenario.counter)
 
 
 def discovery_setup(scenario: Scenario, addresses: Addresses, seed: int) -> DiscoverySetup:
-    """The stand-in of discovery: its endpoints, and how late each gateway's agent is."""
+    """Returns the setup of discovery, with a random delay for each gateway's agent."""
     random_source = np.random.Generator(np.random.PCG64(seed + 1))
     settings, backends = scenario.discovery, range(scenario.backends.count)
     delays_s = (settings.notice_ms + settings.spread_ms * random_source.random(scenario.gateways.count)) / 1000
@@ -96,7 +96,7 @@
 
 
 def clients_setup(scenario: Scenario, addresses: Addresses, plan: RunPlan) -> ClientsSetup:
-    """The clients: who sends what, when and where."""
+    """Returns the setup of the clients, with all customers and arrivals."""
     return ClientsSetup(
         name=CLIENTS,
         seed=plan.seed,
@@ -111,7 +111,7 @@
 
 
 def supervisor_setup(scenario: Scenario, out: Path) -> SupervisorSetup:
-    """The supervisor of the gateways' processes."""
+    """Returns the setup of the gateways' supervisor."""
     return SupervisorSetup(
         name=SUPERVISOR,
         out=str(out),
