--- a/stoneyoke/lab/cli.py
+++ b/stoneyoke/lab/cli.py
@@ -1,4 +1,8 @@
-"""stoneyoke lab: runs, reports, comparisons. Exit codes: 0 passed, 1 failed, void, partial, 2 unusable."""
+"""The command line `stoneyoke lab`: runs, reports and comparisons.
+
+Exit codes: 0: the run passed. 1: the verdict is failed, void or partial, or a gateway did not become ready. 2: a file
+or an argument is invalid, or the run is not possible.
+"""
 
 import sys
 from collections.abc import Callable
@@ -23,13 +27,13 @@
 
 
 def fail(text: str, code: int = EXIT_UNUSABLE) -> NoReturn:
-    """Ends the program with one line that says why."""
+    """Prints one line with the reason and exits."""
     click.echo(f"stoneyoke: {text}", err=True)
     sys.exit(code)
 
 
 def find_scenario(name: str) -> Scenario:
-    """Reads a scenario file, or one that is shipped with the laboratory by its name."""
+    """Reads the scenario file at a path, or one by name that is shipped with the laboratory."""
     path = Path(name)
     shipped = SHIPPED / f"{name}.toml"
     try:
@@ -88,7 +92,7 @@
 
 
 def run_with_progress(scenario: Scenario, seed: int, out: Path, port: int) -> "Result":
-    """Runs a scenario behind a progress bar, and ends the program if that is not possible."""
+    """Runs a scenario with a progress bar; exits if the run is not possible."""
     from stoneyoke.lab.run import run_scenario
 
     steps = int(scenario.seconds * PROGRESS_STEPS_PER_S)
@@ -103,7 +107,7 @@
 
 
 def progress_on(bar: Any) -> Callable[[float], None]:
-    """A callback that moves a progress bar to a time in seconds, on a terminal."""
+    """Returns a callback that moves a progress bar to a time in seconds. It does nothing unless stderr is a terminal."""
 
     def progress(at_s: float) -> None:
         if sys.stderr.isatty():
@@ -113,7 +117,7 @@
 
 
 def print_result(result: "Result", page: Path) -> None:
-    """Prints figures, crashes, the first violations and the verdict."""
+    """Prints the figures, the crashes, the first violations and the verdict."""
     for name, value in result.figures.items():
         click.echo(f"{name:28} {value:g}")
     for crash in result.crashes:
@@ -154,7 +158,7 @@
 
 
 def run_folders(folder: Path) -> list[Path]:
-    """The folder of a run itself, or those of the runs in it."""
+    """Returns the folder itself if it is that of a run, otherwise the folders of the runs in it."""
     if (folder / "result.json").exists():
         return [folder]
     found = sorted(path.parent for path in folder.glob("*/result.json"))
--- a/stoneyoke/lab/supervisor.py
+++ b/stoneyoke/lab/supervisor.py
@@ -27,7 +27,7 @@
         self._max_memory_bytes = setup.max_memory_bytes
         self._processes: dict[str, asyncio.subprocess.Process] = {}
         self._told_to_end: set[str] = set()
-        self._tasks: set[asyncio.Task[None]] = set()  # one watches the gateways; one for each process waits for its exit
+        self._tasks: set[asyncio.Task[None]] = set()  # one watches the gateways, one for each process waits for it
 
     async def start(self) -> None:
         """Starts to watch the gateways."""
