--- a/stoneyoke/lab/cli.py
+++ b/stoneyoke/lab/cli.py
@@ -44,12 +44,12 @@
 
 @click.group()
 def lab() -> None:
-    """Gateways between stand-ins, over links that fail."""
+    """Runs gateways between stand-ins, over links with injected faults."""
 
 
 @lab.command("list")
 def list_scenarios() -> None:
-    """The scenarios that come with the lab."""
+    """Lists the scenarios that come with the lab."""
     for path in sorted(SHIPPED.glob("*.toml")):
         scenario = read_scenario(path)
         size = f"{scenario.gateways.count} x {scenario.backends.count}"
@@ -58,12 +58,12 @@
 
 @lab.command()
 @click.argument("file")
-@click.option("--seed", type=click.IntRange(0), help="In place of the scenario's own.")
-@click.option("--out", type=click.Path(path_type=Path), help="Folder of the run; by default runs/NAME-SEED.")
-@click.option("--json", "json_", type=click.Path(path_type=Path), help="A copy of the result.")
-@click.option("--port", type=click.IntRange(1024, 60000), default=7070, help="Ports from here on.")
-@click.option("--fleet/--no-fleet", default=None, help="In place of the scenario's own: gateways know one another.")
-@click.option("--plan", "only_plan", is_flag=True, help="Print the plan's digest and end.")
+@click.option("--seed", type=click.IntRange(0), help="Replaces the scenario's own seed.")
+@click.option("--out", type=click.Path(path_type=Path), help="The folder of the run; by default runs/NAME-SEED.")
+@click.option("--json", "json_", type=click.Path(path_type=Path), help="Writes a copy of the result to this file.")
+@click.option("--port", type=click.IntRange(1024, 60000), default=7070, help="The first port of the run.")
+@click.option("--fleet/--no-fleet", default=None, help="Replaces the scenario's fleet.on.")
+@click.option("--plan", "only_plan", is_flag=True, help="Prints the plan's digest and exits.")
 def run(  # noqa: PLR0913 -- one parameter for each option of the command line
     file: str,
     seed: int | None,
@@ -107,7 +107,7 @@
 
 
 def progress_on(bar: Any) -> Callable[[float], None]:
-    """Returns a callback that moves a progress bar to a time in seconds. It does nothing unless stderr is a terminal."""
+    """Returns a callback that moves a progress bar to a time in seconds, if stderr is a terminal."""
 
     def progress(at_s: float) -> None:
         if sys.stderr.isatty():
@@ -131,7 +131,7 @@
 @lab.command()
 @click.argument("folder", type=click.Path(path_type=Path, exists=True))
 def report(folder: Path) -> None:
-    """Judges a run again, from its ledger, and writes its page."""
+    """Evaluates a run again from its ledger, and writes its report."""
     from stoneyoke.lab import report as pages
     from stoneyoke.lab.result import RunEnd, judge
 
@@ -149,7 +149,7 @@
 @click.argument("one", type=click.Path(path_type=Path, exists=True))
 @click.argument("other", type=click.Path(path_type=Path, exists=True))
 def compare(one: Path, other: Path) -> None:
-    """The figures of two runs side by side. A folder of runs counts as repeats: mean, least and most."""
+    """Prints the figures of two runs side by side; of a folder of runs the mean, the minimum and the maximum."""
     from stoneyoke.lab import report as pages
 
     sides = [[pages.load(run_folder)[2] for run_folder in run_folders(folder)] for folder in (one, other)]
--- a/stoneyoke/lab/fault_kinds.py
+++ b/stoneyoke/lab/fault_kinds.py
@@ -46,4 +46,4 @@
     try:
         return TARGET_BY_KIND[kind]
     except KeyError:
-        raise UnknownFaultKind(f"there is no {kind!r}") from None
+        raise UnknownFaultKind(f"unknown kind of fault {kind!r}") from None
--- a/stoneyoke/lab/http.py
+++ b/stoneyoke/lab/http.py
@@ -180,7 +180,7 @@
             ConnectionError: The connection was closed before the request or during it.
         """
         if self.closed or not self._transport:
-            raise ConnectionResetError("closed before")
+            raise ConnectionResetError("connection is already closed")
         self._waiter = asyncio.get_running_loop().create_future()
         self._transport.write(data)
         async with asyncio.timeout(timeout_s):
--- a/stoneyoke/lab/run.py
+++ b/stoneyoke/lab/run.py
@@ -172,7 +172,9 @@
             for worker in self.workers.values():
                 await worker.ready.wait()
                 if worker.ended.is_set():
-                    raise CannotRun(f"{worker.name} did not start: see {self._log_path(worker.name)}")
+                    raise CannotRun(
+                        f"worker {worker.name} exited before it was ready, see {self._log_path(worker.name)}"
+                    )
 
     # ---- the run ----
 
@@ -227,7 +229,7 @@
     def _check_workers(self) -> None:
         for name, worker in self.workers.items():
             if worker.ended.is_set():
-                raise CannotRun(f"{name} ended during the run: see {self._log_path(name)}")
+                raise CannotRun(f"worker {name} exited during the run, see {self._log_path(name)}")
 
     def _carry_out(self, event: FaultEvent) -> None:
         """Writes a fault event into the ledger and has the workers inject it."""
--- a/stoneyoke/lab/scenario_file.py
+++ b/stoneyoke/lab/scenario_file.py
@@ -58,17 +58,17 @@
     for index, plan in enumerate(scenario.plan):
         half_given = bool(plan.ceiling_rate) != bool(plan.ceiling_burst)
         if half_given or 0 < plan.ceiling_rate < plan.rate:
-            raise InvalidScenario(f"plan[{index}].ceiling_rate: a ceiling has a rate over the quota's, and a burst")
+            raise InvalidScenario(f"plan[{index}].ceiling_rate: must be at least rate, and needs ceiling_burst")
         if plan.burst < most_units:
-            raise InvalidScenario(f"plan[{index}].burst: is less than one request of the most expensive method")
+            raise InvalidScenario(f"plan[{index}].burst: is less than the units of the most expensive method")
 
 
 def _check_methods(scenario: Scenario) -> None:
     for index, method in enumerate(scenario.method):
         if method.effect == "deduplicated" and not method.memory_ms:
-            raise InvalidScenario(f"method[{index}].memory_ms: a deduplicated method needs one")
+            raise InvalidScenario(f"method[{index}].memory_ms: is required for a deduplicated method")
         if method.soft_ms > method.deadline_ms:
-            raise InvalidScenario(f"method[{index}].soft_ms: is over deadline_ms")
+            raise InvalidScenario(f"method[{index}].soft_ms: is greater than deadline_ms")
 
 
 def _check_faults(scenario: Scenario) -> None:
@@ -79,17 +79,17 @@
 def _check_fault(scenario: Scenario, fault: Fault, key: str) -> None:
     target = _known_target(fault.kind, f"{key}.kind")
     if fault.at_s > scenario.seconds:
-        raise InvalidScenario(f"{key}.at_s: after the end, at {scenario.seconds:g} s")
+        raise InvalidScenario(f"{key}.at_s: is after the end of the run at {scenario.seconds:g} s")
     if target == FaultTarget.LINK:
         names = scenario.process_names()
         for end, glob in (("from", fault.from_), ("to", fault.to)):
             if not any(fnmatchcase(name, glob or "*") for name in names):
-                raise InvalidScenario(f"{key}.{end}: no process is named {glob!r}")
+                raise InvalidScenario(f"{key}.{end}: no process name matches {glob!r}")
     elif not matching_processes(scenario, fault):
-        raise InvalidScenario(f"{key}.on: no process of that kind is named {fault.on!r}")
+        raise InvalidScenario(f"{key}.on: no process that {fault.kind!r} affects matches {fault.on!r}")
     required_key, missing_value = REQUIRED_KEYS.get(fault.kind, ("", None))
     if required_key and getattr(fault, required_key) == missing_value:
-        raise InvalidScenario(f"{key}.{required_key}: {fault.kind!r} needs it")
+        raise InvalidScenario(f"{key}.{required_key}: is required for {fault.kind!r}")
 
 
 def _check_random_faults(scenario: Scenario) -> None:
