--- a/stoneyoke/lab/clients.py
+++ b/stoneyoke/lab/clients.py
@@ -13,7 +13,7 @@
 from stoneyoke.lab.ledger_rows import CONNECTION_CLOSED, GAVE_UP, NO_ANSWER
 from stoneyoke.lab.ledger_writer import LedgerWriter
 from stoneyoke.lab.plan import Arrival
-from stoneyoke.lab.worker_messages import Begin, ChangeClientsFault, ClientsSetup, Drain, Drained, Order, Reply
+from stoneyoke.lab.worker_messages import Begin, ChangeClientsFault, ClientsSetup, Command, Drain, Drained, Reply
 
 UNSENT = 0  # in place of a status: no connection to the gateway was established
 RETRIED_STATUSES = (429, 503, UNSENT)
@@ -65,18 +65,18 @@
     async def start(self) -> None:
         """Does nothing: clients don't listen."""
 
-    async def carry_out(self, order: Order) -> Reply | None:
+    async def execute(self, command: Command) -> Reply | None:
         """Starts sending, drains, or sends rejected requests again."""
-        match order:
+        match command:
             case Begin():
                 self._spawn(self._send_arrivals())
             case Drain():
                 return await self._drain()
-            case ChangeClientsFault(begins=True) if order.fault.kind == "return_at_once":
+            case ChangeClientsFault(begins=True) if command.fault.kind == "return_at_once":
                 self._return_at_once()
         return None
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """Cancels all requests and closes all idle connections."""
         for task in self._tasks:
             task.cancel()
--- a/stoneyoke/lab/fault_orders.py
+++ b/stoneyoke/lab/fault_dispatcher.py
@@ -29,7 +29,7 @@
 ACTIVE, LEAVING, LEFT = "active", "leaving", "left"
 
 # The worker and the type of command for a fault of the counter service, of discovery and of the clients.
-SERVICE_ORDERS: dict[FaultTarget, tuple[str, type[ChangeFault]]] = {
+SERVICE_COMMANDS: dict[FaultTarget, tuple[str, type[ChangeFault]]] = {
     FaultTarget.COUNTER: (COUNTER, ChangeCounterFault),
     FaultTarget.DISCOVERY: (DISCOVERY, ChangeDiscoveryFault),
     FaultTarget.CLIENTS: (CLIENTS, ChangeClientsFault),
@@ -46,7 +46,7 @@
         """Overwrites a gateway's files."""
 
 
-class FaultOrders:
+class FaultDispatcher:
     """Sends each worker the commands for its part of a fault event."""
 
     def __init__(self, addresses: Addresses, workers: dict[str, WorkerProcess], gateways: GatewayStarter) -> None:
@@ -62,28 +62,28 @@
         self._gateways = gateways
         self._restarts: dict[str, int] = {}  # by gateway
 
-    def carry_out(self, event: FaultEvent) -> None:
+    def dispatch(self, event: FaultEvent) -> None:
         """Starts or ends a fault."""
         target = target_of(event.kind)
         if target == FaultTarget.LINK:
-            self._carry_out_on_links(event)
+            self._dispatch_to_links(event)
         elif target == FaultTarget.GATEWAY:
             for name in event.processes:
-                self._carry_out_at_gateway(event, name)
+                self._dispatch_to_gateway(event, name)
         elif target == FaultTarget.BACKEND:
             for name in event.processes:
-                self._carry_out_at_backend(event, name)
+                self._dispatch_to_backend(event, name)
         else:
-            worker, order_type = SERVICE_ORDERS[target]
-            self._workers[worker].send(order_type(event.number, event.fault, event.begins))
+            worker, command_type = SERVICE_COMMANDS[target]
+            self._workers[worker].send(command_type(event.number, event.fault, event.begins))
 
-    def _carry_out_on_links(self, event: FaultEvent) -> None:
-        order = ChangeLinkFault(event.number, event.fault, event.begins, event.source, event.destination)
+    def _dispatch_to_links(self, event: FaultEvent) -> None:
+        command = ChangeLinkFault(event.number, event.fault, event.begins, event.source, event.destination)
         for name, worker in self._workers.items():
             if name.startswith(LINKS_PREFIX):
-                worker.send(order)
+                worker.send(command)
 
-    def _carry_out_at_gateway(self, event: FaultEvent, name: str) -> None:
+    def _dispatch_to_gateway(self, event: FaultEvent, name: str) -> None:
         gateway, supervisor = self._addresses.gateway_names.index(name), self._workers[SUPERVISOR]
         match event.kind, event.begins:
             case "kill", True:
@@ -99,7 +99,7 @@
                 self._gateways.configure(gateway)
                 supervisor.send(SignalGateway(name, "SIGHUP"))
 
-    def _carry_out_at_backend(self, event: FaultEvent, name: str) -> None:
+    def _dispatch_to_backend(self, event: FaultEvent, name: str) -> None:
         discovery = self._workers[DISCOVERY]
         now_ms = int(time.time() * 1000)
         replacement = name + REPLACED_SUFFIX
--- a/stoneyoke/lab/ledger_index.py
+++ b/stoneyoke/lab/ledger_index.py
@@ -13,7 +13,7 @@
 
 from stoneyoke.lab.client_try import Attempt, AttemptEnd, ClientTry, Interval
 from stoneyoke.lab.ledger_rows import (
-    ENDED,
+    EXITED,
     KINDS,
     OVER_LIMITS,
     STARTED,
@@ -145,12 +145,12 @@
         gateway = row.gateway
         if row.change == STARTED:
             self.gateway_starts[gateway].append(row.at_us)
-        if row.change in STOPPING_SIGNALS or row.change == ENDED:
+        if row.change in STOPPING_SIGNALS or row.change == EXITED:
             self._stopped_at.setdefault(gateway, row.at_us)
         if row.change in (STARTED, "SIGCONT") and gateway in self._stopped_at:
             self.unavailable[gateway].append(Interval(self._stopped_at.pop(gateway), row.at_us + RECOVERY_US))
-        unexpected_end = row.change == ENDED and not row.expected
-        if unexpected_end or row.change == OVER_LIMITS:
+        unexpected_exit = row.change == EXITED and not row.expected
+        if unexpected_exit or row.change == OVER_LIMITS:
             self.crashes.append(row)
 
     def _extend_restarts(self) -> None:
--- a/stoneyoke/lab/ledger_rows.py
+++ b/stoneyoke/lab/ledger_rows.py
@@ -140,14 +140,14 @@
     """A gateway's process has started or exited, was sent a signal, or exceeds its limits."""
 
     gateway: str
-    change: str  # STARTED, ENDED, OVER_LIMITS or the name of a signal
-    detail: int = 0  # the process id; for ENDED the exit code; for OVER_LIMITS the memory in bytes
-    expected: int | bool = False  # for ENDED whether the run stopped it; for OVER_LIMITS its open descriptors
+    change: str  # STARTED, EXITED, OVER_LIMITS or the name of a signal
+    detail: int = 0  # the process id; for EXITED the exit code; for OVER_LIMITS the memory in bytes
+    expected: int | bool = False  # for EXITED whether the run stopped it; for OVER_LIMITS its open descriptors
 
 
 NO_ANSWER, CONNECTION_CLOSED = -1, -2  # in place of a status
 GAVE_UP = "gave up"
-STARTED, ENDED, OVER_LIMITS = "started", "ended", "over its limits"
+STARTED, EXITED, OVER_LIMITS = "started", "ended", "over its limits"
 
 LedgerRow = (
     TrySent
--- a/stoneyoke/lab/link_process.py
+++ b/stoneyoke/lab/link_process.py
@@ -11,7 +11,7 @@
 from stoneyoke.lab.datagram_links import DatagramLinks
 from stoneyoke.lab.ledger_writer import LedgerWriter
 from stoneyoke.lab.links import Link
-from stoneyoke.lab.worker_messages import ChangeLinkFault, LinksSetup, Order, Reply
+from stoneyoke.lab.worker_messages import ChangeLinkFault, Command, LinksSetup, Reply
 
 
 def existing(protocol: DatagramLinks) -> DatagramLinks:
@@ -41,17 +41,17 @@
         for entry, links in self._datagram_links:
             await loop.create_datagram_endpoint(partial(existing, links), entry)
 
-    async def carry_out(self, order: Order) -> Reply | None:
+    async def execute(self, command: Command) -> Reply | None:
         """Starts or ends a fault on the links that it matches."""
-        if isinstance(order, ChangeLinkFault):
-            affected = self._affected_links(order)
+        if isinstance(command, ChangeLinkFault):
+            affected = self._affected_links(command)
             for link in affected:
-                link.change_fault(order.number, order.fault, order.begins)
-            self._change_datagram_links(order)
-            self.ledger.add("links", order.fault.kind, order.begins, len(affected))
+                link.change_fault(command.number, command.fault, command.begins)
+            self._change_datagram_links(command)
+            self.ledger.add("links", command.fault.kind, command.begins, len(affected))
         return None
 
-    def _affected_links(self, order: ChangeLinkFault) -> list[Link]:
+    def _affected_links(self, command: ChangeLinkFault) -> list[Link]:
         """Returns the TCP links that match the fault's globs, or a random part of them.
 
         The random choice depends only on the fault's number, so its start and its end affect the same links.
@@ -59,26 +59,26 @@
         links = [
             link
             for link in self._links
-            if matches(order, link.addresses.source, link.addresses.destination)
-            or matches(order, link.addresses.destination, link.addresses.source)
+            if matches(command, link.addresses.source, link.addresses.destination)
+            or matches(command, link.addresses.destination, link.addresses.source)
         ]
-        if order.fault.part < 1 and links:
-            count = max(1, round(len(links) * order.fault.part))
-            return random.Random(order.number).sample(links, count)
+        if command.fault.part < 1 and links:
+            count = max(1, round(len(links) * command.fault.part))
+            return random.Random(command.number).sample(links, count)
         return links
 
-    def _change_datagram_links(self, order: ChangeLinkFault) -> None:
+    def _change_datagram_links(self, command: ChangeLinkFault) -> None:
         """Starts or ends a fault on the UDP links that match its globs. Each direction is a separate link."""
-        kind = order.fault.kind
-        one_way = msgspec.structs.replace(order.fault, kind="cut" if kind.startswith("cut") else kind)
+        kind = command.fault.kind
+        one_way = msgspec.structs.replace(command.fault, kind="cut" if kind.startswith("cut") else kind)
         for _, links in self._datagram_links:
             for sender in self._gateways:
-                forth = matches(order, sender, links.gateway) and kind != "cut_back"
-                back = matches(order, links.gateway, sender) and kind != "cut_there"
+                forth = matches(command, sender, links.gateway) and kind != "cut_back"
+                back = matches(command, links.gateway, sender) and kind != "cut_there"
                 if forth or back:
-                    links.change_fault(order.number, one_way, order.begins, sender)
+                    links.change_fault(command.number, one_way, command.begins, sender)
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """Writes how much the links carried to the ledger, and closes all links and connections."""
         datagram_links = [links for _, links in self._datagram_links]
         for links in datagram_links:
@@ -92,6 +92,6 @@
         self.ledger.add("carried", sum(link.bytes_carried for link in self._links))
 
 
-def matches(order: ChangeLinkFault, source: str, destination: str) -> bool:
+def matches(command: ChangeLinkFault, source: str, destination: str) -> bool:
     """Whether a fault's globs match a link's source and destination."""
-    return fnmatchcase(source, order.source) and fnmatchcase(destination, order.destination)
+    return fnmatchcase(source, command.source) and fnmatchcase(destination, command.destination)
--- a/stoneyoke/lab/plan.py
+++ b/stoneyoke/lab/plan.py
@@ -135,7 +135,7 @@
     times_s = np.sort(random_source.uniform(0, scenario.seconds, count))
     keep_draws = random_source.random(count)
     weights = 1 / np.arange(1, customer.width + 1) ** scenario.gateways.skew
-    gateway_orders = [random_source.permutation(customer.width) for _ in range(len(shifts_s) + 1)]
+    gateway_permutations = [random_source.permutation(customer.width) for _ in range(len(shifts_s) + 1)]
     ranks = random_source.choice(customer.width, size=count, p=weights / weights.sum())
     method_numbers = random_source.choice(len(methods), size=count, p=shares)
 
@@ -143,8 +143,8 @@
     for at_s, keep_draw, rank, method in zip(times_s, keep_draws, ranks, method_numbers, strict=True):
         if keep_draw > rate_per_s * burst_factor(bursts, at_s) / peak_per_s:
             continue
-        order = gateway_orders[sum(shift_s <= at_s for shift_s in shifts_s)]
-        gateway = (customer.first + int(order[rank])) % scenario.gateways.count
+        permutation = gateway_permutations[sum(shift_s <= at_s for shift_s in shifts_s)]
+        gateway = (customer.first + int(permutation[rank])) % scenario.gateways.count
         rows.append(ArrivalRow(int(at_s * 1e6), number, int(method), gateway))
     return rows
 
--- a/stoneyoke/lab/role.py
+++ b/stoneyoke/lab/role.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from stoneyoke.lab.ledger_writer import LedgerWriter
-from stoneyoke.lab.worker_messages import ORDER_DECODER, Begin, End, Order, Ready, Reply, encode_line
+from stoneyoke.lab.worker_messages import COMMAND_DECODER, Begin, Command, Ready, Reply, ShutDown, encode_line
 
 LAG_INTERVAL_S = 0.05  # interval at which a worker measures how late its own event loop is
 
@@ -22,10 +22,10 @@
     async def start(self) -> None:
         """Starts to listen, or to watch the gateways."""
 
-    async def carry_out(self, order: Order) -> Reply | None:
+    async def execute(self, command: Command) -> Reply | None:
         """Executes a command and returns the reply, if there is one. Commands for other roles are ignored."""
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """Closes all sockets and stops all tasks and child processes."""
 
 
@@ -45,21 +45,21 @@
 
 
 async def serve(role: Role, name: str, lines: asyncio.StreamReader) -> None:
-    """Executes commands until it receives End or its input closes, and then shuts the role down."""
+    """Executes commands until it receives ShutDown or its input closes, and then shuts the role down."""
     await role.start()
     measuring = asyncio.create_task(measure_lag(role.ledger, name))
     send_reply(Ready())
     try:
         while line := await lines.readline():
-            order = ORDER_DECODER.decode(line)
-            if isinstance(order, End):
+            command = COMMAND_DECODER.decode(line)
+            if isinstance(command, ShutDown):
                 break
-            if isinstance(order, Begin):
-                role.ledger.begin(order.at_ns)
-            reply = await role.carry_out(order)
+            if isinstance(command, Begin):
+                role.ledger.begin(command.at_ns)
+            reply = await role.execute(command)
             if reply is not None:
                 send_reply(reply)
     finally:
         measuring.cancel()
-        await role.end()
+        await role.shut_down()
         role.ledger.close()
--- a/stoneyoke/lab/run.py
+++ b/stoneyoke/lab/run.py
@@ -18,14 +18,14 @@
 
 from stoneyoke.lab.addresses import Addresses
 from stoneyoke.lab.errors import CannotRun, NotReady
-from stoneyoke.lab.fault_orders import FaultOrders
+from stoneyoke.lab.fault_dispatcher import FaultDispatcher
 from stoneyoke.lab.gateway_files import GatewayFiles, gateway_settings
 from stoneyoke.lab.http import open_connection
 from stoneyoke.lab.machine_limits import check_capacity
 from stoneyoke.lab.plan import FaultEvent, draw_plan
 from stoneyoke.lab.result import Result, RunEnd, judge
 from stoneyoke.lab.scenario import Scenario
-from stoneyoke.lab.worker_messages import CLIENTS, SUPERVISOR, Begin, Drain, GatewayDied, StartGateway, WorkerSetup
+from stoneyoke.lab.worker_messages import CLIENTS, SUPERVISOR, Begin, Drain, GatewayExited, StartGateway, WorkerSetup
 from stoneyoke.lab.worker_process import WorkerProcess
 from stoneyoke.lab.worker_setup import worker_setups
 
@@ -67,7 +67,7 @@
         self.workers: dict[str, WorkerProcess] = {}
         self.crashes: list[str] = []  # one line for each gateway that exited unexpectedly
         self.reasons: list[str] = []  # further lines for the result's reasons; they don't change the verdict
-        self.faults = FaultOrders(self.addresses, self.workers, self)
+        self.faults = FaultDispatcher(self.addresses, self.workers, self)
         self.files = GatewayFiles(scenario, self.addresses, seed, out)
 
     async def play(self) -> Result:
@@ -84,7 +84,7 @@
         except asyncio.CancelledError:
             partial = "interrupted"
         finally:
-            await asyncio.shield(self._end())
+            await asyncio.shield(self._shut_down_workers())
         end = RunEnd(seconds=time.monotonic() - began_s, crashes=self.crashes, reasons=self.reasons, partial=partial)
         return judge(self.out, self.scenario, self.plan, end)
 
@@ -141,7 +141,7 @@
             return False
         return response.status == 200
 
-    def _gateway_died(self, reply: GatewayDied) -> None:
+    def _gateway_exited(self, reply: GatewayExited) -> None:
         if not reply.expected:
             last_line = reply.lines[-1] if reply.lines else "no line"
             self.crashes.append(f"{reply.name} ended with {reply.code}: {last_line}")
@@ -160,7 +160,7 @@
                 start_new_session=True,
                 limit=MAX_REPLY_BYTES,
             )
-        worker = self.workers[setup.name] = WorkerProcess(setup.name, process, self._gateway_died)
+        worker = self.workers[setup.name] = WorkerProcess(setup.name, process, self._gateway_exited)
         ledger = self.out / "ledger" / f"{setup.name}.jsonl"
         worker.send(msgspec.structs.replace(setup, ledger=str(ledger)))
 
@@ -171,7 +171,7 @@
         async with asyncio.timeout(READY_TIMEOUT_S):
             for worker in self.workers.values():
                 await worker.ready.wait()
-                if worker.ended.is_set():
+                if worker.exited.is_set():
                     raise CannotRun(
                         f"worker {worker.name} exited before it was ready, see {self._log_path(worker.name)}"
                     )
@@ -201,13 +201,13 @@
         for worker in self.workers.values():
             worker.send(Begin(self._started_ns))
         with (self.out / "ledger" / "run.jsonl").open("ab") as self._ledger:
-            remaining = await self._carry_out_events()
+            remaining = await self._inject_events()
             for event in remaining:
                 if not event.begins:
-                    self._carry_out(event)  # ends the remaining faults, so that all pending requests can complete
+                    self._inject(event)  # ends the remaining faults, so that all pending requests can complete
             await self._drain_clients()
 
-    async def _carry_out_events(self) -> list[FaultEvent]:
+    async def _inject_events(self) -> list[FaultEvent]:
         """Injects fault events until the run's duration is over.
 
         Returns:
@@ -216,7 +216,7 @@
         events, end_s = list(self.plan.fault_events), self.scenario.seconds
         while (now_s := self._now_s()) < end_s:
             while events and events[0].at_us / 1e6 <= now_s:
-                self._carry_out(events.pop(0))
+                self._inject(events.pop(0))
             self.progress(max(0.0, now_s))
             self._check_workers()
             next_s = events[0].at_us / 1e6 if events else end_s
@@ -228,16 +228,16 @@
 
     def _check_workers(self) -> None:
         for name, worker in self.workers.items():
-            if worker.ended.is_set():
+            if worker.exited.is_set():
                 raise CannotRun(f"worker {name} exited during the run, see {self._log_path(name)}")
 
-    def _carry_out(self, event: FaultEvent) -> None:
+    def _inject(self, event: FaultEvent) -> None:
         """Writes a fault event into the ledger and has the workers inject it."""
         at_us = (time.monotonic_ns() - self._started_ns) // 1000
         fields = (event.number, event.kind, event.begins, event.processes, event.source, event.destination)
         self._ledger.write(msgspec.json.encode(("fault", at_us, *fields)) + b"\n")
         self._ledger.flush()
-        self.faults.carry_out(event)
+        self.faults.dispatch(event)
 
     async def _drain_clients(self) -> None:
         clients = self.workers[CLIENTS]
@@ -249,12 +249,12 @@
         except TimeoutError:
             self.reasons.append("clients still waited at the end")
 
-    async def _end(self) -> None:
+    async def _shut_down_workers(self) -> None:
         """Shuts down all workers: first the clients, then the supervisor with the gateways, then all others."""
         first = [CLIENTS, SUPERVISOR]
         for name in first + [name for name in self.workers if name not in first]:
             if name in self.workers:
-                await self.workers[name].end()
+                await self.workers[name].shut_down()
 
 
 def run_scenario(scenario: Scenario, seed: int, out: Path, port: int, progress: Callable[[float], None]) -> Result:
--- a/stoneyoke/lab/stand_in_backends.py
+++ b/stoneyoke/lab/stand_in_backends.py
@@ -10,7 +10,7 @@
 from stoneyoke.lab.ledger_rows import STARTED
 from stoneyoke.lab.ledger_writer import LedgerWriter
 from stoneyoke.lab.scenario import Fault, Method
-from stoneyoke.lab.worker_messages import BackendSetup, BackendsSetup, ChangeBackendFault, Order, Reply
+from stoneyoke.lab.worker_messages import BackendSetup, BackendsSetup, ChangeBackendFault, Command, Reply
 
 BACKLOG = 512
 STATUS_PATHS = (b"/healthz", b"/load")
@@ -222,14 +222,14 @@
         for backend in self._backends.values():
             await backend.listen()
 
-    async def carry_out(self, order: Order) -> Reply | None:
+    async def execute(self, command: Command) -> Reply | None:
         """Starts or ends a fault of a backend."""
-        if isinstance(order, ChangeBackendFault) and order.name in self._backends:
-            await self._change_fault(self._backends[order.name], order)
+        if isinstance(command, ChangeBackendFault) and command.name in self._backends:
+            await self._change_fault(self._backends[command.name], command)
         return None
 
-    async def _change_fault(self, backend: StandInBackend, order: ChangeBackendFault) -> None:
-        match order.fault.kind, order.begins:
+    async def _change_fault(self, backend: StandInBackend, command: ChangeBackendFault) -> None:
+        match command.fault.kind, command.begins:
             case "crash", True:
                 backend.crash()
             case "crash", False:
@@ -240,13 +240,13 @@
                 backend.crash()
             case "replace", False:
                 backend.crash()
-                await backend.restart(order.replacement)
+                await backend.restart(command.replacement)
             case _, True:
-                backend.faults[order.number] = ActiveFault(order.fault, asyncio.get_running_loop().time())
+                backend.faults[command.number] = ActiveFault(command.fault, asyncio.get_running_loop().time())
             case _, False:
-                backend.faults.pop(order.number, None)
+                backend.faults.pop(command.number, None)
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """Stops all backends."""
         for backend in self._backends.values():
             backend.crash()
--- a/stoneyoke/lab/stand_in_counter.py
+++ b/stoneyoke/lab/stand_in_counter.py
@@ -6,7 +6,7 @@
 
 from stoneyoke.lab.http import Request, ServerConnection
 from stoneyoke.lab.ledger_writer import LedgerWriter
-from stoneyoke.lab.worker_messages import Begin, ChangeCounterFault, CounterSetup, Order, Reply
+from stoneyoke.lab.worker_messages import Begin, ChangeCounterFault, Command, CounterSetup, Reply
 
 BACKLOG = 1024
 MAX_LIFE_S = 60.0  # maximum lifetime of a counter, from its first addition
@@ -71,24 +71,24 @@
         self.ledger.add("count", name.decode(), round(value, 4))
         request.respond(200, b"%.6f" % value)
 
-    async def carry_out(self, order: Order) -> Reply | None:
+    async def execute(self, command: Command) -> Reply | None:
         """Starts to serve calls, or starts or ends a fault."""
-        if isinstance(order, Begin):
+        if isinstance(command, Begin):
             self._serving = True
-        elif isinstance(order, ChangeCounterFault):
-            self._change_fault(order)
-            self.ledger.add("counter", order.fault.kind, order.begins)
+        elif isinstance(command, ChangeCounterFault):
+            self._change_fault(command)
+            self.ledger.add("counter", command.fault.kind, command.begins)
         return None
 
-    def _change_fault(self, order: ChangeCounterFault) -> None:
-        fault, begins = order.fault, order.begins
+    def _change_fault(self, command: ChangeCounterFault) -> None:
+        fault, begins = command.fault, command.begins
         match fault.kind:
             case "silent":
                 self._silent = begins
             case "crawl":
                 self._slowness = fault.factor if begins else 1.0
             case "wipe" if begins:
-                self._wipe(order.number, fault.part)
+                self._wipe(command.number, fault.part)
             case "empty":
                 self._silent = begins
                 self._values = [{}, {}]
@@ -102,7 +102,7 @@
         for name in [name for name in sorted(self._values[0]) if random_source.random() < share]:
             del self._values[0][name]
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """Stops listening."""
         for server in self._servers:
             server.close()
--- a/stoneyoke/lab/stand_in_discovery.py
+++ b/stoneyoke/lab/stand_in_discovery.py
@@ -14,8 +14,8 @@
     AgentSetup,
     ChangeDiscoveryFault,
     ChangeEndpoint,
+    Command,
     DiscoverySetup,
-    Order,
     Reply,
 )
 
@@ -62,42 +62,42 @@
         for agent in self._agents:
             await agent.listen()
 
-    async def carry_out(self, order: Order) -> Reply | None:
+    async def execute(self, command: Command) -> Reply | None:
         """Changes an endpoint, or starts or ends a fault."""
-        match order:
+        match command:
             case ChangeEndpoint():
-                self._change_endpoint(order)
+                self._change_endpoint(command)
             case ChangeDiscoveryFault():
-                self._change_fault(order)
+                self._change_fault(command)
         return None
 
-    def _change_endpoint(self, order: ChangeEndpoint) -> None:
-        if order.replaces is not None:
-            self._backends[order.name] = order.replaces
-        backend = self._backends[order.name]
-        endpoint = dict(self._endpoints[backend], name=order.name, status=order.status, since_ms=order.since_ms)
+    def _change_endpoint(self, command: ChangeEndpoint) -> None:
+        if command.replaces is not None:
+            self._backends[command.name] = command.replaces
+        backend = self._backends[command.name]
+        endpoint = dict(self._endpoints[backend], name=command.name, status=command.status, since_ms=command.since_ms)
         self.changes.append(EndpointChange(asyncio.get_running_loop().time(), backend, endpoint))
-        self.ledger.add("list", order.name, order.status)
+        self.ledger.add("list", command.name, command.status)
         self._wake_agents()
 
-    def _change_fault(self, order: ChangeDiscoveryFault) -> None:
-        match order.fault.kind:
+    def _change_fault(self, command: ChangeDiscoveryFault) -> None:
+        match command.fault.kind:
             case "down":
-                self.down = order.begins
+                self.down = command.begins
             case "reorder":
-                self.reorders = order.begins
+                self.reorders = command.begins
             case _:  # stale
-                random_source = random.Random(order.number)
+                random_source = random.Random(command.number)
                 for agent in self._agents:
-                    if random_source.random() < order.fault.part:
-                        agent.set_frozen(order.begins)
+                    if random_source.random() < command.fault.part:
+                        agent.set_frozen(command.begins)
         self._wake_agents()
 
     def _wake_agents(self) -> None:
         for agent in self._agents:
             agent.check_after_delay()
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """Stops listening."""
         for agent in self._agents:
             agent.close()
--- a/stoneyoke/lab/worker_messages.py
+++ b/stoneyoke/lab/worker_messages.py
@@ -111,25 +111,25 @@
 # ---- commands: from a run to a worker ----
 
 
-class Order(Struct, tag_field="do", frozen=True):
+class Command(Struct, tag_field="do", frozen=True):
     """A command from a run to a worker."""
 
 
-class Begin(Order, frozen=True, tag="go"):
+class Begin(Command, frozen=True, tag="go"):
     """The run starts at this time of the monotonic clock."""
 
     at_ns: int
 
 
-class End(Order, frozen=True, tag="end"):
+class ShutDown(Command, frozen=True, tag="end"):
     """The worker shuts down, with its child processes."""
 
 
-class Drain(Order, frozen=True, tag="drain"):
+class Drain(Command, frozen=True, tag="drain"):
     """The clients send no new requests, and reply once none is pending."""
 
 
-class StartGateway(Order, frozen=True, tag="start"):
+class StartGateway(Command, frozen=True, tag="start"):
     """The supervisor starts a gateway."""
 
     name: str
@@ -137,7 +137,7 @@
     env: dict[str, str]
 
 
-class SignalGateway(Order, frozen=True, tag="signal"):
+class SignalGateway(Command, frozen=True, tag="signal"):
     """The supervisor sends a gateway a signal."""
 
     name: str
@@ -145,7 +145,7 @@
     ends: bool = False  # whether the gateway is expected to exit because of the signal
 
 
-class ChangeEndpoint(Order, frozen=True, tag="list"):
+class ChangeEndpoint(Command, frozen=True, tag="list"):
     """Discovery changes an endpoint."""
 
     name: str
@@ -154,7 +154,7 @@
     replaces: int | None = None  # for a new instance, the number of the backend whose address it takes over
 
 
-class ChangeFault(Order, frozen=True):
+class ChangeFault(Command, frozen=True):
     """A fault starts or ends."""
 
     number: int
@@ -188,9 +188,9 @@
     """A fault of the clients."""
 
 
-AnyOrder = (
+AnyCommand = (
     Begin
-    | End
+    | ShutDown
     | Drain
     | StartGateway
     | SignalGateway
@@ -217,7 +217,7 @@
     """The clients have drained: no request is pending."""
 
 
-class GatewayDied(Reply, frozen=True, tag="died"):
+class GatewayExited(Reply, frozen=True, tag="died"):
     """A gateway's process has exited."""
 
     name: str
@@ -226,14 +226,14 @@
     lines: list[str]  # the last lines of its log if the exit was not expected
 
 
-AnyReply = Ready | Drained | GatewayDied
+AnyReply = Ready | Drained | GatewayExited
 
 SETUP_DECODER: msgspec.json.Decoder[AnySetup] = msgspec.json.Decoder(AnySetup)
-ORDER_DECODER: msgspec.json.Decoder[AnyOrder] = msgspec.json.Decoder(AnyOrder)
+COMMAND_DECODER: msgspec.json.Decoder[AnyCommand] = msgspec.json.Decoder(AnyCommand)
 REPLY_DECODER: msgspec.json.Decoder[AnyReply] = msgspec.json.Decoder(AnyReply)
 ENCODER = msgspec.json.Encoder()
 
 
-def encode_line(message: WorkerSetup | Order | Reply) -> bytes:
+def encode_line(message: WorkerSetup | Command | Reply) -> bytes:
     """Returns a message as a line of JSON."""
     return ENCODER.encode(message) + b"\n"
--- a/stoneyoke/lab/worker_process.py
+++ b/stoneyoke/lab/worker_process.py
@@ -5,16 +5,16 @@
 
 from stoneyoke.lab.worker_messages import (
     REPLY_DECODER,
+    Command,
     Drained,
-    End,
-    GatewayDied,
-    Order,
+    GatewayExited,
     Ready,
+    ShutDown,
     WorkerSetup,
     encode_line,
 )
 
-END_TIMEOUT_S = 10
+SHUTDOWN_TIMEOUT_S = 10
 
 
 class WorkerProcess:
@@ -23,23 +23,23 @@
     Attributes:
         ready: Set once the worker accepts commands or has exited.
         drained: Set once the clients have drained or the worker has exited.
-        ended: Set once the worker has closed its output, which it does when it exits.
+        exited: Set once the worker has closed its output, which it does when it exits.
     """
 
     def __init__(
-        self, name: str, process: asyncio.subprocess.Process, gateway_died: Callable[[GatewayDied], None]
+        self, name: str, process: asyncio.subprocess.Process, on_gateway_exited: Callable[[GatewayExited], None]
     ) -> None:
         """Starts to read the process's replies.
 
         Args:
             name: The worker's name.
             process: The worker's process, with pipes for its input and output.
-            gateway_died: Called for each reply that a gateway has exited.
+            on_gateway_exited: Called for each reply that a gateway has exited.
         """
         self.name = name
-        self.ready, self.drained, self.ended = asyncio.Event(), asyncio.Event(), asyncio.Event()
+        self.ready, self.drained, self.exited = asyncio.Event(), asyncio.Event(), asyncio.Event()
         self._process = process
-        self._gateway_died = gateway_died
+        self._gateway_exited = on_gateway_exited
         self._reading = asyncio.create_task(self._read_replies(), name=f"replies of {name}")
 
     async def _read_replies(self) -> None:
@@ -50,24 +50,24 @@
                     self.ready.set()
                 case Drained():
                     self.drained.set()
-                case GatewayDied() as reply:
-                    self._gateway_died(reply)
-        self.ended.set()
+                case GatewayExited() as reply:
+                    self._gateway_exited(reply)
+        self.exited.set()
         self.ready.set()
         self.drained.set()
 
-    def send(self, message: WorkerSetup | Order) -> None:
+    def send(self, message: WorkerSetup | Command) -> None:
         """Sends a setup or a command, unless the process's input is closed."""
         if self._process.stdin and not self._process.stdin.is_closing():
             self._process.stdin.write(encode_line(message))
 
-    async def end(self) -> None:
-        """Shuts the worker down, and kills its process if it does not exit within END_TIMEOUT_S."""
-        self.send(End())
+    async def shut_down(self) -> None:
+        """Shuts the worker down, and kills its process if it does not exit within SHUTDOWN_TIMEOUT_S."""
+        self.send(ShutDown())
         if self._process.stdin:
             self._process.stdin.close()
         try:
-            async with asyncio.timeout(END_TIMEOUT_S):
+            async with asyncio.timeout(SHUTDOWN_TIMEOUT_S):
                 await self._process.wait()
         except TimeoutError:
             self._process.kill()
