--- a/stoneyoke/lab/cli.py
+++ b/stoneyoke/lab/cli.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from stoneyoke.lab.result import Result
 
-SHIPPED = Path(__file__).parent / "scenarios"
+SHIPPED_SCENARIOS = Path(__file__).parent / "scenarios"
 EXIT_NOT_PASSED, EXIT_UNUSABLE = 1, 2
 PROGRESS_STEPS_PER_S = 10
 MAX_PRINTED_VIOLATIONS = 10
@@ -35,7 +35,7 @@
 def find_scenario(name: str) -> Scenario:
     """Reads the scenario file at a path, or one by name that is shipped with the laboratory."""
     path = Path(name)
-    shipped = SHIPPED / f"{name}.toml"
+    shipped = SHIPPED_SCENARIOS / f"{name}.toml"
     try:
         return read_scenario(shipped if not path.exists() and shipped.exists() else path)
     except InvalidScenario as error:
@@ -50,7 +50,7 @@
 @lab.command("list")
 def list_scenarios() -> None:
     """Lists the scenarios that come with the lab."""
-    for path in sorted(SHIPPED.glob("*.toml")):
+    for path in sorted(SHIPPED_SCENARIOS.glob("*.toml")):
         scenario = read_scenario(path)
         size = f"{scenario.gateways.count} x {scenario.backends.count}"
         click.echo(f"{scenario.name:24} {size:>9}  {scenario.seconds:g} s  {scenario.about}")
@@ -133,12 +133,14 @@
 def report(folder: Path) -> None:
     """Evaluates a run again from its ledger, and writes its report."""
     from stoneyoke.lab import report as pages
-    from stoneyoke.lab.result import RunEnd, judge
+    from stoneyoke.lab.result import RunOutcome, evaluate_run
 
     try:
         scenario, plan, old = pages.load(folder)
         partial = "interrupted" if old.verdict == "partial" else ""
-        new = judge(folder, scenario, plan, RunEnd(seconds=old.seconds, crashes=old.crashes, partial=partial))
+        new = evaluate_run(
+            folder, scenario, plan, RunOutcome(seconds=old.seconds, crashes=old.crashes, partial=partial)
+        )
         click.echo(f"{new.verdict}{''.join(f'; {reason}' for reason in new.reasons)}")
         click.echo(pages.write(folder))
     except (OSError, msgspec.DecodeError) as error:
--- a/stoneyoke/lab/client_try.py
+++ b/stoneyoke/lab/client_try.py
@@ -62,7 +62,7 @@
         self.ends: list[AttemptEnd] = []
         self.executions: list[Attempt] = []
 
-    def send_again(self, row: TrySent) -> None:
+    def mark_resent(self, row: TrySent) -> None:
         """Records that the try is sent once more, on a new connection."""
         self.sent_at_us, self.gateway, self.status = row.at_us, row.gateway, 0
 
--- a/stoneyoke/lab/clients.py
+++ b/stoneyoke/lab/clients.py
@@ -18,10 +18,10 @@
 UNSENT = 0  # in place of a status: no connection to the gateway was established
 RETRIED_STATUSES = (429, 503, UNSENT)
 MAX_RETRIES = 2  # of one request; requests that the fault return_at_once sends again have as many of their own
-RETURN_RETRIES = 8  # number of the first try that return_at_once sends, so that try ids differ from earlier ones
+RESEND_FIRST_TRY = 8  # number of the first try that return_at_once sends, so that try ids differ from earlier ones
 MAX_REJECTED_CLIENTS = 500
 MIN_RETRY_TIME_US = 50_000  # a client doesn't retry with less time than this until the deadline
-DOWN_S = 1.0  # how long clients skip a gateway that refused a connection
+DOWN_INTERVAL_S = 1.0  # how long clients skip a gateway that refused a connection
 MIN_TIMEOUT_S, MAX_CONNECT_S = 0.05, 1.0
 RESPONSE_SLACK_S = 0.5  # how long after the deadline a client still waits for a response
 GIVE_UP_SHARE = 0.5  # share of the time to the deadline after which a client that gives up stops waiting
@@ -69,11 +69,11 @@
         """Starts sending, drains, or sends rejected requests again."""
         match command:
             case Begin():
-                self._spawn(self._send_arrivals())
+                self._start_task(self._send_arrivals())
             case Drain():
                 return await self._drain()
             case ChangeClientsFault(begins=True) if command.fault.kind == "return_at_once":
-                self._return_at_once()
+                self._resend_rejected()
         return None
 
     async def shut_down(self) -> None:
@@ -89,14 +89,14 @@
             await asyncio.wait(self._tasks, timeout=DRAIN_POLL_S)
         return Drained()
 
-    def _return_at_once(self) -> None:
+    def _resend_rejected(self) -> None:
         """Sends the most recently rejected requests again, on new connections."""
         self._pool.close()
         while self._rejected:
-            self._spawn(self._send_request(self._rejected.popleft(), retries=RETURN_RETRIES))
+            self._start_task(self._send_request(self._rejected.popleft(), retries=RESEND_FIRST_TRY))
 
-    def _spawn(self, work: Coroutine[object, object, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_task(self, coroutine: Coroutine[object, object, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -109,7 +109,7 @@
                 await asyncio.sleep(wait_us / 1e6)
             if not self._sending:
                 return
-            self._spawn(self._send_request(arrival))
+            self._start_task(self._send_request(arrival))
 
     async def _send_request(self, arrival: Arrival, retries: int = 0) -> None:
         """Sends one request with its retries. The time to its deadline starts with its first try."""
@@ -126,7 +126,7 @@
             request.retries += 1
             if outcome.status not in RETRIED_STATUSES:
                 return
-            if request.retries > request.max_retries or not self._draws(request, self._settings.retries):
+            if request.retries > request.max_retries or not self._is_drawn(request, self._settings.retries):
                 self._rejected.append(msgspec.structs.replace(arrival, gateway=gateway))
                 return
             await asyncio.sleep(self._retry_pause_s(request, outcome))
@@ -135,13 +135,13 @@
             gateway = self._random_gateway(request)
 
     @staticmethod
-    def _draws(request: ClientRequest, share: float) -> bool:
+    def _is_drawn(request: ClientRequest, share: float) -> bool:
         return request.random_source.random() < share
 
     def _retry_pause_s(self, request: ClientRequest, outcome: TryOutcome) -> float:
         """Returns the wait before a retry: the client's own backoff, or Retry-After if the client honours it."""
         backoff_s = self._settings.backoff_ms / 1000 * (0.5 + request.random_source.random())
-        if self._draws(request, self._settings.honour):
+        if self._is_drawn(request, self._settings.honour):
             return min(outcome.retry_after_s, self._settings.longest_wait_ms / 1000)
         return backoff_s
 
@@ -167,12 +167,12 @@
         arrival = request.arrival
         try_id = f"{arrival.number:010x}{request.retries:02x}"
         time_left_s = (request.deadline_us - self.ledger.now_us()) / 1e6
-        gives_up = bool(self._settings.give_up) and self._draws(request, self._settings.give_up)
+        gives_up = bool(self._settings.give_up) and self._is_drawn(request, self._settings.give_up)
         data = self._encode(request, try_id, time_left_s)
         timeout_s = max(MIN_TIMEOUT_S, time_left_s * (GIVE_UP_SHARE if gives_up else 1.0) + RESPONSE_SLACK_S)
         fields = (arrival.number, arrival.customer, arrival.method, self._setup.gateways[gateway], request.retries)
         connection = self._pool.take(gateway)
-        is_kept = connection is not None
+        is_reused = connection is not None
         while True:
             if connection is None:
                 try:
@@ -190,22 +190,22 @@
             except ConnectionError:
                 connection.close()
                 self.ledger.add("ans", try_id, CONNECTION_CLOSED, "closed", 0.0)
-                if not is_kept:
+                if not is_reused:
                     return TryOutcome(CONNECTION_CLOSED)
-                connection, is_kept = None, False  # the gateway may have closed it before the request arrived
+                connection, is_reused = None, False  # the gateway may have closed it before the request arrived
                 continue
             self._pool.put_back(gateway, connection)
-            return self._note_response(try_id, response)
+            return self._record_response(try_id, response)
 
     async def _connect(self, gateway: int, time_left_s: float) -> ClientConnection:
         timeout_s = max(MIN_TIMEOUT_S, min(MAX_CONNECT_S, time_left_s))
         try:
             return await open_connection(self._setup.entries[gateway], timeout_s)
         except ConnectionRefusedError:
-            self._down_until_s[gateway] = asyncio.get_running_loop().time() + DOWN_S
+            self._down_until_s[gateway] = asyncio.get_running_loop().time() + DOWN_INTERVAL_S
             raise
 
-    def _note_response(self, try_id: str, response: Response) -> TryOutcome:
+    def _record_response(self, try_id: str, response: Response) -> TryOutcome:
         retry_after_s = float(response.headers.get(b"retry-after", b"0"))
         words = response.body.decode(errors="replace").split()
         self.ledger.add("ans", try_id, response.status, " ".join(words[:2]), retry_after_s)
@@ -215,9 +215,9 @@
         """Returns the HTTP request of a try."""
         arrival = request.arrival
         customer, method = self._setup.customers[arrival.customer], self._setup.methods[arrival.method]
-        is_safe = method.effect == "idempotent"
+        is_idempotent = method.effect == "idempotent"
         lines = [
-            f"{'GET' if is_safe else 'POST'} /{method.name}/x HTTP/1.1",
+            f"{'GET' if is_idempotent else 'POST'} /{method.name}/x HTTP/1.1",
             "Host: lab",
             f"Req-Id: {try_id}",
             f"Req-Kind: {method.name}",
@@ -226,7 +226,7 @@
             f"Req-Deadline: {time_left_s:.3f}",
             f"X-Quota: units={method.units:g},spread={customer.width},first={customer.first}",
         ]
-        if not is_safe:
+        if not is_idempotent:
             lines += [f"Idempotency-Key: {arrival.number:012x}", "Content-Length: 0"]
         if self._settings.marks and request.retries:
             lines.append("Req-Retry: 1")
--- a/stoneyoke/lab/figures.py
+++ b/stoneyoke/lab/figures.py
@@ -10,26 +10,26 @@
 from stoneyoke.lab.ledger_index import LedgerIndex
 from stoneyoke.lab.ledger_rows import GatewayUse
 from stoneyoke.lab.quota_bucket import CustomerBuckets
-from stoneyoke.lab.rules import REJECTED_STATUSES, SLACK_US
+from stoneyoke.lab.rules import REJECTED_STATUSES, TIMING_SLACK_US
 
 # A process of the laboratory may itself have been the bottleneck if its event loop was later than this in more than 2%
 # of its measurements. With 20 measurements or fewer that isn't decided.
 MAX_LAG_MS = 100.0
 MAX_LATE_SHARE = 0.02
-MIN_LAG_LOOKS = 20
+MIN_LAG_SAMPLES = 20
 MAX_LATENCY_US = 60_000_000
 FAILING_KINDS = ("hang", "black_hole")  # faults during which a backend responds to no request with success
 DETECTION_US = 1_000_000  # time that gateways have to detect such a fault; attempts at the backend count after it
 THIRDS = 3
 
 
-def void(index: LedgerIndex) -> str:
+def void_reason(index: LedgerIndex) -> str:
     """Returns why the run is no valid measurement of the gateways; empty if it is one."""
     for process, lags_ms in index.lags_ms.items():
         late = sum(lag_ms > MAX_LAG_MS for lag_ms in lags_ms)
-        if len(lags_ms) > MIN_LAG_LOOKS and late > MAX_LATE_SHARE * len(lags_ms):
-            looks = f"{late} of {len(lags_ms)} looks"
-            return f"{process} was the limit: its event loop was over {MAX_LAG_MS:g} ms late in {looks}"
+        if len(lags_ms) > MIN_LAG_SAMPLES and late > MAX_LATE_SHARE * len(lags_ms):
+            samples = f"{late} of {len(lags_ms)} looks"
+            return f"{process} was the limit: its event loop was over {MAX_LAG_MS:g} ms late in {samples}"
     return ""
 
 
@@ -75,12 +75,12 @@
     """Returns the numbers of the requests that were served within their method's latency target."""
     served_at_us: dict[int, int] = {}
     for client_try in index.tries.values():
-        if client_try.status == 200 and client_try.answered_at_us <= client_try.deadline_us + SLACK_US:
+        if client_try.status == 200 and client_try.answered_at_us <= client_try.deadline_us + TIMING_SLACK_US:
             served_at_us.setdefault(client_try.number, client_try.answered_at_us)
     in_time = set()
     for number, at_us in served_at_us.items():
         request = offered.get(number)
-        if request and at_us <= request.at_us + index.methods[request.method].soft_ms * 1000 + SLACK_US:
+        if request and at_us <= request.at_us + index.methods[request.method].soft_ms * 1000 + TIMING_SLACK_US:
             in_time.add(number)
     return in_time
 
@@ -106,19 +106,19 @@
 
 
 def goodput_by(
-    offered: dict[int, OfferedRequest], in_time: set[int], group_of: Callable[[OfferedRequest], int | str]
+    offered: dict[int, OfferedRequest], in_time: set[int], group_key: Callable[[OfferedRequest], int | str]
 ) -> dict[int | str, float]:
     """Returns the goodput of each group of requests; 1 for a group without requests inside quotas."""
-    asked: dict[int | str, float] = defaultdict(float)
-    served: dict[int | str, float] = defaultdict(float)
+    offered_value: dict[int | str, float] = defaultdict(float)
+    served_value: dict[int | str, float] = defaultdict(float)
     for request in offered.values():
         if request.inside_quota:
-            asked[group_of(request)] += request.value
+            offered_value[group_key(request)] += request.value
     for number in in_time:
         if offered[number].inside_quota:
-            served[group_of(offered[number])] += offered[number].value
+            served_value[group_key(offered[number])] += offered[number].value
     goodput: dict[int | str, float] = defaultdict(lambda: 1.0)
-    goodput.update({group: round(served[group] / value, 4) for group, value in asked.items() if value})
+    goodput.update({group: round(served_value[group] / value, 4) for group, value in offered_value.items() if value})
     return goodput
 
 
@@ -197,17 +197,17 @@
 
 def failing_intervals(index: LedgerIndex) -> dict[str, list[Interval]]:
     """Returns the intervals in which each backend hung or failed every request, without the time to detect that."""
-    began: dict[tuple[int, str], int] = {}
+    started_at_us: dict[tuple[int, str], int] = {}
     found: dict[str, list[Interval]] = defaultdict(list)
     for fault in index.faults:
         for backend in fault.processes if fault.kind in FAILING_KINDS else ():
             if fault.begins:
-                began[fault.number, backend] = fault.at_us
-            elif (fault.number, backend) in began:
-                start_us = began.pop((fault.number, backend)) + DETECTION_US
+                started_at_us[fault.number, backend] = fault.at_us
+            elif (fault.number, backend) in started_at_us:
+                start_us = started_at_us.pop((fault.number, backend)) + DETECTION_US
                 found[backend].append(Interval(start_us, fault.at_us))
     end_us = int(index.scenario.seconds * 1e6)
-    for (_, backend), at_us in began.items():
+    for (_, backend), at_us in started_at_us.items():
         found[backend].append(Interval(at_us + DETECTION_US, end_us))
     return found
 
--- a/stoneyoke/lab/http.py
+++ b/stoneyoke/lab/http.py
@@ -131,7 +131,7 @@
         self.closed = False
         self._parser: Any = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
-        self._waiter: asyncio.Future[Response] | None = None
+        self._pending_response: asyncio.Future[Response] | None = None
         self._headers: Headers = {}
         self._body = b""
 
@@ -142,8 +142,8 @@
     def connection_lost(self, _: Exception | None) -> None:
         """Fails the pending request."""
         self.closed = True
-        if self._waiter and not self._waiter.done():
-            self._waiter.set_exception(ConnectionResetError("closed under a request"))
+        if self._pending_response and not self._pending_response.done():
+            self._pending_response.set_exception(ConnectionResetError("closed under a request"))
 
     def data_received(self, data: bytes) -> None:
         """Parses data; closes the connection if it is not valid HTTP."""
@@ -165,8 +165,8 @@
         headers, body, self._headers, self._body = self._headers, self._body, {}, b""
         if headers.get(b"connection", b"").lower() == b"close":
             self.closed = True
-        if self._waiter and not self._waiter.done():
-            self._waiter.set_result(Response(self._parser.get_status_code(), headers, body))
+        if self._pending_response and not self._pending_response.done():
+            self._pending_response.set_result(Response(self._parser.get_status_code(), headers, body))
 
     async def request(self, data: bytes, timeout_s: float) -> Response:
         """Sends a request and waits for its response.
@@ -181,10 +181,10 @@
         """
         if self.closed or not self._transport:
             raise ConnectionResetError("connection is already closed")
-        self._waiter = asyncio.get_running_loop().create_future()
+        self._pending_response = asyncio.get_running_loop().create_future()
         self._transport.write(data)
         async with asyncio.timeout(timeout_s):
-            return await self._waiter
+            return await self._pending_response
 
     def close(self) -> None:
         """Closes the connection immediately."""
--- a/stoneyoke/lab/ledger.py
+++ b/stoneyoke/lab/ledger.py
@@ -10,11 +10,11 @@
 
     def violations(self) -> list[Violation]:
         """Returns all violations of the rules."""
-        return rules.violations(self)
+        return rules.find_violations(self)
 
-    def void(self) -> str:
+    def void_reason(self) -> str:
         """Returns why the run is no valid measurement of the gateways; empty if it is one."""
-        return figures.void(self)
+        return figures.void_reason(self)
 
     def figures(self) -> dict[str, float]:
         """Returns the run's figures. Shares are from 0 to 1, times in ms, memory in MB, CPU in ms per try."""
--- a/stoneyoke/lab/ledger_index.py
+++ b/stoneyoke/lab/ledger_index.py
@@ -92,7 +92,7 @@
     def _add_try_sent(self, row: TrySent) -> None:
         known = self.tries.get(row.id)
         if known:
-            known.send_again(row)
+            known.mark_resent(row)
         else:
             self.tries[row.id] = ClientTry(row)
 
@@ -157,10 +157,10 @@
         """Extends each time in which a gateway was unavailable until it listens after discovery's first response."""
         for gateway, intervals in self.unavailable.items():
             answered_at_us = [row.at_us for row in self.endpoints_sent.get(gateway, [])]
-            for at, (start_us, end_us) in enumerate(intervals):
+            for position, (start_us, end_us) in enumerate(intervals):
                 answers_us = (at_us for at_us in answered_at_us if at_us >= end_us - RECOVERY_US)
                 first_answer_us = min(answers_us, default=end_us)
-                intervals[at] = Interval(start_us, max(end_us, first_answer_us + LISTENING_DELAY_US))
+                intervals[position] = Interval(start_us, max(end_us, first_answer_us + LISTENING_DELAY_US))
 
     # ---- questions ----
 
@@ -190,18 +190,18 @@
 
     def _link_faults(self) -> list[tuple[FaultChanged, int, int]]:
         """Returns the faults of links, each with its start and its end."""
-        begun: dict[int, FaultChanged] = {}
+        active: dict[int, FaultChanged] = {}
         found: list[tuple[FaultChanged, int, int]] = []
         for fault in self.faults:
             if not fault.source:
                 continue
             if fault.begins:
-                begun[fault.number] = fault
+                active[fault.number] = fault
                 if fault.kind == "reset":
                     found.append((fault, fault.at_us, fault.at_us + 1))
-            elif fault.number in begun:
-                found.append((fault, begun.pop(fault.number).at_us, fault.at_us))
-        found += [(fault, fault.at_us, FOREVER_US) for fault in begun.values() if fault.kind != "reset"]
+            elif fault.number in active:
+                found.append((fault, active.pop(fault.number).at_us, fault.at_us))
+        found += [(fault, fault.at_us, FOREVER_US) for fault in active.values() if fault.kind != "reset"]
         return found
 
     def lines(self, ids: set[str]) -> list[Any]:
--- a/stoneyoke/lab/link_conditions.py
+++ b/stoneyoke/lab/link_conditions.py
@@ -39,16 +39,16 @@
 
     def _update(self) -> None:
         kinds = {fault.kind for fault in self._faults.values()}
-        delays = self._of_kind("delay")
+        delays = self._faults_of_kind("delay")
         cut = "cut" in kinds
         self.silent = [cut or "cut_there" in kinds, cut or "cut_back" in kinds]
         self.refuses = "refuse" in kinds
         self.delay_s = sum(fault.ms for fault in delays) / 1000
         self.jitter_s = sum(fault.jitter_ms for fault in delays) / 1000
-        self.bytes_s = min((fault.bytes_s for fault in self._of_kind("throttle")), default=0.0)
-        self.loss = max((fault.part for fault in self._of_kind("lose")), default=0.0)
+        self.bytes_s = min((fault.bytes_s for fault in self._faults_of_kind("throttle")), default=0.0)
+        self.loss = max((fault.part for fault in self._faults_of_kind("lose")), default=0.0)
 
-    def _of_kind(self, kind: str) -> list[Fault]:
+    def _faults_of_kind(self, kind: str) -> list[Fault]:
         return [fault for fault in self._faults.values() if fault.kind == kind]
 
     @property
--- a/stoneyoke/lab/link_process.py
+++ b/stoneyoke/lab/link_process.py
@@ -14,7 +14,7 @@
 from stoneyoke.lab.worker_messages import ChangeLinkFault, Command, LinksSetup, Reply
 
 
-def existing(protocol: DatagramLinks) -> DatagramLinks:
+def return_protocol(protocol: DatagramLinks) -> DatagramLinks:
     """Returns the protocol itself, to serve as the event loop's protocol factory."""
     return protocol
 
@@ -39,7 +39,7 @@
             link.listen()
         loop = asyncio.get_running_loop()
         for entry, links in self._datagram_links:
-            await loop.create_datagram_endpoint(partial(existing, links), entry)
+            await loop.create_datagram_endpoint(partial(return_protocol, links), entry)
 
     async def execute(self, command: Command) -> Reply | None:
         """Starts or ends a fault on the links that it matches."""
--- a/stoneyoke/lab/links.py
+++ b/stoneyoke/lab/links.py
@@ -18,7 +18,7 @@
 from stoneyoke.lab.scenario import Fault
 
 BACKLOG = 256
-ACCEPTS_PER_TURN = 16  # connections accepted in one iteration of the event loop
+ACCEPTS_PER_ITERATION = 16  # connections accepted in one iteration of the event loop
 # So many own connections fill a listener's queue of length 0. The system then doesn't reply to further connects.
 QUEUE_FILLERS = 2
 END_OF_STREAM = None  # in a queue of data
@@ -98,13 +98,13 @@
             self._queue_free_at_s = max(self._queue_free_at_s, loop.time()) + wait_s
         else:
             self._queue_free_at_s = max(self._queue_free_at_s, loop.time() + wait_s)
-        loop.call_at(self._queue_free_at_s, self._send_on, 1)
+        loop.call_at(self._queue_free_at_s, self._forward_queued, 1)
 
-    def send_all_on(self) -> None:
+    def forward_all_queued(self) -> None:
         """Forwards the queued data, unless the link is silent."""
-        self._send_on(len(self._queue))
+        self._forward_queued(len(self._queue))
 
-    def _send_on(self, max_pieces: int) -> None:
+    def _forward_queued(self, max_pieces: int) -> None:
         while self._queue and max_pieces and not self._is_silent:
             if not self.other or not self.other._transport:
                 return
@@ -172,7 +172,7 @@
             self._listener = None
         self._close_fillers()
 
-    def _stop_answering(self) -> None:
+    def _stop_accepting(self) -> None:
         """Keeps new connections from being established: sets the listener's backlog to 0 and fills its queue."""
         if not self._listener or self._queue_fillers:
             return
@@ -184,7 +184,7 @@
             filler.connect_ex(self.addresses.entry)
             self._queue_fillers.append(filler)
 
-    def _answer_again(self) -> None:
+    def _resume_accepting(self) -> None:
         self._close_fillers()
         if self._listener:
             self._listener.listen(BACKLOG)
@@ -197,15 +197,15 @@
     # ---- connections ----
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTS_PER_TURN):
+        for _ in range(ACCEPTS_PER_ITERATION):
             try:
                 sock, _ = cast(socket.socket, self._listener).accept()
             except OSError:
                 return
-            self._spawn(self._serve(sock))
+            self._start_task(self._serve(sock))
 
-    def _spawn(self, work: Coroutine[object, object, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_task(self, coroutine: Coroutine[object, object, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -218,7 +218,7 @@
 
     def open_other_end(self, end: LinkEnd) -> None:
         """Connects to the link's destination, for an end that its listener accepted."""
-        self._spawn(self._connect(end))
+        self._start_task(self._connect(end))
 
     async def _connect(self, end: LinkEnd) -> None:
         loop = asyncio.get_running_loop()
@@ -231,7 +231,7 @@
         if not end.is_open:
             other.reset()
             return
-        end.send_all_on()
+        end.forward_all_queued()
 
     # ---- faults ----
 
@@ -249,11 +249,11 @@
         elif refused and not refuses:
             self.listen()
         if is_silent and not was_silent:
-            self._stop_answering()
+            self._stop_accepting()
         elif was_silent and not is_silent and not refuses:
-            self._answer_again()
+            self._resume_accepting()
         for end in list(self.ends):
-            end.send_all_on()
+            end.forward_all_queued()
 
     def reset_connections(self) -> None:
         """Resets all open connections."""
--- a/stoneyoke/lab/machine_limits.py
+++ b/stoneyoke/lab/machine_limits.py
@@ -30,12 +30,12 @@
         CannotRun: A resource is not sufficient; the text says how much of it is needed.
     """
     processes = link_process_count(addresses)
-    _provide_descriptors(len(addresses.links()), processes)
+    _raise_descriptor_limit(len(addresses.links()), processes)
     _check_memory(scenario, len(addresses.links()), processes)
     _check_ports(scenario, addresses)
 
 
-def _provide_descriptors(links: int, processes: int) -> None:
+def _raise_descriptor_limit(links: int, processes: int) -> None:
     needed = math.ceil(links / processes) + SPARE_DESCRIPTORS
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and hard < needed:
--- a/stoneyoke/lab/result.py
+++ b/stoneyoke/lab/result.py
@@ -17,10 +17,10 @@
 from stoneyoke.lab.plan import RunPlan
 from stoneyoke.lab.rules import Rule, Violation
 from stoneyoke.lab.scenario import Bound, Scenario
-from stoneyoke.lab.spread import BoolMatrix, Spread, Use, central_dispatch, spread
+from stoneyoke.lab.spread import AttemptSpan, BoolMatrix, Spread, central_dispatch, measure_spread
 
 SPREAD_WINDOWS_S = (1, 3)
-STEP_US = 250_000  # time step of the health of backends, which counts as constant within a step
+HEALTH_STEP_US = 250_000  # time step of the health of backends, which counts as constant within a step
 REINSTATEMENT_US = 4_000_000  # a backend counts as healthy so long after a fault, when the gateways must use it again
 REPLACED_SUFFIX = "-new"  # appended to a backend's name to name the instance that replaces it
 
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RunEnd:
+class RunOutcome:
     """How a run ended, as far as the ledger doesn't show it."""
 
     seconds: float  # duration of the whole run, with the start and the shutdown of its processes
@@ -65,53 +65,53 @@
     return [round(1 + spread * math.sin(7.1 * (number + 1)), 4) for number in range(scenario.backends.count)]
 
 
-def judge(out: Path, scenario: Scenario, plan: RunPlan, end: RunEnd) -> Result:
+def evaluate_run(out: Path, scenario: Scenario, plan: RunPlan, outcome: RunOutcome) -> Result:
     """Evaluates the ledger and writes the result into the run's folder.
 
     Args:
         out: The run's folder.
         scenario: The scenario of the run.
         plan: The plan that was drawn from the scenario and the seed.
-        end: How the run ended.
+        outcome: How the run ended.
     """
     ledger = Ledger(read_rows(out / "ledger"), scenario, plan)
     violations, figures = ledger.violations(), ledger.figures()
     figures["violations"] = len(violations)
-    spreads = spreads_of(ledger, scenario)
+    spreads = measure_spreads(ledger, scenario)
     figures |= spread_figures(spreads)
     failures = [
-        *process_failures(ledger, end.crashes),
+        *process_failures(ledger, outcome.crashes),
         *rule_failures(violations),
         *bound_failures(scenario.bound, figures),
     ]
-    void = ledger.void()
+    void_reason = ledger.void_reason()
     result = Result(
         scenario=scenario.name,
         seed=plan.seed,
         plan=plan.digest(),
-        verdict=verdict(end.partial, void, failures),
-        reasons=[*filter(None, (end.partial, void)), *failures, *end.reasons],
+        verdict=decide_verdict(outcome.partial, void_reason, failures),
+        reasons=[*filter(None, (outcome.partial, void_reason)), *failures, *outcome.reasons],
         figures=figures,
         spread=spreads,
         violations=violations,
-        crashes=end.crashes,
-        seconds=round(end.seconds, 1),
+        crashes=outcome.crashes,
+        seconds=round(outcome.seconds, 1),
     )
     (out / "result.json").write_bytes(msgspec.json.format(msgspec.json.encode(result)))
     return result
 
 
-def verdict(partial: str, void: str, failures: list[str]) -> Verdict:
+def decide_verdict(partial: str, void_reason: str, failures: list[str]) -> Verdict:
     """Returns the verdict on a run.
 
     Args:
         partial: Why the run is partial; empty if it is not.
-        void: Why the run is void; empty if it is not.
+        void_reason: Why the run is void; empty if it is not.
         failures: The reasons for which the run failed.
     """
     if partial:
         return Verdict.PARTIAL
-    if void:
+    if void_reason:
         return Verdict.VOID
     return Verdict.FAILED if failures else Verdict.PASSED
 
@@ -153,42 +153,44 @@
     return figures
 
 
-def spreads_of(ledger: Ledger, scenario: Scenario) -> dict[str, Spread]:
+def measure_spreads(ledger: Ledger, scenario: Scenario) -> dict[str, Spread]:
     """Measures how evenly the gateways, and for comparison a central dispatcher, spread the load over the backends."""
     speeds, end_us = backend_speeds(scenario), int(scenario.seconds * 1e6)
     up = backends_up(ledger, scenario, end_us)
-    uses = backend_uses(ledger, scenario)
-    central_uses = central_dispatch(uses, speeds, up, STEP_US)
+    spans = attempt_spans(ledger, scenario)
+    central_spans = central_dispatch(spans, speeds, up, HEALTH_STEP_US)
     spreads = {}
     for seconds in SPREAD_WINDOWS_S:
         window_us = seconds * 1_000_000
         windows = range(max(1, end_us // window_us))
-        healthy = np.array([up[w * window_us // STEP_US : (w + 1) * window_us // STEP_US].all(axis=0) for w in windows])
-        spreads[f"gateways {seconds} s"] = spread(uses, speeds, healthy, window_us, end_us)
-        spreads[f"central {seconds} s"] = spread(central_uses, speeds, healthy, window_us, end_us)
+        healthy = np.array(
+            [up[w * window_us // HEALTH_STEP_US : (w + 1) * window_us // HEALTH_STEP_US].all(axis=0) for w in windows]
+        )
+        spreads[f"gateways {seconds} s"] = measure_spread(spans, speeds, healthy, window_us, end_us)
+        spreads[f"central {seconds} s"] = measure_spread(central_spans, speeds, healthy, window_us, end_us)
     return spreads
 
 
 def backends_up(ledger: Ledger, scenario: Scenario, end_us: int) -> BoolMatrix:
     """Returns by step and backend whether the backend is healthy and the gateways must know that it is."""
     numbers = {name: number for number, name in enumerate(scenario.backend_names())}
-    up = np.ones((end_us // STEP_US + 1, scenario.backends.count), dtype=bool)
+    up = np.ones((end_us // HEALTH_STEP_US + 1, scenario.backends.count), dtype=bool)
     for fault in ledger.faults:
         if target_of(fault.kind) != FaultTarget.BACKEND:
             continue
-        step = fault.at_us // STEP_US
+        step = fault.at_us // HEALTH_STEP_US
         for name in fault.processes:
             if fault.begins:
                 up[max(0, step) :, numbers[name]] = False
             else:
-                up[min(len(up), step + REINSTATEMENT_US // STEP_US) :, numbers[name]] = True
+                up[min(len(up), step + REINSTATEMENT_US // HEALTH_STEP_US) :, numbers[name]] = True
     return up
 
 
-def backend_uses(ledger: Ledger, scenario: Scenario) -> list[Use]:
+def attempt_spans(ledger: Ledger, scenario: Scenario) -> list[AttemptSpan]:
     """Returns all attempts at backends. One without a response counts as in flight for 1 ms."""
     numbers = {name: number for number, name in enumerate(scenario.backend_names())}
-    uses = []
+    spans = []
     for client_try in ledger.tries.values():
         for attempt in client_try.attempts:
             number = numbers.get(attempt.backend.removesuffix(REPLACED_SUFFIX))
@@ -196,5 +198,5 @@
                 continue
             end = client_try.end_of(attempt)
             end_us = end.at_us if end else attempt.at_us + 1000
-            uses.append(Use(attempt.at_us, end_us - attempt.at_us, number))
-    return uses
+            spans.append(AttemptSpan(attempt.at_us, end_us - attempt.at_us, number))
+    return spans
--- a/stoneyoke/lab/rules.py
+++ b/stoneyoke/lab/rules.py
@@ -14,7 +14,7 @@
 
 # Tolerance for all times in the rules. The protocol allows 50 ms; the rest covers delays on a busy machine. A run whose
 # stand-ins lag more than that is void.
-SLACK_US = 150_000
+TIMING_SLACK_US = 150_000
 # A customer may exceed its rate limit by as many units as the limit's rate allows in this time, in addition to a
 # tolerance for the burst. Source: the protocol page.
 RATE_LIMIT_SLACK_S = 0.15
@@ -45,7 +45,7 @@
     lines: list[Any] = []
 
 
-def violations(index: LedgerIndex) -> list[Violation]:
+def find_violations(index: LedgerIndex) -> list[Violation]:
     """Returns all violations of all rules, with the ledger's rows about them."""
     found = [
         *unanswered_tries(index),
@@ -64,7 +64,7 @@
     found = []
     for client_try in index.tries.values():
         id = client_try.id
-        late = client_try.answered_at_us > client_try.deadline_us + SLACK_US
+        late = client_try.answered_at_us > client_try.deadline_us + TIMING_SLACK_US
         if client_try.status == NO_ANSWER and client_try.words == GAVE_UP:
             continue
         if client_try.status == 200 and client_try.words.split(" ")[0] != id:
@@ -146,7 +146,7 @@
             if last < 0:
                 continue
             learned_us, status = history[last]
-            if status == ACTIVE or attempt.at_us <= learned_us + grace_us + SLACK_US:
+            if status == ACTIVE or attempt.at_us <= learned_us + grace_us + TIMING_SLACK_US:
                 continue
             if _may_not_know(index, client_try, attempt, learned_us):
                 continue
@@ -208,13 +208,13 @@
             continue
         last = bisect.bisect(received, (at_us + window_us, 0.0, ""))
         work_s = sum(work.seconds for work in received[first:last])
-        warmed_up = min(1.0, (at_us + window_us / 2 - start_us) / warm_up_us)
-        capacity = settings.cold_share + (1 - settings.cold_share) * warmed_up
-        possible_s = settings.slots * capacity * settings.overload_window_s
-        if work_s > settings.overload_factor * possible_s + slack_s:
+        warm_up_progress = min(1.0, (at_us + window_us / 2 - start_us) / warm_up_us)
+        capacity = settings.cold_share + (1 - settings.cold_share) * warm_up_progress
+        capacity_s = settings.slots * capacity * settings.overload_window_s
+        if work_s > settings.overload_factor * capacity_s + slack_s:
             detail = (
                 f"{backend} was sent {work_s:.2f} s of work in {settings.overload_window_s} s, "
-                f"{(at_us - start_us) / 1e6:.2f} s after its start; it can do {possible_s:.2f}"
+                f"{(at_us - start_us) / 1e6:.2f} s after its start; it can do {capacity_s:.2f}"
             )
             ids = [work.id for work in received[first:last]][:MAX_VIOLATION_IDS]
             return Violation(Rule.WARMED_UP, at_us, detail, ids)
@@ -224,7 +224,7 @@
 def exceeded_rate_limits(index: LedgerIndex) -> list[Violation]:
     """Finds tries that reached a backend although they exceeded the rate limit of their customer's plan."""
     buckets = CustomerBuckets()
-    most_units = max(method.units for method in index.methods)
+    max_units = max(method.units for method in index.methods)
     found = []
     for client_try in index.first_attempts():
         plan = index.scenario.plan[index.plan_of(client_try)]
@@ -232,7 +232,7 @@
             continue
         customer, at_us = client_try.customer, client_try.attempts[0].at_us
         level = buckets.level(customer, plan.ceiling_rate, plan.ceiling_burst, at_us) - index.units(client_try)
-        slack = max(0.1 * plan.ceiling_burst, most_units) + RATE_LIMIT_SLACK_S * plan.ceiling_rate
+        slack = max(0.1 * plan.ceiling_burst, max_units) + RATE_LIMIT_SLACK_S * plan.ceiling_rate
         if level < -slack:
             detail = f"customer {customer} of {plan.name}: {client_try.id} took its token bucket to {level:.1f}"
             found.append(Violation(Rule.LIMITED, at_us, detail, [client_try.id]))
--- a/stoneyoke/lab/run.py
+++ b/stoneyoke/lab/run.py
@@ -23,7 +23,7 @@
 from stoneyoke.lab.http import open_connection
 from stoneyoke.lab.machine_limits import check_capacity
 from stoneyoke.lab.plan import FaultEvent, draw_plan
-from stoneyoke.lab.result import Result, RunEnd, judge
+from stoneyoke.lab.result import Result, RunOutcome, evaluate_run
 from stoneyoke.lab.scenario import Scenario
 from stoneyoke.lab.worker_messages import CLIENTS, SUPERVISOR, Begin, Drain, GatewayExited, StartGateway, WorkerSetup
 from stoneyoke.lab.worker_process import WorkerProcess
@@ -35,7 +35,7 @@
 READY_REQUEST_TIMEOUT_S = 1.0
 START_DELAY_NS = 200_000_000  # between the Begin command and the run's start, so that all workers receive it in time
 DRAIN_SLACK_S = 3  # time for the clients to drain, in addition to the longest deadline of a method
-STEP_S = 0.1  # longest interval between two checks whether a worker has exited
+POLL_INTERVAL_S = 0.1  # longest interval between two checks whether a worker has exited
 MAX_REPLY_BYTES = 1 << 22
 
 
@@ -57,7 +57,7 @@
             seed: The seed of the plan.
             out: The folder for the run's ledger, logs, configurations and result.
             port: The port of all processes.
-            progress: Called at least every STEP_S with the time since the run's start in seconds.
+            progress: Called at least every POLL_INTERVAL_S with the time since the run's start in seconds.
         """
         self.scenario = scenario
         self.out = out
@@ -70,23 +70,25 @@
         self.faults = FaultDispatcher(self.addresses, self.workers, self)
         self.files = GatewayFiles(scenario, self.addresses, seed, out)
 
-    async def play(self) -> Result:
+    async def execute(self) -> Result:
         """Executes the whole run and evaluates it. A run that is cancelled gets the verdict partial.
 
         Raises:
             CannotRun: The machine lacks the resources, or a process did not start or exited during the run.
         """
-        began_s, partial = time.monotonic(), ""
+        started_at_s, partial = time.monotonic(), ""
         check_capacity(self.scenario, self.addresses)
         try:
             await self._start()
-            await self._play_plan()
+            await self._execute_plan()
         except asyncio.CancelledError:
             partial = "interrupted"
         finally:
             await asyncio.shield(self._shut_down_workers())
-        end = RunEnd(seconds=time.monotonic() - began_s, crashes=self.crashes, reasons=self.reasons, partial=partial)
-        return judge(self.out, self.scenario, self.plan, end)
+        outcome = RunOutcome(
+            seconds=time.monotonic() - started_at_s, crashes=self.crashes, reasons=self.reasons, partial=partial
+        )
+        return evaluate_run(self.out, self.scenario, self.plan, outcome)
 
     # ---- gateways ----
 
@@ -195,7 +197,7 @@
                 self.start_gateway(gateway)
             await self._wait_for_gateways(gateways)
 
-    async def _play_plan(self) -> None:
+    async def _execute_plan(self) -> None:
         """Starts the clients, injects the fault events at their times, and drains the clients."""
         self._started_ns = time.monotonic_ns() + START_DELAY_NS
         for worker in self.workers.values():
@@ -220,7 +222,7 @@
             self.progress(max(0.0, now_s))
             self._check_workers()
             next_s = events[0].at_us / 1e6 if events else end_s
-            await asyncio.sleep(max(0.001, min(STEP_S, next_s - now_s, end_s - now_s)))
+            await asyncio.sleep(max(0.001, min(POLL_INTERVAL_S, next_s - now_s, end_s - now_s)))
         return events
 
     def _now_s(self) -> float:
@@ -265,7 +267,7 @@
         seed: The seed of the plan.
         out: The folder of the run; an existing one is deleted first.
         port: The port of all processes.
-        progress: Called at least every STEP_S with the time since the run's start in seconds.
+        progress: Called at least every POLL_INTERVAL_S with the time since the run's start in seconds.
 
     Raises:
         CannotRun: The machine lacks the resources, or a process did not start or exited during the run.
@@ -275,7 +277,7 @@
     run = Run(scenario, seed, out, port, progress)
 
     async def main() -> Result:
-        task = asyncio.ensure_future(run.play())
+        task = asyncio.ensure_future(run.execute())
         loop = asyncio.get_running_loop()
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.add_signal_handler(number, task.cancel)
--- a/stoneyoke/lab/scenario_file.py
+++ b/stoneyoke/lab/scenario_file.py
@@ -54,12 +54,12 @@
 
 
 def _check_plans(scenario: Scenario) -> None:
-    most_units = max(method.units for method in scenario.method)
+    max_units = max(method.units for method in scenario.method)
     for index, plan in enumerate(scenario.plan):
         half_given = bool(plan.ceiling_rate) != bool(plan.ceiling_burst)
         if half_given or 0 < plan.ceiling_rate < plan.rate:
             raise InvalidScenario(f"plan[{index}].ceiling_rate: must be at least rate, and needs ceiling_burst")
-        if plan.burst < most_units:
+        if plan.burst < max_units:
             raise InvalidScenario(f"plan[{index}].burst: is less than the units of the most expensive method")
 
 
--- a/stoneyoke/lab/spread.py
+++ b/stoneyoke/lab/spread.py
@@ -16,11 +16,11 @@
 MIN_DUE_ARRIVALS = 2.0  # a backend counts as idle in a window only if at least so many arrivals were expected there
 
 
-class Use(Struct, frozen=True):
+class AttemptSpan(Struct, frozen=True):
     """An attempt at a backend: when it arrived and how long it was in flight there, both in microseconds."""
 
-    at: int
-    took: int
+    at_us: int
+    duration_us: int
     backend: int
 
 
@@ -38,18 +38,20 @@
     jump: float  # greatest rise of a backend's arrivals from a window to the next, in expected arrivals of the latter
 
 
-def spread(uses: list[Use], speeds: list[float], healthy: BoolMatrix, window_us: int, end_us: int) -> Spread:
+def measure_spread(
+    spans: list[AttemptSpan], speeds: list[float], healthy: BoolMatrix, window_us: int, end_us: int
+) -> Spread:
     """Measures the evenness of attempts.
 
     Args:
-        uses: The attempts, in any order.
+        spans: The attempts, in any order.
         speeds: The relative speeds of the backends, about 1.
         healthy: By window and backend, whether the backend was up throughout the window.
         window_us: The length of a window.
         end_us: The end of the run.
     """
     window_s = window_us / 1e6
-    counts = arrivals_by_window(uses, len(speeds), window_us, end_us)
+    counts = arrivals_by_window(spans, len(speeds), window_us, end_us)
     expected = expected_arrivals(counts, speeds, healthy)
     due = expected > 0
     relative = np.divide(counts, expected, out=np.zeros_like(counts), where=due)
@@ -66,13 +68,13 @@
     )
 
 
-def arrivals_by_window(uses: list[Use], backends: int, window_us: int, end_us: int) -> FloatMatrix:
+def arrivals_by_window(spans: list[AttemptSpan], backends: int, window_us: int, end_us: int) -> FloatMatrix:
     """Counts arrivals by window and backend."""
     windows = max(1, end_us // window_us)
     counts = np.zeros((windows, backends))
-    for use in uses:
-        if 0 <= use.at < windows * window_us:
-            counts[use.at // window_us, use.backend] += 1
+    for span in spans:
+        if 0 <= span.at_us < windows * window_us:
+            counts[span.at_us // window_us, span.backend] += 1
     return counts
 
 
@@ -98,11 +100,11 @@
     return float(max(rises, default=0.0))
 
 
-def central_dispatch(uses: list[Use], speeds: list[float], up: BoolMatrix, step_us: int) -> list[Use]:
+def central_dispatch(spans: list[AttemptSpan], speeds: list[float], up: BoolMatrix, step_us: int) -> list[AttemptSpan]:
     """Assigns the same attempts to backends as a dispatcher that sees the whole load would.
 
     Args:
-        uses: The gateways' attempts, in any order.
+        spans: The gateways' attempts, in any order.
         speeds: The relative speeds of the backends, about 1.
         up: By step and backend, whether the backend is up.
         step_us: The length of a step.
@@ -110,11 +112,11 @@
     at_work, received = [0] * len(speeds), [0] * len(speeds)
     ends: list[tuple[int, int]] = []
     placed = []
-    for use in sorted(uses, key=lambda use: use.at):
-        while ends and ends[0][0] <= use.at:
+    for span in sorted(spans, key=lambda span: span.at_us):
+        while ends and ends[0][0] <= span.at_us:
             at_work[heapq.heappop(ends)[1]] -= 1
-        usable = up[min(len(up) - 1, max(0, use.at // step_us))]
-        best, least = use.backend, (math.inf, math.inf)
+        usable = up[min(len(up) - 1, max(0, span.at_us // step_us))]
+        best, least = span.backend, (math.inf, math.inf)
         for backend, speed in enumerate(speeds):
             # Among equally loaded backends the dispatcher takes the one that has received the fewest attempts relative
             # to its speed; otherwise it would always take the first.
@@ -123,6 +125,6 @@
                 best, least = backend, load
         at_work[best] += 1
         received[best] += 1
-        heapq.heappush(ends, (use.at + max(1, use.took), best))
-        placed.append(Use(use.at, use.took, best))
+        heapq.heappush(ends, (span.at_us + max(1, span.duration_us), best))
+        placed.append(AttemptSpan(span.at_us, span.duration_us, best))
     return placed
--- a/stoneyoke/lab/stand_in_backends.py
+++ b/stoneyoke/lab/stand_in_backends.py
@@ -67,7 +67,7 @@
         self._methods: dict[bytes, Method] = {method.name.encode(): method for method in run.methods}
         self._ledger = ledger
         self._queue: deque[QueuedRequest] = deque()
-        self._working = 0  # requests in slots
+        self._busy_slots = 0  # requests in slots
         self._crashes = 0  # a request that was started before the last crash gets no response
         self._connections: set[ServerConnection] = set()
         self._started_at_s = -math.inf  # loop time; cold for warm_up_s from then on
@@ -99,7 +99,7 @@
         if self._server:
             self._server.close()
         self._queue.clear()
-        self._working = 0
+        self._busy_slots = 0
         for connection in list(self._connections):
             connection.abort()
         self._ledger.add("backend", self.name, "crashed")
@@ -116,7 +116,7 @@
         self._ledger.add("backend", self.name, STARTED)
         await self.listen()
 
-    def _warmth(self) -> float:
+    def _capacity_share(self) -> float:
         """Returns the current share of the full capacity, which is below 1 during the warm-up."""
         age = (asyncio.get_running_loop().time() - self._started_at_s) / self._settings.warm_up_s
         cold_share = self._settings.cold_share
@@ -125,7 +125,7 @@
     # ---- requests ----
 
     def _in_flight(self) -> int:
-        return self._working + len(self._queue)
+        return self._busy_slots + len(self._queue)
 
     def _receive(self, request: Request) -> None:
         if request.target in STATUS_PATHS:
@@ -147,13 +147,13 @@
 
     def _respond(self, request: Request, outcome: str, status: int, headers: bytes = b"", body: bytes = b"") -> None:
         """Responds and records the outcome, which starts with "unheard" if the connection was already closed."""
-        heard = request.respond(status, body, headers)
+        is_sent = request.respond(status, body, headers)
         attempt_id = request.headers[b"req-id"].decode()
-        self._ledger.add("end", attempt_id, self.name, outcome if heard else "unheard " + outcome)
+        self._ledger.add("end", attempt_id, self.name, outcome if is_sent else "unheard " + outcome)
 
     def _fill_slots(self) -> None:
         loop = asyncio.get_running_loop()
-        while self._queue and self._working < self._settings.slots:
+        while self._queue and self._busy_slots < self._settings.slots:
             queued = self._queue.popleft()
             if loop.time() >= queued.deadline_s:
                 self._respond(queued.request, "too late", 504, DECLINED)
@@ -162,7 +162,7 @@
             self._execute(queued, method)
             if self.fault("hang"):
                 continue  # the request was executed, but gets no response; it doesn't occupy a slot
-            self._working += 1
+            self._busy_slots += 1
             loop.call_later(
                 self._service_time_s(queued.attempt_id, method), self._finish, queued.request, self._crashes
             )
@@ -185,7 +185,7 @@
     def _service_time_s(self, attempt_id: bytes, method: Method | None) -> float:
         random_source = random.Random(f"{self._seed} {attempt_id!r} {self.name}")
         mean_s = (method.work_ms if method else DEFAULT_WORK_MS) / 1000
-        time_s = mean_s * random_source.lognormvariate(WORK_MU, WORK_SIGMA) / self._speed / self._warmth()
+        time_s = mean_s * random_source.lognormvariate(WORK_MU, WORK_SIGMA) / self._speed / self._capacity_share()
         if active := self.fault("slow"):
             time_s *= 1 + (active.fault.factor - 1)
         if active := self.fault("age"):
@@ -196,10 +196,10 @@
     def _finish(self, request: Request, crashes: int) -> None:
         if crashes != self._crashes:
             return
-        self._working -= 1
+        self._busy_slots -= 1
         attempt_id = request.headers[b"req-id"]
-        lossy = self.fault("lose_answers")
-        if lossy and random.Random(f"{self._seed} {attempt_id!r}").random() < lossy.fault.part:
+        loss_fault = self.fault("lose_answers")
+        if loss_fault and random.Random(f"{self._seed} {attempt_id!r}").random() < loss_fault.fault.part:
             request.connection.abort()
             self._ledger.add("end", attempt_id.decode(), self.name, "answer lost")
         else:
--- a/stoneyoke/lab/stand_in_counter.py
+++ b/stoneyoke/lab/stand_in_counter.py
@@ -26,7 +26,7 @@
         self._values: list[CounterValues] = [{}, {}]  # by half; both halves use the first unless partitioned
         self._free_at_s = [0.0] * setup.settings.parts  # by partition: loop time when its queue is empty
         self._silent = self._split = False
-        self._slowness = 1.0
+        self._service_time_factor = 1.0
         self._serving = False
 
     async def start(self) -> None:
@@ -54,7 +54,7 @@
             request.respond(503)
             self.ledger.add("count", name.decode(), None)
             return
-        service_time_s = self._slowness * len(self._free_at_s) / self._settings.per_s
+        service_time_s = self._service_time_factor * len(self._free_at_s) / self._settings.per_s
         self._free_at_s[partition] = max(loop.time(), self._free_at_s[partition]) + service_time_s
         amount, life_s = float(matched[2]), int(matched[3]) / 1000
         loop.call_at(self._free_at_s[partition], self._add, request, half, name, amount, life_s)
@@ -86,7 +86,7 @@
             case "silent":
                 self._silent = begins
             case "crawl":
-                self._slowness = fault.factor if begins else 1.0
+                self._service_time_factor = fault.factor if begins else 1.0
             case "wipe" if begins:
                 self._wipe(command.number, fault.part)
             case "empty":
--- a/stoneyoke/lab/stand_in_discovery.py
+++ b/stoneyoke/lab/stand_in_discovery.py
@@ -35,7 +35,7 @@
     endpoint: Endpoint
 
 
-class WaitingRequest(NamedTuple):
+class PendingRequest(NamedTuple):
     """A long poll: a request that waits for changes after an index."""
 
     request: Request
@@ -78,7 +78,7 @@
         endpoint = dict(self._endpoints[backend], name=command.name, status=command.status, since_ms=command.since_ms)
         self.changes.append(EndpointChange(asyncio.get_running_loop().time(), backend, endpoint))
         self.ledger.add("list", command.name, command.status)
-        self._wake_agents()
+        self._notify_agents()
 
     def _change_fault(self, command: ChangeDiscoveryFault) -> None:
         match command.fault.kind:
@@ -91,9 +91,9 @@
                 for agent in self._agents:
                     if random_source.random() < command.fault.part:
                         agent.set_frozen(command.begins)
-        self._wake_agents()
+        self._notify_agents()
 
-    def _wake_agents(self) -> None:
+    def _notify_agents(self) -> None:
         for agent in self._agents:
             agent.check_after_delay()
 
@@ -111,8 +111,8 @@
         self._discovery = discovery
         self._setup = setup
         self._frozen_at_s = math.inf  # loop time; later changes are not visible to the gateway
-        self._waiting: list[WaitingRequest] = []
-        self._is_odd_answer = False
+        self._pending: list[PendingRequest] = []
+        self._is_odd_response = False
 
     async def listen(self) -> None:
         """Starts to accept connections of the gateway."""
@@ -144,31 +144,31 @@
             return
         query = parse_qs(url.query)
         if "from" not in query:
-            self._answer(request, None)
+            self._respond(request, None)
             return
-        loop, hold_s = asyncio.get_running_loop(), int(query["hold_ms"][0]) / 1000
-        self._waiting.append(WaitingRequest(request, int(query["from"][0]), loop.time() + hold_s))
-        loop.call_later(hold_s + TIMER_SLACK_S, self._check)
+        loop, wait_s = asyncio.get_running_loop(), int(query["hold_ms"][0]) / 1000
+        self._pending.append(PendingRequest(request, int(query["from"][0]), loop.time() + wait_s))
+        loop.call_later(wait_s + TIMER_SLACK_S, self._check)
         self._check()
 
     def _check(self) -> None:
         """Responds to the waiting requests for which there are changes, or whose deadline has passed."""
         now_s, visible = asyncio.get_running_loop().time(), self._visible_index()
-        still_waiting = []
-        for waiting in self._waiting:
-            if visible > waiting.after or now_s >= waiting.deadline_s:
-                self._answer(waiting.request, waiting.after)
+        still_pending = []
+        for pending in self._pending:
+            if visible > pending.after or now_s >= pending.deadline_s:
+                self._respond(pending.request, pending.after)
             else:
-                still_waiting.append(waiting)
-        self._waiting = still_waiting
+                still_pending.append(pending)
+        self._pending = still_pending
 
-    def _answer(self, request: Request, since: int | None) -> None:
+    def _respond(self, request: Request, since: int | None) -> None:
         """Sends the changes after an index; all endpoints if it is None."""
         if self._discovery.down:
             return
         index = self._visible_index()
-        self._is_odd_answer = not self._is_odd_answer
-        if self._discovery.reorders and self._is_odd_answer and index > 1:
+        self._is_odd_response = not self._is_odd_response
+        if self._discovery.reorders and self._is_odd_response and index > 1:
             index, since = index - 1, None  # sends an older complete list after a newer one
         complete = since is None
         latest = {change.endpoint["name"]: change for change in self._discovery.changes[since or 0 : index]}
--- a/tests/lab/test_ledger.py
+++ b/tests/lab/test_ledger.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from stoneyoke.lab.cli import SHIPPED
+from stoneyoke.lab.cli import SHIPPED_SCENARIOS
 from stoneyoke.lab.ledger import Ledger
 from stoneyoke.lab.plan import draw_plan
 from stoneyoke.lab.scenario_file import read_scenario
 
-SCENARIO = read_scenario(SHIPPED / "small.toml")
+SCENARIO = read_scenario(SHIPPED_SCENARIOS / "small.toml")
 PLAN = draw_plan(SCENARIO, 1)
 READ, ORDER, SWITCH = 0, 1, 2
 GATEWAY, BACKEND, OTHER = "a/g000", "a/b000", "b/b001"
@@ -178,9 +178,9 @@
 
 def test_a_lagging_stand_in_makes_a_run_void():
     rows = [["lag", n * 50_000, "front", 1.0] for n in range(100)]
-    assert not Ledger(rows, SCENARIO, PLAN).void()
+    assert not Ledger(rows, SCENARIO, PLAN).void_reason()
     rows += [["lag", n * 50_000, "links0", 400.0 if n % 10 == 0 else 1.0] for n in range(100)]
-    assert "links0 was the limit" in Ledger(rows, SCENARIO, PLAN).void()
+    assert "links0 was the limit" in Ledger(rows, SCENARIO, PLAN).void_reason()
 
 
 def test_figures_show_goodput_quotas_and_crossed_zones():
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -13,7 +13,7 @@
 import pytest
 from gateway_under_test import free_port
 
-from stoneyoke.lab.cli import SHIPPED
+from stoneyoke.lab.cli import SHIPPED_SCENARIOS
 from stoneyoke.lab.errors import NotReady
 from stoneyoke.lab.run import Run
 from stoneyoke.lab.scenario_file import read_scenario
@@ -30,7 +30,7 @@
 
 
 def short(tmp_path, seconds=3, **changes):
-    text = (SHIPPED / "small.toml").read_text().replace("seconds = 14", f"seconds = {seconds}")
+    text = (SHIPPED_SCENARIOS / "small.toml").read_text().replace("seconds = 14", f"seconds = {seconds}")
     text = text[: text.index("[[fault]]")]
     for was, now in changes.values():
         assert was in text
@@ -106,12 +106,12 @@
     run.settings = lambda g: settings(g) | ({"classes": "none"} if g == 4 else {})
     says = "not ready: b/g004 ended with 2: stoneyoke: 'classes' is missing"
     with pytest.raises(NotReady, match=says):
-        asyncio.run(run.play())
+        asyncio.run(run.execute())
     assert not children_of(tmp_path / "run")
 
 
 def test_the_shared_key_file_is_written_once(tmp_path):
-    run = Run(read_scenario(SHIPPED / "fleet.toml"), 7, tmp_path)
+    run = Run(read_scenario(SHIPPED_SCENARIOS / "fleet.toml"), 7, tmp_path)
     (tmp_path / "configs").mkdir()
     run.files.write_keys()
     written = run.files.keys.stat()
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -8,12 +8,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoneyoke.lab.cli import SHIPPED
+from stoneyoke.lab.cli import SHIPPED_SCENARIOS
 from stoneyoke.lab.errors import InvalidScenario
 from stoneyoke.lab.plan import draw_plan
 from stoneyoke.lab.scenario_file import read_scenario
 
-SMALL = (SHIPPED / "small.toml").read_text()
+SMALL = (SHIPPED_SCENARIOS / "small.toml").read_text()
 
 
 def write(folder, text):
@@ -52,11 +52,11 @@
 
 
 def test_all_shipped_scenarios_can_be_read():
-    assert len([read_scenario(path) for path in SHIPPED.glob("*.toml")]) >= 11
+    assert len([read_scenario(path) for path in SHIPPED_SCENARIOS.glob("*.toml")]) >= 11
 
 
 def test_one_seed_gives_the_same_plan_in_another_process():
-    scenario = read_scenario(SHIPPED / "small.toml")
+    scenario = read_scenario(SHIPPED_SCENARIOS / "small.toml")
     here = draw_plan(scenario, 5).digest()
     assert here == draw_plan(scenario, 5).digest() != draw_plan(scenario, 6).digest()
     there = subprocess.run(
