--- a/tests/lab/test_ledger.py
+++ b/tests/lab/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger finds what breaks each rule in rows made up for it, and nothing in rows that keep them."""
+"""Evaluates ledgers of hand-written rows: the violations of each rule are found, and none in rows without one."""
 
 import pytest
 
@@ -18,7 +18,7 @@
     return next(n for n, c in enumerate(PLAN.customers) if c.plan == plan)
 
 
-def try_rows(  # noqa: PLR0913 -- a builder: each argument is one thing that a test varies
+def try_rows(  # noqa: PLR0913 -- a builder: each argument is a property that a test varies
     id_, at, method=READ, plan=0, gateway=GATEWAY, status=200, answered=None, words=None, until=None
 ):
     until = at + 3 * SECOND_US if until is None else until
@@ -37,7 +37,7 @@
     return rows
 
 
-def attempt_rows(  # noqa: PLR0913 -- a builder: each argument is one thing that a test varies
+def attempt_rows(  # noqa: PLR0913 -- a builder: each argument is a property that a test varies
     id_, at, backend=BACKEND, ran=True, end=None, what="ok"
 ):
     rows = [["call", at, id_, backend, 7]] + ([["ran", at, id_, backend, "k"]] if ran else [])
@@ -48,7 +48,7 @@
     return [v.rule for v in Ledger([row for part in parts for row in part], SCENARIO, PLAN).violations()]
 
 
-def test_a_clean_run_breaks_no_rule():
+def test_a_run_without_violations_reports_none():
     assert (
         broken_rules(
             try_rows("r1", SECOND_US),
@@ -71,18 +71,18 @@
         try_rows("r", SECOND_US, words="another a/b000"),
     ],
 )
-def test_a_try_without_its_own_answer_in_time_breaks_a_rule(rows):
+def test_a_try_without_its_own_response_in_time_is_a_violation(rows):
     assert broken_rules(rows) == ["lost"]
 
 
-def test_a_failed_gateway_or_link_and_a_client_that_gives_up_excuse_a_missing_answer():
+def test_a_missing_response_is_no_violation_if_the_gateway_or_link_failed_or_the_client_gave_up():
     kill = [["process", 2 * SECOND_US, GATEWAY, "SIGKILL", 9]]
     assert broken_rules(try_rows("r", SECOND_US, status=None), kill) == []
     assert broken_rules(
         try_rows("r", 9 * SECOND_US, status=None), kill, [["process", 3 * SECOND_US, GATEWAY, "started", 9]]
     ) == ["lost"]
     slow = [*kill, ["process", 3 * SECOND_US, GATEWAY, "started", 9], ["told", 7 * SECOND_US, GATEWAY, 5, True, []]]
-    assert broken_rules(try_rows("r", 6 * SECOND_US, status=-2, words="closed"), slow) == []  # it does not listen yet
+    assert broken_rules(try_rows("r", 6 * SECOND_US, status=-2, words="closed"), slow) == []  # the gateway doesn't listen yet
     assert broken_rules(try_rows("r", 8 * SECOND_US, status=-2, words="closed"), slow) == ["lost"]
     cut = [
         ["fault", SECOND_US, 0, "cut", True, [], "a/clients", "*"],
@@ -93,7 +93,7 @@
     assert broken_rules(try_rows("r", SECOND_US, status=-1, words="gave up")) == []
 
 
-def test_repeated_effects_effects_despite_rejection_and_concurrent_attempts_are_found():
+def test_repeated_executions_executions_despite_rejection_and_concurrent_attempts_are_found():
     both = attempt_rows("r", SECOND_US), attempt_rows("r", SECOND_US + SECOND_US // 5, OTHER)
     assert broken_rules(try_rows("r", SECOND_US, READ), *both) == []
     assert broken_rules(try_rows("r", SECOND_US, ORDER), *both) == ["twice"]
@@ -106,7 +106,7 @@
         attempt_rows("r", SECOND_US, end=2 * SECOND_US),
         attempt_rows("r", SECOND_US + SECOND_US // 5, OTHER),
     ) == ["twice"]
-    # One that was given up on closed its connection: its answer was heard by nobody.
+    # The gateway cancelled the first attempt by closing its connection, so nobody received its response.
     unheard = attempt_rows("r", SECOND_US, end=2 * SECOND_US, what="unheard ok")
     assert (
         broken_rules(try_rows("r", SECOND_US, READ), unheard, attempt_rows("r", SECOND_US + SECOND_US // 5, OTHER))
@@ -118,7 +118,7 @@
     return [["told", at, gateway, 5, whole, [[BACKEND, status]] if status else []]]
 
 
-def test_an_attempt_past_the_grace_of_a_drain_is_found_unless_the_gateway_may_not_know():
+def test_an_attempt_after_the_grace_period_of_a_drain_is_found_unless_the_gateway_may_not_know_of_the_drain():
     late = try_rows("r", 3 * SECOND_US), attempt_rows("r", 3 * SECOND_US)
     assert broken_rules(endpoints_sent(0, "active", True), endpoints_sent(2 * SECOND_US, "leaving"), *late) == ["drain"]
     assert broken_rules(endpoints_sent(0, "active", True), endpoints_sent(2 * SECOND_US, None, True), *late) == [
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -1,4 +1,4 @@
-"""Links fail in one direction or both, and lose nothing of what TCP carries."""
+"""Faults of links affect one direction or both, and TCP links lose no data over them."""
 
 import asyncio
 import socket
@@ -17,7 +17,7 @@
 
 
 class LinkedEchoServer:
-    """An echo server behind a link, and what a caller hears over it."""
+    """An echo server behind a link. It records what it receives."""
 
     async def __aenter__(self):
         self.heard = []
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("kind", ["cut", "cut_there", "cut_back"])
-def test_a_silent_link_keeps_connections_open_and_sends_everything_on_afterwards(kind):
+def test_a_silent_link_keeps_connections_open_and_forwards_all_data_afterwards(kind):
     @on_loop
     async def run():
         async with LinkedEchoServer() as server:
@@ -74,7 +74,7 @@
                 await server.send_and_read(pair, b"two", 0.3)
             assert server.heard == ([b"one", b"two"] if kind == "cut_back" else [b"one"])
             assert not pair[0].at_eof()
-            with pytest.raises(TimeoutError):  # new ones never come up
+            with pytest.raises(TimeoutError):  # new connections are not established
                 for _ in range(3):
                     await asyncio.wait_for(server.connect(), 0.3)
             server.link.change_fault(0, fault(kind), False)
@@ -84,7 +84,7 @@
     run()
 
 
-def test_a_reset_ends_open_connections_and_a_refusal_new_ones():
+def test_a_reset_closes_open_connections_and_a_refusal_rejects_new_ones():
     @on_loop
     async def run():
         async with LinkedEchoServer() as server:
@@ -105,7 +105,7 @@
     run()
 
 
-def test_delays_and_throttles_keep_the_order():
+def test_delays_and_throttles_preserve_the_order_of_data():
     @on_loop
     async def run():
         async with LinkedEchoServer() as server:
@@ -150,7 +150,7 @@
         await send(50)
         assert got == list(range(50))
         got.clear()
-        link.change_fault(9, fault("cut"), True, "a/g7")  # another one's
+        link.change_fault(9, fault("cut"), True, "a/g7")  # a fault of another sender's link
         link.change_fault(0, fault("lose", part=0.3), True, "a/g0")
         await send(200)
         assert 100 <= len(got) <= 180
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize("kind", ["cut", "cut_there"])
-def test_a_reset_during_a_silence_reaches_the_other_end_once_the_link_carries_again(kind):
+def test_a_reset_on_a_silent_link_reaches_the_other_end_once_the_link_forwards_again(kind):
     @on_loop
     async def run():
         async with LinkedEchoServer() as server:
@@ -181,12 +181,12 @@
             ends = set(server.link.ends)
             pair[1].get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             pair[1].transport.abort()
-            while all(end.is_open for end in ends):  # noqa: ASYNC110 -- the kernel's turn
+            while all(end.is_open for end in ends):  # noqa: ASYNC110 -- waits until the kernel delivers the reset
                 await asyncio.sleep(0)
-            for _ in range(20):  # what the end has left to do while the link is silent
+            for _ in range(20):  # callbacks of the reset end that run while the link is silent
                 await asyncio.sleep(0)
             server.link.change_fault(0, fault(kind), False)
-            while ends & server.link.ends:  # noqa: ASYNC110 -- the kernel's turn
+            while ends & server.link.ends:  # noqa: ASYNC110 -- waits until the kernel has closed the other end
                 await asyncio.sleep(0)
 
     run()
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -1,4 +1,4 @@
-"""Runs of real processes: rules hold under faults; failed and interrupted runs leave nothing behind."""
+"""Runs of real processes: the rules hold under faults, and failed and interrupted runs leave no processes."""
 
 import asyncio
 import os
@@ -21,7 +21,8 @@
 ENV = os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)}
 LAB = [sys.executable, "-m", "stoneyoke.single_gateway.cli", "lab"]
 
-# Each run starts some twenty processes and times them: one run after another, in one worker of a parallel run.
+# Each run starts some twenty processes and depends on their timing, so the runs execute one after another in one worker
+# of a parallel test run.
 pytestmark = pytest.mark.xdist_group("lab runs")
 
 
@@ -41,7 +42,7 @@
 
 
 def children_of(out):
-    """Processes that still run with this run's folder in their environment or arguments."""
+    """Returns the running processes that have this run's folder in their environment or arguments."""
     return [
         p
         for p in psutil.process_iter(["cmdline", "environ"])
@@ -50,7 +51,7 @@
     ]
 
 
-def test_a_run_with_faults_keeps_the_rules_and_leaves_no_process(tmp_path):
+def test_a_run_with_faults_has_no_violations_and_leaves_no_process(tmp_path):
     out = tmp_path / "run"
     ran = lab("run", "small", "--out", out, "--json", tmp_path / "r.json", "--port", free_port())
     result = msgspec.json.decode((tmp_path / "r.json").read_bytes())
@@ -76,7 +77,7 @@
     assert result["figures"]["counter calls a try"] > 0.4
 
 
-def test_a_gateway_that_dies_is_reported_with_its_last_line(tmp_path):
+def test_a_gateway_that_exits_unexpectedly_is_reported_with_its_last_log_line(tmp_path):
     out = tmp_path / "run"
     path = short(tmp_path, 5)
     running = subprocess.Popen(
@@ -93,13 +94,13 @@
     while not pid and time.monotonic() < until:
         rows = map(msgspec.json.decode, ledger.read_bytes().splitlines())
         pid = next((r[4] for r in rows if r[0] == "process" and r[2:4] == ["b/g001", "started"]), 0)
-    os.kill(pid, signal.SIGKILL)  # one that this test's run has started
+    os.kill(pid, signal.SIGKILL)  # a gateway process that this test's run has started
     said, _ = running.communicate(timeout=90)
     assert running.returncode == 1
     assert "crash: b/g001 ended with -9: " in said and "listens on" in said and "1 gateways crashed" in said
 
 
-def test_a_gateway_that_never_becomes_ready_is_reported_with_its_last_line(tmp_path, monkeypatch):
+def test_a_gateway_that_never_becomes_ready_is_reported_with_its_last_log_line(tmp_path, monkeypatch):
     monkeypatch.setenv("PYTHONPATH", ENV["PYTHONPATH"])
     run = Run(read_scenario(short(tmp_path)), 1, tmp_path / "run", free_port())
     settings = run.settings
@@ -150,7 +151,7 @@
     assert (out / "report.html").exists() and not children_of(out)
 
 
-def test_all_processes_end_when_the_lab_is_killed(tmp_path):
+def test_all_processes_exit_when_the_lab_is_killed(tmp_path):
     out = tmp_path / "run"
     running = subprocess.Popen(
         [*LAB, "run", str(short(tmp_path, 30)), "--out", str(out), "--port", str(free_port())],
@@ -178,7 +179,7 @@
         (["report", "."], 2, "no run"),
     ],
 )
-def test_the_command_line_exits_with_code_and_reason(words, code, says):
+def test_the_command_line_exits_with_the_code_and_prints_the_reason(words, code, says):
     ran = lab(*words)
     assert ran.returncode == code and says in ran.stdout + ran.stderr
 
@@ -192,7 +193,7 @@
     assert ran.stdout.strip() == "[]", ran.stderr
 
 
-def test_check_reports_an_unusable_configuration(tmp_path):
+def test_check_reports_an_invalid_configuration(tmp_path):
     file = tmp_path / "config.json"
     file.write_text("{}")
     ran = subprocess.run(
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: an error is one line with file and key; one seed gives one plan."""
+"""Scenario files: an error is one line with the file and the key, and a seed always gives the same plan."""
 
 import os
 import subprocess
@@ -55,7 +55,7 @@
     assert len([read_scenario(path) for path in SHIPPED_SCENARIOS.glob("*.toml")]) >= 11
 
 
-def test_one_seed_gives_the_same_plan_in_another_process():
+def test_a_seed_gives_the_same_plan_in_another_process():
     scenario = read_scenario(SHIPPED_SCENARIOS / "small.toml")
     here = draw_plan(scenario, 5).digest()
     assert here == draw_plan(scenario, 5).digest() != draw_plan(scenario, 6).digest()
@@ -70,7 +70,7 @@
 
 @settings(derandomize=True, max_examples=25, deadline=None)
 @given(st.integers(0, 2**32), st.integers(1, 8))
-def test_drawn_faults_begin_within_the_run_and_name_its_processes(seed, faults):
+def test_random_faults_start_within_the_run_and_name_its_processes(seed, faults):
     kinds = ["cut", "kill", "slow", "crash", "silent", "delay", "stop"]
     text = SMALL + f"\n[random]\nfaults = {faults}\nkinds = {kinds}\n".replace("'", '"')
     import tempfile
--- a/tests/lab/test_spread.py
+++ b/tests/lab/test_spread.py
@@ -1,4 +1,4 @@
-"""Evenness of load, compared with a dispatcher that sees everything."""
+"""The evenness of load, and the central dispatcher that it is compared with."""
 
 import numpy as np
 
@@ -9,7 +9,7 @@
 
 
 def even(n):
-    """Arrivals in proportion to the speeds, 10 ms apart."""
+    """Returns attempts in proportion to the speeds, 10 ms apart."""
     order = [0, 1, 3, 0, 1, 3, 2, 3]
     return [AttemptSpan(i * 10_000, 5_000, order[i % 8]) for i in range(n)]
 
@@ -23,7 +23,7 @@
     assert 3.9 < herd.most < 4.1 and herd.idle > 0.7
 
 
-def test_a_jump_from_one_window_to_the_next_is_measured():
+def test_a_rise_of_arrivals_from_one_window_to_the_next_is_measured():
     spans = [
         AttemptSpan(u.at_us, u.duration_us, 2 if 4_000_000 <= u.at_us < 5_000_000 else u.backend) for u in even(800)
     ]
@@ -37,7 +37,7 @@
     assert measure_spread(spans, SPEEDS, up, 1_000_000, 8_000_000).idle == 0
 
 
-def test_the_dispatcher_spreads_arrivals_by_speed_over_backends_that_are_up():
+def test_the_central_dispatcher_spreads_arrivals_by_speed_over_backends_that_are_up():
     spans = [AttemptSpan(u.at_us, 2_000, 0) for u in even(800)]
     placed = central_dispatch(spans, SPEEDS, UP, 250_000)
     assert measure_spread(placed, SPEEDS, UP[:8], 1_000_000, 8_000_000).most < 1.1
