--- a/tests/lab/test_ledger.py
+++ b/tests/lab/test_ledger.py
@@ -19,15 +19,15 @@
 
 
 def try_rows(  # noqa: PLR0913 -- a builder: each argument is a property that a test varies
-    id_, at, method=READ, plan=0, gateway=GATEWAY, status=200, answered=None, words=None, until=None
+    id_, at, method=READ, plan=0, gateway=GATEWAY, status=200, answered_at=None, words=None, deadline=None
 ):
-    until = at + 3 * SECOND_US if until is None else until
-    rows = [["rpc", at, id_, 1, customer(plan), method, gateway, 0, until]]
+    deadline = at + 3 * SECOND_US if deadline is None else deadline
+    rows = [["rpc", at, id_, 1, customer(plan), method, gateway, 0, deadline]]
     if status is not None:
         rows.append(
             [
                 "ans",
-                at + SECOND_US // 10 if answered is None else answered,
+                at + SECOND_US // 10 if answered_at is None else answered_at,
                 id_,
                 status,
                 f"{id_} {BACKEND}" if words is None else words,
@@ -38,19 +38,19 @@
 
 
 def attempt_rows(  # noqa: PLR0913 -- a builder: each argument is a property that a test varies
-    id_, at, backend=BACKEND, ran=True, end=None, what="ok"
+    id_, at, backend=BACKEND, ran=True, end=None, outcome="ok"
 ):
     rows = [["call", at, id_, backend, 7]] + ([["ran", at, id_, backend, "k"]] if ran else [])
-    return rows + [["end", at + SECOND_US // 20 if end is None else end, id_, backend, what]]
+    return rows + [["end", at + SECOND_US // 20 if end is None else end, id_, backend, outcome]]
 
 
-def broken_rules(*parts):
+def violated_rules(*parts):
     return [v.rule for v in Ledger([row for part in parts for row in part], SCENARIO, PLAN).violations()]
 
 
 def test_a_run_without_violations_reports_none():
     assert (
-        broken_rules(
+        violated_rules(
             try_rows("r1", SECOND_US),
             attempt_rows("r1", SECOND_US),
             try_rows("r2", 2 * SECOND_US, ORDER, status=429, words=""),
@@ -65,83 +65,89 @@
     "rows",
     [
         try_rows("r", SECOND_US, status=None),
-        try_rows("r", SECOND_US, status=-1, words="no answer", answered=5 * SECOND_US),
+        try_rows("r", SECOND_US, status=-1, words="no answer", answered_at=5 * SECOND_US),
         try_rows("r", SECOND_US, status=-2, words="closed"),
-        try_rows("r", SECOND_US, answered=4 * SECOND_US + 400_000),
+        try_rows("r", SECOND_US, answered_at=4 * SECOND_US + 400_000),
         try_rows("r", SECOND_US, words="another a/b000"),
     ],
 )
 def test_a_try_without_its_own_response_in_time_is_a_violation(rows):
-    assert broken_rules(rows) == ["lost"]
+    assert violated_rules(rows) == ["lost"]
 
 
 def test_a_missing_response_is_no_violation_if_the_gateway_or_link_failed_or_the_client_gave_up():
     kill = [["process", 2 * SECOND_US, GATEWAY, "SIGKILL", 9]]
-    assert broken_rules(try_rows("r", SECOND_US, status=None), kill) == []
-    assert broken_rules(
+    assert violated_rules(try_rows("r", SECOND_US, status=None), kill) == []
+    assert violated_rules(
         try_rows("r", 9 * SECOND_US, status=None), kill, [["process", 3 * SECOND_US, GATEWAY, "started", 9]]
     ) == ["lost"]
-    slow = [*kill, ["process", 3 * SECOND_US, GATEWAY, "started", 9], ["told", 7 * SECOND_US, GATEWAY, 5, True, []]]
-    assert broken_rules(try_rows("r", 6 * SECOND_US, status=-2, words="closed"), slow) == []  # the gateway doesn't listen yet
-    assert broken_rules(try_rows("r", 8 * SECOND_US, status=-2, words="closed"), slow) == ["lost"]
+    restart = [*kill, ["process", 3 * SECOND_US, GATEWAY, "started", 9], ["told", 7 * SECOND_US, GATEWAY, 5, True, []]]
+    # The gateway has started, but doesn't listen yet.
+    assert violated_rules(try_rows("r", 6 * SECOND_US, status=-2, words="closed"), restart) == []
+    assert violated_rules(try_rows("r", 8 * SECOND_US, status=-2, words="closed"), restart) == ["lost"]
     cut = [
         ["fault", SECOND_US, 0, "cut", True, [], "a/clients", "*"],
         ["fault", 3 * SECOND_US, 0, "cut", False, [], "a/clients", "*"],
     ]
-    assert broken_rules(try_rows("r", 2 * SECOND_US, status=None), cut) == []
-    assert broken_rules(try_rows("r", 6 * SECOND_US, status=None), cut) == ["lost"]
-    assert broken_rules(try_rows("r", SECOND_US, status=-1, words="gave up")) == []
+    assert violated_rules(try_rows("r", 2 * SECOND_US, status=None), cut) == []
+    assert violated_rules(try_rows("r", 6 * SECOND_US, status=None), cut) == ["lost"]
+    assert violated_rules(try_rows("r", SECOND_US, status=-1, words="gave up")) == []
 
 
 def test_repeated_executions_executions_despite_rejection_and_concurrent_attempts_are_found():
-    both = attempt_rows("r", SECOND_US), attempt_rows("r", SECOND_US + SECOND_US // 5, OTHER)
-    assert broken_rules(try_rows("r", SECOND_US, READ), *both) == []
-    assert broken_rules(try_rows("r", SECOND_US, ORDER), *both) == ["twice"]
-    assert broken_rules(try_rows("r", SECOND_US, SWITCH), *both) == ["twice"]
-    assert broken_rules(
-        try_rows("r", SECOND_US, SWITCH, status=503, words=""), attempt_rows("r", SECOND_US, what="answer lost")
+    attempts = attempt_rows("r", SECOND_US), attempt_rows("r", SECOND_US + SECOND_US // 5, OTHER)
+    assert violated_rules(try_rows("r", SECOND_US, READ), *attempts) == []
+    assert violated_rules(try_rows("r", SECOND_US, ORDER), *attempts) == ["twice"]
+    assert violated_rules(try_rows("r", SECOND_US, SWITCH), *attempts) == ["twice"]
+    assert violated_rules(
+        try_rows("r", SECOND_US, SWITCH, status=503, words=""), attempt_rows("r", SECOND_US, outcome="answer lost")
     ) == ["twice"]
-    assert broken_rules(
+    assert violated_rules(
         try_rows("r", SECOND_US, READ),
         attempt_rows("r", SECOND_US, end=2 * SECOND_US),
         attempt_rows("r", SECOND_US + SECOND_US // 5, OTHER),
     ) == ["twice"]
     # The gateway cancelled the first attempt by closing its connection, so nobody received its response.
-    unheard = attempt_rows("r", SECOND_US, end=2 * SECOND_US, what="unheard ok")
+    cancelled = attempt_rows("r", SECOND_US, end=2 * SECOND_US, outcome="unheard ok")
     assert (
-        broken_rules(try_rows("r", SECOND_US, READ), unheard, attempt_rows("r", SECOND_US + SECOND_US // 5, OTHER))
+        violated_rules(try_rows("r", SECOND_US, READ), cancelled, attempt_rows("r", SECOND_US + SECOND_US // 5, OTHER))
         == []
     )
 
 
-def endpoints_sent(at, status, whole=False, gateway=GATEWAY):
-    return [["told", at, gateway, 5, whole, [[BACKEND, status]] if status else []]]
+def endpoints_sent(at, status, complete=False, gateway=GATEWAY):
+    return [["told", at, gateway, 5, complete, [[BACKEND, status]] if status else []]]
 
 
 def test_an_attempt_after_the_grace_period_of_a_drain_is_found_unless_the_gateway_may_not_know_of_the_drain():
-    late = try_rows("r", 3 * SECOND_US), attempt_rows("r", 3 * SECOND_US)
-    assert broken_rules(endpoints_sent(0, "active", True), endpoints_sent(2 * SECOND_US, "leaving"), *late) == ["drain"]
-    assert broken_rules(endpoints_sent(0, "active", True), endpoints_sent(2 * SECOND_US, None, True), *late) == [
-        "drain"
-    ]
+    late_attempt = try_rows("r", 3 * SECOND_US), attempt_rows("r", 3 * SECOND_US)
+    assert violated_rules(
+        endpoints_sent(0, "active", True), endpoints_sent(2 * SECOND_US, "leaving"), *late_attempt
+    ) == ["drain"]
+    assert violated_rules(
+        endpoints_sent(0, "active", True), endpoints_sent(2 * SECOND_US, None, True), *late_attempt
+    ) == ["drain"]
     assert (
-        broken_rules(endpoints_sent(0, "active", True), endpoints_sent(2 * SECOND_US + 600_000, "leaving"), *late) == []
+        violated_rules(
+            endpoints_sent(0, "active", True), endpoints_sent(2 * SECOND_US + 600_000, "leaving"), *late_attempt
+        )
+        == []
     )
     assert (
-        broken_rules(
+        violated_rules(
             endpoints_sent(0, "active", True),
             endpoints_sent(SECOND_US, "leaving"),
             endpoints_sent(2 * SECOND_US, "active"),
-            *late,
+            *late_attempt,
         )
         == []
     )
     assert (
-        broken_rules(
+        violated_rules(
             endpoints_sent(0, "active", True),
             endpoints_sent(SECOND_US, "leaving"),
             [["process", SECOND_US, GATEWAY, "SIGKILL", 1], ["process", 2 * SECOND_US, GATEWAY, "started", 1]],
-            *late,
+            *late_attempt,
         )
         == []
     )
@@ -149,19 +155,19 @@
 
 def test_overload_of_a_cold_backend_is_found():
     started = [["backend", SECOND_US, BACKEND, "started"]]
-    some = [
+    moderate_load = [
         row
         for n in range(60)
         for row in try_rows(f"r{n}", SECOND_US + n * 10_000) + attempt_rows(f"r{n}", SECOND_US + n * 10_000)
     ]
-    many = [
+    excessive_load = [
         row
         for n in range(500)
         for row in try_rows(f"r{n}", SECOND_US + n * 2_000) + attempt_rows(f"r{n}", SECOND_US + n * 2_000)
     ]
-    assert broken_rules(started, some) == []
-    assert broken_rules(started, many) == ["cold"]
-    assert broken_rules(many) == []
+    assert violated_rules(started, moderate_load) == []
+    assert violated_rules(started, excessive_load) == ["cold"]
+    assert violated_rules(excessive_load) == []
 
 
 def test_an_exceeded_rate_limit_is_found():
@@ -172,8 +178,8 @@
             for row in try_rows(f"w{i}", SECOND_US + i, ORDER, 1) + attempt_rows(f"w{i}", SECOND_US + i)
         ]
 
-    assert broken_rules(burst(22)) == []
-    assert "ceiling" in broken_rules(burst(40))
+    assert violated_rules(burst(22)) == []
+    assert "ceiling" in violated_rules(burst(40))
 
 
 def test_a_lagging_stand_in_makes_a_run_void():
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -20,12 +20,12 @@
     """An echo server behind a link. It records what it receives."""
 
     async def __aenter__(self):
-        self.heard = []
+        self.received = []
 
         async def echo(reader, writer):
             try:
                 while data := await reader.read(100):
-                    self.heard.append(data)
+                    self.received.append(data)
                     writer.write(data)
             except ConnectionError:
                 pass
@@ -48,9 +48,9 @@
     async def connect(self):
         return await asyncio.open_connection(*self.link.addresses.entry)
 
-    async def send_and_read(self, pair, data, within):
+    async def send_and_read(self, pair, data, timeout_s):
         pair[1].write(data)
-        return await asyncio.wait_for(pair[0].readexactly(len(data)), within)
+        return await asyncio.wait_for(pair[0].readexactly(len(data)), timeout_s)
 
 
 def on_loop(test):
@@ -72,7 +72,7 @@
             server.link.change_fault(0, fault(kind), True)
             with pytest.raises(TimeoutError):
                 await server.send_and_read(pair, b"two", 0.3)
-            assert server.heard == ([b"one", b"two"] if kind == "cut_back" else [b"one"])
+            assert server.received == ([b"one", b"two"] if kind == "cut_back" else [b"one"])
             assert not pair[0].at_eof()
             with pytest.raises(TimeoutError):  # new connections are not established
                 for _ in range(3):
@@ -112,17 +112,17 @@
             pair = await server.connect()
             server.link.change_fault(0, fault("delay", ms=100.0, jitter_ms=50.0), True)
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
             for n in range(20):
                 pair[1].write(b"%02d" % n)
                 await asyncio.sleep(0.002)
             assert await pair[0].readexactly(40) == b"".join(b"%02d" % n for n in range(20))
-            assert loop.time() - began >= 0.19
+            assert loop.time() - started_at >= 0.19
             server.link.change_fault(0, fault("delay"), False)
             server.link.change_fault(1, fault("throttle", bytes_s=2000.0), True)
-            began = loop.time()
+            started_at = loop.time()
             await server.send_and_read(pair, b"x" * 400, 10)
-            assert loop.time() - began >= 0.3
+            assert loop.time() - started_at >= 0.3
 
     run()
 
@@ -130,41 +130,41 @@
 def test_datagrams_are_lost_and_reordered():
     @on_loop
     async def run():
-        loop, got = asyncio.get_running_loop(), []
+        loop, received = asyncio.get_running_loop(), []
 
         class Sink(asyncio.DatagramProtocol):
             def datagram_received(self, data, _):
-                got.append(int(data))
+                received.append(int(data))
 
         sink, _ = await loop.create_datagram_endpoint(Sink, ("127.0.0.1", 0))
         source, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, ("127.0.0.1", 0))
         link = DatagramLinks("a/g1", sink.get_extra_info("sockname"), {source.get_extra_info("sockname"): "a/g0"})
-        way, _ = await loop.create_datagram_endpoint(lambda: link, ("127.0.0.1", 0))
+        link_transport, _ = await loop.create_datagram_endpoint(lambda: link, ("127.0.0.1", 0))
 
         async def send(n):
             for i in range(n):
-                source.sendto(b"%d" % i, way.get_extra_info("sockname"))
+                source.sendto(b"%d" % i, link_transport.get_extra_info("sockname"))
                 await asyncio.sleep(0.001)
             await asyncio.sleep(0.4)
 
         await send(50)
-        assert got == list(range(50))
-        got.clear()
+        assert received == list(range(50))
+        received.clear()
         link.change_fault(9, fault("cut"), True, "a/g7")  # a fault of another sender's link
         link.change_fault(0, fault("lose", part=0.3), True, "a/g0")
         await send(200)
-        assert 100 <= len(got) <= 180
+        assert 100 <= len(received) <= 180
         link.change_fault(0, fault("lose"), False, "a/g0")
         link.change_fault(1, fault("delay", ms=5.0, jitter_ms=60.0), True, "a/g0")
-        got.clear()
+        received.clear()
         await send(100)
-        assert sorted(got) == list(range(100)) != got
+        assert sorted(received) == list(range(100)) != received
         link.change_fault(1, fault("delay"), False, "a/g0")
         link.change_fault(2, fault("cut"), True, "a/g0")
-        got.clear()
+        received.clear()
         await send(5)
-        assert got == []
-        for transport in (sink, way, source):
+        assert received == []
+        for transport in (sink, link_transport, source):
             transport.close()
 
     run()
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    "was, now, key",
+    "old, new, key",
     [
         ("seconds = 14", "seconds = -1", "seconds"),
         ("seconds = 14", "", "top"),
@@ -42,12 +42,12 @@
         ('name = "small"', "name = small", "no TOML"),
     ],
 )
-def test_an_invalid_file_is_reported_in_one_line_with_file_and_key(tmp_path, was, now, key):
-    assert was in SMALL
-    path = write(tmp_path, SMALL.replace(was, now, 1))
-    with pytest.raises(InvalidScenario) as bad:
+def test_an_invalid_file_is_reported_in_one_line_with_file_and_key(tmp_path, old, new, key):
+    assert old in SMALL
+    path = write(tmp_path, SMALL.replace(old, new, 1))
+    with pytest.raises(InvalidScenario) as error:
         read_scenario(path)
-    text = str(bad.value)
+    text = str(error.value)
     assert text.startswith(f"{path}: ") and key in text and "\n" not in text
 
 
@@ -57,15 +57,15 @@
 
 def test_a_seed_gives_the_same_plan_in_another_process():
     scenario = read_scenario(SHIPPED_SCENARIOS / "small.toml")
-    here = draw_plan(scenario, 5).digest()
-    assert here == draw_plan(scenario, 5).digest() != draw_plan(scenario, 6).digest()
-    there = subprocess.run(
+    digest = draw_plan(scenario, 5).digest()
+    assert digest == draw_plan(scenario, 5).digest() != draw_plan(scenario, 6).digest()
+    other_process = subprocess.run(
         [sys.executable, "-m", "stoneyoke.single_gateway.cli", "lab", "run", "small", "--seed", "5", "--plan"],
         env=os.environ | {"PYTHONHASHSEED": "77", "PYTHONPATH": os.pathsep.join(sys.path)},
         capture_output=True,
         text=True,
     )
-    assert there.stdout.strip() == here, there.stderr
+    assert other_process.stdout.strip() == digest, other_process.stderr
 
 
 @settings(derandomize=True, max_examples=25, deadline=None)
