--- a/stoneyoke/lab/cli.py
+++ b/stoneyoke/lab/cli.py
@@ -151,7 +151,7 @@
 @click.argument("one", type=click.Path(path_type=Path, exists=True))
 @click.argument("other", type=click.Path(path_type=Path, exists=True))
 def compare(one: Path, other: Path) -> None:
-    """Prints the figures of two runs side by side; of a folder of runs the mean, the minimum and the maximum."""
+    """Prints the figures of two runs side by side. A folder of runs counts as one side: mean, minimum and maximum."""
     from stoneyoke.lab import report as pages
 
     sides = [[pages.load(run_folder)[2] for run_folder in run_folders(folder)] for folder in (one, other)]
--- a/stoneyoke/lab/figures.py
+++ b/stoneyoke/lab/figures.py
@@ -216,7 +216,7 @@
 
 
 def resource_figures(index: LedgerIndex) -> dict[str, float]:
-    """Returns how much data the links forwarded and which resources the gateways used."""
+    """Returns how much data the links received and which resources the gateways used."""
     scenario = index.scenario
     uses = [row for rows in index.uses.values() for row in rows]
     cpu_s = sum(cpu_seconds(rows) for rows in index.uses.values())
--- a/stoneyoke/lab/ledger_index.py
+++ b/stoneyoke/lab/ledger_index.py
@@ -162,7 +162,7 @@
                 first_answer_us = min(answers_us, default=end_us)
                 intervals[position] = Interval(start_us, max(end_us, first_answer_us + LISTENING_DELAY_US))
 
-    # ---- questions ----
+    # ---- queries ----
 
     def units(self, client_try: ClientTry) -> float:
         """Returns the units of quota that a try costs."""
--- a/stoneyoke/lab/ledger_rows.py
+++ b/stoneyoke/lab/ledger_rows.py
@@ -124,7 +124,7 @@
 
 
 class BytesCarried(Row, frozen=True, tag="carried"):
-    """How much data the TCP links of one process have forwarded."""
+    """How much data the TCP links of one process have received, in both directions."""
 
     bytes: int
 
--- a/stoneyoke/lab/link_process.py
+++ b/stoneyoke/lab/link_process.py
@@ -79,7 +79,7 @@
                     links.change_fault(command.number, one_way, command.begins, sender)
 
     async def shut_down(self) -> None:
-        """Writes how much the links carried to the ledger, and closes all links and connections."""
+        """Writes the amount of data that the links received to the ledger, and closes all links and connections."""
         datagram_links = [links for _, links in self._datagram_links]
         for links in datagram_links:
             links.close()
--- a/stoneyoke/lab/rules.py
+++ b/stoneyoke/lab/rules.py
@@ -87,7 +87,10 @@
 
 
 def repeated_executions(index: LedgerIndex) -> list[Violation]:
-    """Finds requests that ran twice or although they were rejected, and tries with two attempts in flight at once."""
+    """Finds repeated executions and tries with two attempts in flight at once.
+
+    A request that is not idempotent must run at most once; one that is at_most_once must not run if it is rejected.
+    """
     found = []
     for client_try in index.tries.values():
         id, effect = client_try.id, index.methods[client_try.method].effect
--- a/stoneyoke/lab/stand_in_backends.py
+++ b/stoneyoke/lab/stand_in_backends.py
@@ -77,7 +77,7 @@
         """Returns the first active fault of a kind; None if there is none."""
         return next((active for active in self.faults.values() if active.fault.kind == kind), None)
 
-    # ---- start and end ----
+    # ---- start, crash and restart ----
 
     async def listen(self) -> None:
         """Starts to accept connections."""
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -84,7 +84,7 @@
     run()
 
 
-def test_a_reset_closes_open_connections_and_a_refusal_rejects_new_ones():
+def test_a_reset_closes_open_connections_and_refuse_affects_only_new_ones():
     @on_loop
     async def run():
         async with LinkedEchoServer() as server:
