--- a/stoneyoke/lab/clients.py
+++ b/stoneyoke/lab/clients.py
@@ -23,7 +23,7 @@
 MIN_RETRY_TIME_US = 50_000  # a client doesn't retry with less time than this until the deadline
 DOWN_INTERVAL_S = 1.0  # how long clients skip a gateway that refused a connection
 MIN_TIMEOUT_S, MAX_CONNECT_S = 0.05, 1.0
-RESPONSE_SLACK_S = 0.5  # how long after the deadline a client still waits for a response
+RESPONSE_SLACK_S = 0.5  # how long a client waits for a response beyond the deadline, or beyond GIVE_UP_SHARE
 GIVE_UP_SHARE = 0.5  # share of the time to the deadline after which a client that gives up stops waiting
 DRAIN_POLL_S = 0.2
 
--- a/stoneyoke/lab/spread.py
+++ b/stoneyoke/lab/spread.py
@@ -13,7 +13,9 @@
 
 BoolMatrix = npt.NDArray[np.bool_]
 FloatMatrix = npt.NDArray[np.float64]
-MIN_DUE_ARRIVALS = 2.0  # a backend counts as idle in a window only if at least so many arrivals were expected there
+MIN_EXPECTED_ARRIVALS = (
+    2.0  # a backend counts as idle in a window only if at least so many arrivals were expected there
+)
 
 
 class AttemptSpan(Struct, frozen=True):
@@ -34,7 +36,7 @@
     window_s: float
     most: float  # mean over the windows of the greatest relative load
     varies: float  # mean over the windows of the relative loads' coefficient of variation
-    idle: float  # share of windows without arrivals at a backend, of those in which it should have had MIN_DUE_ARRIVALS
+    idle: float  # share of windows without arrivals at a backend, if at least MIN_EXPECTED_ARRIVALS were expected there
     jump: float  # greatest rise of a backend's arrivals from a window to the next, in expected arrivals of the latter
 
 
@@ -58,7 +60,7 @@
     windows = [row[row_due] for row, row_due in zip(relative, due, strict=True) if row_due.any()]
     if not windows:
         return Spread(window_s, 0.0, 0.0, 0.0, 0.0)
-    surely_due = due & (expected >= MIN_DUE_ARRIVALS)
+    surely_due = due & (expected >= MIN_EXPECTED_ARRIVALS)
     return Spread(
         window_s,
         most=round(float(np.mean([row.max() for row in windows])), 3),
@@ -89,7 +91,7 @@
 
 
 def greatest_jump(counts: FloatMatrix, expected: FloatMatrix) -> float:
-    """Returns the greatest rise of a backend's arrivals between two windows, in expected arrivals of the second."""
+    """Returns the greatest rise of a backend's arrivals to the next window, in expected arrivals of the latter."""
     due = expected > 0
     rises = []
     for window in range(len(counts) - 1):
@@ -109,22 +111,22 @@
         up: By step and backend, whether the backend is up.
         step_us: The length of a step.
     """
-    at_work, received = [0] * len(speeds), [0] * len(speeds)
+    in_flight, received = [0] * len(speeds), [0] * len(speeds)
     ends: list[tuple[int, int]] = []
-    placed = []
+    dispatched = []
     for span in sorted(spans, key=lambda span: span.at_us):
         while ends and ends[0][0] <= span.at_us:
-            at_work[heapq.heappop(ends)[1]] -= 1
+            in_flight[heapq.heappop(ends)[1]] -= 1
         usable = up[min(len(up) - 1, max(0, span.at_us // step_us))]
         best, least = span.backend, (math.inf, math.inf)
         for backend, speed in enumerate(speeds):
             # Among equally loaded backends the dispatcher takes the one that has received the fewest attempts relative
             # to its speed; otherwise it would always take the first.
-            load = at_work[backend] / speed, received[backend] / speed
+            load = in_flight[backend] / speed, received[backend] / speed
             if usable[backend] and load < least:
                 best, least = backend, load
-        at_work[best] += 1
+        in_flight[best] += 1
         received[best] += 1
         heapq.heappush(ends, (span.at_us + max(1, span.duration_us), best))
-        placed.append(AttemptSpan(span.at_us, span.duration_us, best))
-    return placed
+        dispatched.append(AttemptSpan(span.at_us, span.duration_us, best))
+    return dispatched
