--- a/stoneyoke/lab/spread.py
+++ b/stoneyoke/lab/spread.py
@@ -13,9 +13,7 @@
 
 BoolMatrix = npt.NDArray[np.bool_]
 FloatMatrix = npt.NDArray[np.float64]
-MIN_EXPECTED_ARRIVALS = (
-    2.0  # a backend counts as idle in a window only if at least so many arrivals were expected there
-)
+MIN_EXPECTED_ARRIVALS = 2.0  # a backend without arrivals counts as idle only if at least so many were expected
 
 
 class AttemptSpan(Struct, frozen=True):
