--- a/stoneyoke/lab/spread.py
+++ b/stoneyoke/lab/spread.py
@@ -20,7 +20,7 @@
     """An attempt at a backend: when it arrived and how long it was in flight there, both in microseconds."""
 
     at_us: int
-    duration_us: int
+    took: int
     backend: int
 
 
@@ -125,6 +125,6 @@
                 best, least = backend, load
         in_flight[best] += 1
         received[best] += 1
-        heapq.heappush(ends, (span.at_us + max(1, span.duration_us), best))
-        dispatched.append(AttemptSpan(span.at_us, span.duration_us, best))
+        heapq.heappush(ends, (span.at_us + max(1, span.took), best))
+        dispatched.append(AttemptSpan(span.at_us, span.took, best))
     return dispatched
--- a/tests/lab/test_spread.py
+++ b/tests/lab/test_spread.py
@@ -18,15 +18,14 @@
     even_spread = measure_spread(even_attempts(800), SPEEDS, UP[:8], 1_000_000, 8_000_000)
     assert 0.9 < even_spread.most < 1.15 and even_spread.idle == 0 and even_spread.varies < 0.1
     uneven_spread = measure_spread(
-        [AttemptSpan(u.at_us, u.duration_us, 0) for u in even_attempts(800)], SPEEDS, UP[:8], 1_000_000, 8_000_000
+        [AttemptSpan(u.at_us, u.took, 0) for u in even_attempts(800)], SPEEDS, UP[:8], 1_000_000, 8_000_000
     )
     assert 3.9 < uneven_spread.most < 4.1 and uneven_spread.idle > 0.7
 
 
 def test_a_rise_of_arrivals_from_one_window_to_the_next_is_measured():
     spans = [
-        AttemptSpan(u.at_us, u.duration_us, 2 if 4_000_000 <= u.at_us < 5_000_000 else u.backend)
-        for u in even_attempts(800)
+        AttemptSpan(u.at_us, u.took, 2 if 4_000_000 <= u.at_us < 5_000_000 else u.backend) for u in even_attempts(800)
     ]
     assert measure_spread(spans, SPEEDS, UP[:8], 1_000_000, 8_000_000).jump > 5
 
@@ -34,7 +33,7 @@
 def test_a_backend_that_is_down_does_not_count_as_idle():
     up = UP[:8].copy()
     up[:, 2] = False
-    spans = [AttemptSpan(u.at_us, u.duration_us, 0 if u.backend == 2 else u.backend) for u in even_attempts(800)]
+    spans = [AttemptSpan(u.at_us, u.took, 0 if u.backend == 2 else u.backend) for u in even_attempts(800)]
     assert measure_spread(spans, SPEEDS, up, 1_000_000, 8_000_000).idle == 0
 
 
