--- a/stoneyoke/lab/cli.py
+++ b/stoneyoke/lab/cli.py
@@ -1,4 +1,8 @@
-"""stoneyoke lab: runs, reports, comparisons. Exit codes: 0 passed, 1 failed, void, partial, 2 unusable."""
+"""The command line `stoneyoke lab`: runs, reports and comparisons.
+
+Exit codes: 0: the run passed. 1: the verdict is failed, void or partial, or a gateway did not become ready. 2: a file
+or an argument is invalid, or the run is not possible.
+"""
 
 import sys
 from collections.abc import Callable
@@ -16,22 +20,22 @@
 if TYPE_CHECKING:
     from stoneyoke.lab.result import Result
 
-SHIPPED = Path(__file__).parent / "scenarios"
+SHIPPED_SCENARIOS = Path(__file__).parent / "scenarios"
 EXIT_NOT_PASSED, EXIT_UNUSABLE = 1, 2
 PROGRESS_STEPS_PER_S = 10
 MAX_PRINTED_VIOLATIONS = 10
 
 
 def fail(text: str, code: int = EXIT_UNUSABLE) -> NoReturn:
-    """Ends the program with one line that says why."""
+    """Prints one line with the reason and exits."""
     click.echo(f"stoneyoke: {text}", err=True)
     sys.exit(code)
 
 
 def find_scenario(name: str) -> Scenario:
-    """Reads a scenario file, or one that is shipped with the laboratory by its name."""
+    """Reads the scenario file at a path, or one by name that is shipped with the laboratory."""
     path = Path(name)
-    shipped = SHIPPED / f"{name}.toml"
+    shipped = SHIPPED_SCENARIOS / f"{name}.toml"
     try:
         return read_scenario(shipped if not path.exists() and shipped.exists() else path)
     except InvalidScenario as error:
@@ -40,13 +44,13 @@
 
 @click.group()
 def lab() -> None:
-    """Gateways between stand-ins, over links that fail."""
+    """Runs gateways between stand-ins, over links with injected faults."""
 
 
 @lab.command("list")
 def list_scenarios() -> None:
-    """The scenarios that come with the lab."""
-    for path in sorted(SHIPPED.glob("*.toml")):
+    """Lists the scenarios that come with the lab."""
+    for path in sorted(SHIPPED_SCENARIOS.glob("*.toml")):
         scenario = read_scenario(path)
         size = f"{scenario.gateways.count} x {scenario.backends.count}"
         click.echo(f"{scenario.name:24} {size:>9}  {scenario.seconds:g} s  {scenario.about}")
@@ -54,12 +58,12 @@
 
 @lab.command()
 @click.argument("file")
-@click.option("--seed", type=click.IntRange(0), help="In place of the scenario's own.")
-@click.option("--out", type=click.Path(path_type=Path), help="Folder of the run; by default runs/NAME-SEED.")
-@click.option("--json", "json_", type=click.Path(path_type=Path), help="A copy of the result.")
-@click.option("--port", type=click.IntRange(1024, 60000), default=7070, help="Ports from here on.")
-@click.option("--fleet/--no-fleet", default=None, help="In place of the scenario's own: gateways know one another.")
-@click.option("--plan", "only_plan", is_flag=True, help="Print the plan's digest and end.")
+@click.option("--seed", type=click.IntRange(0), help="Replaces the scenario's own seed.")
+@click.option("--out", type=click.Path(path_type=Path), help="The folder of the run; by default runs/NAME-SEED.")
+@click.option("--json", "json_", type=click.Path(path_type=Path), help="Writes a copy of the result to this file.")
+@click.option("--port", type=click.IntRange(1024, 60000), default=7070, help="The first port of the run.")
+@click.option("--fleet/--no-fleet", default=None, help="Replaces the scenario's fleet.on.")
+@click.option("--plan", "only_plan", is_flag=True, help="Prints the plan's digest and exits.")
 def run(  # noqa: PLR0913 -- one parameter for each option of the command line
     file: str,
     seed: int | None,
@@ -88,7 +92,7 @@
 
 
 def run_with_progress(scenario: Scenario, seed: int, out: Path, port: int) -> "Result":
-    """Runs a scenario behind a progress bar, and ends the program if that is not possible."""
+    """Runs a scenario with a progress bar; exits if the run is not possible."""
     from stoneyoke.lab.run import run_scenario
 
     steps = int(scenario.seconds * PROGRESS_STEPS_PER_S)
@@ -103,7 +107,7 @@
 
 
 def progress_on(bar: Any) -> Callable[[float], None]:
-    """A callback that moves a progress bar to a time in seconds, on a terminal."""
+    """Returns a callback that moves a progress bar to a time in seconds, if stderr is a terminal."""
 
     def progress(at_s: float) -> None:
         if sys.stderr.isatty():
@@ -113,7 +117,7 @@
 
 
 def print_result(result: "Result", page: Path) -> None:
-    """Prints figures, crashes, the first violations and the verdict."""
+    """Prints the figures, the crashes, the first violations and the verdict."""
     for name, value in result.figures.items():
         click.echo(f"{name:28} {value:g}")
     for crash in result.crashes:
@@ -127,14 +131,16 @@
 @lab.command()
 @click.argument("folder", type=click.Path(path_type=Path, exists=True))
 def report(folder: Path) -> None:
-    """Judges a run again, from its ledger, and writes its page."""
+    """Evaluates a run again from its ledger, and writes its report."""
     from stoneyoke.lab import report as pages
-    from stoneyoke.lab.result import RunEnd, judge
+    from stoneyoke.lab.result import RunOutcome, evaluate_run
 
     try:
         scenario, plan, old = pages.load(folder)
         partial = "interrupted" if old.verdict == "partial" else ""
-        new = judge(folder, scenario, plan, RunEnd(seconds=old.seconds, crashes=old.crashes, partial=partial))
+        new = evaluate_run(
+            folder, scenario, plan, RunOutcome(seconds=old.seconds, crashes=old.crashes, partial=partial)
+        )
         click.echo(f"{new.verdict}{''.join(f'; {reason}' for reason in new.reasons)}")
         click.echo(pages.write(folder))
     except (OSError, msgspec.DecodeError) as error:
@@ -145,7 +151,7 @@
 @click.argument("one", type=click.Path(path_type=Path, exists=True))
 @click.argument("other", type=click.Path(path_type=Path, exists=True))
 def compare(one: Path, other: Path) -> None:
-    """The figures of two runs side by side. A folder of runs counts as repeats: mean, least and most."""
+    """Prints the figures of two runs side by side. A folder of runs counts as one side: mean, minimum and maximum."""
     from stoneyoke.lab import report as pages
 
     sides = [[pages.load(run_folder)[2] for run_folder in run_folders(folder)] for folder in (one, other)]
@@ -154,7 +160,7 @@
 
 
 def run_folders(folder: Path) -> list[Path]:
-    """The folder of a run itself, or those of the runs in it."""
+    """Returns the folder itself if it is that of a run, otherwise the folders of the runs in it."""
     if (folder / "result.json").exists():
         return [folder]
     found = sorted(path.parent for path in folder.glob("*/result.json"))
--- a/stoneyoke/lab/stand_in_counter.py
+++ b/stoneyoke/lab/stand_in_counter.py
@@ -1,4 +1,4 @@
-"""A stand-in of the counter service, in two halves that a fault can split from each other."""
+"""A stand-in for the counter service, in two halves that a fault can partition from each other."""
 
 import asyncio
 import random
@@ -6,31 +6,31 @@
 
 from stoneyoke.lab.http import Request, ServerConnection
 from stoneyoke.lab.ledger_writer import LedgerWriter
-from stoneyoke.lab.worker_messages import Begin, ChangeCounterFault, CounterSetup, Order, Reply
+from stoneyoke.lab.worker_messages import Begin, ChangeCounterFault, Command, CounterSetup, Reply
 
 BACKLOG = 1024
-MAX_LIFE_S = 60.0  # of a counter, from its first addition
+MAX_LIFE_S = 60.0  # maximum lifetime of a counter, from its first addition
 ADD_TARGET = re.compile(rb"^/counters/([0-9a-zA-Z._-]{1,64})\?by=([-+0-9.eE]+)&expire_ms=([0-9]+)$").match
 
 CounterValues = dict[bytes, tuple[float, float]]  # by name: the value, and the loop time when it expires
 
 
 class StandInCounter:
-    """Adds to counters by name. Each partition serves one call after the other, at a bounded rate."""
+    """Adds to counters by name. Each partition serves its calls one at a time, at a bounded rate."""
 
     def __init__(self, setup: CounterSetup, ledger: LedgerWriter) -> None:
-        """Listens once it is started, and rejects calls until the run begins."""
+        """Listens after `start`, and rejects calls until it receives Begin."""
         self.ledger = ledger
         self._addresses = setup.addresses
         self._settings = setup.settings
-        self._values: list[CounterValues] = [{}, {}]  # by half; both halves use the first unless they are split
+        self._values: list[CounterValues] = [{}, {}]  # by half; both halves use the first unless partitioned
         self._free_at_s = [0.0] * setup.settings.parts  # by partition: loop time when its queue is empty
         self._silent = self._split = False
-        self._slowness = 1.0
+        self._service_time_factor = 1.0
         self._serving = False
 
     async def start(self) -> None:
-        """Listens at both halves."""
+        """Starts to listen at the addresses of both halves."""
         self._servers = [await self._listen(half) for half in range(len(self._addresses))]
 
     async def _listen(self, half: int) -> asyncio.Server:
@@ -54,7 +54,7 @@
             request.respond(503)
             self.ledger.add("count", name.decode(), None)
             return
-        service_time_s = self._slowness * len(self._free_at_s) / self._settings.per_s
+        service_time_s = self._service_time_factor * len(self._free_at_s) / self._settings.per_s
         self._free_at_s[partition] = max(loop.time(), self._free_at_s[partition]) + service_time_s
         amount, life_s = float(matched[2]), int(matched[3]) / 1000
         loop.call_at(self._free_at_s[partition], self._add, request, half, name, amount, life_s)
@@ -71,24 +71,24 @@
         self.ledger.add("count", name.decode(), round(value, 4))
         request.respond(200, b"%.6f" % value)
 
-    async def carry_out(self, order: Order) -> Reply | None:
-        """Begins to serve, and begins or ends faults."""
-        if isinstance(order, Begin):
+    async def execute(self, command: Command) -> Reply | None:
+        """Starts to serve calls, or starts or ends a fault."""
+        if isinstance(command, Begin):
             self._serving = True
-        elif isinstance(order, ChangeCounterFault):
-            self._change_fault(order)
-            self.ledger.add("counter", order.fault.kind, order.begins)
+        elif isinstance(command, ChangeCounterFault):
+            self._change_fault(command)
+            self.ledger.add("counter", command.fault.kind, command.begins)
         return None
 
-    def _change_fault(self, order: ChangeCounterFault) -> None:
-        fault, begins = order.fault, order.begins
+    def _change_fault(self, command: ChangeCounterFault) -> None:
+        fault, begins = command.fault, command.begins
         match fault.kind:
             case "silent":
                 self._silent = begins
             case "crawl":
-                self._slowness = fault.factor if begins else 1.0
+                self._service_time_factor = fault.factor if begins else 1.0
             case "wipe" if begins:
-                self._wipe(order.number, fault.part)
+                self._wipe(command.number, fault.part)
             case "empty":
                 self._silent = begins
                 self._values = [{}, {}]
@@ -102,7 +102,7 @@
         for name in [name for name in sorted(self._values[0]) if random_source.random() < share]:
             del self._values[0][name]
 
-    async def end(self) -> None:
-        """Stops to listen."""
+    async def shut_down(self) -> None:
+        """Stops listening."""
         for server in self._servers:
             server.close()
--- a/stoneyoke/lab/worker_process.py
+++ b/stoneyoke/lab/worker_process.py
@@ -1,45 +1,45 @@
-"""A worker as its run sees it: a child process that takes orders and replies, line by line."""
+"""The run's side of a worker: a child process that receives commands and sends replies, one per line."""
 
 import asyncio
 from collections.abc import Callable
 
 from stoneyoke.lab.worker_messages import (
     REPLY_DECODER,
+    Command,
     Drained,
-    End,
-    GatewayDied,
-    Order,
+    GatewayExited,
     Ready,
+    ShutDown,
     WorkerSetup,
     encode_line,
 )
 
-END_TIMEOUT_S = 10
+SHUTDOWN_TIMEOUT_S = 10
 
 
 class WorkerProcess:
-    """A worker in a process of its own.
+    """A worker and its process.
 
     Attributes:
-        ready: Set once it takes orders, or has ended.
-        drained: Set once the clients have drained, or it has ended.
-        ended: Set once its output has ended.
+        ready: Set once the worker accepts commands or has exited.
+        drained: Set once the clients have drained or the worker has exited.
+        exited: Set once the worker has closed its output, which it does when it exits.
     """
 
     def __init__(
-        self, name: str, process: asyncio.subprocess.Process, gateway_died: Callable[[GatewayDied], None]
+        self, name: str, process: asyncio.subprocess.Process, on_gateway_exited: Callable[[GatewayExited], None]
     ) -> None:
-        """Reads the process's replies from now on.
+        """Starts to read the process's replies.
 
         Args:
             name: The worker's name.
-            process: With pipes for its input and output.
-            gateway_died: Called for each reply that a gateway has died.
+            process: The worker's process, with pipes for its input and output.
+            on_gateway_exited: Called for each reply that a gateway has exited.
         """
         self.name = name
-        self.ready, self.drained, self.ended = asyncio.Event(), asyncio.Event(), asyncio.Event()
+        self.ready, self.drained, self.exited = asyncio.Event(), asyncio.Event(), asyncio.Event()
         self._process = process
-        self._gateway_died = gateway_died
+        self._gateway_exited = on_gateway_exited
         self._reading = asyncio.create_task(self._read_replies(), name=f"replies of {name}")
 
     async def _read_replies(self) -> None:
@@ -50,24 +50,24 @@
                     self.ready.set()
                 case Drained():
                     self.drained.set()
-                case GatewayDied() as reply:
-                    self._gateway_died(reply)
-        self.ended.set()
+                case GatewayExited() as reply:
+                    self._gateway_exited(reply)
+        self.exited.set()
         self.ready.set()
         self.drained.set()
 
-    def send(self, message: WorkerSetup | Order) -> None:
-        """Sends a setup or an order, unless the process's input is closed."""
+    def send(self, message: WorkerSetup | Command) -> None:
+        """Sends a setup or a command, unless the process's input is closed."""
         if self._process.stdin and not self._process.stdin.is_closing():
             self._process.stdin.write(encode_line(message))
 
-    async def end(self) -> None:
-        """Ends the process, and kills it if it does not end in time."""
-        self.send(End())
+    async def shut_down(self) -> None:
+        """Shuts the worker down, and kills its process if it does not exit within SHUTDOWN_TIMEOUT_S."""
+        self.send(ShutDown())
         if self._process.stdin:
             self._process.stdin.close()
         try:
-            async with asyncio.timeout(END_TIMEOUT_S):
+            async with asyncio.timeout(SHUTDOWN_TIMEOUT_S):
                 await self._process.wait()
         except TimeoutError:
             self._process.kill()
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: an error is one line with file and key; one seed gives one plan."""
+"""Scenario files: an error is one line with the file and the key, and a seed always gives the same plan."""
 
 import os
 import subprocess
@@ -8,12 +8,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoneyoke.lab.cli import SHIPPED
+from stoneyoke.lab.cli import SHIPPED_SCENARIOS
 from stoneyoke.lab.errors import InvalidScenario
 from stoneyoke.lab.plan import draw_plan
 from stoneyoke.lab.scenario_file import read_scenario
 
-SMALL = (SHIPPED / "small.toml").read_text()
+SMALL = (SHIPPED_SCENARIOS / "small.toml").read_text()
 
 
 def write(folder, text):
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    "was, now, key",
+    "old, new, key",
     [
         ("seconds = 14", "seconds = -1", "seconds"),
         ("seconds = 14", "", "top"),
@@ -42,35 +42,35 @@
         ('name = "small"', "name = small", "no TOML"),
     ],
 )
-def test_an_invalid_file_is_reported_in_one_line_with_file_and_key(tmp_path, was, now, key):
-    assert was in SMALL
-    path = write(tmp_path, SMALL.replace(was, now, 1))
-    with pytest.raises(InvalidScenario) as bad:
+def test_an_invalid_file_is_reported_in_one_line_with_file_and_key(tmp_path, old, new, key):
+    assert old in SMALL
+    path = write(tmp_path, SMALL.replace(old, new, 1))
+    with pytest.raises(InvalidScenario) as error:
         read_scenario(path)
-    text = str(bad.value)
+    text = str(error.value)
     assert text.startswith(f"{path}: ") and key in text and "\n" not in text
 
 
 def test_all_shipped_scenarios_can_be_read():
-    assert len([read_scenario(path) for path in SHIPPED.glob("*.toml")]) >= 11
+    assert len([read_scenario(path) for path in SHIPPED_SCENARIOS.glob("*.toml")]) >= 11
 
 
-def test_one_seed_gives_the_same_plan_in_another_process():
-    scenario = read_scenario(SHIPPED / "small.toml")
-    here = draw_plan(scenario, 5).digest()
-    assert here == draw_plan(scenario, 5).digest() != draw_plan(scenario, 6).digest()
-    there = subprocess.run(
+def test_a_seed_gives_the_same_plan_in_another_process():
+    scenario = read_scenario(SHIPPED_SCENARIOS / "small.toml")
+    digest = draw_plan(scenario, 5).digest()
+    assert digest == draw_plan(scenario, 5).digest() != draw_plan(scenario, 6).digest()
+    other_process = subprocess.run(
         [sys.executable, "-m", "stoneyoke.single_gateway.cli", "lab", "run", "small", "--seed", "5", "--plan"],
         env=os.environ | {"PYTHONHASHSEED": "77", "PYTHONPATH": os.pathsep.join(sys.path)},
         capture_output=True,
         text=True,
     )
-    assert there.stdout.strip() == here, there.stderr
+    assert other_process.stdout.strip() == digest, other_process.stderr
 
 
 @settings(derandomize=True, max_examples=25, deadline=None)
 @given(st.integers(0, 2**32), st.integers(1, 8))
-def test_drawn_faults_begin_within_the_run_and_name_its_processes(seed, faults):
+def test_random_faults_start_within_the_run_and_name_its_processes(seed, faults):
     kinds = ["cut", "kill", "slow", "crash", "silent", "delay", "stop"]
     text = SMALL + f"\n[random]\nfaults = {faults}\nkinds = {kinds}\n".replace("'", '"')
     import tempfile
