--- a/stoneyoke/lab/cluster/__init__.py
+++ b/stoneyoke/lab/cluster/__init__.py
@@ -1,5 +1,6 @@
-"""The whole system on one machine: real controllers and gateways on loopback, between stand-in backends and a client.
+"""The whole system on one machine: real controllers and gateways on loopback, with stand-in backends and a client.
 
-A ledger of what clients and backends saw on their sockets shows whether a rule was broken. `trial` kills processes
-under traffic; `python -m stoneyoke.lab.cluster` runs it, or brings the system up to be used by hand.
+A ledger records what the client and the backends observe on their sockets, and reports each violation of a rule.
+`trial` kills processes under traffic. `python -m stoneyoke.lab.cluster` runs a trial, or starts the system for use by
+hand.
 """
--- a/stoneyoke/lab/cluster/__main__.py
+++ b/stoneyoke/lab/cluster/__main__.py
@@ -1,7 +1,7 @@
-"""Brings the whole system up on this machine.
+"""Starts the whole system on this machine.
 
-python -m stoneyoke.lab.cluster                  # up until Ctrl-C
-python -m stoneyoke.lab.cluster --seconds 12     # a trial: traffic, a new configuration, two processes killed
+python -m stoneyoke.lab.cluster                  # runs until Ctrl-C
+python -m stoneyoke.lab.cluster --seconds 12     # a trial: traffic, a configuration change, two processes killed
 """
 
 import asyncio
@@ -17,11 +17,11 @@
 from stoneyoke.lab.cluster.traffic_ledger import TrafficLedger
 from stoneyoke.lab.cluster.trial import TrialSettings, bring_up, run_trial
 
-SECONDS = flags.DEFINE_float("seconds", 0.0, "Length of a trial; 0: up until Ctrl-C, without traffic or faults.")
-GATEWAYS = flags.DEFINE_integer("gateways", 2, "Gateways.", lower_bound=1)
-flags.DEFINE_alias("pilots", "gateways")  # the name until December 2026
-RATE = flags.DEFINE_float("rate", 40.0, "Requests a second in a trial.", lower_bound=0.1, upper_bound=500)
-SEED = flags.DEFINE_integer("seed", 1, "Of the trial's random draws.")
+SECONDS = flags.DEFINE_float("seconds", 0.0, "Length of a trial; 0: run until Ctrl-C, without traffic or faults.")
+GATEWAYS = flags.DEFINE_integer("gateways", 2, "Number of gateways.", lower_bound=1)
+flags.DEFINE_alias("pilots", "gateways")  # the old name of the flag, until December 2026
+RATE = flags.DEFINE_float("rate", 40.0, "Requests per second in a trial.", lower_bound=0.1, upper_bound=500)
+SEED = flags.DEFINE_integer("seed", 1, "Seed of the trial's random choices.")
 MAX_PRINTED_VIOLATIONS = 20
 
 
@@ -38,16 +38,19 @@
 
 
 def print_usage(cluster: ClusterProcesses) -> None:
-    """Says what runs where, and how to send a request and look at the state."""
+    """Prints the addresses and process ids, and commands that send a request and show the state."""
     addresses = cluster.controllers | cluster.gateways
-    print("up:", ", ".join(f"{name} at {ip}" for name, ip in addresses.items()))
+    print("addresses:", ", ".join(f"{name} at {ip}" for name, ip in addresses.items()))
     print("processes:", ", ".join(f"{name} {process.pid}" for name, process in cluster.running.items()))
     print(f"  curl -H 'Host: {HOSTNAME}' -H 'Api-Key: {API_KEY}' -H 'Attempt-Id: 1' http://127.0.2.1:8782/usage/x")
     print("  python -m stoneyoke.programs.stoneyokectl --core 127.0.1.1:8783,127.0.1.2:8783 look")
 
 
 def run(_: list[str]) -> None:
-    """Runs a trial, or keeps the system up. Exits with 1 if a rule was broken or no request was served."""
+    """Runs a trial, or the system until it is interrupted.
+
+    After a trial, exits with 1 if a rule was violated or no request was served.
+    """
     if not SECONDS.value:
         with contextlib.suppress(KeyboardInterrupt):
             asyncio.run(stay_up(GATEWAYS.value))
@@ -56,8 +59,8 @@
     ledger, client = asyncio.run(run_trial(settings))
     violations = ledger.violations()
     print(
-        f"{client.served} requests served, {client.given_up} given up, {len(ledger.statuses)} tries, "
-        f"{sum(ledger.executions.values())} runs at backends; {len(violations)} rules broken"
+        f"{client.served} requests served, {client.given_up} failed, {len(ledger.statuses)} attempts, "
+        f"{sum(ledger.executions.values())} executions at backends; {len(violations)} violations"
     )
     for violation in violations[:MAX_PRINTED_VIOLATIONS]:
         print(violation)
@@ -65,7 +68,7 @@
 
 
 def main() -> None:
-    """Parses the command line and runs."""
+    """Parses the command line and calls `run`."""
     app.run(run)
 
 
--- a/stoneyoke/lab/cluster/client.py
+++ b/stoneyoke/lab/cluster/client.py
@@ -1,4 +1,4 @@
-"""The client of a trial: sends reads and orders to random gateways and retries as the protocol allows."""
+"""The client of a trial: sends requests to random gateways, and retries them as the protocol allows."""
 
 import asyncio
 import itertools
@@ -21,11 +21,11 @@
 
 MAX_TRIES = 5
 RETRY_PAUSE_S = 0.2
-ORDER_SHARE = 0.2  # of all requests
+ORDER_SHARE = 0.2  # share of the non-idempotent requests in all requests
 
 
 class ClientRequest(NamedTuple):
-    """One try: its id, its request line and headers without Content-Length, and its body."""
+    """One attempt: its id, its request line and headers without Content-Length, and its body."""
 
     attempt_id: str
     head: bytes
@@ -33,29 +33,29 @@
 
 
 class Client:
-    """Sends requests and notes their responses. Each try has an attempt id of its own."""
+    """Sends requests and records their responses. Each attempt has its own attempt id."""
 
     def __init__(self, cluster: ClusterProcesses, ledger: TrafficLedger, random_source: random.Random) -> None:
-        """Sends nothing yet.
+        """Creates a client that has sent nothing.
 
         Args:
             cluster: Names the gateways.
-            ledger: Takes each try with its response.
-            random_source: Draws gateways, kinds of request and pauses.
+            ledger: Records each attempt with its response.
+            random_source: Draws gateways, kinds of request and the time between requests.
         """
         self._cluster = cluster
         self._ledger = ledger
         self._random_source = random_source
         self._attempt_numbers = itertools.count(1)
         self.served = 0  # requests answered with 200
-        self.given_up = 0  # requests without such an answer after all their tries
+        self.given_up = 0  # requests without a 200 after their last attempt
 
     async def send_traffic(self, seconds: float, rate_per_s: float) -> None:
-        """Sends requests at random times, and waits for their ends.
+        """Sends requests at random times, and returns once all have ended.
 
         Args:
-            seconds: How long new requests start.
-            rate_per_s: Mean number of requests a second.
+            seconds: For how long new requests are started.
+            rate_per_s: Mean number of requests per second.
         """
         loop = asyncio.get_running_loop()
         end_s = loop.time() + seconds
@@ -66,7 +66,7 @@
                 await asyncio.sleep(self._random_source.expovariate(rate_per_s))
 
     async def _send_with_retries(self, is_order: bool) -> None:
-        """Sends one request. An order is sent again only if its rejection proves that it has not run."""
+        """Sends one request. Retries a non-idempotent one only after a rejection, which proves that it has not run."""
         for _ in range(MAX_TRIES):
             status = await self.send_once(is_order)
             if status == OK:
@@ -78,10 +78,10 @@
         self.given_up += 1
 
     async def send_once(self, is_order: bool) -> int:
-        """Sends one try.
+        """Sends one attempt.
 
         Returns:
-            The response's status, or NO_RESPONSE.
+            The status of the response, or NO_RESPONSE.
         """
         request = self.make_request(is_order)
         ip = self._random_source.choice(list(self._cluster.gateways.values()))
@@ -89,7 +89,7 @@
         return self.note_response(request, response)
 
     def make_request(self, is_order: bool, more_headers: str = "") -> ClientRequest:
-        """One try as it goes out, entered in the ledger as one without a response."""
+        """Returns the next attempt, and records it in the ledger as one without a response."""
         attempt_id = f"a{next(self._attempt_numbers)}"
         self._ledger.statuses[attempt_id] = NO_RESPONSE
         if is_order:
@@ -102,7 +102,7 @@
         return ClientRequest(attempt_id, head.encode(), b"order" if is_order else b"")
 
     def note_response(self, request: ClientRequest, response: Message | None) -> int:
-        """Enters a try's response in the ledger, and returns its status or NO_RESPONSE."""
+        """Records the response of an attempt in the ledger, and returns its status or NO_RESPONSE."""
         if response is None:
             return NO_RESPONSE
         self._ledger.statuses[request.attempt_id] = response.status
@@ -113,4 +113,7 @@
     def _check_response(self, attempt_id: str, response: Message) -> None:
         is_own = response.headers.get(b"attempt-id") == attempt_id.encode()
         if not is_own or not response.headers.get(b"server-stamp"):
-            self._ledger.report(Rule.MATCHING_RESPONSE, f"{attempt_id} got an answer without its id or stamp")
+            self._ledger.report(
+                Rule.MATCHING_RESPONSE,
+                f"{attempt_id} received a response without its attempt id or without a server stamp",
+            )
--- a/stoneyoke/lab/cluster/processes.py
+++ b/stoneyoke/lab/cluster/processes.py
@@ -1,4 +1,4 @@
-"""The controller and gateway processes of a cluster, on loopback addresses, with their settings files."""
+"""The controller and gateway processes of a cluster on loopback addresses, and their settings files."""
 
 import asyncio
 import contextlib
@@ -21,16 +21,17 @@
 
 
 class ClusterProcesses:
-    """Processes by name. Each has a settings file, and each controller a data folder."""
+    """Starts, signals and kills processes by name. Each has a settings file, and each controller a data folder."""
 
     def __init__(self, folder: Path, gateways: int, address_block: int = 0, *, keeps_logs: bool = False) -> None:
-        """Starts nothing yet.
+        """Creates a cluster without processes.
 
         Args:
-            folder: Holds settings files and data folders.
+            folder: The settings files and data folders are in it.
             gateways: Number of gateways.
-            address_block: Second part of all addresses, so that clusters beside each other don't meet.
-            keeps_logs: Log lines go to a file a process in the folder, else to this process's standard error.
+            address_block: Second octet of all addresses; clusters that run at the same time need different ones.
+            keeps_logs: Whether each process logs to a file of its own in the folder; else all log to this process's
+                standard error.
         """
         self.folder, self.keeps_logs = folder, keeps_logs
         self.address_block = address_block
@@ -40,15 +41,15 @@
         self.gateways = {f"edge-{number}": f"127.{address_block}.2.{number}" for number in range(1, gateways + 1)}
         self.running: dict[str, asyncio.subprocess.Process] = {}
         self.gateway_module = "stoneyoke.programs.gateway"
-        self.gateway_arguments: tuple[str, ...] = ()  # before the settings
+        self.gateway_arguments: tuple[str, ...] = ()  # of the command line, before --settings
         self._ever_started: set[str] = set()
 
     def control_addresses(self) -> list[tuple[str, int]]:
-        """Where the controllers take requests."""
+        """Returns the addresses at which the controllers accept HTTP requests."""
         return [(ip, CONTROL_PORT) for ip in self.controllers.values()]
 
     def write_settings(self, name: str) -> Path:
-        """Writes the settings file of a process's next start."""
+        """Writes the settings file for the next start of a process, and returns its path."""
         is_controller = name in self.controllers
         ip = (self.controllers | self.gateways)[name]
         if is_controller:
@@ -78,27 +79,27 @@
             f"--metrics_port={METRICS_PORT}",
         ]
         with self.open_log(name) as log:
-            # -O as in release builds: a violated invariant is counted, and the process goes on.
+            # -O as in release builds: assertions are off, so a violated invariant is counted and the process continues.
             self.running[name] = await asyncio.create_subprocess_exec(
                 sys.executable, "-O", "-m", *arguments, stderr=log if self.keeps_logs else None
             )
         self._ever_started.add(name)
 
     def log_path(self, name: str) -> Path:
-        """Where a process's log lines go, over all its starts, if logs are kept."""
+        """Returns the path of the log file of a process, which all its starts append to if `keeps_logs` is set."""
         return self.folder / f"{name}.log"
 
     def open_log(self, name: str) -> BinaryIO:
-        """The file that log_path() names, to be appended to."""
+        """Opens the file at log_path() for appending."""
         return open(self.log_path(name), "ab")
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Sends a signal to a process that was started here. One that has ended gets none."""
+        """Sends a signal to a process that was started here; does nothing if it has exited."""
         with contextlib.suppress(ProcessLookupError):
             self.running[name].send_signal(number)
 
     async def kill(self, name: str) -> None:
-        """Kills a process that was started here, and waits for its end."""
+        """Kills a process that was started here, and waits until it has exited."""
         self.signal(name, signal.SIGKILL)
         await self.running.pop(name).wait()
 
@@ -107,7 +108,7 @@
         await asyncio.gather(*(self.kill(name) for name in list(self.running)))
 
     async def replace_configuration(self, number: int) -> None:
-        """Puts a configuration, at one controller after the other until one acknowledges it."""
+        """Sends a configuration to one controller after another until one acknowledges it."""
         body = json.dumps(example_configuration(number)).encode()
         for address in itertools.cycle(self.control_addresses()):
             answer = await send_request(address, b"POST /config/replace HTTP/1.1\r\nHost: control\r\n", body)
@@ -116,7 +117,7 @@
             await asyncio.sleep(CONFIGURATION_RETRY_S)
 
     async def wait_until_ready(self, gateway: str) -> None:
-        """Waits until a gateway says that it is ready."""
+        """Waits until a gateway reports that it is ready."""
         address = self.gateways[gateway], READY_PORT
         while True:
             answer = await send_request(address, b"GET /ready HTTP/1.1\r\nHost: x\r\n", timeout_s=1.0)
--- a/stoneyoke/lab/cluster/requests.py
+++ b/stoneyoke/lab/cluster/requests.py
@@ -1,4 +1,4 @@
-"""Single HTTP requests of the cluster's client, backends and operator, and the configuration that they agree on."""
+"""Single HTTP requests of the cluster's client, backends and operator, and the configuration that all of them use."""
 
 import asyncio
 
@@ -15,23 +15,23 @@
 
 OK = 200
 MISDIRECTED = 421
-# A request that is answered with one of these must not have run at a backend.
+# A request that is rejected with one of these statuses must not have run at a backend.
 REJECTION_STATUSES = (408, MISDIRECTED, 429, 503)
 
 
 async def send_request(
     address: tuple[str, int], head: bytes, body: bytes = b"", timeout_s: float = 3.0
 ) -> Message | None:
-    """Sends one request on a connection of its own.
+    """Sends one request over a new connection.
 
     Args:
         address: Host and port.
         head: The request line and the headers, without Content-Length.
         body: The request's body.
-        timeout_s: For the connection and the whole response.
+        timeout_s: Limits the time to connect and to receive the whole response.
 
     Returns:
-        The response; None if no complete one came in time.
+        The response; None if none was received completely in time.
     """
     try:
         async with asyncio.timeout(timeout_s):
@@ -46,10 +46,10 @@
 
 
 def example_configuration(number: int) -> dict[str, object]:
-    """A configuration with reads and orders of one tenant; from the second one on with another route.
+    """Returns a configuration of one tenant: a read and a non-idempotent route; from number 2 on, another read route.
 
     Args:
-        number: Of the configuration's generation, from 1.
+        number: The number in the configuration's generation, from 1.
     """
     routes = [
         _route("reads", READ_PATH, "pure", SERVICES[0]),
--- a/stoneyoke/lab/cluster/stand_in_backend.py
+++ b/stoneyoke/lab/cluster/stand_in_backend.py
@@ -1,4 +1,4 @@
-"""A backend of the cluster: sends heartbeats to the controllers and serves requests of the gateways."""
+"""A backend of the cluster: sends heartbeats to the controllers and serves the requests of the gateways."""
 
 import asyncio
 import json
@@ -17,27 +17,27 @@
 
 
 class StandInBackend:
-    """One instance of a service. Each response names the request's attempt id and carries the instance's stamp."""
+    """One instance of a service. Each response has the request's attempt id and a stamp with the instance's name."""
 
     def __init__(self, service: str, number: int, ledger: TrafficLedger, cluster: ClusterProcesses) -> None:
-        """Opens nothing yet.
+        """Creates a backend that does not listen yet.
 
         Args:
-            service: Name of the service.
-            number: Of the instance; the last part of its address.
-            ledger: Takes what runs here.
-            cluster: Names the controllers.
+            service: The name of the service.
+            number: The number of the instance, which is the last octet of its address.
+            ledger: Records the requests that run here.
+            cluster: The controllers of this cluster receive the heartbeats.
         """
         self.service = service
         self.ledger = ledger
         self.controllers = cluster.control_addresses()
         self.instance = f"i-{service}-{number}"
         self.ip = f"127.{cluster.address_block}.3.{number}"
-        self.address = f"{self.ip}:{SERVICE_PORT}"  # as its heartbeats tell it
-        self.call_seq = 0  # of the heartbeats
+        self.address = f"{self.ip}:{SERVICE_PORT}"  # the address in its heartbeats
+        self.call_seq = 0  # the number of heartbeats sent; each heartbeat has its own
 
     async def run(self) -> None:
-        """Serves, and sends heartbeats until it is cancelled."""
+        """Serves requests and sends heartbeats until it is cancelled."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: StreamProtocol(self.serve), self.ip, SERVICE_PORT)
         try:
@@ -48,7 +48,7 @@
             self.server.close()
 
     async def _send_heartbeat(self) -> None:
-        """Sends one heartbeat, at one controller after the other until one acknowledges it."""
+        """Sends one heartbeat, to one controller after another until one acknowledges it."""
         self.call_seq += 1
         body = json.dumps(
             {
@@ -64,7 +64,7 @@
                 return
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves one connection until it ends."""
+        """Serves one connection until it is closed."""
         messages = MessageReader(reader, responses=False)
         try:
             while message := await messages.next():
@@ -75,7 +75,7 @@
             writer.close()
 
     async def respond(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """Runs one request that is meant for this instance, and answers it."""
+        """Runs a request and responds with 200, or rejects one that expects another instance with 421."""
         attempt_id = message.headers.get(b"attempt-id", b"").decode()
         status = OK
         header = b"Server-Stamp: %s.%s\r\n" % (self.instance.encode(), attempt_id.encode())
@@ -85,15 +85,17 @@
         else:
             self.ledger.executions[attempt_id] += 1
             if message.headers.get(b"tenant") != TENANT.encode() or b"api-key" in message.headers:
-                self.ledger.report(Rule.ONLY_REQUESTED, f"{attempt_id} came with the wrong tenant or with its key")
+                self.ledger.report(
+                    Rule.ONLY_REQUESTED, f"{attempt_id} reached a backend with the wrong tenant or with its API key"
+                )
             await self.work(message, writer)
         head = b"Attempt-Id: %s\r\n%sContent-Length: 3\r\n" % (attempt_id.encode(), header)
         write_message(writer, [status_line(status), head], b"ok\n")
 
     async def work(self, message: Message, writer: asyncio.StreamWriter) -> None:  # noqa: ARG002 -- for subclasses
-        """What running a request takes.
+        """Takes as long as a request runs.
 
         Raises:
-            OSError: The run ends without an answer.
+            OSError: The run ends without a response.
         """
         await asyncio.sleep(SERVICE_TIME_S)
--- a/stoneyoke/lab/cluster/traffic_ledger.py
+++ b/stoneyoke/lab/cluster/traffic_ledger.py
@@ -1,4 +1,4 @@
-"""What clients and backends of a trial saw, and the rules that it shows to be broken."""
+"""Records what the clients and backends of a trial observe, and finds the violations of the rules in it."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -6,57 +6,57 @@
 
 from stoneyoke.lab.cluster.requests import OK, REJECTION_STATUSES
 
-NO_RESPONSE = 0  # in place of a status: the connection ended without a response
+NO_RESPONSE = 0  # in place of a status: no complete response was received
 
 
 class Rule(Enum):
     """A guarantee of the system."""
 
-    ONCE = "TWICE"  # an order runs at one backend at most, once at most
-    REJECTED_NEVER_RAN = "REFUSED"  # an order that was rejected has not run
+    ONCE = "TWICE"  # a non-idempotent request runs at most once, over all backends
+    REJECTED_NEVER_RAN = "REFUSED"  # a non-idempotent request that was rejected has not run
     MATCHING_RESPONSE = "MIXED"  # a response belongs to its request
     ONLY_REQUESTED = "UNASKED"  # a backend runs only what a client sent, as it was sent
-    DURABLE_CONFIGURATION = "CONFIG"  # an acknowledged configuration is read back
-    ENDS_WITH_CLIENT = "GONE"  # no read runs on at a backend after its client has left
-    ORDERS_FINISH = "BROKEN OFF"  # an order's run is not broken off by the gateway
-    ANSWERED = "LOST"  # who waits gets an answer to what ran, if nothing failed
-    NOTHING_HELD = "HELD"  # a process without requests holds nothing of former ones
-    NO_VIOLATIONS = "INVARIANT"  # the running code counts no violated invariant
-    STAYS_UP = "EXIT"  # no process ends by itself
+    DURABLE_CONFIGURATION = "CONFIG"  # a read returns the acknowledged configuration
+    ENDS_WITH_CLIENT = "GONE"  # no read continues at a backend after its client has left
+    ORDERS_FINISH = "BROKEN OFF"  # the gateway does not interrupt a non-idempotent request that runs
+    ANSWERED = "LOST"  # without a fault, a client that waits gets the response to a request that ran
+    NOTHING_HELD = "HELD"  # a process without requests has released everything that earlier ones used
+    NO_VIOLATIONS = "INVARIANT"  # no process counts a violated invariant
+    STAYS_UP = "EXIT"  # no process exits on its own
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One break of a rule."""
+    """One violation of a rule."""
 
     rule: Rule
     detail: str
 
     def __str__(self) -> str:
-        """One line for the trial's output."""
+        """Returns the line that the trial prints."""
         return f"{self.rule.value}: {self.detail}"
 
 
 @dataclass
 class TrafficLedger:
-    """What was seen of each attempt id: at clients and at backends."""
+    """What the clients and the backends observed of each attempt, by attempt id."""
 
-    executions: Counter[str] = field(default_factory=Counter)  # how often it ran at a backend
-    orders: set[str] = field(default_factory=set)  # ids of requests with an effect
-    statuses: dict[str, int] = field(default_factory=dict)  # of the response, or NO_RESPONSE
-    seen_violations: list[Violation] = field(default_factory=list)  # noticed while the trial ran
+    executions: Counter[str] = field(default_factory=Counter)  # how often each attempt ran at a backend
+    orders: set[str] = field(default_factory=set)  # attempt ids of non-idempotent requests
+    statuses: dict[str, int] = field(default_factory=dict)  # of the responses, or NO_RESPONSE
+    seen_violations: list[Violation] = field(default_factory=list)  # reported while the trial ran
 
     def report(self, rule: Rule, detail: str) -> None:
-        """Notes a violation that a client or a backend noticed."""
+        """Records a violation that a client or a backend detected."""
         self.seen_violations.append(Violation(rule, detail))
 
     def violations(self) -> list[Violation]:
-        """All breaks of rules."""
+        """Returns all violations: those that were reported, and those that the records show."""
         found = list(self.seen_violations)
         for attempt_id, status in self.statuses.items():
             found += self._violations_of(attempt_id, status)
         found += [
-            Violation(Rule.ONLY_REQUESTED, f"{attempt_id} ran and was sent by no client")
+            Violation(Rule.ONLY_REQUESTED, f"{attempt_id} ran although no client sent it")
             for attempt_id in self.executions
             if attempt_id not in self.statuses
         ]
@@ -69,7 +69,7 @@
         if is_order and executions > 1:
             found.append(Violation(Rule.ONCE, f"{attempt_id} ran {executions} times"))
         if is_order and executions and status in REJECTION_STATUSES:
-            found.append(Violation(Rule.REJECTED_NEVER_RAN, f"{attempt_id} ran and was answered {status}"))
+            found.append(Violation(Rule.REJECTED_NEVER_RAN, f"{attempt_id} ran and was rejected with {status}"))
         if status == OK and not executions:
-            found.append(Violation(Rule.MATCHING_RESPONSE, f"{attempt_id} was answered 200 and never ran"))
+            found.append(Violation(Rule.MATCHING_RESPONSE, f"{attempt_id} was answered with 200 and never ran"))
         return found
--- a/stoneyoke/lab/cluster/trial.py
+++ b/stoneyoke/lab/cluster/trial.py
@@ -1,4 +1,4 @@
-"""A trial of the whole system: traffic, a new configuration, a controller and a gateway killed and started again."""
+"""A trial of the whole system: traffic, a configuration change, and a controller and a gateway killed and restarted."""
 
 import asyncio
 import json
@@ -14,23 +14,23 @@
 from stoneyoke.lab.cluster.traffic_ledger import Rule, TrafficLedger
 
 BACKEND_COUNT = 4
-MAX_DOWN_S = 1.5  # time from a kill to the next start
+MAX_DOWN_S = 1.5  # upper limit of the time from a kill to the restart
 FIRST_GENERATION, SECOND_GENERATION = 1, 2
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TrialSettings:
-    """What a trial is made of."""
+    """The parameters of a trial."""
 
-    seconds: float  # length of the traffic
+    seconds: float  # for how long new requests are sent
     gateways: int
     rate_per_s: float  # requests
-    seed: int  # of the client's draws and of the processes to kill
+    seed: int  # of the client's random choices and of the choice of processes to kill
     address_block: int = 0  # see ClusterProcesses
 
 
 async def bring_up(cluster: ClusterProcesses, ledger: TrafficLedger) -> list[asyncio.Task[None]]:
-    """Starts controllers, gateways and backends, puts the first configuration and waits for the gateways.
+    """Starts controllers, gateways and backends, sends the first configuration and waits until the gateways are ready.
 
     Returns:
         The tasks that run the backends. The caller cancels them.
@@ -47,10 +47,10 @@
 
 
 async def run_trial(settings: TrialSettings) -> tuple[TrafficLedger, Client]:
-    """Runs a trial to its end and ends all its processes.
+    """Runs a trial, and kills all its processes at the end.
 
     Returns:
-        What was seen, and the client with its counts.
+        The ledger, and the client with its counts.
     """
     ledger = TrafficLedger()
     random_source = random.Random(settings.seed)
@@ -74,7 +74,7 @@
 
 
 async def _kill_and_restart(cluster: ClusterProcesses, random_source: random.Random, seconds: float) -> None:
-    """Kills a random controller, then a random gateway, and starts each again."""
+    """Kills and restarts a random controller, then a random gateway."""
     controller = random_source.choice(list(cluster.controllers))
     gateway = random_source.choice(list(cluster.gateways))
     for name in (controller, gateway):
@@ -85,9 +85,9 @@
 
 
 async def _check_configuration(cluster: ClusterProcesses, ledger: TrafficLedger) -> None:
-    """Reads the acknowledged configuration back from a controller."""
+    """Reports a violation unless a controller returns the last acknowledged configuration."""
     address = cluster.control_addresses()[0]
     answer = await send_request(address, b"GET /config/read HTTP/1.1\r\nHost: control\r\n")
     generation = json.loads(answer.body or b"{}").get("generation") if answer else None
     if generation != f"r{SECOND_GENERATION}":
-        ledger.report(Rule.DURABLE_CONFIGURATION, "what was acknowledged was not read back")
+        ledger.report(Rule.DURABLE_CONFIGURATION, "a controller did not return the acknowledged configuration")
