--- a/stoneyoke/lab/cluster/__main__.py
+++ b/stoneyoke/lab/cluster/__main__.py
@@ -25,7 +25,7 @@
 MAX_PRINTED_VIOLATIONS = 20
 
 
-async def stay_up(gateways: int) -> None:
+async def run_until_interrupted(gateways: int) -> None:
     """Runs the whole system until it is interrupted."""
     with tempfile.TemporaryDirectory() as folder:
         cluster = ClusterProcesses(Path(folder), gateways)
@@ -53,7 +53,7 @@
     """
     if not SECONDS.value:
         with contextlib.suppress(KeyboardInterrupt):
-            asyncio.run(stay_up(GATEWAYS.value))
+            asyncio.run(run_until_interrupted(GATEWAYS.value))
         return
     settings = TrialSettings(seconds=SECONDS.value, gateways=GATEWAYS.value, rate_per_s=RATE.value, seed=SEED.value)
     ledger, client = asyncio.run(run_trial(settings))
--- a/stoneyoke/lab/cluster/client.py
+++ b/stoneyoke/lab/cluster/client.py
@@ -9,8 +9,8 @@
 from stoneyoke.lab.cluster.requests import (
     API_KEY,
     HOSTNAME,
+    NON_IDEMPOTENT_PATH,
     OK,
-    ORDER_PATH,
     READ_PATH,
     REJECTION_STATUSES,
     ROUTE_TIMEOUT_S,
@@ -19,9 +19,9 @@
 from stoneyoke.lab.cluster.traffic_ledger import NO_RESPONSE, Rule, TrafficLedger
 from stoneyoke.net.message_reader import Message
 
-MAX_TRIES = 5
-RETRY_PAUSE_S = 0.2
-ORDER_SHARE = 0.2  # share of the non-idempotent requests in all requests
+MAX_ATTEMPTS = 5
+RETRY_DELAY_S = 0.2
+NON_IDEMPOTENT_SHARE = 0.2  # share of the non-idempotent requests in all requests
 
 
 class ClientRequest(NamedTuple):
@@ -61,45 +61,45 @@
         end_s = loop.time() + seconds
         async with asyncio.TaskGroup() as requests:
             while loop.time() < end_s:
-                is_order = self._random_source.random() < ORDER_SHARE
-                requests.create_task(self._send_with_retries(is_order))
+                is_non_idempotent = self._random_source.random() < NON_IDEMPOTENT_SHARE
+                requests.create_task(self._send_with_retries(is_non_idempotent))
                 await asyncio.sleep(self._random_source.expovariate(rate_per_s))
 
-    async def _send_with_retries(self, is_order: bool) -> None:
+    async def _send_with_retries(self, is_non_idempotent: bool) -> None:
         """Sends one request. Retries a non-idempotent one only after a rejection, which proves that it has not run."""
-        for _ in range(MAX_TRIES):
-            status = await self.send_once(is_order)
+        for _ in range(MAX_ATTEMPTS):
+            status = await self.send_once(is_non_idempotent)
             if status == OK:
                 self.served += 1
                 return
-            if is_order and status not in REJECTION_STATUSES:
+            if is_non_idempotent and status not in REJECTION_STATUSES:
                 break
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(RETRY_DELAY_S)
         self.given_up += 1
 
-    async def send_once(self, is_order: bool) -> int:
+    async def send_once(self, is_non_idempotent: bool) -> int:
         """Sends one attempt.
 
         Returns:
             The status of the response, or NO_RESPONSE.
         """
-        request = self.make_request(is_order)
+        request = self.make_request(is_non_idempotent)
         ip = self._random_source.choice(list(self._cluster.gateways.values()))
         response = await send_request((ip, FRONT_PORT), request.head, request.body)
         return self.note_response(request, response)
 
-    def make_request(self, is_order: bool, more_headers: str = "") -> ClientRequest:
+    def make_request(self, is_non_idempotent: bool, more_headers: str = "") -> ClientRequest:
         """Returns the next attempt, and records it in the ledger as one without a response."""
         attempt_id = f"a{next(self._attempt_numbers)}"
         self._ledger.statuses[attempt_id] = NO_RESPONSE
-        if is_order:
+        if is_non_idempotent:
             self._ledger.orders.add(attempt_id)
-        method, path = ("POST", ORDER_PATH) if is_order else ("GET", READ_PATH)
+        method, path = ("POST", NON_IDEMPOTENT_PATH) if is_non_idempotent else ("GET", READ_PATH)
         head = (
             f"{method} {path}x HTTP/1.1\r\nHost: {HOSTNAME}\r\nAttempt-Id: {attempt_id}\r\n"
             f"Deadline-Ms: {ROUTE_TIMEOUT_S * 1000}\r\nApi-Key: {API_KEY}\r\n{more_headers}"
         )
-        return ClientRequest(attempt_id, head.encode(), b"order" if is_order else b"")
+        return ClientRequest(attempt_id, head.encode(), b"order" if is_non_idempotent else b"")
 
     def note_response(self, request: ClientRequest, response: Message | None) -> int:
         """Records the response of an attempt in the ledger, and returns its status or NO_RESPONSE."""
@@ -111,8 +111,8 @@
         return response.status
 
     def _check_response(self, attempt_id: str, response: Message) -> None:
-        is_own = response.headers.get(b"attempt-id") == attempt_id.encode()
-        if not is_own or not response.headers.get(b"server-stamp"):
+        id_matches = response.headers.get(b"attempt-id") == attempt_id.encode()
+        if not id_matches or not response.headers.get(b"server-stamp"):
             self._ledger.report(
                 Rule.MATCHING_RESPONSE,
                 f"{attempt_id} received a response without its attempt id or without a server stamp",
--- a/stoneyoke/lab/cluster/processes.py
+++ b/stoneyoke/lab/cluster/processes.py
@@ -111,8 +111,8 @@
         """Sends a configuration to one controller after another until one acknowledges it."""
         body = json.dumps(example_configuration(number)).encode()
         for address in itertools.cycle(self.control_addresses()):
-            answer = await send_request(address, b"POST /config/replace HTTP/1.1\r\nHost: control\r\n", body)
-            if answer and answer.status == OK:
+            response = await send_request(address, b"POST /config/replace HTTP/1.1\r\nHost: control\r\n", body)
+            if response and response.status == OK:
                 return
             await asyncio.sleep(CONFIGURATION_RETRY_S)
 
@@ -120,7 +120,7 @@
         """Waits until a gateway reports that it is ready."""
         address = self.gateways[gateway], READY_PORT
         while True:
-            answer = await send_request(address, b"GET /ready HTTP/1.1\r\nHost: x\r\n", timeout_s=1.0)
-            if answer and answer.status == OK:
+            response = await send_request(address, b"GET /ready HTTP/1.1\r\nHost: x\r\n", timeout_s=1.0)
+            if response and response.status == OK:
                 return
             await asyncio.sleep(READINESS_POLL_S)
--- a/stoneyoke/lab/cluster/requests.py
+++ b/stoneyoke/lab/cluster/requests.py
@@ -9,7 +9,7 @@
 TENANT = "bureau"
 API_KEY = "bureau-key"
 SERVICES = ("tide-view", "switch-yard")
-READ_PATH, ORDER_PATH, LATER_PATH = "/usage/", "/switch/", "/later/"
+READ_PATH, NON_IDEMPOTENT_PATH, SECOND_READ_PATH = "/usage/", "/switch/", "/later/"
 ROUTE_TIMEOUT_S = 2
 MAX_RESPONSE_BYTES = 1 << 24
 
@@ -53,10 +53,10 @@
     """
     routes = [
         _route("reads", READ_PATH, "pure", SERVICES[0]),
-        _route("orders", ORDER_PATH, "effectful", SERVICES[1]),
+        _route("orders", NON_IDEMPOTENT_PATH, "effectful", SERVICES[1]),
     ]
     if number > 1:
-        routes.append(_route("later", LATER_PATH, "pure", SERVICES[0]))
+        routes.append(_route("later", SECOND_READ_PATH, "pure", SERVICES[0]))
     return {
         "generation": f"r{number}",
         "service_list": [{"label": name} for name in SERVICES],
--- a/stoneyoke/lab/cluster/stand_in_backend.py
+++ b/stoneyoke/lab/cluster/stand_in_backend.py
@@ -59,8 +59,8 @@
         ).encode()
         head = b"POST /instances/%s/heartbeat HTTP/1.1\r\nHost: control\r\n" % self.instance.encode()
         for controller in random.sample(self.controllers, len(self.controllers)):
-            answer = await send_request(controller, head, body, 1.0)
-            if answer and answer.status == OK:
+            response = await send_request(controller, head, body, 1.0)
+            if response and response.status == OK:
                 return
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -68,13 +68,13 @@
         messages = MessageReader(reader, responses=False)
         try:
             while message := await messages.next():
-                await self.respond(message, writer)
+                await self.handle_request(message, writer)
         except (OSError, MalformedMessage):
             pass
         finally:
             writer.close()
 
-    async def respond(self, message: Message, writer: asyncio.StreamWriter) -> None:
+    async def handle_request(self, message: Message, writer: asyncio.StreamWriter) -> None:
         """Runs a request and responds with 200, or rejects one that expects another instance with 421."""
         attempt_id = message.headers.get(b"attempt-id", b"").decode()
         status = OK
--- a/stoneyoke/lab/cluster/traffic_ledger.py
+++ b/stoneyoke/lab/cluster/traffic_ledger.py
@@ -44,15 +44,15 @@
     executions: Counter[str] = field(default_factory=Counter)  # how often each attempt ran at a backend
     orders: set[str] = field(default_factory=set)  # attempt ids of non-idempotent requests
     statuses: dict[str, int] = field(default_factory=dict)  # of the responses, or NO_RESPONSE
-    seen_violations: list[Violation] = field(default_factory=list)  # reported while the trial ran
+    reported_violations: list[Violation] = field(default_factory=list)  # reported while the trial ran
 
     def report(self, rule: Rule, detail: str) -> None:
         """Records a violation that a client or a backend detected."""
-        self.seen_violations.append(Violation(rule, detail))
+        self.reported_violations.append(Violation(rule, detail))
 
     def violations(self) -> list[Violation]:
         """Returns all violations: those that were reported, and those that the records show."""
-        found = list(self.seen_violations)
+        found = list(self.reported_violations)
         for attempt_id, status in self.statuses.items():
             found += self._violations_of(attempt_id, status)
         found += [
@@ -65,10 +65,10 @@
     def _violations_of(self, attempt_id: str, status: int) -> list[Violation]:
         found: list[Violation] = []
         executions = self.executions[attempt_id]
-        is_order = attempt_id in self.orders
-        if is_order and executions > 1:
+        is_non_idempotent = attempt_id in self.orders
+        if is_non_idempotent and executions > 1:
             found.append(Violation(Rule.ONCE, f"{attempt_id} ran {executions} times"))
-        if is_order and executions and status in REJECTION_STATUSES:
+        if is_non_idempotent and executions and status in REJECTION_STATUSES:
             found.append(Violation(Rule.REJECTED_NEVER_RAN, f"{attempt_id} ran and was rejected with {status}"))
         if status == OK and not executions:
             found.append(Violation(Rule.MATCHING_RESPONSE, f"{attempt_id} was answered with 200 and never ran"))
--- a/stoneyoke/lab/cluster/trial.py
+++ b/stoneyoke/lab/cluster/trial.py
@@ -14,7 +14,7 @@
 from stoneyoke.lab.cluster.traffic_ledger import Rule, TrafficLedger
 
 BACKEND_COUNT = 4
-MAX_DOWN_S = 1.5  # upper limit of the time from a kill to the restart
+MAX_DOWNTIME_S = 1.5  # upper limit of the time from a kill to the restart
 FIRST_GENERATION, SECOND_GENERATION = 1, 2
 
 
@@ -80,14 +80,14 @@
     for name in (controller, gateway):
         await asyncio.sleep(seconds / 10)
         await cluster.kill(name)
-        await asyncio.sleep(min(MAX_DOWN_S, seconds / 10))
+        await asyncio.sleep(min(MAX_DOWNTIME_S, seconds / 10))
         await cluster.start(name)
 
 
 async def _check_configuration(cluster: ClusterProcesses, ledger: TrafficLedger) -> None:
     """Reports a violation unless a controller returns the last acknowledged configuration."""
     address = cluster.control_addresses()[0]
-    answer = await send_request(address, b"GET /config/read HTTP/1.1\r\nHost: control\r\n")
-    generation = json.loads(answer.body or b"{}").get("generation") if answer else None
+    response = await send_request(address, b"GET /config/read HTTP/1.1\r\nHost: control\r\n")
+    generation = json.loads(response.body or b"{}").get("generation") if response else None
     if generation != f"r{SECOND_GENERATION}":
         ledger.report(Rule.DURABLE_CONFIGURATION, "a controller did not return the acknowledged configuration")
