--- a/stoneyoke/lab/cluster/processes.py
+++ b/stoneyoke/lab/cluster/processes.py
@@ -79,7 +79,7 @@
             f"--metrics_port={METRICS_PORT}",
         ]
         with self.open_log(name) as log:
-            # -O as in release builds: assertions are off, so a violated invariant is counted and the process continues.
+            # -O as in release builds: a violated invariant is counted, and the process continues instead of failing.
             self.running[name] = await asyncio.create_subprocess_exec(
                 sys.executable, "-O", "-m", *arguments, stderr=log if self.keeps_logs else None
             )
