--- a/stoneyoke/lab/simulation/exhaustive/__init__.py
+++ b/stoneyoke/lab/simulation/exhaustive/__init__.py
@@ -1,6 +1,6 @@
-"""Explicit-state model checking of the consensus register: every order of messages and failures in small models.
+"""Explicit-state model checking of the consensus register: all orders of messages and failures in small models.
 
-`state` holds the hashable states, `snapshots` turns them into the real objects and back, `models` lists what is
-checked, `transitions` generates the successors of a state, `invariants` checks each of them and `search` explores them
-breadth first. docs/design/exhaustive.md has the counts of states and what the models leave out.
+`state` defines the hashable states, `snapshots` converts them to the real objects and back, `models` lists the models,
+`transitions` generates the successors of a state, `invariants` checks each of them and `search` explores them breadth
+first. docs/design/exhaustive.md has the number of states of each model and what the models leave out.
 """
--- a/stoneyoke/lab/simulation/exhaustive/failures.py
+++ b/stoneyoke/lab/simulation/exhaustive/failures.py
@@ -1,4 +1,4 @@
-"""Failure transitions: processes that restart with their disk or with an empty one."""
+"""Failure transitions: a process restarts with its disk or with an empty one."""
 
 from collections.abc import Iterator
 
@@ -7,7 +7,7 @@
 
 
 def failures(model: Model, state: State) -> Iterator[Transition]:
-    """Yields the restart and the disk loss of each process that the model lets fail."""
+    """Yields the restart and the loss of the disk of each process that may fail in the model."""
     for process in state.processes:
         address = process.replica.address
         if model.fallible is not None and address not in model.fallible:
@@ -22,16 +22,16 @@
 
 
 def restart(model: Model, state: State, process: Process, disk: str) -> State:
-    """Ends a process and starts the next incarnation.
+    """Stops a process and starts its next incarnation.
 
     Args:
         model: The model.
-        state: The state before.
-        process: The process that ends.
-        disk: The name of the new, empty disk; empty if the process keeps its disk.
+        state: The state before the restart.
+        process: The process that stops.
+        disk: The name of the new, empty disk; "" if the process restarts with its old disk.
 
     Returns:
-        The state after, without the operations of the process and the requests that it sent to itself.
+        The state after the restart, without the operations of the process and the requests that it sent to itself.
     """
     address = process.replica.address
     after = process._replace(incarnation=process.incarnation + 1, chosen=None, counter=0)
--- a/stoneyoke/lab/simulation/exhaustive/models.py
+++ b/stoneyoke/lab/simulation/exhaustive/models.py
@@ -1,4 +1,4 @@
-"""The models that are checked: small systems, each with its voters, its operations and its failures."""
+"""The models that are checked: small systems, each with its voters, operations and failures."""
 
 from dataclasses import dataclass
 
@@ -20,22 +20,22 @@
 
 @dataclass(frozen=True)
 class Model:
-    """What a search explores.
+    """A model that a search explores.
 
     Attributes:
-        name: In words; defects and tests refer to it.
-        operations: What happens once each, at any time.
-        voters: Addresses of the controllers that vote.
-        learners: Addresses of controllers without a vote, which know the first chosen value.
-        size: The number of voters that changes aim at.
-        crashes: Processes that may end and come back with their disk.
-        losses: Processes that may end and come back with an empty disk.
-        separate_replies: Whether a reply is a message of its own, which may be late; else it arrives at once or never.
-        duplicates: Whether each request may be delivered again.
-        may_learn: Addresses that may learn chosen values from others at any time; None for all.
-        fallible: Addresses that may crash or lose their disk; None for all.
-        gateway_views: Whether a gateway collects views.
-        prefix: Transitions that are taken before the search starts.
+        name: A description; defects and tests refer to the model by it.
+        operations: The operations; each runs once, at any time.
+        voters: Addresses of the controllers that are voters.
+        learners: Addresses of the controllers that are not voters; they know the first chosen value.
+        size: The number of voters that changes of voters aim at.
+        crashes: How often processes may restart with their disk, all together.
+        losses: How often processes may restart with an empty disk, all together.
+        separate_replies: Whether a response is a separate message, which may be late; else it arrives at once or never.
+        duplicates: Whether each request may be delivered more than once.
+        may_learn: Addresses of the processes that may learn chosen values from others at any time; None for all.
+        fallible: Addresses of the processes that may restart or lose their disk; None for all.
+        gateway_views: Whether a gateway collects views of controllers.
+        prefix: Labels of the transitions that are taken before the search starts.
     """
 
     name: str
@@ -53,7 +53,7 @@
     prefix: tuple[str, ...] = ()
 
     def start(self) -> State:
-        """Returns the state before any transition: every process knows the first value."""
+        """Returns the state before any transition, in which every process knows the first value."""
         first = initial_value(self.voters)
         members = {member.address: member for member in first.value.voters.members}
         processes = [Process(members[name], NO_BALLOT, first, chosen=first) for name in self.voters]
@@ -73,7 +73,7 @@
 
 
 def order(address: str, number: int, content: bytes = b"x", tries: int = 1) -> Operation:
-    """Returns the write of a configuration."""
+    """Returns an operation that writes a configuration."""
     return Operation(OperationKind.ORDER, address, (Version(number, content),), tries=tries)
 
 
@@ -90,7 +90,7 @@
 
 
 def read(address: str, tries: int = 1) -> Operation:
-    """Returns a read of the register."""
+    """Returns an operation that reads the register."""
     return Operation(OperationKind.READ, address, tries=tries)
 
 
@@ -125,7 +125,7 @@
     Model("a gateway and two orders", (order("a", 1), order("b", 2)), gateway_views=True),
     Model("a gateway and an order, a disk lost", (order("a", 1),), losses=1, gateway_views=True),
 )
-# a replaces c by d, d ends that change and then replaces b by e. c and b have not learned of either change.
+# a replaces c by d; d completes that change and then replaces b by e. c and b have learned neither change.
 TWO_CHANGES = (
     "a begins change of voters",
     "prepare 1a.0 at a",
--- a/stoneyoke/lab/simulation/exhaustive/operations.py
+++ b/stoneyoke/lab/simulation/exhaustive/operations.py
@@ -1,4 +1,4 @@
-"""Operations as rounds and reads: what each proposes, and what its result means for the operator."""
+"""Operations as rounds and reads: what each operation proposes, and what its result means for the operator."""
 
 import functools
 
@@ -12,12 +12,12 @@
 from stoneyoke.lab.simulation.exhaustive.snapshots import configuration
 from stoneyoke.lab.simulation.exhaustive.state import DesiredMembers, Operation, OperationKind, Process, State
 
-SILENT_S = 2.0  # how long a silent voter has been silent
-LOST_S = 1.0  # after which a silent voter counts as lost
+SILENT_S = 2.0  # for how long a silent voter has sent nothing
+LOST_S = 1.0  # after this time without a message a voter counts as lost
 
 
 def desired_members(model: Model, state: State, process: Process, operation: Operation) -> DesiredMembers | None:
-    """Returns the voters that a change asks for, as Membership.change does; None if there is nothing to change."""
+    """Returns the voters that a change requests, as Membership.change does; None if there is nothing to change."""
     if operation.kind is not OperationKind.CHANGE or process.chosen is None:
         return None
     value = process.chosen.value
@@ -50,8 +50,8 @@
 def reads_first(process: Process, operation: Operation) -> bool:
     """Returns whether an operation starts with a read.
 
-    Like ConfigurationService.already_chosen: a configuration whose number is not above the one in force is settled by a
-    read, without a round.
+    Like ConfigurationService.already_chosen: a configuration whose number is not above the one in force needs only a
+    read, and no round.
     """
     if operation.kind is OperationKind.READ:
         return True
@@ -60,7 +60,7 @@
 
 
 def change(operation: Operation, desired: DesiredMembers | None) -> Change:
-    """Returns the change that the operation's round makes to the register's value."""
+    """Returns the function with which the operation's round changes the value of the register."""
     if operation.kind is OperationKind.ORDER:
         orders = tuple(configuration(version) for version in operation.versions)
         return functools.partial(configuration_service.apply_replacements, orders)
@@ -70,7 +70,7 @@
 
 
 def answer(state: State, operation: Operation, chosen: Proposal) -> State:
-    """Gives the operator the result, and checks each acknowledgement and each conflict."""
+    """Records what the operator receives as the result; checks each acknowledgement and each conflict."""
     if operation.kind is OperationKind.READ:
         return invariants.record_shown(state, chosen)
     for version in operation.versions:
@@ -82,5 +82,5 @@
             case Rejected():
                 state = invariants.check_conflict(state, version)
             case _:
-                state = invariants.with_violation(state, f"{version} has no answer after its round")
+                state = invariants.with_violation(state, f"{version} has no outcome after its round")
     return state
--- a/stoneyoke/lab/simulation/exhaustive/reads.py
+++ b/stoneyoke/lab/simulation/exhaustive/reads.py
@@ -1,4 +1,4 @@
-"""Read transitions: controllers query a majority, and gateways compare the views of controllers."""
+"""Read transitions: controllers query a majority, and a gateway compares the views of controllers."""
 
 from collections.abc import Iterator
 
@@ -31,9 +31,9 @@
 
 
 def answers_to_queries(model: Model, state: State) -> Iterator[Transition]:
-    """Yields the answer of each voter that a query still needs.
+    """Yields the response of each voter that a query still needs.
 
-    The answer arrives at once: the reader does nothing until then, so a late answer reaches no other state.
+    The response arrives at once: the reader does nothing until then, so a late response reaches no other state.
     """
     for ongoing in state.ongoing:
         if not ongoing.query:
@@ -45,7 +45,7 @@
 
 
 def query_answered(model: Model, state: State, ongoing: OngoingOperation, address: str) -> State:
-    """Adds one voter's answer to a query; ends the operation if that settles it."""
+    """Adds the response of a voter to a query; finishes the operation if the query now has a result."""
     assert ongoing.query
     query = restore_query(ongoing.query)
     voter = process_at(state, address)
@@ -59,7 +59,7 @@
 def gateway_views(state: State) -> Iterator[Transition]:
     """Yields each view that the gateway may receive next: the newest value that a controller knows, without its body.
 
-    The lower bound is taken with the first view. The gateway ends once `newest_view` finds an answer.
+    The lower bound is read with the first view. The gateway is done once `newest_view` returns a view.
     """
     gateway = state.gateway
     if gateway is None:
--- a/stoneyoke/lab/simulation/exhaustive/rounds.py
+++ b/stoneyoke/lab/simulation/exhaustive/rounds.py
@@ -29,22 +29,22 @@
 
 
 def describe_request(request: Request) -> str:
-    """Returns a request as transitions name it."""
+    """Returns the label of a request in transitions."""
     kind = "prepare" if request.proposal is None else "accept"
     return f"{kind} {request.ballot.counter}{request.ballot.proposer} at {request.to}"
 
 
 def begin_round(model: Model, state: State, before: OngoingOperation | None, ongoing: OngoingOperation) -> State:
-    """Starts a round with a ballot above all that its process knows, as Proposer.run_round does.
+    """Starts a round with a ballot above all ballots that its process knows, as Proposer.run_round does.
 
     Args:
         model: The model.
-        state: The state before.
-        before: The ongoing operation that the new round replaces; None for one that starts.
+        state: The state before the round.
+        before: The ongoing operation whose round or query is replaced; None for an operation that starts.
         ongoing: The operation that the round is for.
 
     Returns:
-        The state after, with the requests of the first phase.
+        The state with the round and the requests of its first phase.
     """
     operation = model.operations[ongoing.operation]
     process = process_at(state, operation.address)
@@ -69,7 +69,7 @@
 def send_requests(
     model: Model, state: State, before: OngoingOperation | None, ongoing: OngoingOperation, current: ProposalRound
 ) -> State:
-    """Sends the request of this phase to each target that does not have it yet, as Proposer.drive does."""
+    """Sends the request of this phase to each target that does not have it yet, as Proposer.run_phases does."""
     process = process_at(state, model.operations[ongoing.operation].address)
     targets = current.addresses_to_ask() - ongoing.contacted
     proposal = current.proposed_value if current.phase is Phase.ACCEPT else None
@@ -80,10 +80,10 @@
 
 
 def request_deliveries(model: Model, state: State, request: Request) -> Iterator[Transition]:
-    """Yields what may follow when a request arrives.
+    """Yields the transitions that are possible when a request arrives.
 
-    Unless replies are messages of their own, a reply arrives at once or never. A promise that arrives late or never
-    reaches no other state than one that was never given; neither does an acceptance that arrives late.
+    Unless responses are separate messages, a response arrives at once or never. A promise that arrives late or never
+    leads to the same states as a promise that was never given, so it has no transition; nor has a late acceptance.
     """
     label = describe_request(request)
     after, reply = process_request(state, request)
@@ -98,7 +98,7 @@
 
 
 def process_request(state: State, request: Request) -> tuple[State, Reply]:
-    """Lets the acceptor handle a request, as ReplicaServer.prepare and accept do."""
+    """Handles a request at its acceptor, as ReplicaServer.prepare and accept do."""
     process = process_at(state, request.to)
     replica = restore_replica(process)
     accepted = None
@@ -115,7 +115,7 @@
 
 
 def apply_reply(model: Model, state: State, reply: Reply) -> State:
-    """Gives a reply to its round, as Proposer.prepare_at and accept_at do; late replies change nothing."""
+    """Handles a response in its round, as Proposer.send_prepare and send_accept do; a late response changes nothing."""
     request = reply.request
     if reply in state.replies:
         state = state._replace(replies=state.replies - {reply})
@@ -135,7 +135,7 @@
 
 
 def update_round(current: ProposalRound, reply: Reply) -> None:
-    """Counts a reply as a promise, an acceptance or a refusal."""
+    """Counts a response as a promise, an acceptance or a refusal."""
     if not reply.ok:
         if reply.promised > current.ballot:
             current.on_refused(reply.promised)
@@ -146,13 +146,13 @@
 
 
 def check_known(state: State, replica: Replica, address: str) -> State:
-    """Checks that the value a round or a query starts from is chosen."""
+    """Checks that the value and the voter set from which a round or a query starts are chosen."""
     state = invariants.check_voter_set_number(state, replica.chosen_voters_number(), address)
     return invariants.check_chosen(state, replica.chosen, address) if replica.chosen else state
 
 
 def finish(model: Model, state: State, ongoing: OngoingOperation, chosen: Proposal) -> State:
-    """Ends an operation with its result: its process learns the value, and its operator gets the answer."""
+    """Finishes an operation: its process learns the chosen value, and its operator receives the result."""
     operation = model.operations[ongoing.operation]
     state = invariants.check_chosen(state, chosen, operation.address)
     state = invariants.check_not_stale(state, chosen, ongoing.lower_bound, operation.address)
@@ -162,7 +162,7 @@
 
 
 def learn(state: State, address: str, chosen: Proposal) -> State:
-    """Lets a process learn a chosen value."""
+    """Returns the state in which a process has learned a chosen value."""
     process = process_at(state, address)
     replica = restore_replica(process)
     run_to_completion(replica.learn(chosen))
--- a/stoneyoke/lab/simulation/exhaustive/search.py
+++ b/stoneyoke/lab/simulation/exhaustive/search.py
@@ -1,4 +1,4 @@
-"""Breadth-first search through the states of a model: the shortest counterexample is found first."""
+"""Breadth-first search through the states of a model, which finds a shortest counterexample."""
 
 import time
 from concurrent.futures import ProcessPoolExecutor
@@ -10,7 +10,7 @@
 from stoneyoke.lab.simulation.exhaustive.state import State
 from stoneyoke.lab.simulation.exhaustive.transitions import initial_state, transitions
 
-MAX_STATES = 150_000  # bounds memory
+MAX_STATES = 150_000  # limits the memory of a search
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -19,12 +19,12 @@
 
     Attributes:
         model: The model's name.
-        states: Distinct states that were reached.
-        depth: Transitions from the initial state to the farthest ones.
-        exhausted: Whether every reachable state was seen; else only those within `depth` transitions were.
-        seconds: Wall time.
-        changes: Changes of voters chosen one after the other in some state.
-        configurations: Distinct configurations that were chosen in any state.
+        states: The number of distinct states that were reached.
+        depth: The number of transitions from the initial state to the farthest states.
+        exhausted: Whether every reachable state was explored; else only those within `depth` transitions were.
+        seconds: Wall-clock time of the search.
+        changes: The highest number of consecutive changes of voters that were chosen in some state.
+        configurations: The number of distinct configurations that were chosen in any state.
         violation: The invariant that does not hold; empty if all hold.
         counterexample: The transitions from the initial state to the violation.
     """
@@ -53,36 +53,36 @@
 
 
 def parts(state: State) -> tuple[Any, ...]:
-    """Returns the parts of a state that are numbered: each process, then each other field."""
+    """Returns the parts of a state that get a number: each process, then each other field."""
     return (*state.processes, *state[1:])
 
 
 class VisitedStates:
-    """The states that were reached, and how.
+    """The states that were reached, each with the transition that reached it first.
 
     A state is stored as the numbers of its parts; each distinct part is stored once.
     """
 
     def __init__(self) -> None:
-        """Starts with no state."""
+        """Creates an empty set of states."""
         self.numbers: dict[Any, int] = {}
         self.predecessors: dict[Key, tuple[Key, str] | None] = {}
 
     def key(self, state: State) -> Key:
-        """Returns the key of a state."""
+        """Returns the key of a state: the numbers of its parts."""
         return tuple(self.number(part) for part in parts(state))
 
     def key_after(self, state: State, before: State, key: Key) -> Key:
-        """Returns the key of a state that shares most of its parts with the one before it, whose key is known."""
+        """Returns the key of a successor of a state whose key is known; numbers only the parts that differ."""
         pairs = zip(parts(state), parts(before), key, strict=True)
         return tuple(number if part is old else self.number(part) for part, old, number in pairs)
 
     def number(self, part: Any) -> int:
-        """Returns the number of a part."""
+        """Returns the number of a part; a new part gets the next number."""
         return self.numbers.setdefault(part, len(self.numbers))
 
     def add(self, key: Key, predecessor: Key | None, label: str) -> bool:
-        """Stores a state with the transition that reached it first; returns whether the state is new."""
+        """Stores a state with the transition that reached it; returns False and changes nothing if it is known."""
         if key in self.predecessors:
             return False
         self.predecessors[key] = (predecessor, label) if predecessor is not None else None
@@ -98,10 +98,10 @@
 
 
 class BreadthFirstSearch:
-    """One search through a model, a layer of states at a time."""
+    """A search through a model, one layer of states after another."""
 
     def __init__(self, model: Model) -> None:
-        """Starts at the model's initial state."""
+        """Creates a search that has reached only the initial state of a model."""
         self.model, self.visited, self.started_at = model, VisitedStates(), time.monotonic()
         self.chosen: set[Proposal] = set()
         start = initial_state(model)
@@ -110,7 +110,7 @@
         self.violation: tuple[Key, str] | None = None
 
     def expand_layer(self) -> None:
-        """Replaces the layer by its new successors; stops at the first violation."""
+        """Replaces the layer with its new successors; stops at the first violation."""
         successors: list[tuple[Key, State]] = []
         for key, state in self.layer:
             for label, after in transitions(self.model, state):
@@ -126,7 +126,7 @@
         self.layer = successors
 
     def result(self, depth: int) -> Result:
-        """Returns what the search has found so far."""
+        """Returns the result of the search so far."""
         key, violation = self.violation or ((), "")
         return Result(
             model=self.model.name,
@@ -145,9 +145,9 @@
     """Searches a model.
 
     Args:
-        model: What is searched.
-        depth: Transitions from the initial state; 0 for no bound.
-        max_states: The search ends after the layer in which it has reached more states than this.
+        model: The model to search.
+        depth: The highest number of transitions from the initial state; 0 for no limit.
+        max_states: The search ends after the layer in which the number of reached states exceeds this.
 
     Returns:
         The result, with a counterexample if an invariant does not hold.
@@ -162,14 +162,14 @@
 
 
 def report(depth: int, jobs: int) -> int:
-    """Searches all models and prints a line for each, with the counterexample of a violation.
+    """Searches all models and prints one line for each, followed by the counterexample if there is a violation.
 
     Args:
         depth: See `explore`.
-        jobs: Processes at once.
+        jobs: The number of parallel processes.
 
     Returns:
-        An exit status: 1 if any invariant does not hold.
+        An exit status: 1 if an invariant does not hold in any model, else 0.
     """
     violations = 0
     with ProcessPoolExecutor(jobs) as pool:
@@ -182,5 +182,5 @@
 
 
 def model_named(name: str) -> Model:
-    """Returns the model of this name."""
+    """Returns the model with this name."""
     return next(model for model in MODELS if model.name == name)
--- a/stoneyoke/lab/simulation/exhaustive/snapshots.py
+++ b/stoneyoke/lab/simulation/exhaustive/snapshots.py
@@ -1,4 +1,4 @@
-"""Conversions between the hashable states of a model and the real objects whose code each transition runs."""
+"""Conversions between the hashable states of a model and the real objects whose code the transitions run."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any, cast
@@ -15,13 +15,13 @@
 
 
 class NullRecordStore:
-    """A record store that keeps nothing: what is on disk is part of the state."""
+    """A record store that stores nothing: the contents of the disks are part of the state of the model."""
 
     def save(self, family: str, record: Any) -> None:
         """Ignores the record."""
 
     def load(self, family: str) -> LoadedRecord:  # noqa: ARG002 -- the signature of RecordStore
-        """Finds no record, and no damaged file."""
+        """Returns no record and no damaged files."""
         return LoadedRecord(None, [])
 
 
@@ -29,12 +29,16 @@
 
 
 async def run_inline(work: Callable[..., Any], *arguments: Any) -> Any:
-    """Runs work that a controller gives to a thread at once, in place."""
+    """Runs work immediately that a controller would run in a thread."""
     return work(*arguments)
 
 
 def run_to_completion(coroutine: Coroutine[Any, Any, Any]) -> Any:
-    """Returns the result of a coroutine that never waits."""
+    """Returns the result of a coroutine that never suspends.
+
+    Raises:
+        AssertionError: The coroutine suspends.
+    """
     try:
         coroutine.send(None)
     except StopIteration as done:
@@ -43,11 +47,11 @@
 
 
 def do_nothing() -> None:
-    """Stands in for the callback of a changed value."""
+    """Replaces the callback that a replica calls when its chosen value changes."""
 
 
 def restore_replica(process: Process) -> Replica:
-    """Returns a replica in the state of a process."""
+    """Returns a replica with the state of a process."""
     replica = Replica(process.replica.address, NULL_RECORD_STORE, run_inline, do_nothing)
     replica.identity = process.replica
     replica.acceptor = Acceptor(process.promised, process.accepted)
@@ -56,13 +60,13 @@
 
 
 def snapshot_replica(replica: Replica, process: Process) -> Process:
-    """Returns the process with what the replica holds now."""
+    """Returns the process with the current state of its replica."""
     acceptor = replica.acceptor
     return process._replace(promised=acceptor.promised, accepted=acceptor.accepted, chosen=replica.chosen)
 
 
 def restore_round(snapshot: RoundSnapshot, change: Change) -> ProposalRound:
-    """Returns the round of a snapshot. Its change is a function, so it is no part of the snapshot."""
+    """Returns the round of a snapshot. Its change is a function, so the snapshot does not contain it."""
     return ProposalRound(
         ballot=snapshot.ballot,
         known=snapshot.known,
@@ -77,7 +81,7 @@
 
 
 def snapshot_round(current: ProposalRound) -> RoundSnapshot:
-    """Returns the snapshot of a round. Promises count in the first phase only: the proposal has their result."""
+    """Returns the snapshot of a round. It omits the promises after the first phase: the proposal has their result."""
     return RoundSnapshot(
         current.ballot,
         current.known,
@@ -101,6 +105,6 @@
 
 
 def configuration(version: Version) -> Configuration:
-    """Returns an operator's configuration. Its text is its digest, so that a mixed-up text is seen."""
-    no_limits = cast(LimitSettings, {})  # the models read none
+    """Returns an operator's configuration. Its body is its digest, so that a body of another version is detected."""
+    no_limits = cast(LimitSettings, {})  # the models read no limits
     return Configuration(version=version, body=version.digest, services={}, limits=no_limits, tenants=None, hosts=[])
--- a/stoneyoke/lab/simulation/exhaustive/state.py
+++ b/stoneyoke/lab/simulation/exhaustive/state.py
@@ -1,4 +1,4 @@
-"""The state of a model: plain hashable values, which the search compares and stores."""
+"""The state of a model: hashable values, which the search compares and stores."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class OperationKind(Enum):
-    """What an operation does to the register."""
+    """What an operation does with the register."""
 
     ORDER = "order"  # an operator writes a configuration
     CHANGE = "change of voters"
@@ -18,16 +18,16 @@
 
 
 class Operation(NamedTuple):
-    """One operation that a model runs once, at any time.
+    """An operation that a model runs once, at any time.
 
     Attributes:
-        kind: What it does.
-        address: The process that runs it.
-        versions: The configurations that it writes, all in one round.
-        silent: Addresses that the proposer of a change believes to be silent.
-        leaving: Addresses that have announced their shutdown to the proposer of a change.
-        members: Addresses of the voters that stay; where empty, `next_members` decides.
-        tries: Rounds that the operation may start.
+        kind: What it does with the register.
+        address: The address of the process that runs it.
+        versions: The configurations that it writes, all in the same round.
+        silent: Addresses of voters that the proposer of a change believes to be silent.
+        leaving: Addresses of controllers that have announced their shutdown to the proposer of a change.
+        members: Addresses of the voters that stay; if empty, `next_voters` decides.
+        tries: The number of rounds that the operation may start.
     """
 
     kind: OperationKind
@@ -45,7 +45,7 @@
     `promised` and `accepted` are on its disk and survive a restart; the other fields are lost with the process.
 
     Attributes:
-        replica: Its address and the name of its disk.
+        replica: The address of the process and the name of its disk.
         promised: The highest ballot that it has promised.
         accepted: The proposal that it has accepted, if any.
         incarnation: The number of restarts.
@@ -61,7 +61,7 @@
     counter: int = 0
 
     def proposer(self) -> str:
-        """The name in its ballots. It differs between incarnations, so that no ballot is used twice."""
+        """Returns the name in its ballots, which differs between incarnations, so that no ballot is used twice."""
         return f"{self.replica.address}.{self.incarnation}"
 
 
@@ -87,18 +87,18 @@
 
 
 class DesiredMembers(NamedTuple):
-    """The voters that a change asks for, based on one chosen value. Each round of the operation asks for the same."""
+    """The voters that a change requests, based on one chosen value. All rounds of the operation request the same."""
 
     based_on: RegisterValue
     members: tuple[ReplicaId, ...]
 
 
 class LowerBound(NamedTuple):
-    """The newest state shown to anybody before an operation started: its result may not be older.
+    """The newest state that an operator had received when an operation started: its result must not be older.
 
     Attributes:
-        ballot: Of the value that was shown.
-        number: Of the configuration that was shown.
+        ballot: The ballot of the newest value that was received.
+        number: The number of the newest configuration that was received.
     """
 
     ballot: Ballot = NO_BALLOT
@@ -106,16 +106,16 @@
 
 
 class OngoingOperation(NamedTuple):
-    """An operation between its start and its result. It runs either a round or a query.
+    """An operation that has started and has no result yet. It runs either a round or a query.
 
     Attributes:
-        operation: Its index in the model's operations.
-        tries: Rounds that it may still start.
-        lower_bound: What its result may not be older than.
+        operation: The index of the operation in the model's operations.
+        tries: The number of rounds that it may still start.
+        lower_bound: Its result must not be older than this.
         round: The round that it runs, if any.
         query: The query that it runs, if any.
-        contacted: Addresses that were asked in the current phase.
-        desired: What a change of voters asks for.
+        contacted: Addresses to which a request was sent in the current phase.
+        desired: The voters that a change of voters requests.
     """
 
     operation: int
@@ -128,7 +128,7 @@
 
 
 class Request(NamedTuple):
-    """A message to an acceptor that is on its way: prepare where `proposal` is None, else accept."""
+    """A request to an acceptor that is in flight: prepare if `proposal` is None, else accept."""
 
     to: str
     sender: str
@@ -137,7 +137,7 @@
 
 
 class Reply(NamedTuple):
-    """The answer to a request, on its way back. `accepted` comes with a promise only."""
+    """The response to a request, in flight. `accepted` is set only with a promise."""
 
     request: Request
     ok: bool
@@ -147,20 +147,20 @@
 
 
 class Gateway(NamedTuple):
-    """A gateway that collects the views of controllers until it knows which is the newest."""
+    """A gateway that collects the views of controllers until it can determine the newest."""
 
     lower_bound: LowerBound
     views: frozenset[tuple[ReplicaId, Proposal]]
 
 
 class History(NamedTuple):
-    """History variables: what has happened over all time. Only the invariants read them, no process does.
+    """History variables, which record what has happened since the start. Only the invariants read them.
 
     Attributes:
         votes: Pairs of a proposal that is not chosen yet and a member that has accepted it.
-        chosen: The chosen values in the order of their ballots, counted from `votes`, not by the code under test.
-        parents: Pairs of a proposal's ballot and the ballot of the value that it was built on.
-        shown: The newest state that any operator was shown.
+        chosen: The chosen values in the order of their ballots, computed from `votes`, not by the code under test.
+        parents: Pairs of a proposal's ballot and the ballot of the value that the proposal is based on.
+        shown: The newest state that any operator has received.
         acknowledged: Configurations that were acknowledged to operators as in force.
     """
 
@@ -176,16 +176,16 @@
 
     Attributes:
         processes: The controllers, in a fixed order.
-        ongoing: The operations that have started and not ended, by their index.
-        requests: Requests on their way.
-        replies: Replies on their way; always empty unless the model has separate replies.
+        ongoing: The operations that have started and not finished, ordered by their index.
+        requests: Requests in flight.
+        replies: Responses in flight; always empty unless the model has `separate_replies`.
         not_started: Indexes of the operations that have not started.
-        crashes: Restarts that may still happen.
-        losses: Disks that may still be lost.
-        known: Values that any process knows, or once knew, to be chosen.
-        gateway: A gateway that collects views; None if the model has none, or if it has its answer.
+        crashes: The number of restarts that may still happen.
+        losses: The number of disks that may still be lost.
+        known: The values that a process knows or knew to be chosen.
+        gateway: The gateway that collects views; None if the model has none, or once it has determined the newest.
         history: The history variables.
-        violation: The invariant that does not hold, in words; empty while all hold.
+        violation: A description of the invariant that does not hold; empty while all hold.
     """
 
     processes: tuple[Process, ...]
@@ -202,7 +202,7 @@
 
 
 class Transition(NamedTuple):
-    """A step from one state to the next: what happens, in words, and the state after it."""
+    """A transition from one state to the next: a label that describes it, and the state after it."""
 
     label: str
     after: State
@@ -229,7 +229,7 @@
 
 
 def round_of(state: State, ballot: Ballot) -> tuple[OngoingOperation, RoundSnapshot] | None:
-    """Returns the ongoing operation and the round that use a ballot, if that round still runs."""
+    """Returns the ongoing operation and the round that use a ballot; None if no round uses it any more."""
     for operation in state.ongoing:
         if operation.round and operation.round.ballot == ballot:
             return operation, operation.round
--- a/stoneyoke/lab/simulation/exhaustive/transitions.py
+++ b/stoneyoke/lab/simulation/exhaustive/transitions.py
@@ -1,9 +1,9 @@
 """The successors of a state.
 
 Each transition runs the real code: Replica, Acceptor, ProposalRound, MajorityRead, apply_replacements, outcome_of
-and next_voters. Only what Proposer and Reader do around them with sockets and timers is written here: who is asked,
-and who receives an answer. A lost message is one that no transition delivers. A request that a process sends to itself
-ends with the process.
+and next_voters. Only what Proposer and Reader do around them with sockets and timers is modelled here: which processes
+receive a request or a response. A lost message is one that no transition delivers. A request that a process sends to
+itself is removed when the process restarts.
 """
 
 from collections.abc import Iterator
@@ -26,7 +26,7 @@
 
 
 def initial_state(model: Model) -> State:
-    """Returns the state in which the search starts: the model's first one, after the transitions of its prefix."""
+    """Returns the state in which the search starts: the state after the transitions of the model's prefix."""
     state = model.start()
     for label in model.prefix:
         state = next(transition.after for transition in transitions(model, state) if transition.label == label)
@@ -35,7 +35,7 @@
 
 
 def transitions(model: Model, state: State) -> Iterator[Transition]:
-    """Yields every transition out of a state, without messages that can reach no other state."""
+    """Yields every transition out of a state, and prunes messages that lead to no additional state."""
     for transition in unpruned_transitions(model, state):
         if transition.after.violation:
             yield transition
@@ -58,7 +58,7 @@
 
 
 def operation_starts(model: Model, state: State) -> Iterator[Transition]:
-    """Yields the start of each operation that can start now, as a query or as a round."""
+    """Yields the start of each operation that can start in this state, with a query or with a round."""
     for index in state.not_started:
         operation = model.operations[index]
         process = process_at(state, operation.address)
@@ -77,7 +77,7 @@
 
 
 def retries(model: Model, state: State) -> Iterator[Transition]:
-    """Yields the next round of each operation whose round was lost or whose query found no agreement."""
+    """Yields the next round of each operation that may start one: after a lost round, or a query without agreement."""
     for ongoing in state.ongoing:
         address = model.operations[ongoing.operation].address
         if ongoing.tries <= 0:
@@ -89,7 +89,7 @@
 
 
 def prune(model: Model, state: State) -> State:
-    """Removes messages whose delivery changes nothing or only holds others up: that equals their loss."""
+    """Removes messages whose delivery changes nothing or only blocks others: that equals their loss."""
     lost = [request for request in state.requests if not request_matters(model, state, request)]
     late = [reply for reply in state.replies if not reply_matters(state, reply)]
     if not lost and not late:
@@ -98,7 +98,7 @@
 
 
 def request_matters(model: Model, state: State, request: Request) -> bool:
-    """Returns whether the delivery of a request can reach a state that its loss can't."""
+    """Returns whether the delivery of a request can lead to a state that its loss can't lead to."""
     process = process_at(state, request.to)
     phase, tries = phase_and_tries(state, request)
     acceptor = Acceptor(process.promised)
@@ -113,7 +113,7 @@
 
 
 def phase_and_tries(state: State, request: Request) -> tuple[Phase | None, int]:
-    """Returns the phase of a request's round and the rounds its operation has left; no phase if the round ended."""
+    """Returns the phase of a request's round, None if it has ended, and the number of rounds its operation has left."""
     for ongoing in state.ongoing:
         if ongoing.round and ongoing.round.ballot == request.ballot:
             return ongoing.round.phase, ongoing.tries
@@ -121,6 +121,6 @@
 
 
 def reply_matters(state: State, reply: Reply) -> bool:
-    """Returns whether a round still waits for a reply."""
+    """Returns whether a round still waits for this response."""
     expected = Phase.PREPARE if reply.request.proposal is None else Phase.ACCEPT
     return phase_and_tries(state, reply.request)[0] is expected
