--- a/stoneyoke/lab/simulation/exhaustive/failures.py
+++ b/stoneyoke/lab/simulation/exhaustive/failures.py
@@ -10,7 +10,7 @@
     """Yields the restart and the loss of the disk of each process that may fail in the model."""
     for process in state.processes:
         address = process.replica.address
-        if model.fallible is not None and address not in model.fallible:
+        if model.may_fail is not None and address not in model.may_fail:
             continue
         if state.crashes:
             after = restart(model, state._replace(crashes=state.crashes - 1), process, "")
--- a/stoneyoke/lab/simulation/exhaustive/invariants.py
+++ b/stoneyoke/lab/simulation/exhaustive/invariants.py
@@ -17,13 +17,13 @@
     return 2 * len(all_members & members) > len(all_members)
 
 
-def is_decided(value: RegisterValue, holders: set[ReplicaId]) -> bool:
+def is_chosen(value: RegisterValue, accepted_by: set[ReplicaId]) -> bool:
     """Returns whether the members that accepted a value choose it.
 
     They need a majority of its voters and, during a change of voters, a majority of the previous voters, too.
     """
-    before = not value.previous or is_majority_of(value.previous, holders)
-    return before and is_majority_of(value.voters.members, holders)
+    before = not value.previous or is_majority_of(value.previous, accepted_by)
+    return before and is_majority_of(value.voters.members, accepted_by)
 
 
 def with_violation(state: State, violation: str) -> State:
@@ -41,7 +41,7 @@
     return f"{voters.number}:" + ",".join(f"{one.address}/{one.disk}" for one in voters.members)
 
 
-def describe(value: Proposal) -> str:
+def describe_proposal(value: Proposal) -> str:
     """Returns a proposal, formatted for messages."""
     ballot, voters = value.ballot, describe_voters(value.value.voters)
     joint = " joint" if value.value.previous else ""
@@ -57,12 +57,12 @@
     if any(one == proposal for one in history.chosen):
         return state
     votes = history.votes | {(proposal, voter)}
-    holders = {member for value, member in votes if value == proposal}
-    if not is_decided(proposal.value, holders):
+    accepted_by = {member for value, member in votes if value == proposal}
+    if not is_chosen(proposal.value, accepted_by):
         return state._replace(history=history._replace(votes=votes))
-    left = frozenset(vote for vote in votes if vote[0] != proposal)
+    remaining = frozenset(vote for vote in votes if vote[0] != proposal)
     chosen = tuple(sorted((*history.chosen, proposal), key=lambda one: one.ballot))
-    state = state._replace(history=history._replace(votes=left, chosen=chosen))
+    state = state._replace(history=history._replace(votes=remaining, chosen=chosen))
     violation = order_violation(state.history)
     return with_violation(state, violation) if violation else state
 
@@ -94,16 +94,16 @@
     parents = dict(history.parents)
     for earlier, later in zip(history.chosen, history.chosen[1:], strict=False):
         if earlier.ballot == later.ballot:
-            return f"two values chosen with one ballot: {describe(earlier)}; {describe(later)}"
+            return f"two values chosen with one ballot: {describe_proposal(earlier)}; {describe_proposal(later)}"
         ancestor = later.ballot
         while ancestor > earlier.ballot and ancestor in parents:
             if parents[ancestor] >= ancestor:  # otherwise the loop would not terminate
                 return f"a ballot used twice: {ancestor.counter}{ancestor.proposer}"
             ancestor = parents[ancestor]
         if ancestor != earlier.ballot:
-            return f"a chosen value is not based on the previous one: {describe(earlier)}; {describe(later)}"
+            return f"not based on the previous chosen value: {describe_proposal(earlier)}; {describe_proposal(later)}"
         if violation := succession_violation(earlier.value, later.value):
-            return f"{violation}: {describe(earlier)}; {describe(later)}"
+            return f"{violation}: {describe_proposal(earlier)}; {describe_proposal(later)}"
     return ""
 
 
@@ -125,7 +125,7 @@
     """Checks that a value that a process believes to be chosen is chosen."""
     if any(one == value for one in state.history.chosen):
         return state
-    return with_violation(state, f"{address} believes that a value is chosen that is not: {describe(value)}")
+    return with_violation(state, f"{address} believes that a value is chosen that is not: {describe_proposal(value)}")
 
 
 def check_voter_set_number(state: State, number: int, address: str) -> State:
@@ -144,7 +144,7 @@
     """Checks that a result is not older than what operators had received when its operation started."""
     if is_older(chosen, lower_bound):
         return with_violation(
-            state, f"{address} returns {describe(chosen)}, although {lower_bound} was received before"
+            state, f"{address} returns {describe_proposal(chosen)}, although {lower_bound} was received before"
         )
     return state
 
@@ -152,7 +152,9 @@
 def check_view(state: State, newest: Proposal, lower_bound: LowerBound) -> State:
     """Checks that the view that a gateway believes to be the newest is not older than what operators had received."""
     if is_older(newest, lower_bound):
-        return with_violation(state, f"a gateway uses {describe(newest)}, although {lower_bound} was received before")
+        return with_violation(
+            state, f"a gateway uses {describe_proposal(newest)}, although {lower_bound} was received before"
+        )
     return state
 
 
--- a/stoneyoke/lab/simulation/exhaustive/models.py
+++ b/stoneyoke/lab/simulation/exhaustive/models.py
@@ -30,10 +30,10 @@
         size: The number of voters that changes of voters aim at.
         crashes: How often processes may restart with their disk, all together.
         losses: How often processes may restart with an empty disk, all together.
-        separate_replies: Whether a response is a separate message, which may be late; else it arrives at once or never.
+        separate_responses: Whether a response is a separate message that may be late; else it arrives at once or never.
         duplicates: Whether each request may be delivered more than once.
         may_learn: Addresses of the processes that may learn chosen values from others at any time; None for all.
-        fallible: Addresses of the processes that may restart or lose their disk; None for all.
+        may_fail: Addresses of the processes that may restart or lose their disk; None for all.
         gateway_views: Whether a gateway collects views of controllers.
         prefix: Labels of the transitions that are taken before the search starts.
     """
@@ -45,10 +45,10 @@
     size: int = 3
     crashes: int = 0
     losses: int = 0
-    separate_replies: bool = False
+    separate_responses: bool = False
     duplicates: bool = False
     may_learn: tuple[str, ...] | None = None
-    fallible: tuple[str, ...] | None = None
+    may_fail: tuple[str, ...] | None = None
     gateway_views: bool = False
     prefix: tuple[str, ...] = ()
 
@@ -62,7 +62,7 @@
             processes=tuple(processes),
             ongoing=(),
             requests=frozenset(),
-            replies=frozenset(),
+            responses=frozenset(),
             not_started=tuple(range(len(self.operations))),
             crashes=self.crashes,
             losses=self.losses,
@@ -72,12 +72,12 @@
         )
 
 
-def order(address: str, number: int, content: bytes = b"x", tries: int = 1) -> Operation:
+def write(address: str, number: int, content: bytes = b"x", max_rounds: int = 1) -> Operation:
     """Returns an operation that writes a configuration."""
-    return Operation(OperationKind.ORDER, address, (Version(number, content),), tries=tries)
+    return Operation(OperationKind.ORDER, address, (Version(number, content),), max_rounds=max_rounds)
 
 
-def change(address: str, silent: str = "", leaving: str = "", members: str = "", tries: int = 1) -> Operation:
+def change(address: str, silent: str = "", leaving: str = "", members: str = "", max_rounds: int = 1) -> Operation:
     """Returns a change of voters; each character of `silent`, `leaving` and `members` is an address."""
     return Operation(
         OperationKind.CHANGE,
@@ -85,45 +85,48 @@
         silent=tuple(silent),
         leaving=tuple(leaving),
         members=tuple(members),
-        tries=tries,
+        max_rounds=max_rounds,
     )
 
 
-def read(address: str, tries: int = 1) -> Operation:
+def read(address: str, max_rounds: int = 1) -> Operation:
     """Returns an operation that reads the register."""
-    return Operation(OperationKind.READ, address, tries=tries)
+    return Operation(OperationKind.READ, address, max_rounds=max_rounds)
 
 
 X, Y = b"x", b"y"  # two contents under one number
 
-ORDERS = (
-    Model("two numbers at two controllers, one restarts", (order("a", 1), order("b", 2)), crashes=1),
-    Model("two contents under one number, one restarts", (order("a", 1, X), order("b", 1, Y)), crashes=1),
-    Model("two contents under one number, each tried twice", (order("a", 1, X, tries=2), order("b", 1, Y, tries=2))),
-    Model("two contents under one number, answers late", (order("a", 1, X), order("b", 1, Y)), separate_replies=True),
-    Model("two contents under one number, requests doubled", (order("a", 1, X), order("b", 1, Y)), duplicates=True),
-    Model("one order at two controllers, one restarts", (order("a", 1), order("b", 1)), crashes=1),
+WRITES = (
+    Model("two numbers at two controllers, one restarts", (write("a", 1), write("b", 2)), crashes=1),
+    Model("two contents under one number, one restarts", (write("a", 1, X), write("b", 1, Y)), crashes=1),
     Model(
-        "an order sent again, another content", (order("a", 1, X), order("b", 1, X), order("b", 1, Y)), may_learn=("b",)
+        "two contents under one number, each tried twice",
+        (write("a", 1, X, max_rounds=2), write("b", 1, Y, max_rounds=2)),
     ),
-    Model("an order sent again after a newer one", (order("a", 1), order("b", 2), order("a", 1)), may_learn=("a",)),
-    Model("two contents under one number, a disk lost", (order("a", 1, X), order("b", 1, Y)), losses=1),
+    Model("two contents under one number, answers late", (write("a", 1, X), write("b", 1, Y)), separate_responses=True),
+    Model("two contents under one number, requests doubled", (write("a", 1, X), write("b", 1, Y)), duplicates=True),
+    Model("one order at two controllers, one restarts", (write("a", 1), write("b", 1)), crashes=1),
+    Model(
+        "an order sent again, another content", (write("a", 1, X), write("b", 1, X), write("b", 1, Y)), may_learn=("b",)
+    ),
+    Model("an order sent again after a newer one", (write("a", 1), write("b", 2), write("a", 1)), may_learn=("a",)),
+    Model("two contents under one number, a disk lost", (write("a", 1, X), write("b", 1, Y)), losses=1),
 )
 SMALLEST = (
-    Model("three orders among two", (order("a", 2), order("b", 1, X), order("b", 1, Y)), ("a", "b"), may_learn=("b",)),
+    Model("three orders among two", (write("a", 2), write("b", 1, X), write("b", 1, Y)), ("a", "b"), may_learn=("b",)),
     Model(
         "a controller restarts between two orders",
-        (order("a", 1, X), order("a", 1, Y)),
+        (write("a", 1, X), write("a", 1, Y)),
         crashes=1,
-        fallible=("a",),
+        may_fail=("a",),
         may_learn=(),
     ),
 )
 READS = (
-    Model("a read and two orders", (order("a", 1), order("b", 2), read("c")), may_learn=()),
-    Model("two reads and an order", (order("a", 1), read("b"), read("c")), crashes=1, fallible=("a",), may_learn=()),
-    Model("a gateway and two orders", (order("a", 1), order("b", 2)), gateway_views=True),
-    Model("a gateway and an order, a disk lost", (order("a", 1),), losses=1, gateway_views=True),
+    Model("a read and two orders", (write("a", 1), write("b", 2), read("c")), may_learn=()),
+    Model("two reads and an order", (write("a", 1), read("b"), read("c")), crashes=1, may_fail=("a",), may_learn=()),
+    Model("a gateway and two orders", (write("a", 1), write("b", 2)), gateway_views=True),
+    Model("a gateway and an order, a disk lost", (write("a", 1),), losses=1, gateway_views=True),
 )
 # a replaces c by d; d completes that change and then replaces b by e. c and b have learned neither change.
 TWO_CHANGES = (
@@ -146,25 +149,25 @@
     "accept 3d.0 at d",
 )
 CHANGES = (
-    Model("a voter added to two, an order", (change("a"), order("b", 1)), ("a", "b"), ("d",)),
-    Model("two voters added to one, an order", (change("a"), order("a", 1)), ("a",), ("d", "e"), crashes=1),
-    Model("a silent voter replaced, an order", (change("a", "c"), order("b", 1)), learners=("d",)),
-    Model("a lost disk replaced, an order", (change("a"), order("b", 1)), losses=1, fallible=("c",), may_learn=("c",)),
-    Model("a voter removed, an order", (change("a", members="ab"), order("b", 1))),
+    Model("a voter added to two, an order", (change("a"), write("b", 1)), ("a", "b"), ("d",)),
+    Model("two voters added to one, an order", (change("a"), write("a", 1)), ("a",), ("d", "e"), crashes=1),
+    Model("a silent voter replaced, an order", (change("a", "c"), write("b", 1)), learners=("d",)),
+    Model("a lost disk replaced, an order", (change("a"), write("b", 1)), losses=1, may_fail=("c",), may_learn=("c",)),
+    Model("a voter removed, an order", (change("a", members="ab"), write("b", 1))),
     Model(
         "a silent voter replaced, the proposer restarts, an order",
-        (change("a", "c"), order("b", 1)),
+        (change("a", "c"), write("b", 1)),
         learners=("d",),
         crashes=1,
-        fallible=("a",),
+        may_fail=("a",),
         may_learn=("a", "b"),
     ),
     Model(
         "a silent voter replaced, a disk lost meanwhile, an order",
-        (change("a", "c"), order("b", 1)),
+        (change("a", "c"), write("b", 1)),
         learners=("d",),
         losses=1,
-        fallible=("b", "d"),
+        may_fail=("b", "d"),
         may_learn=("a", "b"),
     ),
     Model("two changes at once", (change("a", "c"), change("b", "a")), learners=("d",), may_learn=("a", "b")),
@@ -176,24 +179,24 @@
     ),
     Model(
         "a stale controller after one change, an order there",
-        (change("a", "c"), order("c", 1)),
+        (change("a", "c"), write("c", 1)),
         learners=("d",),
         crashes=1,
-        fallible=("c",),
+        may_fail=("c",),
         may_learn=("a",),
     ),
     Model(
         "a stale controller after two changes, an order there",
-        (change("a", "c"), change("d"), change("d", "b"), order("c", 1, tries=2)),
+        (change("a", "c"), change("d"), change("d", "b"), write("c", 1, max_rounds=2)),
         learners=("d", "e"),
         crashes=1,
-        fallible=("c",),
+        may_fail=("c",),
         may_learn=("d", "e"),
         prefix=TWO_CHANGES,
     ),
     Model(
         "a stale read after two changes and an order",
-        (change("a", "c"), change("d"), change("d", "b"), order("d", 1), read("c", tries=2)),
+        (change("a", "c"), change("d"), change("d", "b"), write("d", 1), read("c", max_rounds=2)),
         learners=("d", "e"),
         may_learn=("d", "e"),
         prefix=TWO_CHANGES,
@@ -201,24 +204,24 @@
     Model("a read and a change", (change("a", "c"), read("b")), learners=("d",), may_learn=("a", "b")),
     Model(
         "a stale read after a change and an order",
-        (change("a", "c"), order("d", 1), read("c")),
+        (change("a", "c"), write("d", 1), read("c")),
         learners=("d",),
         may_learn=("d",),
     ),
     Model(
         "voters removed but one, tried twice, an order",
-        (change("a", members="a", tries=2), order("b", 1)),
+        (change("a", members="a", max_rounds=2), write("b", 1)),
         may_learn=(),
     ),
     Model(
         "a gateway, voters removed but one, an order",
-        (change("a", members="a"), order("b", 1)),
+        (change("a", members="a"), write("b", 1)),
         gateway_views=True,
         may_learn=(),
     ),
     Model(
         "a gateway, a change, an order",
-        (change("a", "c"), order("b", 1)),
+        (change("a", "c"), write("b", 1)),
         learners=("d",),
         gateway_views=True,
         may_learn=("b",),
@@ -227,7 +230,7 @@
 PREPARED = (
     Model(
         "two contents under one number, one of them prepared",
-        (order("a", 1, X), order("b", 1, Y)),
+        (write("a", 1, X), write("b", 1, Y)),
         may_learn=(),
         prefix=("a begins order", "b begins order", "prepare 1a.0 at a", "prepare 1a.0 at c"),
     ),
@@ -245,10 +248,10 @@
     ),
     Model(
         "a gateway, a change accepted by the one voter that is left, an order",
-        (change("a", members="a"), order("b", 1)),
+        (change("a", members="a"), write("b", 1)),
         gateway_views=True,
         may_learn=(),
         prefix=("a begins change of voters", "prepare 1a.0 at a", "prepare 1a.0 at b", "accept 1a.0 at a, answer lost"),
     ),
 )
-MODELS = (*SMALLEST, *PREPARED, *ORDERS, *READS, *CHANGES)
+MODELS = (*SMALLEST, *PREPARED, *WRITES, *READS, *CHANGES)
--- a/stoneyoke/lab/simulation/exhaustive/operations.py
+++ b/stoneyoke/lab/simulation/exhaustive/operations.py
@@ -62,14 +62,14 @@
 def change(operation: Operation, desired: DesiredMembers | None) -> Change:
     """Returns the function with which the operation's round changes the value of the register."""
     if operation.kind is OperationKind.ORDER:
-        orders = tuple(configuration(version) for version in operation.versions)
-        return functools.partial(configuration_service.apply_replacements, orders)
+        configurations = tuple(configuration(version) for version in operation.versions)
+        return functools.partial(configuration_service.apply_replacements, configurations)
     if desired and (membership_change := voter_set.voter_change(desired.based_on, desired.members)):
         return membership_change
     return unchanged
 
 
-def answer(state: State, operation: Operation, chosen: Proposal) -> State:
+def record_result(state: State, operation: Operation, chosen: Proposal) -> State:
     """Records what the operator receives as the result; checks each acknowledgement and each conflict."""
     if operation.kind is OperationKind.READ:
         return invariants.record_shown(state, chosen)
--- a/stoneyoke/lab/simulation/exhaustive/reads.py
+++ b/stoneyoke/lab/simulation/exhaustive/reads.py
@@ -6,7 +6,7 @@
 from stoneyoke.consensus.register_value import Proposal
 from stoneyoke.lab.simulation.exhaustive import invariants
 from stoneyoke.lab.simulation.exhaustive.models import Model
-from stoneyoke.lab.simulation.exhaustive.rounds import check_known, finish
+from stoneyoke.lab.simulation.exhaustive.rounds import check_known, finish_operation
 from stoneyoke.lab.simulation.exhaustive.snapshots import restore_query, restore_replica, snapshot_query
 from stoneyoke.lab.simulation.exhaustive.state import (
     Gateway,
@@ -30,7 +30,7 @@
     return with_ongoing(state, None, ongoing._replace(query=query))
 
 
-def answers_to_queries(model: Model, state: State) -> Iterator[Transition]:
+def query_responses(model: Model, state: State) -> Iterator[Transition]:
     """Yields the response of each voter that a query still needs.
 
     The response arrives at once: the reader does nothing until then, so a late response reaches no other state.
@@ -41,17 +41,19 @@
         reader = model.operations[ongoing.operation].address
         query = restore_query(ongoing.query)
         for address in sorted(query.addresses_to_ask() - ongoing.contacted):
-            yield Transition(f"{address} answers the read of {reader}", query_answered(model, state, ongoing, address))
+            yield Transition(
+                f"{address} answers the read of {reader}", add_query_response(model, state, ongoing, address)
+            )
 
 
-def query_answered(model: Model, state: State, ongoing: OngoingOperation, address: str) -> State:
+def add_query_response(model: Model, state: State, ongoing: OngoingOperation, address: str) -> State:
     """Adds the response of a voter to a query; finishes the operation if the query now has a result."""
     assert ongoing.query
     query = restore_query(ongoing.query)
     voter = process_at(state, address)
     query.on_reply(voter.replica, voter.accepted)
     if chosen := query.chosen_proposal():
-        return finish(model, state, ongoing, chosen)
+        return finish_operation(model, state, ongoing, chosen)
     after = ongoing._replace(query=snapshot_query(query), contacted=ongoing.contacted | {address})
     return with_ongoing(state, ongoing, after)
 
--- a/stoneyoke/lab/simulation/exhaustive/rounds.py
+++ b/stoneyoke/lab/simulation/exhaustive/rounds.py
@@ -17,8 +17,8 @@
 )
 from stoneyoke.lab.simulation.exhaustive.state import (
     OngoingOperation,
-    Reply,
     Request,
+    Response,
     State,
     Transition,
     process_at,
@@ -56,25 +56,29 @@
     counter = max(process.counter, highest, replica.acceptor.promised.counter, known.ballot.counter) + 1
     state = with_process(state, process._replace(counter=counter))
     ballot = Ballot(counter, process.proposer())
-    current = ProposalRound(
+    proposal_round = ProposalRound(
         ballot=ballot,
         known=known,
         chosen_voters_number=replica.chosen_voters_number(),
         change=operations.change(operation, ongoing.desired),
     )
-    started = ongoing._replace(tries=ongoing.tries - 1, query=None, contacted=frozenset())
-    return send_requests(model, state, before, started, current)
+    started = ongoing._replace(rounds_left=ongoing.rounds_left - 1, query=None, contacted=frozenset())
+    return send_requests(model, state, before, started, proposal_round)
 
 
 def send_requests(
-    model: Model, state: State, before: OngoingOperation | None, ongoing: OngoingOperation, current: ProposalRound
+    model: Model,
+    state: State,
+    before: OngoingOperation | None,
+    ongoing: OngoingOperation,
+    proposal_round: ProposalRound,
 ) -> State:
     """Sends the request of this phase to each target that does not have it yet, as Proposer.run_phases does."""
     process = process_at(state, model.operations[ongoing.operation].address)
-    targets = current.addresses_to_ask() - ongoing.contacted
-    proposal = current.proposed_value if current.phase is Phase.ACCEPT else None
-    requests = {Request(address, process.proposer(), current.ballot, proposal) for address in targets}
-    after = ongoing._replace(round=snapshot_round(current), contacted=ongoing.contacted | targets)
+    targets = proposal_round.addresses_to_ask() - ongoing.contacted
+    proposal = proposal_round.proposed_value if proposal_round.phase is Phase.ACCEPT else None
+    requests = {Request(address, process.proposer(), proposal_round.ballot, proposal) for address in targets}
+    after = ongoing._replace(round=snapshot_round(proposal_round), contacted=ongoing.contacted | targets)
     state = with_ongoing(state, before, after)
     return state._replace(requests=state.requests | requests) if requests else state
 
@@ -86,18 +90,18 @@
     leads to the same states as a promise that was never given, so it has no transition; nor has a late acceptance.
     """
     label = describe_request(request)
-    after, reply = process_request(state, request)
+    after, response = process_request(state, request)
     if not model.duplicates:
         after = after._replace(requests=after.requests - {request})
-    if model.separate_replies:
-        yield Transition(label, after._replace(replies=after.replies | {reply}))
+    if model.separate_responses:
+        yield Transition(label, after._replace(responses=after.responses | {response}))
         return
-    yield Transition(label, apply_reply(model, after, reply))
-    if request.proposal is not None and reply.ok and round_of(state, request.ballot):
+    yield Transition(label, apply_response(model, after, response))
+    if request.proposal is not None and response.ok and round_of(state, request.ballot):
         yield Transition(label + ", answer lost", after)
 
 
-def process_request(state: State, request: Request) -> tuple[State, Reply]:
+def process_request(state: State, request: Request) -> tuple[State, Response]:
     """Handles a request at its acceptor, as ReplicaServer.prepare and accept do."""
     process = process_at(state, request.to)
     replica = restore_replica(process)
@@ -107,42 +111,42 @@
         accepted = replica.acceptor.accepted if ok else None
     else:
         ok = run_to_completion(replica.accept(Proposal(request.ballot, request.proposal)))
-    reply = Reply(request, ok, replica.identity, replica.acceptor.promised, accepted)
+    response = Response(request, ok, replica.identity, replica.acceptor.promised, accepted)
     after = with_process(state, snapshot_replica(replica, process))
     if request.proposal is not None and ok and replica.acceptor.accepted:
         after = invariants.record_vote(after, replica.identity, replica.acceptor.accepted)
-    return after, reply
+    return after, response
 
 
-def apply_reply(model: Model, state: State, reply: Reply) -> State:
+def apply_response(model: Model, state: State, response: Response) -> State:
     """Handles a response in its round, as Proposer.send_prepare and send_accept do; a late response changes nothing."""
-    request = reply.request
-    if reply in state.replies:
-        state = state._replace(replies=state.replies - {reply})
+    request = response.request
+    if response in state.responses:
+        state = state._replace(responses=state.responses - {response})
     found = round_of(state, request.ballot)
     if found is None:
         return state
     ongoing, snapshot = found
-    current = restore_round(snapshot, operations.change(model.operations[ongoing.operation], ongoing.desired))
-    phase_before = current.phase
-    update_round(current, reply)
-    if phase_before is Phase.PREPARE and current.phase is Phase.ACCEPT:
-        state = invariants.record_parent(state, current.ballot, current.newest_found().ballot)
-        return send_requests(model, state, ongoing, ongoing._replace(contacted=frozenset()), current)
-    if current.phase is Phase.CHOSEN:
-        return finish(model, state, ongoing, current.chosen_proposal())
-    return send_requests(model, state, ongoing, ongoing, current)
-
-
-def update_round(current: ProposalRound, reply: Reply) -> None:
+    proposal_round = restore_round(snapshot, operations.change(model.operations[ongoing.operation], ongoing.desired))
+    phase_before = proposal_round.phase
+    update_round(proposal_round, response)
+    if phase_before is Phase.PREPARE and proposal_round.phase is Phase.ACCEPT:
+        state = invariants.record_parent(state, proposal_round.ballot, proposal_round.newest_found().ballot)
+        return send_requests(model, state, ongoing, ongoing._replace(contacted=frozenset()), proposal_round)
+    if proposal_round.phase is Phase.CHOSEN:
+        return finish_operation(model, state, ongoing, proposal_round.chosen_proposal())
+    return send_requests(model, state, ongoing, ongoing, proposal_round)
+
+
+def update_round(proposal_round: ProposalRound, response: Response) -> None:
     """Counts a response as a promise, an acceptance or a refusal."""
-    if not reply.ok:
-        if reply.promised > current.ballot:
-            current.on_refused(reply.promised)
-    elif reply.request.proposal is None:
-        current.on_promised(reply.voter, reply.accepted)
+    if not response.ok:
+        if response.promised > proposal_round.ballot:
+            proposal_round.on_refused(response.promised)
+    elif response.request.proposal is None:
+        proposal_round.on_promised(response.voter, response.accepted)
     else:
-        current.on_accepted(reply.voter)
+        proposal_round.on_accepted(response.voter)
 
 
 def check_known(state: State, replica: Replica, address: str) -> State:
@@ -151,14 +155,14 @@
     return invariants.check_chosen(state, replica.chosen, address) if replica.chosen else state
 
 
-def finish(model: Model, state: State, ongoing: OngoingOperation, chosen: Proposal) -> State:
+def finish_operation(model: Model, state: State, ongoing: OngoingOperation, chosen: Proposal) -> State:
     """Finishes an operation: its process learns the chosen value, and its operator receives the result."""
     operation = model.operations[ongoing.operation]
     state = invariants.check_chosen(state, chosen, operation.address)
     state = invariants.check_not_stale(state, chosen, ongoing.lower_bound, operation.address)
     state = learn(state, operation.address, chosen)
     state = with_ongoing(state, ongoing, None)._replace(known=state.known | {chosen})
-    return operations.answer(state, operation, chosen)
+    return operations.record_result(state, operation, chosen)
 
 
 def learn(state: State, address: str, chosen: Proposal) -> State:
--- a/stoneyoke/lab/simulation/exhaustive/search.py
+++ b/stoneyoke/lab/simulation/exhaustive/search.py
@@ -52,7 +52,7 @@
 Key = tuple[int, ...]
 
 
-def parts(state: State) -> tuple[Any, ...]:
+def numbered_parts(state: State) -> tuple[Any, ...]:
     """Returns the parts of a state that get a number: each process, then each other field."""
     return (*state.processes, *state[1:])
 
@@ -65,21 +65,21 @@
 
     def __init__(self) -> None:
         """Creates an empty set of states."""
-        self.numbers: dict[Any, int] = {}
+        self.part_numbers: dict[Any, int] = {}
         self.predecessors: dict[Key, tuple[Key, str] | None] = {}
 
     def key(self, state: State) -> Key:
         """Returns the key of a state: the numbers of its parts."""
-        return tuple(self.number(part) for part in parts(state))
+        return tuple(self.part_number(part) for part in numbered_parts(state))
 
     def key_after(self, state: State, before: State, key: Key) -> Key:
         """Returns the key of a successor of a state whose key is known; numbers only the parts that differ."""
-        pairs = zip(parts(state), parts(before), key, strict=True)
-        return tuple(number if part is old else self.number(part) for part, old, number in pairs)
+        pairs = zip(numbered_parts(state), numbered_parts(before), key, strict=True)
+        return tuple(number if part is old else self.part_number(part) for part, old, number in pairs)
 
-    def number(self, part: Any) -> int:
+    def part_number(self, part: Any) -> int:
         """Returns the number of a part; a new part gets the next number."""
-        return self.numbers.setdefault(part, len(self.numbers))
+        return self.part_numbers.setdefault(part, len(self.part_numbers))
 
     def add(self, key: Key, predecessor: Key | None, label: str) -> bool:
         """Stores a state with the transition that reached it; returns False and changes nothing if it is known."""
--- a/stoneyoke/lab/simulation/exhaustive/snapshots.py
+++ b/stoneyoke/lab/simulation/exhaustive/snapshots.py
@@ -96,7 +96,7 @@
 
 def restore_query(snapshot: QuerySnapshot) -> MajorityRead:
     """Returns the query of a snapshot."""
-    return MajorityRead(snapshot.known, snapshot.chosen_voters_number, dict(snapshot.replies))
+    return MajorityRead(snapshot.known, snapshot.chosen_voters_number, dict(snapshot.responses))
 
 
 def snapshot_query(current: MajorityRead) -> QuerySnapshot:
--- a/stoneyoke/lab/simulation/exhaustive/state.py
+++ b/stoneyoke/lab/simulation/exhaustive/state.py
@@ -27,7 +27,7 @@
         silent: Addresses of voters that the proposer of a change believes to be silent.
         leaving: Addresses of controllers that have announced their shutdown to the proposer of a change.
         members: Addresses of the voters that stay; if empty, `next_voters` decides.
-        tries: The number of rounds that the operation may start.
+        max_rounds: The number of rounds that the operation may start.
     """
 
     kind: OperationKind
@@ -36,7 +36,7 @@
     silent: tuple[str, ...] = ()
     leaving: tuple[str, ...] = ()
     members: tuple[str, ...] = ()
-    tries: int = 1
+    max_rounds: int = 1
 
 
 class Process(NamedTuple):
@@ -83,7 +83,7 @@
 
     known: Proposal
     chosen_voters_number: int
-    replies: frozenset[tuple[ReplicaId, Proposal | None]]
+    responses: frozenset[tuple[ReplicaId, Proposal | None]]
 
 
 class DesiredMembers(NamedTuple):
@@ -110,7 +110,7 @@
 
     Attributes:
         operation: The index of the operation in the model's operations.
-        tries: The number of rounds that it may still start.
+        rounds_left: The number of rounds that it may still start.
         lower_bound: Its result must not be older than this.
         round: The round that it runs, if any.
         query: The query that it runs, if any.
@@ -119,7 +119,7 @@
     """
 
     operation: int
-    tries: int
+    rounds_left: int
     lower_bound: LowerBound
     round: RoundSnapshot | None = None
     query: QuerySnapshot | None = None
@@ -136,7 +136,7 @@
     proposal: RegisterValue | None = None
 
 
-class Reply(NamedTuple):
+class Response(NamedTuple):
     """The response to a request, in flight. `accepted` is set only with a promise."""
 
     request: Request
@@ -178,7 +178,7 @@
         processes: The controllers, in a fixed order.
         ongoing: The operations that have started and not finished, ordered by their index.
         requests: Requests in flight.
-        replies: Responses in flight; always empty unless the model has `separate_replies`.
+        responses: Responses in flight; always empty unless the model has `separate_responses`.
         not_started: Indexes of the operations that have not started.
         crashes: The number of restarts that may still happen.
         losses: The number of disks that may still be lost.
@@ -191,7 +191,7 @@
     processes: tuple[Process, ...]
     ongoing: tuple[OngoingOperation, ...]
     requests: frozenset[Request]
-    replies: frozenset[Reply]
+    responses: frozenset[Response]
     not_started: tuple[int, ...]
     crashes: int
     losses: int
--- a/stoneyoke/lab/simulation/exhaustive/transitions.py
+++ b/stoneyoke/lab/simulation/exhaustive/transitions.py
@@ -13,16 +13,16 @@
 from stoneyoke.lab.simulation.exhaustive import operations
 from stoneyoke.lab.simulation.exhaustive.failures import failures
 from stoneyoke.lab.simulation.exhaustive.models import Model
-from stoneyoke.lab.simulation.exhaustive.reads import answers_to_queries, begin_query, gateway_views
+from stoneyoke.lab.simulation.exhaustive.reads import begin_query, gateway_views, query_responses
 from stoneyoke.lab.simulation.exhaustive.rounds import (
-    apply_reply,
+    apply_response,
     begin_round,
     describe_request,
     request_deliveries,
     value_deliveries,
 )
 from stoneyoke.lab.simulation.exhaustive.snapshots import restore_query, restore_replica
-from stoneyoke.lab.simulation.exhaustive.state import OngoingOperation, Reply, Request, State, Transition, process_at
+from stoneyoke.lab.simulation.exhaustive.state import OngoingOperation, Request, Response, State, Transition, process_at
 
 
 def initial_state(model: Model) -> State:
@@ -48,9 +48,9 @@
     yield from operation_starts(model, state)
     for request in state.requests:
         yield from request_deliveries(model, state, request)
-    for reply in state.replies:
-        yield Transition(f"{describe_request(reply.request)} answered", apply_reply(model, state, reply))
-    yield from answers_to_queries(model, state)
+    for response in state.responses:
+        yield Transition(f"{describe_request(response.request)} answered", apply_response(model, state, response))
+    yield from query_responses(model, state)
     yield from retries(model, state)
     yield from value_deliveries(model, state)
     yield from failures(model, state)
@@ -67,12 +67,12 @@
         desired = operations.desired_members(model, state, process, operation)
         if not operations.may_begin(operation, desired):
             continue
-        left = state._replace(not_started=tuple(one for one in state.not_started if one != index))
-        ongoing = OngoingOperation(index, operation.tries, state.history.shown, desired=desired)
+        remaining = state._replace(not_started=tuple(one for one in state.not_started if one != index))
+        ongoing = OngoingOperation(index, operation.max_rounds, state.history.shown, desired=desired)
         if operations.reads_first(process, operation):
-            after = begin_query(model, left, ongoing)
+            after = begin_query(model, remaining, ongoing)
         else:
-            after = begin_round(model, left, None, ongoing)
+            after = begin_round(model, remaining, None, ongoing)
         yield Transition(f"{operation.address} begins {operation.kind.value}", after)
 
 
@@ -80,7 +80,7 @@
     """Yields the next round of each operation that may start one: after a lost round, or a query without agreement."""
     for ongoing in state.ongoing:
         address = model.operations[ongoing.operation].address
-        if ongoing.tries <= 0:
+        if ongoing.rounds_left <= 0:
             continue
         if ongoing.round:
             yield Transition(f"{address} tries again", begin_round(model, state, ongoing, ongoing))
@@ -91,20 +91,20 @@
 def prune(model: Model, state: State) -> State:
     """Removes messages whose delivery changes nothing or only blocks others: that equals their loss."""
     lost = [request for request in state.requests if not request_matters(model, state, request)]
-    late = [reply for reply in state.replies if not reply_matters(state, reply)]
+    late = [response for response in state.responses if not response_matters(state, response)]
     if not lost and not late:
         return state
-    return state._replace(requests=state.requests.difference(lost), replies=state.replies.difference(late))
+    return state._replace(requests=state.requests.difference(lost), responses=state.responses.difference(late))
 
 
 def request_matters(model: Model, state: State, request: Request) -> bool:
     """Returns whether the delivery of a request can lead to a state that its loss can't lead to."""
     process = process_at(state, request.to)
-    phase, tries = phase_and_tries(state, request)
+    phase, rounds_left = phase_and_rounds_left(state, request)
     acceptor = Acceptor(process.promised)
     allowed = acceptor.may_promise if request.proposal is None else acceptor.may_accept
     if not state.losses and not allowed(request.ballot):
-        return phase in (Phase.PREPARE, Phase.ACCEPT) and tries > 0
+        return phase in (Phase.PREPARE, Phase.ACCEPT) and rounds_left > 0
     if request.proposal is None:
         return phase is Phase.PREPARE
     if model.duplicates and phase is None:
@@ -112,15 +112,15 @@
     return True
 
 
-def phase_and_tries(state: State, request: Request) -> tuple[Phase | None, int]:
+def phase_and_rounds_left(state: State, request: Request) -> tuple[Phase | None, int]:
     """Returns the phase of a request's round, None if it has ended, and the number of rounds its operation has left."""
     for ongoing in state.ongoing:
         if ongoing.round and ongoing.round.ballot == request.ballot:
-            return ongoing.round.phase, ongoing.tries
+            return ongoing.round.phase, ongoing.rounds_left
     return None, 0
 
 
-def reply_matters(state: State, reply: Reply) -> bool:
+def response_matters(state: State, response: Response) -> bool:
     """Returns whether a round still waits for this response."""
-    expected = Phase.PREPARE if reply.request.proposal is None else Phase.ACCEPT
-    return phase_and_tries(state, reply.request)[0] is expected
+    expected = Phase.PREPARE if response.request.proposal is None else Phase.ACCEPT
+    return phase_and_rounds_left(state, response.request)[0] is expected
