--- a/stoneyoke/lab/capacity/__init__.py
+++ b/stoneyoke/lab/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What the system costs by size: the real logic driven as hollow instances in one process, measured and fitted."""
+"""Measures what the system costs by size, with the real code in one process, and fits each cost over the size."""
--- a/stoneyoke/lab/capacity/__main__.py
+++ b/stoneyoke/lab/capacity/__main__.py
@@ -1,9 +1,9 @@
-"""Measures what the system costs by size: processor time, memory and bytes.
+"""Measures what the system costs at different sizes: processor time, memory and bytes.
 
-python -m stoneyoke.lab.capacity measure                     # everything: a table, some minutes
-python -m stoneyoke.lab.capacity measure --quick             # small sizes, under a minute
-python -m stoneyoke.lab.capacity measure --only "quota"      # the subjects whose names hold this
-python -m stoneyoke.lab.capacity measure --json              # as JSON in place of the table
+python -m stoneyoke.lab.capacity measure                     # all subjects, as a table; takes some minutes
+python -m stoneyoke.lab.capacity measure --quick             # small sizes only; takes less than a minute
+python -m stoneyoke.lab.capacity measure --only "quota"      # the subjects whose names contain this
+python -m stoneyoke.lab.capacity measure --json              # as JSON instead of the table
 """
 
 import sys
@@ -15,15 +15,17 @@
 from stoneyoke.lab.capacity.runner import measure_all
 from stoneyoke.lab.capacity.subjects import SUBJECTS
 
-QUICK = flags.DEFINE_bool("quick", False, "Small sizes only.")
-ONLY = flags.DEFINE_string("only", "", "Measure only subjects whose names hold this.")
-JSON = flags.DEFINE_bool("json", False, "JSON in place of the table.")
-JOBS = flags.DEFINE_integer("jobs", 3, "Measuring processes at once.", lower_bound=1, upper_bound=16)
-MEMORY_GB = flags.DEFINE_float("memory_gb", 12.0, "Of all measuring processes together.", lower_bound=0.5)
+QUICK = flags.DEFINE_bool("quick", False, "Measure small sizes only.")
+ONLY = flags.DEFINE_string("only", "", "Measure only subjects whose names contain this.")
+JSON = flags.DEFINE_bool("json", False, "Print JSON instead of the table.")
+JOBS = flags.DEFINE_integer("jobs", 3, "Number of parallel measuring processes.", lower_bound=1, upper_bound=16)
+MEMORY_GB = flags.DEFINE_float(
+    "memory_gb", 12.0, "Memory limit in GB for all measuring processes together.", lower_bound=0.5
+)
 
 
 def measure() -> int:
-    """Makes the measurements that the flags name, and prints them; exit status 1 if a case failed."""
+    """Makes the measurements that the flags select, and prints them; returns exit status 1 if a case failed."""
     cases = [case for one in SUBJECTS if ONLY.value in one.name for case in one.cases(QUICK.value)]
     begun, done = time.monotonic(), []
     for one in measure_all(cases, JOBS.value, MEMORY_GB.value):
@@ -35,9 +37,9 @@
 
 
 def main(argv: list[str]) -> None:
-    """Runs the one command; exit status 2 if another one is named."""
+    """Runs the command `measure`; exits with status 2 if another one is given."""
     if argv[1:] != ["measure"]:
-        print("capacity: the one command is measure", file=sys.stderr)
+        print("capacity: unknown command; the only command is: measure", file=sys.stderr)
         sys.exit(2)
     sys.exit(measure())
 
--- a/stoneyoke/lab/capacity/figures.py
+++ b/stoneyoke/lab/capacity/figures.py
@@ -1,4 +1,4 @@
-"""Records of what was measured: figures, the measurement that they belong to, and series over an axis. No I/O."""
+"""Records of measurements: figures, the measurement that they belong to, and series over an axis. No I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 class Axis(StrEnum):
-    """What is made larger from one measurement to the next."""
+    """The quantity that grows from one measurement to the next."""
 
     ROUTES = "routes"
     HOST_ROUTES = "routes on one host"
@@ -19,7 +19,7 @@
     MESSAGE_BYTES = "bytes of a message"
 
 
-# The operators' size; the issue names it. 14,000 changes a day are 9.7 a minute.
+# The operators' target sizes, from the issue. 14,000 changes per day are 9.7 per minute.
 TARGETS: dict[Axis, float] = {
     Axis.ROUTES: 76_000,
     Axis.HOST_ROUTES: 76_000,
@@ -33,7 +33,7 @@
 
 
 class Figure(NamedTuple):
-    """One quantity, with its unit: "s", "s/s", "B", "B/s", "1/s", "MB", or "" for a plain number."""
+    """A measured quantity with its unit: "s", "s/s", "B", "B/s", "1/s", "MB", or "" for a number without a unit."""
 
     name: str
     unit: str
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One measurement to make: a subject at one size of its axis."""
+    """A measurement to make: a subject at one size on its axis."""
 
     subject: str
     axis: Axis
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """The measurement of a case.
+    """The result of measuring a case.
 
     Attributes:
         case: What was measured.
-        figures: The quantities; none if the case failed.
-        wall_s: How long it took.
-        rss_mb: The measuring process's memory at its peak.
-        failed: Why there are no figures; empty if there are.
+        figures: The measured quantities; empty if the case failed.
+        wall_s: How long the measurement took, in seconds of wall-clock time.
+        rss_mb: The peak memory of the measuring process, in MB.
+        failed: Why the case failed; empty if it did not.
     """
 
     case: Case
@@ -69,7 +69,7 @@
 
 
 class Point(NamedTuple):
-    """A figure at one size."""
+    """The value of a figure at one size."""
 
     size: float
     value: float
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """One figure of one subject over its axis."""
+    """The values of one figure of one subject over its axis."""
 
     subject: str
     axis: Axis
@@ -87,7 +87,7 @@
 
 
 def series_of(measurements: Iterable[Measurement]) -> list[Series]:
-    """Returns, for each subject and figure, its values by size, in the order of the subjects."""
+    """Returns a series for each subject and figure in the order of the subjects, with the values sorted by size."""
     found: dict[tuple[str, Axis, str, str], list[Point]] = {}
     for one in measurements:
         for figure in one.figures:
--- a/stoneyoke/lab/capacity/fits.py
+++ b/stoneyoke/lab/capacity/fits.py
@@ -1,7 +1,7 @@
-"""How a figure grows with the size: fits of a few shapes by least squares of relative errors, and their forecasts.
+"""Growth of a figure with the size: fits of a few shapes by least squares of relative errors, and their forecasts.
 
-The relative error counts alike at each size, so that the smallest sizes matter beside the largest. Of shapes that fit
-about as well the simplest is taken. A cost that falls with the size is noise: then the figure is constant.
+Relative errors give all sizes the same weight; absolute errors would make the largest sizes dominate. Of the shapes
+that fit about equally well, the simplest is used. A cost that falls with the size is noise, and fitted as constant.
 """
 
 import math
@@ -12,23 +12,23 @@
 from stoneyoke.lab.capacity.figures import Point
 
 FEWEST_POINTS = 4
-PLAUSIBLE_RATIO = 2.0  # shapes whose residual is within this many times the best one's bound the forecast
-NOISE_RESIDUAL = 0.02  # residuals under this are alike: no run repeats better
+PLAUSIBLE_RATIO = 2.0  # shapes with at most this many times the smallest residual bound the forecast
+NOISE_RESIDUAL = 0.02  # smaller residuals count as equal: repeated runs agree no better than this
 
 
 class Shape(NamedTuple):
-    """The functions of a shape: a value is base x first(size) + slope x second(size)."""
+    """The two functions of a shape: its value at a size is base x first(size) + slope x second(size)."""
 
     first: Callable[[float], float]
     second: Callable[[float], float]
 
 
 def always(_: float) -> float:
-    """Returns 1 for each size: the first function of most shapes."""
+    """Returns 1 for every size: the first function of most shapes."""
     return 1.0
 
 
-SHAPES: dict[str, Shape] = {  # the simplest first
+SHAPES: dict[str, Shape] = {  # the simplest shape first
     "constant": Shape(always, lambda _: 0.0),
     "linear": Shape(always, lambda size: size),
     "n log n": Shape(always, lambda size: size * math.log(max(size, 2.0))),
@@ -42,10 +42,10 @@
     """A fitted shape.
 
     Attributes:
-        shape: Its name in SHAPES.
-        base: See Shape.
-        slope: See Shape.
-        residual: Root mean square of the relative errors.
+        shape: The name of the shape in SHAPES.
+        base: The factor of the first function; see Shape.
+        slope: The factor of the second function; see Shape.
+        residual: The root mean square of the relative errors.
     """
 
     shape: str
@@ -54,17 +54,17 @@
     residual: float
 
     def at(self, size: float) -> float:
-        """Returns the value at a size; never below 0."""
+        """Returns the fitted value at a size, at least 0."""
         shape = SHAPES[self.shape]
         return max(0.0, self.base * shape.first(size) + self.slope * shape.second(size))
 
     def plausible(self) -> bool:
-        """Returns whether the cost does not fall with the size, nor either part of a sum."""
+        """Returns whether the cost, and for a sum of two growing parts each part, does not fall with the size."""
         return self.slope >= 0 and (self.base >= 0 or self.shape != "linear and square")
 
 
 class Forecast(NamedTuple):
-    """The value of the simplest plausible fit at a size, and the lowest and the highest value of all plausible ones."""
+    """The value of the simplest plausible fit at a size, and the lowest and the highest value of all plausible fits."""
 
     value: float
     low: float
@@ -72,9 +72,9 @@
 
 
 def fit(name: str, points: Sequence[Point]) -> Fit:
-    """Returns the fit of a shape with the least sum of squared relative errors."""
+    """Returns the fit of a shape that minimizes the sum of squared relative errors."""
     shape = SHAPES[name]
-    rows = [(shape.first(x) / y, shape.second(x) / y) for x, y in points if y > 0]  # each is to come to 1
+    rows = [(shape.first(x) / y, shape.second(x) / y) for x, y in points if y > 0]  # a perfect fit gives 1 for each row
     if not rows:
         return Fit(name, 0.0, 0.0, 0.0)
     aa, ab, bb = (sum(row[i] * row[j] for row in rows) for i, j in ((0, 0), (0, 1), (1, 1)))
@@ -87,7 +87,7 @@
 
 
 def fits(points: Sequence[Point]) -> list[Fit]:
-    """Returns the plausible fits, the simplest first; none where the sizes are too few to tell shapes apart."""
+    """Returns the plausible fits, the simplest first; none if there are too few sizes to distinguish shapes."""
     if len(points) < FEWEST_POINTS:
         return []
     found = [fitted for fitted in (fit(name, points) for name in SHAPES) if fitted.plausible()]
@@ -96,7 +96,7 @@
 
 
 def forecast(found: Sequence[Fit], size: float) -> Forecast | None:
-    """Returns the forecast at a size that was not measured; None without a plausible fit."""
+    """Returns the forecast at a size that was not measured; None if there is no plausible fit."""
     if not found:
         return None
     values = [fitted.at(size) for fitted in found]
--- a/stoneyoke/lab/capacity/fleet_costs.py
+++ b/stoneyoke/lab/capacity/fleet_costs.py
@@ -1,28 +1,30 @@
-"""What a simulated fleet is made of, what a span of its time costs, and the figures that follow."""
+"""The composition of a simulated fleet, its cost over a span of simulated time, and the figures computed from it."""
 
 from dataclasses import dataclass
 
 from stoneyoke.lab.capacity.figures import Figure
 
-SETTLE_S = 3.5  # after the first load; by then the membership, the voters and the lease holder are settled
-NOISE_SHARE = 0.2  # of the steady load; less processor time than that is not distinct from noise
+SETTLE_S = (
+    3.5  # after the gateways have started; by then the membership, the voters and the lease holder no longer change
+)
+NOISE_SHARE = 0.2  # of the steady load; a smaller difference in processor time is indistinguishable from noise
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetShape:
-    """What a fleet is made of.
+    """The composition of a fleet, and how long it is measured.
 
     Attributes:
-        gateways: How many there are.
-        controllers: How many there are.
-        instances: Backends that send heartbeats.
-        routes: Of the configuration.
-        tenants: Of the configuration.
-        changes_per_minute: New configurations while the steady load is measured.
-        regions: Over which the machines are spread evenly.
-        settle_s: Simulated time after the start of all gateways that counts as part of the start.
-        window_s: Simulated time in which the steady load is measured.
-        events: Whether a change, a drain and a new gateway are measured, too.
+        gateways: The number of gateways.
+        controllers: The number of controllers.
+        instances: The number of backends that send heartbeats.
+        routes: The number of routes in the configuration.
+        tenants: The number of tenants in the configuration.
+        changes_per_minute: New configurations per minute while the steady load is measured.
+        regions: The number of regions, over which the machines are spread evenly.
+        settle_s: Simulated seconds after all gateways are ready that count as part of the start.
+        window_s: Simulated seconds for which the steady load is measured.
+        events: Whether a configuration change, a drain and the start of one more gateway are measured, too.
     """
 
     gateways: int = 10
@@ -39,18 +41,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Cost:
-    """What a span of simulated time cost.
+    """The cost of a span of simulated time.
 
     Attributes:
-        seconds: Its length.
-        completed_s: Simulated time until all had what they waited for.
-        gateways_cpu_s: Processor time of all gateways.
-        busiest_controller_cpu_s: Processor time of the busiest controller.
-        gateways_bytes: Bytes in and out of all gateways.
-        busiest_controller_bytes: Bytes in and out of the busiest controller.
-        gateway_messages: Messages in and out of all gateways.
-        controller_messages: Messages in and out of the busiest controller.
-        between_regions_bytes: Bytes from one region to another.
+        seconds: The length of the span.
+        completed_s: Simulated seconds until the measured work was complete.
+        gateways_cpu_s: Processor seconds of all gateways.
+        busiest_controller_cpu_s: Processor seconds of the busiest controller.
+        gateways_bytes: Bytes that all gateways sent and received.
+        busiest_controller_bytes: Bytes that the busiest controller sent and received.
+        gateway_messages: Messages that all gateways sent and received.
+        controller_messages: Messages that the busiest controller sent and received.
+        between_regions_bytes: Bytes sent from one region to another.
     """
 
     seconds: float
@@ -65,7 +67,7 @@
 
 
 def steady_figures(cost: Cost, gateways: int) -> list[Figure]:
-    """Returns the load of a fleet in which nothing special happens, a second."""
+    """Returns the load per second of a fleet without events."""
     seconds = cost.seconds
     return [
         Figure("steady: a gateway's wire", "B/s", cost.gateways_bytes / gateways / seconds),
@@ -79,13 +81,13 @@
 
 
 def event_figures(event: str, cost: Cost, steady: Cost | None, gateways: int) -> list[Figure]:
-    """Returns what an event cost beyond the steady load.
+    """Returns the cost of an event beyond the steady load.
 
     Args:
-        event: Its name in the figures.
-        cost: Of the event and of what it set off.
-        steady: The steady load; None for the start of the fleet, when it is not known yet.
-        gateways: How many there are.
+        event: The name of the event in the figures.
+        cost: The cost of the event and of its consequences.
+        steady: The steady load; None for the start of the fleet, which is measured before it.
+        gateways: The number of gateways.
     """
     steady_spans = cost.seconds / steady.seconds if steady else 0.0
     usual = steady or cost
--- a/stoneyoke/lab/capacity/fleet_measurements.py
+++ b/stoneyoke/lab/capacity/fleet_measurements.py
@@ -1,4 +1,4 @@
-"""Measurements of whole fleets: each plays one from its start to its end, over one axis."""
+"""Measurements of whole fleets over one axis; each runs a simulated fleet from start to shutdown."""
 
 import asyncio
 import shutil
@@ -14,10 +14,10 @@
 from stoneyoke.lab.capacity.meters import rss_mb
 from stoneyoke.lab.simulation.bounds import HEARTBEAT_S
 
-ELECTION_S = 0.5  # after the start of the controllers
-TAIL_S = 0.5  # after all have an event: what it still sets off counts as part of it
-LARGE_FLEET = 2000  # gateways; a larger fleet is played for two seconds only, without events
-SHORT_S = 1.0  # a pull is held for as long: the shortest window that sees each pull once
+ELECTION_S = 0.5  # simulated time that passes after the start of the controllers
+TAIL_S = 0.5  # simulated time after an event is complete; the traffic in it still counts as part of the event
+LARGE_FLEET = 2000  # gateways; a fleet of this size or more is measured for two simulated seconds only, without events
+SHORT_S = 1.0  # as long as a pull waits: the shortest window that contains each pull once
 
 
 async def play(fleet: HollowFleet) -> list[Figure]:
@@ -45,7 +45,7 @@
 
 
 async def measure_change(fleet: HollowFleet, steady: Cost) -> list[Figure]:
-    """Measures a new configuration, from its call until all gateways have it in force."""
+    """Measures a configuration change, from its request until it is in force at all gateways."""
     acknowledged_s = 0.0
 
     async def change() -> None:
@@ -59,7 +59,7 @@
 
 
 async def measure_drain(fleet: HollowFleet, steady: Cost) -> list[Figure]:
-    """Measures a drain, from its call until all gateways know it."""
+    """Measures a drain, from its heartbeat until all gateways know of it."""
 
     async def drain() -> None:
         await fleet.send_heartbeat(0, "draining")
@@ -70,7 +70,7 @@
 
 
 async def measure_join(fleet: HollowFleet, steady: Cost) -> list[Figure]:
-    """Measures one more gateway, from its start until it is ready."""
+    """Measures the start of one more gateway, until it is ready."""
 
     async def join() -> None:
         fleet.start_gateway(fleet.shape.gateways)
@@ -81,7 +81,7 @@
 
 
 def fleet_figures(shape: FleetShape) -> list[Figure]:
-    """Plays one fleet from its start to its end."""
+    """Runs and measures one fleet, and removes its data at the end."""
     folder, loop = tempfile.mkdtemp(prefix="capacity-"), MeteredLoop()
     logger.disable("stoneyoke")
 
@@ -102,29 +102,29 @@
 
 
 def by_gateways(size: int) -> list[Figure]:
-    """Measures a fleet of so many gateways."""
+    """Measures a fleet with this number of gateways."""
     if size >= LARGE_FLEET:
         return fleet_figures(FleetShape(gateways=size, settle_s=SHORT_S, window_s=SHORT_S, events=False))
     return fleet_figures(FleetShape(gateways=size, window_s=2.0))
 
 
 def by_instances(size: int) -> list[Figure]:
-    """Measures a fleet with so many backends."""
+    """Measures a fleet with this number of backends."""
     return fleet_figures(FleetShape(instances=size))
 
 
 def by_routes(size: int) -> list[Figure]:
-    """Measures a fleet with so many routes."""
+    """Measures a fleet with this number of routes."""
     return fleet_figures(FleetShape(routes=size))
 
 
 def by_changes(size: int) -> list[Figure]:
-    """Measures a fleet whose configuration changes so many times a minute."""
+    """Measures a fleet with this number of configuration changes per minute."""
     return fleet_figures(FleetShape(gateways=30, routes=300, changes_per_minute=size, window_s=30.0, events=False))
 
 
 def by_regions(size: int) -> list[Figure]:
-    """Measures a fleet in so many regions."""
+    """Measures a fleet in this number of regions."""
     return fleet_figures(FleetShape(gateways=40, controllers=5, regions=size))
 
 
--- a/stoneyoke/lab/capacity/hollow_fleet.py
+++ b/stoneyoke/lab/capacity/hollow_fleet.py
@@ -1,8 +1,8 @@
 """A hollow fleet in one process: real controllers and real control clients of gateways, in simulated time.
 
-It has no sockets, no clients and no connections to backends. Simulated time counts only the way of messages: work takes
-none of it. Beside each time until all have a change stands the processor time of the busiest controller, which on one
-core is the least time that the change takes.
+It has no sockets, no clients and no connections to backends. Simulated time contains only the delays of messages;
+computation takes none of it. The figures therefore also have the processor time of the busiest controller, which on one
+core is the minimum time that an event takes.
 """
 
 import asyncio
@@ -26,21 +26,21 @@
 from stoneyoke.lab.simulation.bounds import BOUNDS, HEARTBEAT_S
 from stoneyoke.lab.simulation.disks import Disk
 
-SILENCE_TIMEOUT_S = 2.4 * HEARTBEAT_S + 0.5  # after which a backend counts as silent
-SWEEP_S = 0.25  # between two sweeps of a gateway's instance directory
-POLL_S = 0.01  # between two looks whether all gateways have something
-REPEAT_S = 0.1  # before an operator repeats a call that was not acknowledged
-BETWEEN_REGIONS_S = 0.04  # one way; an assumption, the operators name no value
-TIMEOUT_S = 60.0  # simulated; a fleet that is not ready by then has failed
+SILENCE_TIMEOUT_S = 2.4 * HEARTBEAT_S + 0.5  # after this time without a heartbeat a backend counts as silent
+SWEEP_S = 0.25  # interval between two sweeps of a gateway's instance directory
+POLL_S = 0.01  # interval between two checks of a condition at all gateways
+REPEAT_S = 0.1  # before an operator retries a call that was not acknowledged
+BETWEEN_REGIONS_S = 0.04  # one-way delay; an assumption, as the operators give no value
+TIMEOUT_S = 60.0  # simulated time; the fleet fails if a write or a condition of all gateways takes longer
 RANDOM_SEED = 11
 ZONE, PORT = "zone", 1
 
 
 class HollowGateway:
-    """A gateway's control client, and the routing table that it puts in force."""
+    """A gateway's control client, and the routing table of its configuration."""
 
     def __init__(self, name: str, seeds: tuple[str, ...], dial: Callable[[tuple[str, int]], Any]) -> None:
-        """Creates a gateway that knows the controllers at these addresses."""
+        """Creates a gateway whose seeds are the controllers at these addresses."""
         loop = asyncio.get_running_loop()
         self.table: RoutingTable | None = None
         settings = ControlClientSettings(name=name, ip=name, zone=ZONE, port=PORT, seeds=seeds, bounds=BOUNDS)
@@ -48,18 +48,18 @@
         self.client = ControlClient(settings, self, environment)
 
     def on_update(self) -> None:
-        """Does nothing: `has` reads what is known."""
+        """Does nothing: `has` reads the current state."""
 
     def take(self, new_configuration: Configuration) -> None:
-        """Puts a configuration in force."""
+        """Builds the routing table of a configuration and puts it in force."""
         self.table = build_routing_table(new_configuration)
 
     def has(self, version: int) -> bool:
-        """Returns whether a version of at least this number is in force."""
+        """Returns whether a configuration with at least this number is in force."""
         return self.table is not None and self.table.version >= Version(version)
 
     async def run(self) -> None:
-        """Runs until the fleet ends."""
+        """Runs the control client and sweeps the instance directory until the task is cancelled."""
         self.client.start()
         while True:
             await asyncio.sleep(SWEEP_S)
@@ -67,20 +67,20 @@
 
 
 class HollowFleet:
-    """The controllers, the gateways and the callers of one fleet.
+    """The controllers and gateways of one fleet, and the operators and backends that call them.
 
     Attributes:
-        shape: What it is made of.
-        network: Counts bytes and messages.
+        shape: The composition of the fleet.
+        network: The network, which counts bytes and messages.
         seeds: Addresses of all controllers.
         controllers: The controllers, by their addresses.
         gateways: The gateways, by their names.
         version: The number of the newest configuration.
-        call_seq: The number of the last heartbeat.
+        call_seq: The sequence number of the last heartbeat.
     """
 
     def __init__(self, shape: FleetShape, loop: MeteredLoop, folder: str) -> None:
-        """Prepares a fleet whose disks are in a folder; nothing runs yet."""
+        """Creates a fleet whose disks are in a folder; starts nothing."""
         self.shape, self.loop, self.folder = shape, loop, Path(folder)
         self.random_source = random.Random(RANDOM_SEED)
         self.network = MeteredNetwork(self.random_source, self.region_of, BETWEEN_REGIONS_S)
@@ -91,18 +91,18 @@
         self.call_seq = 0
 
     def region_of(self, name: str) -> int:
-        """Returns the region of a machine: its number decides, so that machines are spread evenly."""
+        """Returns the region of a machine, from the number in its name, so that machines are spread evenly."""
         return int(name.rpartition(".")[2].rpartition("-")[2]) % self.shape.regions
 
     # ---- machines and callers ----
 
     async def start_controllers(self) -> None:
-        """Starts the controllers, one after the other."""
+        """Starts the controllers one after another."""
         for name in self.seeds:
             await self.network.run_on(name, self.start_controller(name))
 
     async def start_controller(self, name: str) -> None:
-        """Starts the controller at an address."""
+        """Starts the controller with this address."""
         disk = Disk(str(self.folder / name), self.random_source)
         settings = ControllerSettings(
             name=name,
@@ -134,9 +134,9 @@
         self.network.run_on(name, gateway.run())
 
     async def call(self, name: str, method: str, target: str, body: bytes) -> bool:
-        """Calls one controller as a backend or an operator; returns whether it acknowledged.
+        """Sends an HTTP call to a controller as a backend or an operator; returns whether it was acknowledged.
 
-        The processor time is the controller's.
+        The processor time is charged to the controller.
         """
 
         async def handle() -> ApiResult:
@@ -147,7 +147,7 @@
         return result == Acknowledged()
 
     async def put(self) -> float:
-        """Writes a new configuration; returns the simulated time until it was acknowledged."""
+        """Writes a new configuration; returns the simulated seconds until it was acknowledged."""
         self.version += 1
         body, started_at = configuration(self.shape.routes, self.shape.tenants, self.version), self.loop.time()
         async with asyncio.timeout(TIMEOUT_S):
@@ -163,7 +163,7 @@
         await self.call(name, "POST", target, heartbeat(index, self.call_seq, phase))
 
     async def send_heartbeats(self) -> None:
-        """Sends the heartbeats of all backends, evenly over the interval, until the fleet ends."""
+        """Sends the heartbeats of all backends, evenly over each interval, until the task is cancelled."""
         step = HEARTBEAT_S / max(1, self.shape.instances)
         while True:
             started_at = self.loop.time()
@@ -171,18 +171,18 @@
                 wait = started_at + index * step - self.loop.time()
                 if wait > POLL_S:
                     await asyncio.sleep(wait)
-                if index:  # the first one is kept for the drain
+                if index:  # the first backend is reserved for the drain, which send_heartbeat(0) sends
                     await self.send_heartbeat(index)
             await asyncio.sleep(max(POLL_S, started_at + HEARTBEAT_S - self.loop.time()))
 
     async def put_repeatedly(self) -> None:
-        """Writes new configurations at the rate of the shape, until the fleet ends."""
+        """Writes new configurations at the rate of the shape until the task is cancelled; returns if the rate is 0."""
         while self.shape.changes_per_minute:
             await asyncio.sleep(60 / self.shape.changes_per_minute)
             await self.put()
 
     async def start_gateways(self) -> None:
-        """Starts all gateways, and waits until each is ready and has the newest configuration."""
+        """Starts all gateways, and waits until each is ready and has the newest configuration in force."""
         for index in range(self.shape.gateways):
             self.start_gateway(index)
         await self.until(lambda gateway: gateway.client.config_sync.ready and gateway.has(self.version))
@@ -190,27 +190,27 @@
     # ---- measurements ----
 
     async def until(self, holds: Callable[[HollowGateway], bool]) -> None:
-        """Waits until something holds of every gateway.
+        """Waits until a condition holds at every gateway.
 
         Raises:
             TimeoutError: If that takes longer than TIMEOUT_S of simulated time.
         """
         waiting = list(self.gateways.values())
         async with asyncio.timeout(TIMEOUT_S):
-            while waiting := [one for one in waiting if not holds(one)]:  # noqa: ASYNC110 -- nothing signals it
+            while waiting := [one for one in waiting if not holds(one)]:  # noqa: ASYNC110 -- gateways signal no changes
                 await asyncio.sleep(POLL_S)
 
     def knows_drain(self, gateway: HollowGateway) -> bool:
-        """Returns whether a gateway knows that the first backend drains."""
+        """Returns whether a gateway knows that the first backend is draining."""
         known = gateway.client.instance_directory.instances.get(instance_name(0))
         return known is not None and known.row.phase == Phase.DRAINING
 
     async def cost_of(self, work: Callable[[], Awaitable[None]], tail_s: float = 0.0) -> Cost:
-        """Measures a piece of work and what it sets off.
+        """Measures a piece of work and its consequences.
 
         Args:
-            work: What is measured; it returns once all have what they wait for.
-            tail_s: Simulated time after the work that counts as part of it.
+            work: The work to measure; it returns once it is complete at all gateways.
+            tail_s: Simulated seconds after the work that count as part of it.
         """
         traffic = self.network.traffic = Traffic()
         cpu_s, started_at = self.loop.spent, self.loop.time()
--- a/stoneyoke/lab/capacity/hot_paths/__init__.py
+++ b/stoneyoke/lab/capacity/hot_paths/__init__.py
@@ -1,4 +1,4 @@
-"""Hot paths, each measured alone: the real code on state of one size, in one process, without a network."""
+"""Hot paths, each measured separately: the real code with state of a given size, in one process, without a network."""
 
 from collections.abc import Callable
 
--- a/stoneyoke/lab/capacity/hot_paths/configurations.py
+++ b/stoneyoke/lab/capacity/hot_paths/configurations.py
@@ -10,11 +10,11 @@
 from stoneyoke.lab.capacity.meters import heap, megabytes, processor_once_s, processor_s, sample_indexes
 from stoneyoke.lab.capacity.workloads import configuration
 
-LOOK_UPS = 200  # timed together
+LOOK_UPS = 200  # number of look-ups that are timed together
 
 
 def configuration_by_routes(size: int) -> list[Figure]:
-    """Measures a whole configuration of so many routes: its text, reading, the routing table, and look-ups."""
+    """Measures a configuration with this number of routes: its text, reading, the routing table and look-ups."""
     body = configuration(routes=size)
     deflated = zlib.compress(body, 6)
     parsed = read_configuration(body)
@@ -32,7 +32,7 @@
 
 
 def configuration_heap(body: bytes) -> list[Figure]:
-    """Measures what a process holds of a configuration: a controller text and content, a gateway the table."""
+    """Measures the memory of a configuration: its text and parsed content at a controller, the table at a gateway."""
     parsed, parsed_heap = heap(lambda: read_configuration(body))
     _, table_heap = heap(lambda: build_routing_table(parsed))
     return [
@@ -43,7 +43,7 @@
 
 
 def look_up_s(table: RoutingTable, parsed: Configuration) -> float:
-    """Returns the processor time of one look-up, over requests for routes drawn at random."""
+    """Returns the processor time of one look-up, averaged over requests for randomly drawn routes."""
     routes = list(parsed.routes())
     asked = [
         (routes[index][0], routes[index][1]["path_prefix"] + "x") for index in sample_indexes(len(routes), LOOK_UPS)
@@ -57,13 +57,13 @@
 
 
 def look_up_by_host_routes(size: int) -> list[Figure]:
-    """Measures look-ups with all routes on one host, the worst that a host_map can hold."""
+    """Measures look-ups with all routes on one host, which is the worst case of a host_map."""
     parsed = read_configuration(configuration(routes=size, routes_per_host=size))
     return [Figure("one look-up, all routes on one host", "s", look_up_s(build_routing_table(parsed), parsed))]
 
 
 def configuration_by_tenants(size: int) -> list[Figure]:
-    """Measures a configuration of so many tenants, without the check of their keys (see check_keys)."""
+    """Measures a configuration with this number of tenants, without the check of their keys (see check_keys)."""
     body = configuration(tenants=size)
     deflated = zlib.compress(body, 6)
 
@@ -97,6 +97,6 @@
 
 
 def check_keys(size: int) -> list[Figure]:
-    """Measures the whole reading, with the check that no two tenants share a key or a label."""
+    """Measures reading a configuration, with the check that no two tenants share a key or a label."""
     body = configuration(tenants=size)
     return [Figure("read and check", "s", processor_once_s(lambda: read_configuration(body))[1])]
--- a/stoneyoke/lab/capacity/hot_paths/controller_registry.py
+++ b/stoneyoke/lab/capacity/hot_paths/controller_registry.py
@@ -10,12 +10,15 @@
 from stoneyoke.lab.simulation.bounds import HEARTBEAT_S
 from stoneyoke.transport.messages import InstanceRow, pack
 
-CALLS = 200  # timed together
-SILENT_S = 2.4 * HEARTBEAT_S + 0.5  # after which an instance counts as silent
+CALLS = 200  # number of calls that are timed together
+SILENT_S = 2.4 * HEARTBEAT_S + 0.5  # after this time without a heartbeat an instance counts as silent
 
 
 def filled_registry(size: int) -> InstanceRegistry:
-    """Returns a registry of ready instances, put in directly: merge() searches all of them for each new one."""
+    """Returns a registry of ready instances.
+
+    They are added directly, because merge() searches all instances for each new one.
+    """
     registry = InstanceRegistry(SILENT_S)
     for index in range(size):
         registry.records[instance_name(index)] = InstanceRecord(row(index), 0.0, 0.0, index + 1)
@@ -24,13 +27,13 @@
 
 
 def row_of_call(call: object) -> InstanceRow:
-    """Returns the row of a heartbeat's call."""
+    """Returns the row of a heartbeat."""
     assert isinstance(call, Heartbeat)
     return row_from_heartbeat(call)
 
 
 def read_call_s(size: int) -> float:
-    """Returns the processor time of reading the call of one heartbeat."""
+    """Returns the processor time of reading the HTTP call of one heartbeat."""
     calls = [
         (f"/instances/{instance_name(index)}/heartbeat", heartbeat(index, 9)) for index in sample_indexes(size, CALLS)
     ]
@@ -43,7 +46,7 @@
 
 
 def registered_heartbeats(size: int) -> list[Figure]:
-    """Measures a controller that knows so many instances: heartbeats of all, a change, a drain, a sweep, pulls."""
+    """Measures a controller with this number of instances: heartbeats of all, a change, a drain, a sweep, pulls."""
     registry, registry_heap = heap(lambda: filled_registry(size))
     seq = 1
 
@@ -74,7 +77,7 @@
 
 
 def first_heartbeats(size: int) -> list[Figure]:
-    """Measures the first heartbeats of so many instances."""
+    """Measures the first heartbeats of this number of instances."""
     registry, rows = InstanceRegistry(SILENT_S), [row(index) for index in range(size)]
 
     def merge_all() -> None:
--- a/stoneyoke/lab/capacity/hot_paths/gateway_directory.py
+++ b/stoneyoke/lab/capacity/hot_paths/gateway_directory.py
@@ -1,4 +1,4 @@
-"""Hot paths of a gateway's instances: pulls, changes, sweeps and the upstreams made from them."""
+"""Hot paths of the instances at a gateway: pulls, changes, sweeps and the upstreams made from them."""
 
 import asyncio
 
@@ -29,7 +29,7 @@
 
 
 def merge_pulls(size: int) -> list[Figure]:
-    """Measures a gateway that learns of so many instances from three controllers."""
+    """Measures a gateway that receives the rows of this number of instances from three controllers."""
     registry = InstanceRegistry(1.0)
     frame = pack(1, pull_response(registry, [row(index) for index in range(size)], True))[4:]
 
@@ -50,7 +50,7 @@
         seq += 1
         known.apply_pull(CONTROLLERS[0], pull_response(registry, [row(0, seq)], False), 0.5)
 
-    one_change()  # frees the first answer, which is not what a change costs
+    one_change()  # frees the memory of the first pull response, which is not part of the cost of a change
     return [
         Figure("first pulls from three controllers", "s", first_s),
         Figure("directory held", "MB", megabytes(directory_heap.held)),
@@ -61,9 +61,9 @@
 
 
 def renew_upstreams(size: int) -> list[Figure]:
-    """Measures the upstreams of so many instances: the first renewal, and one after a drain."""
+    """Measures the upstreams of this number of instances: the first renewal, and one after a drain."""
 
-    async def renewals() -> list[Figure]:  # in a loop, because the upstreams set timers
+    async def renewals() -> list[Figure]:  # runs in an event loop, because the upstreams set timers
         known, clock, metrics = directory_with([row(index) for index in range(size)]), Clock(), Metrics()
 
         def make() -> Upstreams:
--- a/stoneyoke/lab/capacity/hot_paths/peer_calls.py
+++ b/stoneyoke/lab/capacity/hot_paths/peer_calls.py
@@ -9,12 +9,12 @@
 from stoneyoke.transport.peer_client import PeerClient
 from stoneyoke.transport.peer_server import PeerServer
 
-CALLS = 200  # timed together
-PORT_ANY = 0  # the system chooses
+CALLS = 200  # number of calls that are timed together
+PORT_ANY = 0  # the system chooses a free port
 
 
 def call_over_socket(size: int) -> list[Figure]:
-    """Measures one call with an answer of so many bytes over loopback: both ends, sockets and loop."""
+    """Measures one call over loopback whose response has this number of bytes: both ends, sockets and event loop."""
     body = random.Random(1).randbytes(size)
 
     async def answer(message: Message) -> Message | None:
@@ -33,7 +33,7 @@
 
 
 async def measured_calls(client: PeerClient) -> float:
-    """Returns the processor time of one call, the best of three rounds."""
+    """Returns the processor time of one call, in the fastest of three rounds."""
 
     async def once() -> float:
         start = time.process_time()
--- a/stoneyoke/lab/capacity/hot_paths/pull_responses.py
+++ b/stoneyoke/lab/capacity/hot_paths/pull_responses.py
@@ -1,11 +1,11 @@
-"""Pull responses of a controller for measurements: the rows of instances, and nothing else."""
+"""Pull responses of a controller for measurements, which contain only the rows of instances."""
 
 from stoneyoke.controlplane.instance_registry import InstanceRegistry
 from stoneyoke.transport.messages import BallotRow, InstanceRow, MemberRow, PullResponse, ValueRow, VersionRow
 
 
 def pull_response(registry: InstanceRegistry, rows: list[InstanceRow], complete: bool) -> PullResponse:
-    """Returns a response with the rows of instances; all its other parts are empty."""
+    """Returns a pull response with the rows of instances; all its other parts are empty."""
     no_ballot = BallotRow(0, "")
     no_version = VersionRow(0, b"")
     return PullResponse(
--- a/stoneyoke/lab/capacity/hot_paths/quotas.py
+++ b/stoneyoke/lab/capacity/hot_paths/quotas.py
@@ -1,4 +1,4 @@
-"""Hot paths of quotas: the allocator at the lease holder and the decisions of a gateway."""
+"""Hot paths of quotas: the allocator at the lease holder, and the admission decisions of a gateway."""
 
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.routes import Tenant
@@ -10,12 +10,12 @@
 from stoneyoke.limits.token_bucket import SECOND
 from stoneyoke.transport.messages import QuotaDemand, QuotaRequest, QuotaResponse, pack
 
-TENANTS_A_DRAW = 100  # 1.7 M requests a second over 3,800 gateways are 112 in a quarter second
-CALLS = 200  # timed together
+TENANTS_A_DRAW = 100  # 1.7 million requests per second over 3,800 gateways are 112 per gateway in a quarter of a second
+CALLS = 200  # number of decisions that are timed together
 
 
 def allocate_quotas(size: int) -> list[Figure]:
-    """Measures the draw of one gateway at the lease holder that allocates the quotas of so many tenants."""
+    """Measures a quota request of one gateway at a lease holder that allocates the quotas of this number of tenants."""
     plans = [{"label": f"tenant-{index:07d}", "rate_per_s": 33.0, "burst_size": 33.0} for index in range(size)]
     demands = [QuotaDemand(f"tenant-{index:07d}", 2.0, 2.0, 0.0, 0.0) for index in sample_indexes(size, TENANTS_A_DRAW)]
 
@@ -51,7 +51,7 @@
 
 
 def decide_requests(size: int) -> list[Figure]:
-    """Measures a gateway that has admitted requests of so many tenants."""
+    """Measures a gateway that has admitted requests of this number of tenants."""
     admission = Admission(5, 0, BOUNDS)
     tenants = [Tenant(f"tenant-{index:07d}", 1, 33.0, 33.0) for index in range(size)]
 
--- a/stoneyoke/lab/capacity/metered_network.py
+++ b/stoneyoke/lab/capacity/metered_network.py
@@ -1,7 +1,7 @@
-"""The simulated network and loop with meters: the processor time of each machine, and the bytes of its messages.
+"""A simulated network and event loop that measure the processor time of each machine and the bytes of its messages.
 
-The simulation names the machine that each step belongs to. What carries messages belongs to none, so that the cost of
-the simulation is not counted as the system's.
+The simulation records the machine to which each step belongs. Steps that transport messages belong to no machine, so
+that the cost of the simulation is not counted as a cost of the system.
 """
 
 import asyncio
@@ -17,19 +17,19 @@
 
 
 class MeteredLoop(SimulatedLoop):
-    """A simulated loop that measures processor time.
+    """A simulated event loop that measures processor time.
 
     Attributes:
         spent: Processor seconds by machine; a step is charged to the machine in whose context it runs.
     """
 
     def __init__(self) -> None:
-        """Starts with no time spent."""
+        """Creates a loop without charged time."""
         super().__init__()
         self.spent: defaultdict[str, float] = defaultdict(float)
 
     def metered(self, callback: Callable[..., Any]) -> Callable[..., Any]:
-        """Returns a callback that charges its time."""
+        """Returns a callback whose processor time is charged to the machine in whose context it runs."""
         spent = self.spent
 
         def step(*args: Any) -> None:
@@ -47,19 +47,19 @@
     def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: Any = None
     ) -> asyncio.TimerHandle:
-        """Starts a timer whose step is charged."""
+        """Schedules a callback whose processor time is charged."""
         return super().call_at(when, self.metered(callback), *args, context=context)
 
 
 @dataclass
 class Traffic:
-    """Messages and their bytes.
+    """The number of messages and their bytes.
 
     Attributes:
-        messages: Messages in and out, by machine.
+        messages: Messages sent and received, by machine.
         sent: Bytes sent, by machine.
         received: Bytes received, by machine.
-        between_regions: Bytes from one region to another.
+        between_regions: Bytes sent from one region to another.
     """
 
     messages: defaultdict[str, int] = field(default_factory=lambda: defaultdict(int))
@@ -68,11 +68,11 @@
     between_regions: int = 0
 
     def bytes_of(self, machine: str) -> int:
-        """Returns the bytes in and out of a machine."""
+        """Returns the bytes that a machine sent and received."""
         return self.sent[machine] + self.received[machine]
 
     def add(self, sender: str, receiver: str, size: int, crosses_regions: bool) -> None:
-        """Counts a message of so many bytes."""
+        """Counts a message of this number of bytes."""
         self.messages[sender] += 1
         self.messages[receiver] += 1
         self.sent[sender] += size
@@ -81,15 +81,15 @@
 
 
 class MeteredNetwork(SimulatedNetwork):
-    """A simulated network that counts messages and bytes, with longer ways between regions."""
+    """A simulated network that counts messages and bytes, with an additional delay between regions."""
 
     def __init__(self, random_source: random.Random, region_of: Callable[[str], int], between_regions_s: float) -> None:
-        """Starts without machines.
+        """Creates a network without machines.
 
         Args:
-            random_source: Delays are drawn from it.
+            random_source: The source of the random delays.
             region_of: Returns the region of a machine.
-            between_regions_s: One way between two regions, in seconds.
+            between_regions_s: The additional one-way delay between two regions, in seconds.
         """
         super().__init__(random_source)
         self.region_of, self.between_regions_s = region_of, between_regions_s
@@ -100,18 +100,18 @@
         return self.region_of(own) != self.region_of(other)
 
     async def transmit(self, sender: str, receiver: str) -> bool:
-        """Waits for as long as a message is on its way."""
+        """Waits for the delay of a message; returns whether it arrives."""
         arrives = await super().transmit(sender, receiver)
         if self.crosses_regions(sender, receiver):
             await asyncio.sleep(self.between_regions_s)
         return arrives
 
     async def deliver(self, call: PeerCall) -> None:
-        """Counts a call's bytes and carries it."""
+        """Counts the bytes of a call and delivers it."""
         self.traffic.add(call.sender, call.receiver, len(call.frame), self.crosses_regions(call.sender, call.receiver))
         await super().deliver(call)
 
     async def return_answer(self, call: PeerCall, frame: bytes) -> None:
-        """Counts an answer's bytes and carries it."""
+        """Counts the bytes of a response and delivers it."""
         self.traffic.add(call.receiver, call.sender, len(frame), self.crosses_regions(call.sender, call.receiver))
         await super().return_answer(call, frame)
--- a/stoneyoke/lab/capacity/meters.py
+++ b/stoneyoke/lab/capacity/meters.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of a piece of work, in the process that does it."""
+"""Measures the processor time and the memory of a piece of work in this process."""
 
 import gc
 import random
@@ -10,20 +10,20 @@
 
 R = TypeVar("R")
 
-SHORTEST_S = 0.05  # shorter work is repeated until it has taken this long
+SHORTEST_S = 0.05  # work that takes less processor time is repeated until it has taken this much
 SAMPLE_SEED = 3
-ROUNDS = 3  # of short work; the least disturbed one counts
+ROUNDS = 3  # of short work; the fastest round counts, as the least disturbed one
 
 
 class Heap(NamedTuple):
-    """Bytes of Python objects that are held after the work, and at the most while it was done."""
+    """Bytes of Python objects that are still allocated after the work, and at the peak during it."""
 
     held: int
     peak: int
 
 
 def processor_s(work: Callable[[], object]) -> float:
-    """Returns the processor time of one call of work that can be repeated."""
+    """Returns the processor time of one call of work that can be repeated, in seconds."""
     gc.collect()
     gc.disable()
     try:
@@ -45,7 +45,7 @@
 
 
 def processor_once_s(work: Callable[[], R]) -> tuple[R, float]:
-    """Returns the result and the processor time of work that can't be repeated."""
+    """Returns the result and the processor time, in seconds, of work that can't be repeated."""
     gc.collect()
     gc.disable()
     try:
@@ -57,7 +57,7 @@
 
 
 def heap(work: Callable[[], R]) -> tuple[R, Heap]:
-    """Returns the result of work and what it holds. This slows the work down, so its time is measured apart."""
+    """Returns the result of work and the memory it uses. Tracing slows it down, so its time is measured separately."""
     gc.collect()
     gc.disable()
     tracemalloc.start()
@@ -71,7 +71,10 @@
 
 
 def peak_rss_mb() -> float:
-    """Returns the peak memory of this process, in MB; the resource module's figure may be inherited from the parent."""
+    """Returns the peak resident memory of this process, in MB.
+
+    The figure of the `resource` module is not used, as it may be inherited from the parent process.
+    """
     for line in Path("/proc/self/status").read_text().splitlines():
         if line.startswith("VmHWM:"):
             return int(line.split()[1]) / 1024
@@ -79,7 +82,7 @@
 
 
 def rss_mb() -> float:
-    """Returns the memory of this process, in MB."""
+    """Returns the resident memory of this process, in MB."""
     for line in Path("/proc/self/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
@@ -87,10 +90,10 @@
 
 
 def sample_indexes(count: int, most: int) -> list[int]:
-    """Returns some indexes below a count, at most so many, the same ones each time."""
+    """Returns random indexes below `count`, at most `most` of them; the same arguments give the same indexes."""
     return random.Random(SAMPLE_SEED).sample(range(count), min(count, most))
 
 
 def megabytes(count: int) -> float:
-    """Returns bytes as megabytes."""
+    """Converts bytes to megabytes."""
     return count / 1e6
--- a/stoneyoke/lab/capacity/report.py
+++ b/stoneyoke/lab/capacity/report.py
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One figure over its axis, with its forecast.
+    """A figure over its axis, with its fit and its forecast.
 
     Attributes:
         series: The values by size.
-        fit: The simplest plausible fit, if any.
-        target: The operators' size.
-        forecast: The figure at the target, if there is a fit.
-        beyond: The target divided by the largest size that was measured.
+        fit: The simplest plausible fit; None if there is none.
+        target: The operators' target size on the axis.
+        forecast: The figure at the target; None if there is no fit.
+        beyond: The target divided by the largest measured size.
     """
 
     series: Series
@@ -30,12 +30,12 @@
     beyond: float
 
     def extrapolated(self) -> bool:
-        """Returns whether the target lies beyond the sizes that were measured."""
+        """Returns whether the target is larger than every measured size."""
         return self.beyond > 1.0
 
 
 def row_of(series: Series) -> Row:
-    """Returns the row of a figure."""
+    """Returns the row of a series."""
     found, target = fits(series.points), TARGETS[series.axis]
     return Row(
         series,
@@ -47,7 +47,7 @@
 
 
 def shown(value: float, unit: str) -> str:
-    """Returns a value with three digits and the usual prefix of its unit."""
+    """Formats a value with three significant digits and the usual prefix of its unit."""
     if unit in ("s", "s/s"):
         for scale, name in ((1.0, "s"), (MILLI, "ms"), (MICRO, "us"), (NANO, "ns")):
             if abs(value) >= scale:
@@ -61,7 +61,7 @@
 
 
 def line(row: Row) -> str:
-    """Returns a row as text: the values, the fit and the forecast with its bounds."""
+    """Formats a row as text: the values, the fit and the forecast with its bounds."""
     series = row.series
     points = ", ".join(f"{point.size:g}: {shown(point.value, series.unit)}" for point in series.points)
     if row.fit is None or row.forecast is None:
@@ -77,7 +77,7 @@
 
 
 def table(measurements: Sequence[Measurement]) -> str:
-    """Returns all measurements as text, by subject, with the failures at the end."""
+    """Formats all measurements as text, grouped by subject, with the failures at the end."""
     lines, subject = [], ""
     for row in map(row_of, series_of(measurements)):
         if row.series.subject != subject:
@@ -99,7 +99,7 @@
 
 
 def document(measurements: Sequence[Measurement], wall_s: float) -> str:
-    """Returns all measurements and fits as JSON."""
+    """Formats all measurements and fits as JSON."""
     rows = [row_of(series) for series in series_of(measurements)]
     fields = {
         "wall_s": round(wall_s, 1),
@@ -110,7 +110,7 @@
 
 
 def measurement_fields(measurement: Measurement) -> dict[str, Any]:
-    """Returns a measurement as JSON fields."""
+    """Returns the JSON fields of a measurement."""
     return {
         "subject": measurement.case.subject,
         "axis": measurement.case.axis,
@@ -123,7 +123,7 @@
 
 
 def fit_fields(row: Row, fit: Fit, forecast_at_target: Forecast) -> dict[str, Any]:
-    """Returns the fit and the forecast of a row as JSON fields."""
+    """Returns the JSON fields of the fit and the forecast of a row."""
     return {
         "subject": row.series.subject,
         "figure": row.series.name,
--- a/stoneyoke/lab/capacity/runner.py
+++ b/stoneyoke/lab/capacity/runner.py
@@ -1,4 +1,4 @@
-"""Makes the measurements, each in a process of its own, a few at once, within a bound on memory."""
+"""Runs the measurements, each in its own process, several in parallel, within a memory limit."""
 
 import multiprocessing
 import resource
@@ -18,11 +18,11 @@
 
 
 def measure(case: Case, memory_gb: float = 0.0) -> Measurement:
-    """Measures one case in this process; a failure is part of the measurement.
+    """Measures one case in this process; a failure is recorded in the measurement.
 
     Args:
-        case: What is measured.
-        memory_gb: The process may use so much; 0 for no bound.
+        case: The case to measure.
+        memory_gb: The memory limit of the process, in GB; 0 for no limit.
     """
     if memory_gb:
         top = int(memory_gb * GIGABYTE)
@@ -34,21 +34,21 @@
         figures = tuple(WORK[case.subject](case.size))
     except MemoryError:
         failed = f"more than {memory_gb:g} GB"
-    except Exception as error:  # one case that fails must not cost the others
+    except Exception as error:  # a case that fails must not stop the others
         failed = f"{type(error).__name__}: {error}"[:MAX_ERROR_CHARACTERS]
     logger.enable("stoneyoke")
     return Measurement(case, figures, time.monotonic() - begun, peak_rss_mb(), failed)
 
 
 def measure_all(cases: Iterable[Case], jobs: int, memory_gb: float) -> Iterator[Measurement]:
-    """Measures cases in processes of their own; yields them in their order.
+    """Measures each case in its own process; yields the measurements in the order of the cases.
 
-    A process that is ended from outside costs the cases that are not measured yet, never those that are.
+    If a process is killed from outside, the cases that are not measured yet fail; finished measurements are not lost.
 
     Args:
-        cases: What is measured.
-        jobs: Processes at once.
-        memory_gb: For all processes together.
+        cases: The cases to measure.
+        jobs: The number of parallel processes.
+        memory_gb: The memory limit of all processes together, in GB.
     """
     with ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn"), max_tasks_per_child=1) as pool:
         begun = [(case, pool.submit(measure, case, memory_gb / jobs)) for case in cases]
--- a/stoneyoke/lab/capacity/subjects.py
+++ b/stoneyoke/lab/capacity/subjects.py
@@ -1,4 +1,4 @@
-"""What is measured, over which axis, at which sizes; the quick sizes are for a look of less than a minute."""
+"""The subjects of measurement, each with its axis and its sizes."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,10 +15,10 @@
     """A subject of measurement.
 
     Attributes:
-        name: The key of its work in WORK.
-        axis: What grows.
-        sizes: The sizes, the largest first: long work starts first.
-        quick: Smaller sizes, for a look of less than a minute.
+        name: The name of the subject, which is its key in WORK.
+        axis: The quantity that grows.
+        sizes: The sizes, the largest first, so that the longest measurements start first.
+        quick: Smaller sizes, with which all subjects together take less than a minute.
     """
 
     name: str
@@ -27,7 +27,7 @@
     quick: tuple[int, ...]
 
     def cases(self, quick: bool) -> list[Case]:
-        """Returns the cases at all sizes, or at the quick ones."""
+        """Returns the cases at all sizes, or at the quick sizes only."""
         return [Case(self.name, self.axis, size) for size in (self.quick if quick else self.sizes)]
 
 
--- a/stoneyoke/lab/capacity/workloads.py
+++ b/stoneyoke/lab/capacity/workloads.py
@@ -1,4 +1,4 @@
-"""Configurations, heartbeats and rows of any size; the same size gives the same ones."""
+"""Configurations, heartbeats and instance rows for measurements; the same arguments give the same data."""
 
 import json
 import random
@@ -9,15 +9,15 @@
 from stoneyoke.transport.messages import InstanceRow
 
 ROUTES_PER_HOST = 20
-INSTANCES_PER_SERVICE = 54  # the operators': 200,000 in 3,700 services
-ROUTES_PER_SERVICE = 20  # the operators': 76,000 to 3,700 services
-KEYS_PER_TENANT = 2  # as in the operators' pages
+INSTANCES_PER_SERVICE = 54  # the operators have 200,000 instances in 3,700 services
+ROUTES_PER_SERVICE = 20  # the operators have 76,000 routes to 3,700 services
+KEYS_PER_TENANT = 2  # as the operators' documentation says
 KEY_CHARACTERS = 20
 ZONES = 18
 
 
 def word(random_source: random.Random, length: int) -> str:
-    """Returns random letters and digits."""
+    """Returns a string of random letters and digits."""
     return "".join(random_source.choices(string.ascii_lowercase + string.digits, k=length))
 
 
@@ -27,7 +27,7 @@
 
 
 def route(random_source: random.Random, service: str) -> dict[str, Any]:
-    """Returns a route, as the operators write it."""
+    """Returns a route in the form of the operators' configuration."""
     return {
         "label": f"r-{word(random_source, 7)}",
         "path_prefix": f"/{word(random_source, 7)}/{word(random_source, 4)}/",
@@ -42,7 +42,7 @@
 
 
 def tenant(random_source: random.Random, index: int) -> dict[str, Any]:
-    """Returns the tenant with this index, as the operators write it."""
+    """Returns the tenant with this index, in the form of the operators' configuration."""
     return {
         "label": f"tenant-{index:07d}",
         "api_keys": [word(random_source, KEY_CHARACTERS) for _ in range(KEYS_PER_TENANT)],
@@ -53,7 +53,7 @@
 
 
 def configuration(routes: int = 20, tenants: int = 8, number: int = 1, routes_per_host: int = ROUTES_PER_HOST) -> bytes:
-    """Returns the text of a configuration of this size; the same arguments give the same text."""
+    """Returns the text of a configuration with this number of routes and tenants."""
     random_source = random.Random(7)
     services = max(1, routes // ROUTES_PER_SERVICE)
     rows = [route(random_source, service_name(index % services)) for index in range(routes)]
@@ -100,7 +100,7 @@
 
 
 def row(index: int, call_seq: int = 1, phase: Phase = Phase.READY) -> InstanceRow:
-    """Returns the row of the instance with this index, as controllers send it."""
+    """Returns the row of the instance with this index, as controllers send it to gateways."""
     service = service_name(index // INSTANCES_PER_SERVICE)
     return InstanceRow(
         instance_name(index), address(index), service, f"zone-{index % ZONES:02d}", "v1", 2, int(phase), call_seq, 0.0
