--- a/stoneyoke/lab/capacity/__main__.py
+++ b/stoneyoke/lab/capacity/__main__.py
@@ -11,7 +11,7 @@
 
 from absl import app, flags
 
-from stoneyoke.lab.capacity.report import document, table
+from stoneyoke.lab.capacity.report import format_json, format_table
 from stoneyoke.lab.capacity.runner import measure_all
 from stoneyoke.lab.capacity.subjects import SUBJECTS
 
@@ -27,12 +27,12 @@
 def measure() -> int:
     """Makes the measurements that the flags select, and prints them; returns exit status 1 if a case failed."""
     cases = [case for one in SUBJECTS if ONLY.value in one.name for case in one.cases(QUICK.value)]
-    begun, done = time.monotonic(), []
+    started_at, done = time.monotonic(), []
     for one in measure_all(cases, JOBS.value, MEMORY_GB.value):
         print(f"{one.case.subject} at {one.case.size}: {one.wall_s:.1f} s {one.failed}", file=sys.stderr)
         done.append(one)
-    wall_s = time.monotonic() - begun
-    print(document(done, wall_s) if JSON.value else f"{table(done)}\nin {wall_s:.0f} s")
+    wall_s = time.monotonic() - started_at
+    print(format_json(done, wall_s) if JSON.value else f"{format_table(done)}\nin {wall_s:.0f} s")
     return any(one.failed for one in done)
 
 
--- a/stoneyoke/lab/capacity/fits.py
+++ b/stoneyoke/lab/capacity/fits.py
@@ -11,7 +11,7 @@
 
 from stoneyoke.lab.capacity.figures import Point
 
-FEWEST_POINTS = 4
+MIN_POINTS = 4
 PLAUSIBLE_RATIO = 2.0  # shapes with at most this many times the smallest residual bound the forecast
 NOISE_RESIDUAL = 0.02  # smaller residuals count as equal: repeated runs agree no better than this
 
@@ -23,16 +23,16 @@
     second: Callable[[float], float]
 
 
-def always(_: float) -> float:
+def constant_one(_: float) -> float:
     """Returns 1 for every size: the first function of most shapes."""
     return 1.0
 
 
 SHAPES: dict[str, Shape] = {  # the simplest shape first
-    "constant": Shape(always, lambda _: 0.0),
-    "linear": Shape(always, lambda size: size),
-    "n log n": Shape(always, lambda size: size * math.log(max(size, 2.0))),
-    "square": Shape(always, lambda size: size * size),
+    "constant": Shape(constant_one, lambda _: 0.0),
+    "linear": Shape(constant_one, lambda size: size),
+    "n log n": Shape(constant_one, lambda size: size * math.log(max(size, 2.0))),
+    "square": Shape(constant_one, lambda size: size * size),
     "linear and square": Shape(lambda size: size, lambda size: size * size),
 }
 
@@ -71,7 +71,7 @@
     high: float
 
 
-def fit(name: str, points: Sequence[Point]) -> Fit:
+def fit_shape(name: str, points: Sequence[Point]) -> Fit:
     """Returns the fit of a shape that minimizes the sum of squared relative errors."""
     shape = SHAPES[name]
     rows = [(shape.first(x) / y, shape.second(x) / y) for x, y in points if y > 0]  # a perfect fit gives 1 for each row
@@ -86,11 +86,11 @@
     return Fit(name, base, slope, math.sqrt(sum(error * error for error in errors) / len(errors)))
 
 
-def fits(points: Sequence[Point]) -> list[Fit]:
+def plausible_fits(points: Sequence[Point]) -> list[Fit]:
     """Returns the plausible fits, the simplest first; none if there are too few sizes to distinguish shapes."""
-    if len(points) < FEWEST_POINTS:
+    if len(points) < MIN_POINTS:
         return []
-    found = [fitted for fitted in (fit(name, points) for name in SHAPES) if fitted.plausible()]
+    found = [fitted for fitted in (fit_shape(name, points) for name in SHAPES) if fitted.plausible()]
     bound = PLAUSIBLE_RATIO * max(NOISE_RESIDUAL, min(fitted.residual for fitted in found))
     return [fitted for fitted in found if fitted.residual <= bound]
 
--- a/stoneyoke/lab/capacity/fleet_measurements.py
+++ b/stoneyoke/lab/capacity/fleet_measurements.py
@@ -11,31 +11,31 @@
 from stoneyoke.lab.capacity.fleet_costs import Cost, FleetShape, event_figures, steady_figures
 from stoneyoke.lab.capacity.hollow_fleet import HollowFleet
 from stoneyoke.lab.capacity.metered_network import MeteredLoop
-from stoneyoke.lab.capacity.meters import rss_mb
+from stoneyoke.lab.capacity.meters import read_rss_mb
 from stoneyoke.lab.simulation.bounds import HEARTBEAT_S
 
 ELECTION_S = 0.5  # simulated time that passes after the start of the controllers
-TAIL_S = 0.5  # simulated time after an event is complete; the traffic in it still counts as part of the event
+AFTER_EVENT_S = 0.5  # simulated time after an event is complete; the traffic in it still counts as part of the event
 LARGE_FLEET = 2000  # gateways; a fleet of this size or more is measured for two simulated seconds only, without events
-SHORT_S = 1.0  # as long as a pull waits: the shortest window that contains each pull once
+SHORT_WINDOW_S = 1.0  # as long as a pull waits: the shortest window that contains each pull once
 
 
-async def play(fleet: HollowFleet) -> list[Figure]:
+async def measure_fleet(fleet: HollowFleet) -> list[Figure]:
     """Measures the start of a fleet, a steady window and, unless its shape has no events, each event."""
-    before_mb = rss_mb()
+    before_mb = read_rss_mb()
     await fleet.start_controllers()
     await asyncio.sleep(ELECTION_S)
-    await fleet.put()
+    await fleet.write_configuration()
     fleet.network.run_on("", fleet.send_heartbeats())
     await asyncio.sleep(HEARTBEAT_S)
     await fleet.send_heartbeat(0)
-    start = await fleet.cost_of(fleet.start_gateways, fleet.shape.settle_s)
-    fleet.network.run_on("", fleet.put_repeatedly())
-    steady = await fleet.cost_of(lambda: asyncio.sleep(fleet.shape.window_s))
+    start = await fleet.measure_cost(fleet.start_gateways, fleet.shape.settle_s)
+    fleet.network.run_on("", fleet.write_configurations())
+    steady = await fleet.measure_cost(lambda: asyncio.sleep(fleet.shape.window_s))
     figures = [
         *event_figures("all gateways start", start, None, len(fleet.gateways)),
         *steady_figures(steady, fleet.shape.gateways),
-        Figure("all in one process: memory", "MB", rss_mb() - before_mb),
+        Figure("all in one process: memory", "MB", read_rss_mb() - before_mb),
     ]
     if not fleet.shape.events:
         return figures
@@ -50,10 +50,10 @@
 
     async def change() -> None:
         nonlocal acknowledged_s
-        acknowledged_s = await fleet.put()
-        await fleet.until(lambda gateway: gateway.has(fleet.version))
+        acknowledged_s = await fleet.write_configuration()
+        await fleet.wait_until(lambda gateway: gateway.has(fleet.version))
 
-    cost = await fleet.cost_of(change, TAIL_S)
+    cost = await fleet.measure_cost(change, AFTER_EVENT_S)
     figures = event_figures("a change", cost, steady, len(fleet.gateways))
     return [*figures, Figure("a change: until acknowledged", "s", acknowledged_s)]
 
@@ -63,9 +63,9 @@
 
     async def drain() -> None:
         await fleet.send_heartbeat(0, "draining")
-        await fleet.until(fleet.knows_drain)
+        await fleet.wait_until(fleet.knows_drain)
 
-    cost = await fleet.cost_of(drain, TAIL_S)
+    cost = await fleet.measure_cost(drain, AFTER_EVENT_S)
     return event_figures("a drain", cost, steady, len(fleet.gateways))
 
 
@@ -74,9 +74,9 @@
 
     async def join() -> None:
         fleet.start_gateway(fleet.shape.gateways)
-        await fleet.until(lambda gateway: gateway.client.config_sync.ready)
+        await fleet.wait_until(lambda gateway: gateway.client.config_sync.ready)
 
-    cost = await fleet.cost_of(join, 2 * TAIL_S)
+    cost = await fleet.measure_cost(join, 2 * AFTER_EVENT_S)
     return event_figures("one gateway joins", cost, steady, len(fleet.gateways))
 
 
@@ -85,16 +85,16 @@
     folder, loop = tempfile.mkdtemp(prefix="capacity-"), MeteredLoop()
     logger.disable("stoneyoke")
 
-    async def play_and_end() -> list[Figure]:
+    async def measure_and_cancel_tasks() -> list[Figure]:
         try:
-            return await play(HollowFleet(shape, loop, folder))
+            return await measure_fleet(HollowFleet(shape, loop, folder))
         finally:
             for task in asyncio.all_tasks() - {asyncio.current_task()}:
                 task.cancel()
             await asyncio.sleep(0)
 
     try:
-        return loop.run_until_complete(play_and_end())
+        return loop.run_until_complete(measure_and_cancel_tasks())
     finally:
         loop.close()
         logger.enable("stoneyoke")
@@ -104,7 +104,7 @@
 def by_gateways(size: int) -> list[Figure]:
     """Measures a fleet with this number of gateways."""
     if size >= LARGE_FLEET:
-        return fleet_figures(FleetShape(gateways=size, settle_s=SHORT_S, window_s=SHORT_S, events=False))
+        return fleet_figures(FleetShape(gateways=size, settle_s=SHORT_WINDOW_S, window_s=SHORT_WINDOW_S, events=False))
     return fleet_figures(FleetShape(gateways=size, window_s=2.0))
 
 
@@ -128,7 +128,7 @@
     return fleet_figures(FleetShape(gateways=40, controllers=5, regions=size))
 
 
-FLEETS: dict[str, Callable[[int], list[Figure]]] = {
+FLEET_MEASUREMENTS: dict[str, Callable[[int], list[Figure]]] = {
     "fleet by gateways": by_gateways,
     "fleet by instances": by_instances,
     "fleet by routes": by_routes,
--- a/stoneyoke/lab/capacity/hollow_fleet.py
+++ b/stoneyoke/lab/capacity/hollow_fleet.py
@@ -140,13 +140,13 @@
         """
 
         async def handle() -> ApiResult:
-            asked = read_call(method, target, body)
-            return asked if isinstance(asked, Rejected) else await self.controllers[name].handle_call(asked)
+            api_call = read_call(method, target, body)
+            return api_call if isinstance(api_call, Rejected) else await self.controllers[name].handle_call(api_call)
 
         result: ApiResult = await self.network.run_on(name, handle())
         return result == Acknowledged()
 
-    async def put(self) -> float:
+    async def write_configuration(self) -> float:
         """Writes a new configuration; returns the simulated seconds until it was acknowledged."""
         self.version += 1
         body, started_at = configuration(self.shape.routes, self.shape.tenants, self.version), self.loop.time()
@@ -175,21 +175,21 @@
                     await self.send_heartbeat(index)
             await asyncio.sleep(max(POLL_S, started_at + HEARTBEAT_S - self.loop.time()))
 
-    async def put_repeatedly(self) -> None:
+    async def write_configurations(self) -> None:
         """Writes new configurations at the rate of the shape until the task is cancelled; returns if the rate is 0."""
         while self.shape.changes_per_minute:
             await asyncio.sleep(60 / self.shape.changes_per_minute)
-            await self.put()
+            await self.write_configuration()
 
     async def start_gateways(self) -> None:
         """Starts all gateways, and waits until each is ready and has the newest configuration in force."""
         for index in range(self.shape.gateways):
             self.start_gateway(index)
-        await self.until(lambda gateway: gateway.client.config_sync.ready and gateway.has(self.version))
+        await self.wait_until(lambda gateway: gateway.client.config_sync.ready and gateway.has(self.version))
 
     # ---- measurements ----
 
-    async def until(self, holds: Callable[[HollowGateway], bool]) -> None:
+    async def wait_until(self, condition: Callable[[HollowGateway], bool]) -> None:
         """Waits until a condition holds at every gateway.
 
         Raises:
@@ -197,7 +197,7 @@
         """
         waiting = list(self.gateways.values())
         async with asyncio.timeout(TIMEOUT_S):
-            while waiting := [one for one in waiting if not holds(one)]:  # noqa: ASYNC110 -- gateways signal no changes
+            while waiting := [one for one in waiting if not condition(one)]:  # noqa: ASYNC110 -- gateways signal no changes
                 await asyncio.sleep(POLL_S)
 
     def knows_drain(self, gateway: HollowGateway) -> bool:
@@ -205,7 +205,7 @@
         known = gateway.client.instance_directory.instances.get(instance_name(0))
         return known is not None and known.row.phase == Phase.DRAINING
 
-    async def cost_of(self, work: Callable[[], Awaitable[None]], tail_s: float = 0.0) -> Cost:
+    async def measure_cost(self, work: Callable[[], Awaitable[None]], tail_s: float = 0.0) -> Cost:
         """Measures a piece of work and its consequences.
 
         Args:
@@ -213,7 +213,7 @@
             tail_s: Simulated seconds after the work that count as part of it.
         """
         traffic = self.network.traffic = Traffic()
-        cpu_s, started_at = self.loop.spent, self.loop.time()
+        cpu_s, started_at = self.loop.cpu_s, self.loop.time()
         cpu_s.clear()
         await work()
         completed_s = self.loop.time() - started_at
--- a/stoneyoke/lab/capacity/hot_paths/__init__.py
+++ b/stoneyoke/lab/capacity/hot_paths/__init__.py
@@ -5,7 +5,7 @@
 from stoneyoke.lab.capacity.figures import Figure
 from stoneyoke.lab.capacity.hot_paths import configurations, controller_registry, gateway_directory, peer_calls, quotas
 
-PATHS: dict[str, Callable[[int], list[Figure]]] = {
+HOT_PATHS: dict[str, Callable[[int], list[Figure]]] = {
     "configuration by routes": configurations.configuration_by_routes,
     "look-up on one host": configurations.look_up_by_host_routes,
     "configuration by tenants": configurations.configuration_by_tenants,
--- a/stoneyoke/lab/capacity/hot_paths/controller_registry.py
+++ b/stoneyoke/lab/capacity/hot_paths/controller_registry.py
@@ -5,7 +5,7 @@
 from stoneyoke.controlplane.instance_registry import InstanceRecord, InstanceRegistry, Phase, row_from_heartbeat
 from stoneyoke.lab.capacity.figures import Figure
 from stoneyoke.lab.capacity.hot_paths.pull_responses import pull_response
-from stoneyoke.lab.capacity.meters import heap, megabytes, processor_once_s, processor_s, sample_indexes
+from stoneyoke.lab.capacity.meters import cpu_seconds, cpu_seconds_once, measure_heap, megabytes, sample_indexes
 from stoneyoke.lab.capacity.workloads import heartbeat, instance_name, row
 from stoneyoke.lab.simulation.bounds import HEARTBEAT_S
 from stoneyoke.transport.messages import InstanceRow, pack
@@ -42,12 +42,12 @@
         for target, body in calls:
             row_of_call(read_call("POST", target, body))
 
-    return processor_s(read_calls) / len(calls)
+    return cpu_seconds(read_calls) / len(calls)
 
 
 def registered_heartbeats(size: int) -> list[Figure]:
     """Measures a controller with this number of instances: heartbeats of all, a change, a drain, a sweep, pulls."""
-    registry, registry_heap = heap(lambda: filled_registry(size))
+    registry, registry_heap = measure_heap(lambda: filled_registry(size))
     seq = 1
 
     def merge_all() -> None:
@@ -59,19 +59,19 @@
     registry.merge(row(0, 10**6, Phase.DRAINING), 1.0)
     drained = registry.changes_since(registry.seq - 1, 1.0)
     complete = pull_response(registry, registry.changes_since(0, 1.0), True)
-    rows_s = processor_s(lambda: [row(index, 1) for index in range(size)])
+    rows_s = cpu_seconds(lambda: [row(index, 1) for index in range(size)])
     return [
-        Figure("registry held", "MB", megabytes(registry_heap.held)),
+        Figure("registry held", "MB", megabytes(registry_heap.retained)),
         Figure("read one beat's call", "s", read_call_s(size)),
-        Figure("all beat once, calls read already", "s", max(1e-9, processor_s(merge_all) - rows_s)),
-        Figure("sweep", "s", processor_s(lambda: registry.sweep(1.0))),
+        Figure("all beat once, calls read already", "s", max(1e-9, cpu_seconds(merge_all) - rows_s)),
+        Figure("sweep", "s", cpu_seconds(lambda: registry.sweep(1.0))),
         Figure(
             "one pull after one change: since()",
             "s",
-            processor_s(lambda: registry.changes_since(registry.seq - 1, 1.0)),
+            cpu_seconds(lambda: registry.changes_since(registry.seq - 1, 1.0)),
         ),
         Figure("one pull after one drain", "B", len(pack(1, pull_response(registry, drained, False)))),
-        Figure("a first pull: pack", "s", processor_s(lambda: pack(1, complete))),
+        Figure("a first pull: pack", "s", cpu_seconds(lambda: pack(1, complete))),
         Figure("a first pull", "B", len(pack(1, complete))),
     ]
 
@@ -84,4 +84,4 @@
         for one in rows:
             registry.merge(one, 0.0)
 
-    return [Figure("all beat for the first time", "s", processor_once_s(merge_all)[1])]
+    return [Figure("all beat for the first time", "s", cpu_seconds_once(merge_all)[1])]
--- a/stoneyoke/lab/capacity/hot_paths/gateway_directory.py
+++ b/stoneyoke/lab/capacity/hot_paths/gateway_directory.py
@@ -7,7 +7,7 @@
 from stoneyoke.gateway.upstreams import Upstreams, UpstreamSettings
 from stoneyoke.lab.capacity.figures import Figure
 from stoneyoke.lab.capacity.hot_paths.pull_responses import pull_response
-from stoneyoke.lab.capacity.meters import heap, megabytes, processor_once_s, processor_s
+from stoneyoke.lab.capacity.meters import cpu_seconds, cpu_seconds_once, measure_heap, megabytes
 from stoneyoke.lab.capacity.workloads import row
 from stoneyoke.lab.simulation.bounds import BOUNDS
 from stoneyoke.net.backends import BackendLimits, Backends
@@ -41,8 +41,8 @@
             known.apply_pull(name, response, 0.0)
         return known
 
-    _, first_s = processor_once_s(first_pulls)
-    known, directory_heap = heap(first_pulls)
+    _, first_s = cpu_seconds_once(first_pulls)
+    known, directory_heap = measure_heap(first_pulls)
     seq = 1
 
     def one_change() -> None:
@@ -53,10 +53,10 @@
     one_change()  # frees the memory of the first pull response, which is not part of the cost of a change
     return [
         Figure("first pulls from three controllers", "s", first_s),
-        Figure("directory held", "MB", megabytes(directory_heap.held)),
+        Figure("directory held", "MB", megabytes(directory_heap.retained)),
         Figure("first pulls at the peak", "MB", megabytes(directory_heap.peak)),
-        Figure("one change merged", "s", processor_s(one_change)),
-        Figure("sweep, four a second", "s", processor_s(lambda: known.sweep(0.6))),
+        Figure("one change merged", "s", cpu_seconds(one_change)),
+        Figure("sweep, four a second", "s", cpu_seconds(lambda: known.sweep(0.6))),
     ]
 
 
@@ -78,14 +78,14 @@
             return other
 
         made = make()
-        (_, first_s), again_heap = processor_once_s(made.refresh), heap(renewed_elsewhere)[1]
+        (_, first_s), again_heap = cpu_seconds_once(made.refresh), measure_heap(renewed_elsewhere)[1]
         drained = pull_response(InstanceRegistry(1.0), [row(0, 2, Phase.DRAINING)], False)
         known.apply_pull(CONTROLLERS[0], drained, 0.5)
-        _, again_s = processor_once_s(made.refresh)
+        _, again_s = cpu_seconds_once(made.refresh)
         return [
             Figure("first renewal", "s", first_s),
             Figure("renewal after one drain", "s", again_s),
-            Figure("modules of decisions held", "MB", megabytes(again_heap.held)),
+            Figure("modules of decisions held", "MB", megabytes(again_heap.retained)),
         ]
 
     return asyncio.run(renewals())
--- a/stoneyoke/lab/capacity/hot_paths/peer_calls.py
+++ b/stoneyoke/lab/capacity/hot_paths/peer_calls.py
@@ -17,11 +17,11 @@
     """Measures one call over loopback whose response has this number of bytes: both ends, sockets and event loop."""
     body = random.Random(1).randbytes(size)
 
-    async def answer(message: Message) -> Message | None:
+    async def handle_request(message: Message) -> Message | None:
         return FetchResponse(version=VersionRow(1, b"x"), body=body) if isinstance(message, FetchRequest) else None
 
     async def calls() -> float:
-        server = PeerServer(answer)
+        server = PeerServer(handle_request)
         await server.open(("127.0.0.1", PORT_ANY))
         client = PeerClient(server.bound_address())
         await client.call(FetchRequest(), 5.0)
--- a/stoneyoke/lab/capacity/metered_network.py
+++ b/stoneyoke/lab/capacity/metered_network.py
@@ -20,35 +20,35 @@
     """A simulated event loop that measures processor time.
 
     Attributes:
-        spent: Processor seconds by machine; a step is charged to the machine in whose context it runs.
+        cpu_s: Processor seconds by machine; a step is charged to the machine in whose context it runs.
     """
 
     def __init__(self) -> None:
         """Creates a loop without charged time."""
         super().__init__()
-        self.spent: defaultdict[str, float] = defaultdict(float)
+        self.cpu_s: defaultdict[str, float] = defaultdict(float)
 
-    def metered(self, callback: Callable[..., Any]) -> Callable[..., Any]:
+    def with_meter(self, callback: Callable[..., Any]) -> Callable[..., Any]:
         """Returns a callback whose processor time is charged to the machine in whose context it runs."""
-        spent = self.spent
+        cpu_s = self.cpu_s
 
         def step(*args: Any) -> None:
-            begun = time.process_time()
+            started_at = time.process_time()
             try:
                 callback(*args)
             finally:
-                spent[MACHINE.get()] += time.process_time() - begun
+                cpu_s[MACHINE.get()] += time.process_time() - started_at
 
         return step
 
     def _call_soon(self, callback: Any, args: Any, context: Any) -> asyncio.Handle:
-        return super()._call_soon(self.metered(callback), args, context)
+        return super()._call_soon(self.with_meter(callback), args, context)
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: Any = None
     ) -> asyncio.TimerHandle:
         """Schedules a callback whose processor time is charged."""
-        return super().call_at(when, self.metered(callback), *args, context=context)
+        return super().call_at(when, self.with_meter(callback), *args, context=context)
 
 
 @dataclass
--- a/stoneyoke/lab/capacity/meters.py
+++ b/stoneyoke/lab/capacity/meters.py
@@ -10,7 +10,7 @@
 
 R = TypeVar("R")
 
-SHORTEST_S = 0.05  # work that takes less processor time is repeated until it has taken this much
+MIN_MEASURED_S = 0.05  # work that takes less processor time is repeated until it has taken this much
 SAMPLE_SEED = 3
 ROUNDS = 3  # of short work; the fastest round counts, as the least disturbed one
 
@@ -18,45 +18,45 @@
 class Heap(NamedTuple):
     """Bytes of Python objects that are still allocated after the work, and at the peak during it."""
 
-    held: int
+    retained: int
     peak: int
 
 
-def processor_s(work: Callable[[], object]) -> float:
+def cpu_seconds(work: Callable[[], object]) -> float:
     """Returns the processor time of one call of work that can be repeated, in seconds."""
     gc.collect()
     gc.disable()
     try:
-        begun = time.process_time()
+        started_at = time.process_time()
         work()
-        once = time.process_time() - begun
-        if once >= SHORTEST_S:
+        once = time.process_time() - started_at
+        if once >= MIN_MEASURED_S:
             return once
-        times = max(1, int(SHORTEST_S / max(once, 1e-6)))
+        times = max(1, int(MIN_MEASURED_S / max(once, 1e-6)))
         best = once
         for _ in range(ROUNDS):
-            begun = time.process_time()
+            started_at = time.process_time()
             for _ in range(times):
                 work()
-            best = min(best, (time.process_time() - begun) / times)
+            best = min(best, (time.process_time() - started_at) / times)
         return best
     finally:
         gc.enable()
 
 
-def processor_once_s(work: Callable[[], R]) -> tuple[R, float]:
+def cpu_seconds_once(work: Callable[[], R]) -> tuple[R, float]:
     """Returns the result and the processor time, in seconds, of work that can't be repeated."""
     gc.collect()
     gc.disable()
     try:
-        begun = time.process_time()
+        started_at = time.process_time()
         done = work()
-        return done, time.process_time() - begun
+        return done, time.process_time() - started_at
     finally:
         gc.enable()
 
 
-def heap(work: Callable[[], R]) -> tuple[R, Heap]:
+def measure_heap(work: Callable[[], R]) -> tuple[R, Heap]:
     """Returns the result of work and the memory it uses. Tracing slows it down, so its time is measured separately."""
     gc.collect()
     gc.disable()
@@ -70,7 +70,7 @@
         gc.enable()
 
 
-def peak_rss_mb() -> float:
+def read_peak_rss_mb() -> float:
     """Returns the peak resident memory of this process, in MB.
 
     The figure of the `resource` module is not used, as it may be inherited from the parent process.
@@ -81,7 +81,7 @@
     return 0.0
 
 
-def rss_mb() -> float:
+def read_rss_mb() -> float:
     """Returns the resident memory of this process, in MB."""
     for line in Path("/proc/self/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
--- a/stoneyoke/lab/capacity/report.py
+++ b/stoneyoke/lab/capacity/report.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from stoneyoke.lab.capacity.figures import TARGETS, Measurement, Series, series_of
-from stoneyoke.lab.capacity.fits import Fit, Forecast, fits, forecast
+from stoneyoke.lab.capacity.fits import Fit, Forecast, forecast, plausible_fits
 
 NANO, MICRO, MILLI = 1e-9, 1e-6, 1e-3
 
@@ -36,7 +36,7 @@
 
 def row_of(series: Series) -> Row:
     """Returns the row of a series."""
-    found, target = fits(series.points), TARGETS[series.axis]
+    found, target = plausible_fits(series.points), TARGETS[series.axis]
     return Row(
         series,
         found[0] if found else None,
@@ -46,7 +46,7 @@
     )
 
 
-def shown(value: float, unit: str) -> str:
+def format_value(value: float, unit: str) -> str:
     """Formats a value with three significant digits and the usual prefix of its unit."""
     if unit in ("s", "s/s"):
         for scale, name in ((1.0, "s"), (MILLI, "ms"), (MICRO, "us"), (NANO, "ns")):
@@ -60,10 +60,10 @@
     return f"{value:.3g} {unit}".strip()
 
 
-def line(row: Row) -> str:
+def format_row(row: Row) -> str:
     """Formats a row as text: the values, the fit and the forecast with its bounds."""
     series = row.series
-    points = ", ".join(f"{point.size:g}: {shown(point.value, series.unit)}" for point in series.points)
+    points = ", ".join(f"{point.size:g}: {format_value(point.value, series.unit)}" for point in series.points)
     if row.fit is None or row.forecast is None:
         return f"  {series.name}: {points}"
     forecast_at_target = row.forecast
@@ -71,19 +71,19 @@
     return (
         f"  {series.name}: {points}\n"
         f"      {row.fit.shape}, slope {row.fit.slope:.3g}, base {row.fit.base:.3g}, residual {row.fit.residual:.0%}; "
-        f"at {row.target:g} ({where}): {shown(forecast_at_target.value, series.unit)} "
-        f"[{shown(forecast_at_target.low, series.unit)} to {shown(forecast_at_target.high, series.unit)}]"
+        f"at {row.target:g} ({where}): {format_value(forecast_at_target.value, series.unit)} "
+        f"[{format_value(forecast_at_target.low, series.unit)} to {format_value(forecast_at_target.high, series.unit)}]"
     )
 
 
-def table(measurements: Sequence[Measurement]) -> str:
+def format_table(measurements: Sequence[Measurement]) -> str:
     """Formats all measurements as text, grouped by subject, with the failures at the end."""
     lines, subject = [], ""
     for row in map(row_of, series_of(measurements)):
         if row.series.subject != subject:
             subject = row.series.subject
             lines += ["", f"{subject} (axis: {row.series.axis})"]
-        lines.append(line(row))
+        lines.append(format_row(row))
     lines.append("")
     for one in measurements:
         if one.failed:
@@ -98,7 +98,7 @@
     return "\n".join(lines)
 
 
-def document(measurements: Sequence[Measurement], wall_s: float) -> str:
+def format_json(measurements: Sequence[Measurement], wall_s: float) -> str:
     """Formats all measurements and fits as JSON."""
     rows = [row_of(series) for series in series_of(measurements)]
     fields = {
--- a/stoneyoke/lab/capacity/runner.py
+++ b/stoneyoke/lab/capacity/runner.py
@@ -10,8 +10,8 @@
 from loguru import logger
 
 from stoneyoke.lab.capacity.figures import Case, Figure, Measurement
-from stoneyoke.lab.capacity.meters import peak_rss_mb
-from stoneyoke.lab.capacity.subjects import WORK
+from stoneyoke.lab.capacity.meters import read_peak_rss_mb
+from stoneyoke.lab.capacity.subjects import MEASURE_FUNCTIONS
 
 GIGABYTE = 1 << 30
 MAX_ERROR_CHARACTERS = 200
@@ -25,19 +25,19 @@
         memory_gb: The memory limit of the process, in GB; 0 for no limit.
     """
     if memory_gb:
-        top = int(memory_gb * GIGABYTE)
-        resource.setrlimit(resource.RLIMIT_AS, (top, top))
+        limit_bytes = int(memory_gb * GIGABYTE)
+        resource.setrlimit(resource.RLIMIT_AS, (limit_bytes, limit_bytes))
     logger.disable("stoneyoke")
-    begun, failed = time.monotonic(), ""
+    started_at, failed = time.monotonic(), ""
     figures: tuple[Figure, ...] = ()
     try:
-        figures = tuple(WORK[case.subject](case.size))
+        figures = tuple(MEASURE_FUNCTIONS[case.subject](case.size))
     except MemoryError:
         failed = f"more than {memory_gb:g} GB"
     except Exception as error:  # a case that fails must not stop the others
         failed = f"{type(error).__name__}: {error}"[:MAX_ERROR_CHARACTERS]
     logger.enable("stoneyoke")
-    return Measurement(case, figures, time.monotonic() - begun, peak_rss_mb(), failed)
+    return Measurement(case, figures, time.monotonic() - started_at, read_peak_rss_mb(), failed)
 
 
 def measure_all(cases: Iterable[Case], jobs: int, memory_gb: float) -> Iterator[Measurement]:
@@ -51,8 +51,8 @@
         memory_gb: The memory limit of all processes together, in GB.
     """
     with ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn"), max_tasks_per_child=1) as pool:
-        begun = [(case, pool.submit(measure, case, memory_gb / jobs)) for case in cases]
-        for case, measured in begun:
+        futures = [(case, pool.submit(measure, case, memory_gb / jobs)) for case in cases]
+        for case, measured in futures:
             try:
                 yield measured.result()
             except BrokenProcessPool:
--- a/stoneyoke/lab/capacity/subjects.py
+++ b/stoneyoke/lab/capacity/subjects.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass
 
 from stoneyoke.lab.capacity.figures import Axis, Case, Figure
-from stoneyoke.lab.capacity.fleet_measurements import FLEETS
-from stoneyoke.lab.capacity.hot_paths import PATHS
+from stoneyoke.lab.capacity.fleet_measurements import FLEET_MEASUREMENTS
+from stoneyoke.lab.capacity.hot_paths import HOT_PATHS
 
-WORK: dict[str, Callable[[int], list[Figure]]] = {**FLEETS, **PATHS}
+MEASURE_FUNCTIONS: dict[str, Callable[[int], list[Figure]]] = {**FLEET_MEASUREMENTS, **HOT_PATHS}
 
 
 @dataclass(frozen=True, slots=True)
@@ -15,7 +15,7 @@
     """A subject of measurement.
 
     Attributes:
-        name: The name of the subject, which is its key in WORK.
+        name: The name of the subject, which is its key in MEASURE_FUNCTIONS.
         axis: The quantity that grows.
         sizes: The sizes, the largest first, so that the longest measurements start first.
         quick: Smaller sizes, with which all subjects together take less than a minute.
--- a/stoneyoke/lab/capacity/workloads.py
+++ b/stoneyoke/lab/capacity/workloads.py
@@ -16,7 +16,7 @@
 ZONES = 18
 
 
-def word(random_source: random.Random, length: int) -> str:
+def random_word(random_source: random.Random, length: int) -> str:
     """Returns a string of random letters and digits."""
     return "".join(random_source.choices(string.ascii_lowercase + string.digits, k=length))
 
@@ -29,8 +29,8 @@
 def route(random_source: random.Random, service: str) -> dict[str, Any]:
     """Returns a route in the form of the operators' configuration."""
     return {
-        "label": f"r-{word(random_source, 7)}",
-        "path_prefix": f"/{word(random_source, 7)}/{word(random_source, 4)}/",
+        "label": f"r-{random_word(random_source, 7)}",
+        "path_prefix": f"/{random_word(random_source, 7)}/{random_word(random_source, 4)}/",
         "route_kind": random_source.choice(("pure", "effectful")),
         "timeout_s": random_source.choice((2, 5, 6)),
         "target_s": random_source.choice((0.5, 0.8, 1)),
@@ -45,7 +45,7 @@
     """Returns the tenant with this index, in the form of the operators' configuration."""
     return {
         "label": f"tenant-{index:07d}",
-        "api_keys": [word(random_source, KEY_CHARACTERS) for _ in range(KEYS_PER_TENANT)],
+        "api_keys": [random_word(random_source, KEY_CHARACTERS) for _ in range(KEYS_PER_TENANT)],
         "rank": index % 3,
         "rate_per_s": 33,
         "burst_size": 33,
--- a/tests/system/test_capacity.py
+++ b/tests/system/test_capacity.py
@@ -9,7 +9,7 @@
 
 from stoneyoke.lab.capacity import meters
 from stoneyoke.lab.capacity.figures import Axis, Case, Figure, Measurement, Point, series_of
-from stoneyoke.lab.capacity.fits import fits, forecast
+from stoneyoke.lab.capacity.fits import forecast, plausible_fits
 from stoneyoke.lab.capacity.fleet_costs import FleetShape
 from stoneyoke.lab.capacity.fleet_measurements import fleet_figures
 from stoneyoke.lab.capacity.hot_paths.configurations import (
@@ -22,14 +22,14 @@
 from stoneyoke.lab.capacity.hot_paths.peer_calls import call_over_socket
 from stoneyoke.lab.capacity.hot_paths.quotas import allocate_quotas, decide_requests
 from stoneyoke.lab.capacity.metered_network import MeteredLoop, MeteredNetwork
-from stoneyoke.lab.capacity.report import document, row_of, shown, table
+from stoneyoke.lab.capacity.report import format_json, format_table, format_value, row_of
 from stoneyoke.lab.capacity.runner import measure, measure_all
-from stoneyoke.lab.capacity.subjects import SUBJECTS, WORK
+from stoneyoke.lab.capacity.subjects import MEASURE_FUNCTIONS, SUBJECTS
 from stoneyoke.lab.capacity.workloads import configuration
 from stoneyoke.transport.messages import FetchRequest, Message
 
 SIZES = (100, 300, 1000, 3000, 10_000)
-meters.SHORTEST_S = 0.004  # that a figure is there is tested, not how sharp it is
+meters.MIN_MEASURED_S = 0.004  # that a figure is there is tested, not how sharp it is
 
 
 def points(grow: Callable[[float], float], noise: float = 0.0) -> list[Point]:
@@ -54,28 +54,28 @@
 
 @test("a figure that grows as {shape} is fitted as that, without residual")
 def _(shape=each(*GROWTH)):
-    best = fits(points(GROWTH[shape]))[0]
+    best = plausible_fits(points(GROWTH[shape]))[0]
     assert (best.shape, round(best.residual, 6)) == (shape, 0)
     assert math.isclose(best.at(200_000), GROWTH[shape](200_000), rel_tol=1e-6)
 
 
 @test("a figure that only varies or falls is fitted as constant: noise does not grow to the target")
 def _():
-    assert fits(points(lambda size: 7.0, noise=0.3))[0].shape == "constant"
-    assert [one.shape for one in fits(points(lambda size: 7.0 - size / 10_000))] == ["constant"]
+    assert plausible_fits(points(lambda size: 7.0, noise=0.3))[0].shape == "constant"
+    assert [one.shape for one in plausible_fits(points(lambda size: 7.0 - size / 10_000))] == ["constant"]
 
 
 @test("a forecast spans all plausible shapes: it is exact for a clear shape and wide with noise")
 def _():
-    clear = forecast(fits(points(lambda size: 0.3 * size)), 76_000)
+    clear = forecast(plausible_fits(points(lambda size: 0.3 * size)), 76_000)
     assert math.isclose(clear.low, clear.high) and math.isclose(clear.value, 0.3 * 76_000)
-    vague = forecast(fits(points(lambda size: 0.3 * size, noise=0.2)), 76_000)
+    vague = forecast(plausible_fits(points(lambda size: 0.3 * size, noise=0.2)), 76_000)
     assert vague.low < vague.high and vague.low <= vague.value <= vague.high
 
 
 @test("too few sizes give no fit and no forecast")
 def _():
-    assert fits(points(lambda size: size)[:3]) == [] and forecast([], 10) is None
+    assert plausible_fits(points(lambda size: size)[:3]) == [] and forecast([], 10) is None
 
 
 @test("a forecast beyond the measured sizes is marked as extrapolated, one within is not")
@@ -91,10 +91,14 @@
 def _():
     done = [Measurement(Case("x", Axis.ROUTES, size), (Figure("f", "s", size / 1e6),), 0.1, 50) for size in SIZES]
     done.append(Measurement(Case("y", Axis.ROUTES, 5), (), 0.1, 50, "more than 4 GB"))
-    assert "extrapolated x7.6): 76 ms" in table(done) and "failed: y at 5: more than 4 GB" in table(done)
-    report = json.loads(document(done, 3.0))
+    assert "extrapolated x7.6): 76 ms" in format_table(done) and "failed: y at 5: more than 4 GB" in format_table(done)
+    report = json.loads(format_json(done, 3.0))
     assert len(report["measurements"]) == 6 and report["fits"][0]["extrapolated"] is True
-    assert [shown(*one) for one in ((0.0015, "s"), (2.5e6, "B/s"), (3.0, "MB"))] == ["1.5 ms", "2.5 MB/s", "3 MB"]
+    assert [format_value(*one) for one in ((0.0015, "s"), (2.5e6, "B/s"), (3.0, "MB"))] == [
+        "1.5 ms",
+        "2.5 MB/s",
+        "3 MB",
+    ]
 
 
 @test("a case that fails, or needs too much memory, is reported with its reason")
@@ -102,12 +106,12 @@
     def over(size: int) -> list[Figure]:
         raise MemoryError
 
-    WORK["broken"], WORK["over"] = lambda size: 1 / 0, over
+    MEASURE_FUNCTIONS["broken"], MEASURE_FUNCTIONS["over"] = lambda size: 1 / 0, over
     try:
         assert measure(Case("broken", Axis.ROUTES, 1)).failed.startswith("ZeroDivisionError")
         assert measure(Case("over", Axis.ROUTES, 1)).failed.startswith("more than")
     finally:
-        del WORK["broken"], WORK["over"]
+        del MEASURE_FUNCTIONS["broken"], MEASURE_FUNCTIONS["over"]
     assert measure(Case("configuration by routes", Axis.ROUTES, 20)).failed == ""
 
 
@@ -121,7 +125,7 @@
 
 @test("{subject.name}: has work, four sizes or more, and no quick size above them")
 def _(subject=each(*SUBJECTS)):
-    assert subject.name in WORK and len(set(subject.sizes)) >= 4 and len(set(subject.quick)) >= 4
+    assert subject.name in MEASURE_FUNCTIONS and len(set(subject.sizes)) >= 4 and len(set(subject.quick)) >= 4
     assert max(subject.quick) <= max(subject.sizes)
 
 
@@ -183,7 +187,7 @@
 
     loop.run_until_complete(call_from_a_to_b())
     loop.close()
-    assert 1.5 < loop.spent["b"] / loop.spent["a"] < 6 and loop.spent[""] < 0.2 * loop.spent["a"]
+    assert 1.5 < loop.cpu_s["b"] / loop.cpu_s["a"] < 6 and loop.cpu_s[""] < 0.2 * loop.cpu_s["a"]
 
 
 @test("a small fleet starts and takes a change, a drain and a new gateway in time, with the expected bytes")
