--- a/stoneyoke/lab/simulation/exhaustive/search.py
+++ b/stoneyoke/lab/simulation/exhaustive/search.py
@@ -41,7 +41,7 @@
 
     def describe(self) -> str:
         """Returns the result in one line."""
-        extent = "searched to its end" if self.exhausted else f"all within {self.depth} steps"
+        extent = "searched completely" if self.exhausted else f"all within {self.depth} steps"
         if self.violation:
             extent = f"stopped after {len(self.counterexample)} steps"
         chosen = f"{self.configurations} contents and {self.changes} changes of voters chosen"
--- a/tests/lab/test_cluster.py
+++ b/tests/lab/test_cluster.py
@@ -1,4 +1,4 @@
-"""The whole system as real processes on loopback, two of them killed; and the ledger that finds broken rules."""
+"""The whole system as real processes on loopback, two of which are killed; and the ledger, which detects violations."""
 
 import asyncio
 import os
--- a/tests/system/test_capacity.py
+++ b/tests/system/test_capacity.py
@@ -1,4 +1,4 @@
-"""Capacity measurements: fits and forecasts, reports, the measured work, and hollow fleets."""
+"""Capacity measurements: fits and forecasts, reports, hot paths, and hollow fleets."""
 
 import json
 import math
@@ -29,11 +29,11 @@
 from stoneyoke.transport.messages import FetchRequest, Message
 
 SIZES = (100, 300, 1000, 3000, 10_000)
-meters.MIN_MEASURED_S = 0.004  # that a figure is there is tested, not how sharp it is
+meters.MIN_MEASURED_S = 0.004  # short, as the tests check that a figure is measured, not its precision
 
 
 def points(grow: Callable[[float], float], noise: float = 0.0) -> list[Point]:
-    """Returns a figure at all sizes. Noise, as a share of the figure, goes up and down by turns."""
+    """Returns a figure at all sizes. The noise is a share of the figure, alternately added and subtracted."""
     return [Point(size, grow(size) * (1 + noise * (-1) ** at)) for at, size in enumerate(SIZES)]
 
 
@@ -42,7 +42,7 @@
     return {figure.name: figure.value for figure in figures}
 
 
-# What is measured at a size, by the shape that must be recognized.
+# The value at each size, by the shape that must be recognized.
 GROWTH: dict[str, Callable[[float], float]] = {
     "constant": lambda size: 7.0,
     "linear": lambda size: 5 + 0.3 * size,
@@ -52,20 +52,20 @@
 }
 
 
-@test("a figure that grows as {shape} is fitted as that, without residual")
+@test("a figure that grows as {shape} is fitted with this shape and without residual")
 def _(shape=each(*GROWTH)):
     best = plausible_fits(points(GROWTH[shape]))[0]
     assert (best.shape, round(best.residual, 6)) == (shape, 0)
     assert math.isclose(best.at(200_000), GROWTH[shape](200_000), rel_tol=1e-6)
 
 
-@test("a figure that only varies or falls is fitted as constant: noise does not grow to the target")
+@test("a figure that only varies or falls is fitted as constant, so that noise is not extrapolated to the target")
 def _():
     assert plausible_fits(points(lambda size: 7.0, noise=0.3))[0].shape == "constant"
     assert [one.shape for one in plausible_fits(points(lambda size: 7.0 - size / 10_000))] == ["constant"]
 
 
-@test("a forecast spans all plausible shapes: it is exact for a clear shape and wide with noise")
+@test("a forecast spans all plausible shapes: it is exact for a clear shape and a range with noise")
 def _():
     clear = forecast(plausible_fits(points(lambda size: 0.3 * size)), 76_000)
     assert math.isclose(clear.low, clear.high) and math.isclose(clear.value, 0.3 * 76_000)
@@ -87,7 +87,7 @@
     assert far.extrapolated() and math.isclose(far.beyond, 7.6) and not near.extrapolated()
 
 
-@test("table and JSON hold every figure, and what failed")
+@test("the table and the JSON contain every figure and every failure")
 def _():
     done = [Measurement(Case("x", Axis.ROUTES, size), (Figure("f", "s", size / 1e6),), 0.1, 50) for size in SIZES]
     done.append(Measurement(Case("y", Axis.ROUTES, 5), (), 0.1, 50, "more than 4 GB"))
@@ -101,7 +101,7 @@
     ]
 
 
-@test("a case that fails, or needs too much memory, is reported with its reason")
+@test("a case that fails or exceeds the memory limit is reported with its reason")
 def _():
     def over(size: int) -> list[Figure]:
         raise MemoryError
@@ -115,7 +115,7 @@
     assert measure(Case("configuration by routes", Axis.ROUTES, 20)).failed == ""
 
 
-@test("cases are measured in their own processes, in order, within the bound on memory")
+@test("cases are measured in their own processes, in order, within the memory limit")
 def _():
     cases = [Case("configuration by routes", Axis.ROUTES, size) for size in (3000, 4000)]
     measured = list(measure_all(cases, 2, 0.04))
@@ -123,13 +123,13 @@
     assert [one.failed for one in measured] == ["more than 0.02 GB"] * 2
 
 
-@test("{subject.name}: has work, four sizes or more, and no quick size above them")
+@test("{subject.name}: has a measuring function, at least four sizes, and no quick size above them")
 def _(subject=each(*SUBJECTS)):
     assert subject.name in MEASURE_FUNCTIONS and len(set(subject.sizes)) >= 4 and len(set(subject.quick)) >= 4
     assert max(subject.quick) <= max(subject.sizes)
 
 
-@test("a configuration is valid and has its size; the same size gives the same text")
+@test("a configuration of a given size is valid and always has the same text")
 def _():
     found = values(configuration_by_routes(60))
     assert found["text"] == len(configuration(routes=60)) and 0 < found["deflated"] < found["text"]
@@ -137,15 +137,17 @@
     assert configuration(routes=60) == configuration(routes=60) != configuration(routes=60, number=2)
 
 
-@test("first heartbeats cost the square of the instances, the key check is in proportion to the tenants")
+@test("the cost of first heartbeats is quadratic in the instances, that of the key check linear in the tenants")
 def _():
     first = {size: values(first_heartbeats(size))["all beat for the first time"] for size in (50, 800)}
-    assert first[800] > 60 * first[50] > 0  # 16 times the size: 256 if square, 16 if linear
+    assert first[800] > 60 * first[50] > 0  # 16 times the size: the cost ratio is 256 if quadratic, 16 if linear
     checks = {size: values(check_keys(size))["read and check"] for size in (100, 2000)}
-    assert 0 < checks[2000] < 80 * checks[100]  # 20 times the size: over 200 with a search for each key
+    assert (
+        0 < checks[2000] < 80 * checks[100]
+    )  # 20 times the size: the cost ratio is over 200 with a search for each key
 
 
-# The figures that each hot path has at the least.
+# The least number of figures of each hot path.
 LEAST_FIGURES: dict[Callable[[int], list[Figure]], int] = {
     registered_heartbeats: 8,
     merge_pulls: 5,
@@ -163,13 +165,13 @@
     assert len(figures) >= LEAST_FIGURES[path] and all(figure.value > 0 for figure in figures)
 
 
-@test("a gateway holds each instance once, whatever controllers send it: memory grows with the instances")
+@test("a gateway stores each instance once although all controllers send it: memory is linear in the instances")
 def _():
     held = {size: values(merge_pulls(size))["directory held"] for size in (100, 400)}
     assert 3 < held[400] / held[100] < 5
 
 
-@test("processor time is charged to the machine whose step it was, and to none for carrying messages")
+@test("processor time is charged to the machine whose step it was, and to no machine for the transport of messages")
 def _():
     loop, network = MeteredLoop(), MeteredNetwork(Random(1), lambda name: 0, 0.0)
 
@@ -190,21 +192,21 @@
     assert 1.5 < loop.cpu_s["b"] / loop.cpu_s["a"] < 6 and loop.cpu_s[""] < 0.2 * loop.cpu_s["a"]
 
 
-@test("a small fleet starts and takes a change, a drain and a new gateway in time, with the expected bytes")
+@test("a small fleet starts and handles a change, a drain and a new gateway in time, with the expected bytes")
 def _():
     found = values(fleet_figures(FleetShape(gateways=3, instances=6, routes=20, settle_s=2.5, window_s=2.0)))
     assert 0 < found["a drain: until all have it"] < 0.1 and 0 < found["a change: until all have it"] < 0.2
     assert found["a change: until acknowledged"] < found["a change: until all have it"]
-    # Each second: one pull at each of three controllers and four draws, seven calls and as many answers.
+    # Per second: one pull from each of three controllers and four quota requests, which are seven calls with responses.
     assert 13 <= found["steady: a gateway's messages"] <= 18
     assert 500 < found["steady: a gateway's wire"] < 2000
     assert found["steady: between regions"] == 0
-    # Each controller announces a change; the text is fetched once.
+    # Each controller announces a change, but the gateway fetches the text only once.
     text = len(configuration(routes=20, number=2))
     assert 0.2 * text < found["a change: a gateway's wire"] < text
 
 
-@test("in two regions the bytes between them are counted, and times include the longer way")
+@test("with two regions, the bytes between them are counted and times include the delay between regions")
 def _():
     shape = FleetShape(gateways=2, instances=2, regions=2, settle_s=2.0, window_s=1.0)
     found = values(fleet_figures(shape))
--- a/tests/system/test_exhaustive.py
+++ b/tests/system/test_exhaustive.py
@@ -1,4 +1,4 @@
-"""The exhaustive check: models without a violation, and every seeded defect of the register found."""
+"""The exhaustive check: the models have no violation, and the search finds every seeded defect of the register."""
 
 from concurrent.futures import ProcessPoolExecutor
 from functools import lru_cache
@@ -11,7 +11,8 @@
 from stoneyoke.lab.simulation.exhaustive.search import Result, explore, model_named
 
 JOBS = 4
-# Models that are searched to their end, each with the changes of voters and the configurations chosen in it at least.
+# Models that are searched completely, each with the least numbers of changes of voters and of configurations that
+# the search must find chosen.
 EXHAUSTED = {
     "a voter added to two, an order": (1, 1),
     "a lost disk replaced, an order": (1, 1),
@@ -23,7 +24,7 @@
 
 @lru_cache(maxsize=1)
 def exhausted_results() -> dict[str, Result]:
-    """Searches the models once, in several processes."""
+    """Searches the models in EXHAUSTED once, in several processes."""
     with ProcessPoolExecutor(JOBS) as pool:
         return dict(zip(EXHAUSTED, pool.map(explore, map(model_named, EXHAUSTED)), strict=True))
 
@@ -35,7 +36,7 @@
         return dict(zip(MODEL_THAT_FINDS, pool.map(find, MODEL_THAT_FINDS), strict=True))
 
 
-@test("{name}: searched to its end without a violation")
+@test("{name}: searched completely without a violation")
 def _(name=each(*EXHAUSTED)):
     result = exhausted_results()[name]
     changes, configurations = EXHAUSTED[name]
@@ -43,18 +44,18 @@
     assert result.changes >= changes and result.configurations >= configurations, result.describe()
 
 
-@test("two contents ordered under one number are each chosen in some state, and no third one is")
+@test("two contents written under one number are each chosen in some state, and no third one is")
 def _():
     assert exhausted_results()["two contents under one number, one of them prepared"].configurations == 2
 
 
-@test("a controller that has missed two changes of voters finds the newest ones")
+@test("a controller that has missed two changes of voters finds the newest voters")
 def _():
     result = explore(model_named("a stale controller after two changes, an order there"), depth=10)
     assert not result.violation and result.changes == 2 and result.configurations == 1, result.describe()
 
 
-@test("{model.name}: the first steps have no violation")
+@test("{model.name}: the first three transitions have no violation")
 def _(model=each(*MODELS)):
     result = explore(model, depth=3)
     assert not result.violation and result.states > 3, result.describe()
@@ -70,7 +71,7 @@
     assert findings()[name]
 
 
-@test("a defect of the register is gone once its search has ended")
+@test("a seeded defect of the register is removed after its search")
 def _():
     before = quorum.majority
     with seeded("majority_one_short"):
