--- a/tests/lab/test_cluster.py
+++ b/tests/lab/test_cluster.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.xdist_group("cluster")
-def test_a_killed_controller_and_gateway_lose_nothing_and_run_no_order_twice():
+def test_killing_a_controller_and_a_gateway_violates_no_rule_and_runs_no_non_idempotent_request_twice():
     settings = TrialSettings(seconds=6.0, gateways=2, rate_per_s=30.0, seed=3, address_block=1 + os.getpid() % 250)
     ledger, client = asyncio.run(run_trial(settings))
     assert ledger.violations() == []
@@ -18,7 +18,7 @@
     assert ledger.orders and all(ledger.executions[attempt_id] <= 1 for attempt_id in ledger.orders)
 
 
-def test_the_ledger_finds_each_broken_rule():
+def test_the_ledger_detects_each_violation():
     ledger = TrafficLedger()
     ledger.orders |= {"a", "b"}
     ledger.statuses |= {"a": 200, "b": 503, "c": 200}
--- a/tests/system/test_capacity.py
+++ b/tests/system/test_capacity.py
@@ -103,10 +103,10 @@
 
 @test("a case that fails or exceeds the memory limit is reported with its reason")
 def _():
-    def over(size: int) -> list[Figure]:
+    def exceed_memory(size: int) -> list[Figure]:
         raise MemoryError
 
-    MEASURE_FUNCTIONS["broken"], MEASURE_FUNCTIONS["over"] = lambda size: 1 / 0, over
+    MEASURE_FUNCTIONS["broken"], MEASURE_FUNCTIONS["over"] = lambda size: 1 / 0, exceed_memory
     try:
         assert measure(Case("broken", Axis.ROUTES, 1)).failed.startswith("ZeroDivisionError")
         assert measure(Case("over", Axis.ROUTES, 1)).failed.startswith("more than")
@@ -148,7 +148,7 @@
 
 
 # The least number of figures of each hot path.
-LEAST_FIGURES: dict[Callable[[int], list[Figure]], int] = {
+MIN_FIGURES: dict[Callable[[int], list[Figure]], int] = {
     registered_heartbeats: 8,
     merge_pulls: 5,
     renew_upstreams: 3,
@@ -160,9 +160,9 @@
 
 
 @test("hot path {path.__name__}: has all its figures, each above 0")
-def _(path=each(*LEAST_FIGURES)):
+def _(path=each(*MIN_FIGURES)):
     figures = path(40)
-    assert len(figures) >= LEAST_FIGURES[path] and all(figure.value > 0 for figure in figures)
+    assert len(figures) >= MIN_FIGURES[path] and all(figure.value > 0 for figure in figures)
 
 
 @test("a gateway stores each instance once although all controllers send it: memory is linear in the instances")
