--- a/stoneyoke/lab/capacity/hot_paths/configurations.py
+++ b/stoneyoke/lab/capacity/hot_paths/configurations.py
@@ -68,15 +68,15 @@
     deflated = zlib.compress(body, 6)
 
     def parse() -> Configuration:
-        given = read_table(read_json(body), CONFIGURATION)
-        services = {one["label"]: one for one in given["service_list"]}
+        fields = read_table(read_json(body), CONFIGURATION)
+        services = {one["label"]: one for one in fields["service_list"]}
         return Configuration(
             version=Version(1),
             body=body,
             services=services,
-            limits=given["limits"],
-            tenants=given["tenant_list"],
-            hosts=given["host_map"],
+            limits=fields["limits"],
+            tenants=fields["tenant_list"],
+            hosts=fields["host_map"],
         )
 
     parsed, parse_s = cpu_seconds_once(parse)
--- a/stoneyoke/lab/capacity/hot_paths/gateway_directory.py
+++ b/stoneyoke/lab/capacity/hot_paths/gateway_directory.py
@@ -72,20 +72,20 @@
             settings = UpstreamSettings(zones=(), zone="zone-00", seed=5, bounds=BOUNDS)
             return Upstreams(clock, metrics, backends, known, settings)
 
-        def renewed_elsewhere() -> Upstreams:
+        def make_and_refresh() -> Upstreams:
             other = make()
             other.refresh()
             return other
 
-        made = make()
-        (_, first_s), again_heap = cpu_seconds_once(made.refresh), measure_heap(renewed_elsewhere)[1]
+        upstreams = make()
+        (_, first_s), upstreams_heap = cpu_seconds_once(upstreams.refresh), measure_heap(make_and_refresh)[1]
         drained = pull_response(InstanceRegistry(1.0), [row(0, 2, Phase.DRAINING)], False)
         known.apply_pull(CONTROLLERS[0], drained, 0.5)
-        _, again_s = cpu_seconds_once(made.refresh)
+        _, after_drain_s = cpu_seconds_once(upstreams.refresh)
         return [
             Figure("first renewal", "s", first_s),
-            Figure("renewal after one drain", "s", again_s),
-            Figure("modules of decisions held", "MB", megabytes(again_heap.retained)),
+            Figure("renewal after one drain", "s", after_drain_s),
+            Figure("modules of decisions held", "MB", megabytes(upstreams_heap.retained)),
         ]
 
     return asyncio.run(renewals())
--- a/stoneyoke/lab/capacity/hot_paths/quotas.py
+++ b/stoneyoke/lab/capacity/hot_paths/quotas.py
@@ -21,34 +21,34 @@
         QuotaDemand(f"tenant-{index:07d}", 2.0, 2.0, 0.0, 0.0) for index in sample_indexes(size, TENANTS_PER_REQUEST)
     ]
 
-    def make() -> QuotaAllocator:
-        made = QuotaAllocator(BOUNDS, 0.0)
-        made.set_tenants(plans)
-        return made
+    def make_allocator() -> QuotaAllocator:
+        allocator = QuotaAllocator(BOUNDS, 0.0)
+        allocator.set_tenants(plans)
+        return allocator
 
     request = QuotaRequest(
         name="gateway-0001", incarnation="0123456789ab", since_answer_ms=250, complete=False, demands=demands
     )
-    quotas, quotas_heap = measure_heap(make)
+    allocator, allocator_heap = measure_heap(make_allocator)
     now = 0.0
 
-    def draw() -> None:
+    def request_quotas() -> None:
         nonlocal now
         now += 0.25
-        quotas.allocate(request, now)
+        allocator.allocate(request, now)
 
-    def quick_draw() -> None:
+    def request_again() -> None:
         nonlocal now
         now += 0.00001
-        quotas.allocate(request, now)
+        allocator.allocate(request, now)
 
-    grants = quotas.allocate(request, now)
+    grants = allocator.allocate(request, now)
     response = QuotaResponse(ok=True, grants=grants)
     return [
-        Figure("stores held", "MB", megabytes(quotas_heap.retained)),
+        Figure("stores held", "MB", megabytes(allocator_heap.retained)),
         Figure("one draw of 100 tenants, both ways", "B", len(pack(1, request) + pack(1, response))),
-        Figure("one draw of 100 tenants, 0.25 s after the last", "s", cpu_seconds(draw)),
-        Figure("one draw of 100 tenants, right after another", "s", cpu_seconds(quick_draw)),
+        Figure("one draw of 100 tenants, 0.25 s after the last", "s", cpu_seconds(request_quotas)),
+        Figure("one draw of 100 tenants, right after another", "s", cpu_seconds(request_again)),
     ]
 
 
--- a/stoneyoke/lab/simulation/exhaustive/invariants.py
+++ b/stoneyoke/lab/simulation/exhaustive/invariants.py
@@ -73,13 +73,13 @@
     return state._replace(history=history._replace(parents=history.parents | {(ballot, parent)}))
 
 
-def record_shown(state: State, chosen: Proposal, acknowledged: tuple[Version, ...] = ()) -> State:
+def record_received(state: State, chosen: Proposal, acknowledged: tuple[Version, ...] = ()) -> State:
     """Records that an operator received a value, and which configurations were acknowledged as in force."""
     history = state.history
-    ballot = max(history.shown.ballot, chosen.ballot)
-    number = max(history.shown.number, chosen.value.version.number)
+    ballot = max(history.newest_received.ballot, chosen.ballot)
+    number = max(history.newest_received.number, chosen.value.version.number)
     in_force = history.acknowledged | frozenset(acknowledged)
-    return state._replace(history=history._replace(shown=LowerBound(ballot, number), acknowledged=in_force))
+    return state._replace(history=history._replace(newest_received=LowerBound(ballot, number), acknowledged=in_force))
 
 
 # ---- invariants ----
--- a/stoneyoke/lab/simulation/exhaustive/operations.py
+++ b/stoneyoke/lab/simulation/exhaustive/operations.py
@@ -72,13 +72,13 @@
 def record_result(state: State, operation: Operation, chosen: Proposal) -> State:
     """Records what the operator receives as the result; checks each acknowledgement and each conflict."""
     if operation.kind is OperationKind.READ:
-        return invariants.record_shown(state, chosen)
+        return invariants.record_received(state, chosen)
     for version in operation.versions:
         match configuration_service.outcome_of(configuration(version), chosen.value):
             case Acknowledged():
                 state = invariants.check_acknowledged(state, version)
                 in_force = (version,) if chosen.value.version == version else ()
-                state = invariants.record_shown(state, chosen, in_force)
+                state = invariants.record_received(state, chosen, in_force)
             case Rejected():
                 state = invariants.check_conflict(state, version)
             case _:
--- a/stoneyoke/lab/simulation/exhaustive/reads.py
+++ b/stoneyoke/lab/simulation/exhaustive/reads.py
@@ -71,7 +71,7 @@
         view = restore_replica(process).view()
         if process.replica.address in received_from or view is None:
             continue
-        lower_bound = gateway.lower_bound if gateway.views else state.history.shown
+        lower_bound = gateway.lower_bound if gateway.views else state.history.newest_received
         received = Proposal(view.ballot, view.value.without_body())
         after = Gateway(lower_bound, gateway.views | {(process.replica, received)})
         result = state._replace(gateway=after)
--- a/stoneyoke/lab/simulation/exhaustive/state.py
+++ b/stoneyoke/lab/simulation/exhaustive/state.py
@@ -160,14 +160,14 @@
         votes: Pairs of a proposal that is not chosen yet and a member that has accepted it.
         chosen: The chosen values in the order of their ballots, computed from `votes`, not by the code under test.
         parents: Pairs of a proposal's ballot and the ballot of the value that the proposal is based on.
-        shown: The newest state that any operator has received.
+        newest_received: The newest state that any operator has received.
         acknowledged: Configurations that were acknowledged to operators as in force.
     """
 
     votes: frozenset[tuple[Proposal, ReplicaId]]
     chosen: tuple[Proposal, ...]
     parents: frozenset[tuple[Ballot, Ballot]] = frozenset()
-    shown: LowerBound = LowerBound()
+    newest_received: LowerBound = LowerBound()
     acknowledged: frozenset[Version] = frozenset()
 
 
--- a/stoneyoke/lab/simulation/exhaustive/transitions.py
+++ b/stoneyoke/lab/simulation/exhaustive/transitions.py
@@ -68,7 +68,7 @@
         if not operations.may_begin(operation, desired):
             continue
         remaining = state._replace(not_started=tuple(one for one in state.not_started if one != index))
-        ongoing = OngoingOperation(index, operation.max_rounds, state.history.shown, desired=desired)
+        ongoing = OngoingOperation(index, operation.max_rounds, state.history.newest_received, desired=desired)
         if operations.reads_first(process, operation):
             after = begin_query(model, remaining, ongoing)
         else:
