--- a/stoneyoke/lab/capacity/hot_paths/gateway_directory.py
+++ b/stoneyoke/lab/capacity/hot_paths/gateway_directory.py
@@ -1,4 +1,4 @@
-"""Hot paths of a gateway's instances: pulls, changes, sweeps and the upstreams made from them."""
+"""Hot paths of the instances at a gateway: pulls, changes, sweeps and the upstreams made from them."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 from stoneyoke.gateway.upstreams import Upstreams, UpstreamSettings
 from stoneyoke.lab.capacity.figures import Figure
 from stoneyoke.lab.capacity.hot_paths.pull_responses import pull_response
-from stoneyoke.lab.capacity.meters import heap, megabytes, processor_once_s, processor_s
+from stoneyoke.lab.capacity.meters import cpu_seconds, cpu_seconds_once, measure_heap, megabytes
 from stoneyoke.lab.capacity.workloads import row
 from stoneyoke.lab.simulation.bounds import BOUNDS
 from stoneyoke.net.backends import BackendLimits, Backends
@@ -29,7 +29,7 @@
 
 
 def merge_pulls(size: int) -> list[Figure]:
-    """Measures a gateway that learns of so many instances from three controllers."""
+    """Measures a gateway that receives the rows of this number of instances from three controllers."""
     registry = InstanceRegistry(1.0)
     frame = pack(1, pull_response(registry, [row(index) for index in range(size)], True))[4:]
 
@@ -41,8 +41,8 @@
             known.apply_pull(name, response, 0.0)
         return known
 
-    _, first_s = processor_once_s(first_pulls)
-    known, directory_heap = heap(first_pulls)
+    _, first_s = cpu_seconds_once(first_pulls)
+    known, directory_heap = measure_heap(first_pulls)
     seq = 1
 
     def one_change() -> None:
@@ -50,20 +50,20 @@
         seq += 1
         known.apply_pull(CONTROLLERS[0], pull_response(registry, [row(0, seq)], False), 0.5)
 
-    one_change()  # frees the first answer, which is not what a change costs
+    one_change()  # frees the memory of the first pull response, which is not part of the cost of a change
     return [
         Figure("first pulls from three controllers", "s", first_s),
-        Figure("directory held", "MB", megabytes(directory_heap.held)),
+        Figure("directory held", "MB", megabytes(directory_heap.retained)),
         Figure("first pulls at the peak", "MB", megabytes(directory_heap.peak)),
-        Figure("one change merged", "s", processor_s(one_change)),
-        Figure("sweep, four a second", "s", processor_s(lambda: known.sweep(0.6))),
+        Figure("one change merged", "s", cpu_seconds(one_change)),
+        Figure("sweep, four a second", "s", cpu_seconds(lambda: known.sweep(0.6))),
     ]
 
 
 def renew_upstreams(size: int) -> list[Figure]:
-    """Measures the upstreams of so many instances: the first renewal, and one after a drain."""
+    """Measures the upstreams of this number of instances: the first renewal, and one after a drain."""
 
-    async def renewals() -> list[Figure]:  # in a loop, because the upstreams set timers
+    async def renewals() -> list[Figure]:  # runs in an event loop, because the upstreams set timers
         known, clock, metrics = directory_with([row(index) for index in range(size)]), Clock(), Metrics()
 
         def make() -> Upstreams:
@@ -72,20 +72,20 @@
             settings = UpstreamSettings(zones=(), zone="zone-00", seed=5, bounds=BOUNDS)
             return Upstreams(clock, metrics, backends, known, settings)
 
-        def renewed_elsewhere() -> Upstreams:
+        def make_and_refresh() -> Upstreams:
             other = make()
             other.refresh()
             return other
 
-        made = make()
-        (_, first_s), again_heap = processor_once_s(made.refresh), heap(renewed_elsewhere)[1]
+        upstreams = make()
+        (_, first_s), upstreams_heap = cpu_seconds_once(upstreams.refresh), measure_heap(make_and_refresh)[1]
         drained = pull_response(InstanceRegistry(1.0), [row(0, 2, Phase.DRAINING)], False)
         known.apply_pull(CONTROLLERS[0], drained, 0.5)
-        _, again_s = processor_once_s(made.refresh)
+        _, after_drain_s = cpu_seconds_once(upstreams.refresh)
         return [
             Figure("first renewal", "s", first_s),
-            Figure("renewal after one drain", "s", again_s),
-            Figure("modules of decisions held", "MB", megabytes(again_heap.held)),
+            Figure("renewal after one drain", "s", after_drain_s),
+            Figure("modules of decisions held", "MB", megabytes(upstreams_heap.retained)),
         ]
 
     return asyncio.run(renewals())
--- a/stoneyoke/lab/simulation/exhaustive/reads.py
+++ b/stoneyoke/lab/simulation/exhaustive/reads.py
@@ -1,4 +1,4 @@
-"""Read transitions: controllers query a majority, and gateways compare the views of controllers."""
+"""Read transitions: controllers query a majority, and a gateway compares the views of controllers."""
 
 from collections.abc import Iterator
 
@@ -6,7 +6,7 @@
 from stoneyoke.consensus.register_value import Proposal
 from stoneyoke.lab.simulation.exhaustive import invariants
 from stoneyoke.lab.simulation.exhaustive.models import Model
-from stoneyoke.lab.simulation.exhaustive.rounds import check_known, finish
+from stoneyoke.lab.simulation.exhaustive.rounds import check_known, finish_operation
 from stoneyoke.lab.simulation.exhaustive.snapshots import restore_query, restore_replica, snapshot_query
 from stoneyoke.lab.simulation.exhaustive.state import (
     Gateway,
@@ -30,10 +30,10 @@
     return with_ongoing(state, None, ongoing._replace(query=query))
 
 
-def answers_to_queries(model: Model, state: State) -> Iterator[Transition]:
-    """Yields the answer of each voter that a query still needs.
+def query_responses(model: Model, state: State) -> Iterator[Transition]:
+    """Yields the response of each voter that a query still needs.
 
-    The answer arrives at once: the reader does nothing until then, so a late answer reaches no other state.
+    The response arrives at once: the reader does nothing until then, so a late response reaches no other state.
     """
     for ongoing in state.ongoing:
         if not ongoing.query:
@@ -41,17 +41,19 @@
         reader = model.operations[ongoing.operation].address
         query = restore_query(ongoing.query)
         for address in sorted(query.addresses_to_ask() - ongoing.contacted):
-            yield Transition(f"{address} answers the read of {reader}", query_answered(model, state, ongoing, address))
+            yield Transition(
+                f"{address} answers the read of {reader}", add_query_response(model, state, ongoing, address)
+            )
 
 
-def query_answered(model: Model, state: State, ongoing: OngoingOperation, address: str) -> State:
-    """Adds one voter's answer to a query; ends the operation if that settles it."""
+def add_query_response(model: Model, state: State, ongoing: OngoingOperation, address: str) -> State:
+    """Adds the response of a voter to a query; finishes the operation if the query now has a result."""
     assert ongoing.query
     query = restore_query(ongoing.query)
     voter = process_at(state, address)
     query.on_response(voter.replica, voter.accepted)
     if chosen := query.chosen_proposal():
-        return finish(model, state, ongoing, chosen)
+        return finish_operation(model, state, ongoing, chosen)
     after = ongoing._replace(query=snapshot_query(query), contacted=ongoing.contacted | {address})
     return with_ongoing(state, ongoing, after)
 
@@ -59,7 +61,7 @@
 def gateway_views(state: State) -> Iterator[Transition]:
     """Yields each view that the gateway may receive next: the newest value that a controller knows, without its body.
 
-    The lower bound is taken with the first view. The gateway ends once `newest_view` finds an answer.
+    The lower bound is read with the first view. The gateway is done once `newest_view` returns a view.
     """
     gateway = state.gateway
     if gateway is None:
@@ -69,7 +71,7 @@
         view = restore_replica(process).view()
         if process.replica.address in received_from or view is None:
             continue
-        lower_bound = gateway.lower_bound if gateway.views else state.history.shown
+        lower_bound = gateway.lower_bound if gateway.views else state.history.newest_received
         received = Proposal(view.ballot, view.value.without_body())
         after = Gateway(lower_bound, gateway.views | {(process.replica, received)})
         result = state._replace(gateway=after)
