--- a/stoneyoke/control/gateway.py
+++ b/stoneyoke/control/gateway.py
@@ -62,7 +62,7 @@
         """Whether an RPC waits for its response or has attempts in flight. Its index must not be reused then."""
         return rpc in self.rpcs.open
 
-    def knows(self, backend: int) -> bool:
+    def is_known_backend(self, backend: int) -> bool:
         """Whether a backend is listed or has attempts in flight. Its index must not be reused then."""
         return backend in self.backends.table.by_index
 
--- a/stoneyoke/gateway/upstreams.py
+++ b/stoneyoke/gateway/upstreams.py
@@ -237,7 +237,7 @@
         for index in list(self.indices.index_by_id.values()):
             if index not in self.instances:
                 self.backends.remove(index)
-                if not any(upstream.runtime.knows_backend(index) for upstream in self.upstreams.values()):
+                if not any(upstream.runtime.is_known_backend(index) for upstream in self.upstreams.values()):
                     self.indices.release(index)
 
     def send_endpoints(self, upstream: Upstream) -> None:
--- a/stoneyoke/runtime/runtime.py
+++ b/stoneyoke/runtime/runtime.py
@@ -212,9 +212,9 @@
         """Reports a new endpoint list, or changes to it, to the decision logic."""
         self.dispatch(change)
 
-    def knows_backend(self, backend: int) -> bool:
+    def is_known_backend(self, backend: int) -> bool:
         """Whether the decision logic still has a row for a backend, so that its index is in use."""
-        return self.gateway.knows(backend)
+        return self.gateway.is_known_backend(backend)
 
     # ---- actions ----
 
--- a/stoneyoke/single_gateway/program.py
+++ b/stoneyoke/single_gateway/program.py
@@ -79,7 +79,7 @@
         self.backends = Backends(self.clock, self.metrics, descriptor_budget, limits)
         self.clients = RpcHandler(self.runtime, self.backends, settings, descriptor_budget)
         self.counter = self.make_counter()
-        self.endpoints = EndpointTable(settings.zones, self.backends, self.runtime.knows_backend)
+        self.endpoints = EndpointTable(settings.zones, self.backends, self.runtime.is_known_backend)
         self.backends.accepts_new_work = self.endpoints.accepts_new_work
         self.discovery = Discovery(self.metrics, self.update_endpoints)
         self.clients.endpoints_known = self.discovery.first_response
