--- a/stoneyoke/control/gateway.py
+++ b/stoneyoke/control/gateway.py
@@ -58,7 +58,7 @@
         """The current parameters."""
         return self.context.parameters
 
-    def holds(self, rpc: int) -> bool:
+    def is_open_rpc(self, rpc: int) -> bool:
         """Whether an RPC waits for its response or has attempts in flight. Its index must not be reused then."""
         return rpc in self.rpcs.open
 
--- a/stoneyoke/runtime/runtime.py
+++ b/stoneyoke/runtime/runtime.py
@@ -200,7 +200,7 @@
         self.pending.pop(request.index, None)
         self.departures.request_closed(request)
         self.metrics.check_invariant(
-            request.client_gone or not self.gateway.holds(request.index),
+            request.client_gone or not self.gateway.is_open_rpc(request.index),
             "request closed while the decision logic holds it",
         )
 
--- a/stoneyoke/simhost/instance.py
+++ b/stoneyoke/simhost/instance.py
@@ -162,7 +162,7 @@
 
     def release_if_done(self, rpc: int) -> None:
         """Releases a request's index if the decision logic has no state of it any more."""
-        if not self.gateway.holds(rpc):
+        if not self.gateway.is_open_rpc(rpc):
             self.clients_gone.discard(rpc)
             self.requests.release(rpc)
 
--- a/tests/control/test_retry_policy.py
+++ b/tests/control/test_retry_policy.py
@@ -116,9 +116,9 @@
     first = attempts_in(bench.arrive())[0]
     bench.dispatch(ResponseStarted(1))
     later = bench.pass_time(5_000_000)
-    assert not actions_of(CancelAttempt, later) and not attempts_in(later) and bench.gateway.holds(1)
+    assert not actions_of(CancelAttempt, later) and not attempts_in(later) and bench.gateway.is_open_rpc(1)
     bench.end_attempt(1, 0, first.backend)
-    assert not bench.gateway.holds(1)
+    assert not bench.gateway.is_open_rpc(1)
 
 
 @pytest.mark.parametrize(
@@ -130,9 +130,9 @@
     bench = DecisionBench(can_cancel_attempts=can_cancel)
     first = attempts_in(bench.arrive(method=method))[0]
     assert bench.dispatch(ClientGone(1)) == [CancelAttempt(1, 0, only_unsent)]
-    assert bench.gateway.holds(1) and not attempts_in(bench.pass_time(3_000_000))
+    assert bench.gateway.is_open_rpc(1) and not attempts_in(bench.pass_time(3_000_000))
     assert not bench.end_attempt(1, 0, first.backend, AttemptOutcome.CLIENT_GONE)
-    assert not bench.gateway.holds(1) and not bench.dispatch(ClientGone(1))
+    assert not bench.gateway.is_open_rpc(1) and not bench.dispatch(ClientGone(1))
 
 
 def test_when_a_client_leaves_only_its_attempt_in_flight_is_cancelled_not_one_that_has_ended():
