--- a/stoneyoke/control/backend_selection.py
+++ b/stoneyoke/control/backend_selection.py
@@ -151,7 +151,7 @@
         latency = min(1.5, latency_us / self.context.parameters.methods[method].soft_deadline_us)
         self.concurrency.record(outcome, latency, self.is_typical(backend))
 
-    def look(self) -> None:
+    def check_ranking(self) -> None:
         """Called four times a second: renews the order after enough changes, and drops backends that are gone."""
         self.concurrency.decay()
         self.changes += 1
--- a/stoneyoke/control/gateway.py
+++ b/stoneyoke/control/gateway.py
@@ -98,7 +98,7 @@
         self.tick_of_second = tick
         self.shares.schedule.send_due(tick)
         if tick % RANKING_TICKS == 0:
-            self.backends.look()
+            self.backends.check_ranking()
         if self.context.parameters.must_subscribe and self.context.now >= self.subscribe_at:
             self.subscribe_at = math.inf
             self.context.actions.append(Subscribe())
