--- a/stoneyoke/control/open_rpc.py
+++ b/stoneyoke/control/open_rpc.py
@@ -50,4 +50,4 @@
         self.overdue_counted = 0  # number of the last attempt counted as overdue, from 1; 0: none
         self.query: AddToCounter | None = None  # the counter query whose reply it waits for
         self.resume_at_us = 0
-        self.answered = False  # it has its final response, or its client is gone
+        self.has_final_response = False  # also true once its client is gone and needs no response
--- a/stoneyoke/control/rpc_runner.py
+++ b/stoneyoke/control/rpc_runner.py
@@ -34,7 +34,7 @@
     def resume(self, rpc: OpenRpc, result: AttemptEnded | CounterReply | None) -> None:
         """Resumes an RPC with a result, unless it has its final response."""
         rpc.query = None
-        if rpc.steps and not rpc.answered:
+        if rpc.steps and not rpc.has_final_response:
             self.execute_step(rpc, rpc.steps.send(result))
 
     def resume_due(self) -> None:
@@ -54,7 +54,7 @@
         if isinstance(step, StartAttempt):
             self.attempt_started(rpc, step)
         elif not isinstance(step, CancelAttempt):
-            rpc.answered = True
+            rpc.has_final_response = True
             self.drop_if_done(rpc)
 
     def attempt_started(self, rpc: OpenRpc, step: StartAttempt) -> None:
@@ -82,19 +82,19 @@
             customer.bucket.level += rpc.arrival.units - result.settled_units
         if attempt.started_at >= self.context.resumed_at:
             self.backends.measure(attempt, rpc.arrival.method, result.outcome)
-        rpc.answered = rpc.answered or result.is_final
+        rpc.has_final_response = rpc.has_final_response or result.is_final
         self.resume(rpc, result)
         self.drop_if_done(rpc)
 
     def query_replied(self, rpc: OpenRpc, query: AddToCounter, reply: CounterReply) -> None:
         """Resumes an RPC with the counter's reply, unless it has timed out waiting for it."""
-        if rpc.query is query and not rpc.answered:
+        if rpc.query is query and not rpc.has_final_response:
             self.resume(rpc, reply)
 
     def client_gone(self, event: ClientGone) -> None:
         """Marks an RPC as needing no response, and cancels its attempts in flight. They count until they have ended."""
         if rpc := self.open.get(event.rpc):
-            rpc.answered = True
+            rpc.has_final_response = True
             self.cancel_attempts(rpc)
             self.drop_if_done(rpc)
 
@@ -111,5 +111,5 @@
 
     def drop_if_done(self, rpc: OpenRpc) -> None:
         """Removes an RPC that has its final response and no attempt in flight."""
-        if rpc.answered and not rpc.in_flight:
+        if rpc.has_final_response and not rpc.in_flight:
             self.open.pop(rpc.arrival.rpc, None)
