--- a/stoneyoke/gateway/admission.py
+++ b/stoneyoke/gateway/admission.py
@@ -151,7 +151,7 @@
         local_quota.record_demand(call.units, now / SECOND)
         if local_quota.try_take(call.units):
             return ADMITTED
-        closed_us = int(local_quota.closed_until * SECOND) - now
+        closed_us = int(local_quota.next_request_at * SECOND) - now
         return self.compute_retry_after(customer, closed_us) if closed_us > 0 else None
 
     def admit_after_response(self, call: Arrival, local_quota: LocalQuota, now: int) -> int:
@@ -164,7 +164,7 @@
         customer = self.customer(call)
         if local_quota.try_take(call.units):
             return ADMITTED
-        closed_us = int(local_quota.closed_until * SECOND) - now
+        closed_us = int(local_quota.next_request_at * SECOND) - now
         if closed_us > 0:
             return self.compute_retry_after(customer, closed_us)
         return self.admit_isolated(customer, call, local_quota)
--- a/stoneyoke/gateway/quota_client.py
+++ b/stoneyoke/gateway/quota_client.py
@@ -107,7 +107,7 @@
         return (
             self.lease_holder_unresponsive
             or local_quota.level >= USABLE_UNITS
-            or local_quota.closed_until > self.clock()
+            or local_quota.next_request_at > self.clock()
         )
 
     async def run(self) -> None:
--- a/stoneyoke/limits/local_quota.py
+++ b/stoneyoke/limits/local_quota.py
@@ -32,7 +32,7 @@
 
     Attributes:
         level: Units granted and not used yet.
-        closed_until: No units are requested before this time, in seconds.
+        next_request_at: No units are requested before this time, in seconds.
         share: Share of the rate granted for isolation, 0 to 1; 0 while none was granted.
         reserve_units: Units granted for the start of an isolation.
         granted_at: When share and reserve were granted, in seconds.
@@ -44,7 +44,7 @@
     """
 
     level: float = 0.0
-    closed_until: float = 0.0
+    next_request_at: float = 0.0
     share: float = 0.0
     reserve_units: float = 0.0
     demand_units: float = 0.0
@@ -83,9 +83,9 @@
         self.level += grant.units
         self.share, self.reserve_units, self.granted_at = grant.share, grant.reserve_units, now
         if grant.units > 0:
-            self.closed_until = 0.0
+            self.next_request_at = 0.0
         elif grant.wait_s > 0:
-            self.closed_until = now + grant.wait_s
+            self.next_request_at = now + grant.wait_s
 
 
 def take_demands(
@@ -120,7 +120,7 @@
         share = local_quota.isolated_allowance(last_response_at, now).share
         if not has_report and share <= REPORTED_SHARE_MIN and not local_quota.isolated_units:
             continue
-        wanted = local_quota.wanted_units(waiting_requests) if now >= local_quota.closed_until else 0.0
+        wanted = local_quota.wanted_units(waiting_requests) if now >= local_quota.next_request_at else 0.0
         missing = max(0.0, wanted - local_quota.level)
         demands.append(QuotaDemand(tenant, missing, local_quota.demand_units, local_quota.isolated_units, share))
         local_quota.demand_units = 0.0
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -221,7 +221,7 @@
         gateway.quota_client.grant = (0.0, 0.5, 0.5, 0.0)
         status, headers, _ = await gateway.send()
         assert status == 429 and 0.4 < float(headers["retry-after"]) < 2 and not backend.requests
-        gateway.admission.local_quotas["anna"].closed_until = 0.0
+        gateway.admission.local_quotas["anna"].next_request_at = 0.0
         gateway.quota_client.grant = (2.0, 0.0, 0.5, 0.0)
         assert [(await gateway.send())[0] for _ in range(2)] == [200, 200]
         assert (await gateway.send(key=b"key-c"))[0] == 200  # bert has no limit
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -102,7 +102,7 @@
 
     async def scenario(quota_client, response_times):
         await quota_client.wait_for_units("anna")
-        assert quota_client.local_quotas["anna"].closed_until > asyncio.get_running_loop().time() + 4
+        assert quota_client.local_quotas["anna"].next_request_at > asyncio.get_running_loop().time() + 4
         quota_client.local_quotas["anna"].demand_units = 2.0
         await quota_client.request_units(peer_client)
         assert peer_client.asked[2].demands[0][:3] == ("anna", 0.0, 2.0)
