--- a/stoneyoke/gateway/quota_client.py
+++ b/stoneyoke/gateway/quota_client.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from stoneyoke.limits.local_quota import LocalQuota, take_demands
+from stoneyoke.limits.local_quota import LocalQuota, build_demands
 from stoneyoke.limits.quota_terms import SILENCE_TIMEOUT_S
 from stoneyoke.transport.errors import PeerUnreachable
 from stoneyoke.transport.messages import QuotaDemand, QuotaRequest, QuotaResponse
@@ -150,7 +150,9 @@
         report_all = self.report_all
         demands: list[QuotaDemand] = []
         if has_recent_response:
-            demands = take_demands(self.local_quotas, self.waiting_requests, self.last_response_at, report_all, sent_at)
+            demands = build_demands(
+                self.local_quotas, self.waiting_requests, self.last_response_at, report_all, sent_at
+            )
         request = QuotaRequest(
             name=self.name,
             incarnation=self.incarnation,
--- a/stoneyoke/lab/capacity/hot_paths/quotas.py
+++ b/stoneyoke/lab/capacity/hot_paths/quotas.py
@@ -5,7 +5,7 @@
 from stoneyoke.lab.capacity.figures import Figure
 from stoneyoke.lab.capacity.meters import heap, megabytes, processor_once_s, processor_s, sample_indexes
 from stoneyoke.lab.simulation.bounds import BOUNDS
-from stoneyoke.limits.local_quota import LocalQuota, take_demands
+from stoneyoke.limits.local_quota import LocalQuota, build_demands
 from stoneyoke.limits.quota_allocator import QuotaAllocator
 from stoneyoke.limits.token_bucket import SECOND
 from stoneyoke.transport.messages import QuotaDemand, QuotaRequest, QuotaResponse, pack
@@ -70,6 +70,6 @@
     return [
         Figure("first request of each tenant", "s", first_s),
         Figure("one decision", "s", processor_s(decide) / len(later)),
-        Figure("wants of a quiet round", "s", processor_s(lambda: take_demands(quotas, {}, 0.0, False, 1.0))),
+        Figure("wants of a quiet round", "s", processor_s(lambda: build_demands(quotas, {}, 0.0, False, 1.0))),
         Figure("local quotas held", "MB", megabytes(quotas_heap.held)),
     ]
--- a/stoneyoke/limits/local_quota.py
+++ b/stoneyoke/limits/local_quota.py
@@ -88,7 +88,7 @@
             self.next_request_at = now + grant.wait_s
 
 
-def take_demands(
+def build_demands(
     local_quotas: Mapping[str, LocalQuota],
     waiting: Mapping[str, int],
     last_response_at: float,
--- a/tests/system/test_quota_allocator.py
+++ b/tests/system/test_quota_allocator.py
@@ -7,7 +7,7 @@
 from stoneyoke.api.bounds import ServiceBounds
 from stoneyoke.gateway.admission import Admission
 from stoneyoke.gateway.routes import Tenant
-from stoneyoke.limits.local_quota import ASSUMED_GATEWAYS, LocalQuota, take_demands
+from stoneyoke.limits.local_quota import ASSUMED_GATEWAYS, LocalQuota, build_demands
 from stoneyoke.limits.quota_allocator import QuotaAllocator
 from stoneyoke.limits.quota_terms import SHARE_LEASE_S, SILENCE_TIMEOUT_S
 from stoneyoke.limits.tenant_bucket import TenantBucket
@@ -83,7 +83,7 @@
     def demands(self, at: int, waiting: int) -> list[QuotaDemand]:
         admission = self.admissions[at]
         waiting_by_tenant = {"anna": waiting} if waiting else {}
-        return take_demands(
+        return build_demands(
             admission.local_quotas, waiting_by_tenant, admission.last_response_at / SECOND, self.complete[at], self.now
         )
 
