--- a/stoneyoke/api/http_mapping.py
+++ b/stoneyoke/api/http_mapping.py
@@ -126,7 +126,7 @@
         return Rejected(HTTPStatus.BAD_REQUEST, error.field, error.reason)
 
 
-def reply_to(result: ApiResult) -> HttpResponse:
+def to_http_response(result: ApiResult) -> HttpResponse:
     """Returns the HTTP response for the result of a call."""
     match result:
         case Acknowledged():
--- a/stoneyoke/controlplane/http_api.py
+++ b/stoneyoke/controlplane/http_api.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from stoneyoke.api.calls import ApiCall, ApiResult, Rejected, Unavailable
-from stoneyoke.api.http_mapping import read_call, reply_to
+from stoneyoke.api.http_mapping import read_call, to_http_response
 from stoneyoke.net.errors import MalformedMessage
 from stoneyoke.net.message_reader import Message, MessageReader
 from stoneyoke.net.message_writer import status_line, write_message
@@ -80,7 +80,7 @@
             return Unavailable("failed here")
 
     def _write(self, writer: asyncio.StreamWriter, result: ApiResult, *, keep_alive: bool) -> None:
-        status, body = reply_to(result)
+        status, body = to_http_response(result)
         connection = b"" if keep_alive else b"Connection: close\r\n"
         content = b"Content-Type: application/json\r\nContent-Length: %d\r\n" % len(body)
         write_message(writer, [status_line(status), connection, content], body)
