--- a/stoneyoke/controlplane/heartbeat_ring.py
+++ b/stoneyoke/controlplane/heartbeat_ring.py
@@ -12,7 +12,7 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
-def watchers(name: str, controllers: Iterable[str], count: int = WATCHER_COUNT) -> list[str]:
+def heartbeat_receivers(name: str, controllers: Iterable[str], count: int = WATCHER_COUNT) -> list[str]:
     """Returns the `count` controllers that come after a gateway on the ring, the nearest first.
 
     Each machine computes the same result from the same names, so no coordination is needed.
--- a/stoneyoke/gateway/config_sync.py
+++ b/stoneyoke/gateway/config_sync.py
@@ -11,7 +11,7 @@
 
 from stoneyoke.api.configuration import Version, read_configuration
 from stoneyoke.api.errors import InvalidField
-from stoneyoke.controlplane.heartbeat_ring import watchers
+from stoneyoke.controlplane.heartbeat_ring import heartbeat_receivers
 from stoneyoke.gateway.control_settings import ControlClientSettings, ControlEnvironment, ControlListener
 from stoneyoke.gateway.instance_directory import InstanceDirectory
 from stoneyoke.transport.errors import PeerUnreachable
@@ -114,7 +114,7 @@
             seq=view.seq,
             version=VersionRow(self.version.number, self.version.digest),
             ready=self.ready,
-            heartbeat=name in watchers(settings.name, self.instance_directory.controllers),
+            heartbeat=name in heartbeat_receivers(settings.name, self.instance_directory.controllers),
             wait_ms=LONG_POLL_MS,
             own_incarnation=self.incarnation,
             membership_version=view.membership_version,
--- a/tests/system/test_heartbeat_ring.py
+++ b/tests/system/test_heartbeat_ring.py
@@ -2,20 +2,22 @@
 
 from ward import each, test
 
-from stoneyoke.controlplane.heartbeat_ring import WATCHER_COUNT, HeartbeatMonitor, watchers
+from stoneyoke.controlplane.heartbeat_ring import WATCHER_COUNT, HeartbeatMonitor, heartbeat_receivers
 
 CONTROLLERS = [f"10.0.0.{at}" for at in range(7)]
 
 
-@test("{name} has the same watchers on every machine that computes them, whatever the order of the controllers")
+@test(
+    "{name} has the same heartbeat receivers on every machine that computes them, whatever the order of the controllers"
+)
 def _(name=each("edge-1", "edge-2", "edge-3")):
-    found = watchers(name, CONTROLLERS)
-    assert found == watchers(name, reversed(CONTROLLERS)) and len(set(found)) == WATCHER_COUNT == 2
+    found = heartbeat_receivers(name, CONTROLLERS)
+    assert found == heartbeat_receivers(name, reversed(CONTROLLERS)) and len(set(found)) == WATCHER_COUNT == 2
 
 
 @test("gateways are spread over the controllers")
 def _():
-    assert len({tuple(watchers(f"edge-{at}", CONTROLLERS)) for at in range(50)}) > 3
+    assert len({tuple(heartbeat_receivers(f"edge-{at}", CONTROLLERS)) for at in range(50)}) > 3
 
 
 @test("a gateway is new with its first heartbeat, and again after it was removed")
