--- a/stoneyoke/controlplane/controller.py
+++ b/stoneyoke/controlplane/controller.py
@@ -152,14 +152,14 @@
             configuration=self.configuration,
         )
 
-    async def leave(self, timeout_s: float) -> None:
+    async def transfer_vote(self, timeout_s: float) -> None:
         """Transfers this controller's vote to a learner, if there is one, before a shutdown.
 
         Args:
             timeout_s: the method returns after this many seconds at the latest.
         """
         self.context.changes.notify()
-        await self.membership.leave(timeout_s)
+        await self.membership.transfer_vote(timeout_s)
 
     def has_quorum(self) -> bool:
         """Returns whether a majority of the voters is reachable."""
--- a/stoneyoke/controlplane/membership.py
+++ b/stoneyoke/controlplane/membership.py
@@ -135,7 +135,7 @@
             now - peer.reachable_since >= MIN_REACHABLE_S and chosen is not None and peer.chosen_ballot >= chosen.ballot
         )
 
-    async def leave(self, timeout_s: float) -> None:
+    async def transfer_vote(self, timeout_s: float) -> None:
         """Transfers this controller's vote to a learner, if there is one.
 
         Args:
--- a/stoneyoke/lab/simulation/process_faults.py
+++ b/stoneyoke/lab/simulation/process_faults.py
@@ -88,7 +88,7 @@
     async def request_shutdown(self, machine: ControllerMachine) -> None:
         """Asks a controller to hand over; returns once it has, or has ended."""
         if machine.controller:
-            await asyncio.wait([self.network.run_on(machine.name, machine.controller.leave(LEAVE_S))])
+            await asyncio.wait([self.network.run_on(machine.name, machine.controller.transfer_vote(LEAVE_S))])
 
     # ---- machines that come and go ----
 
--- a/stoneyoke/programs/controller.py
+++ b/stoneyoke/programs/controller.py
@@ -72,7 +72,7 @@
         "controller {} is serving; the cluster has {} voters", settings.name, len(controller.replica.voters().members)
     )
     await ended.wait()
-    await controller.leave(0.5 * settings.bounds.grace_s)
+    await controller.transfer_vote(0.5 * settings.bounds.grace_s)
     http_api.close()
     await asyncio.sleep(LINGER_S)
     peer_server.close()
--- a/tests/system/test_controller_voters.py
+++ b/tests/system/test_controller_voters.py
@@ -135,7 +135,7 @@
         stopping = cluster.controllers["10.0.0.1"]
         await cluster.wait_until(lambda: lease_holders(cluster))
         await asyncio.sleep(3)
-        await stopping.leave(3.0)
+        await stopping.transfer_vote(3.0)
         assert voters(cluster).addresses() == ("10.0.0.2", "10.0.0.3", "10.0.0.4")
         await cluster.wait_until(cluster.controllers["10.0.0.4"].replica.is_voter)
         cluster.stop("10.0.0.1")
@@ -145,7 +145,7 @@
     async def alone(cluster):
         await all_have_quorum(cluster)
         started_at = asyncio.get_running_loop().time()
-        await cluster.controllers["10.0.0.1"].leave(3.0)
+        await cluster.controllers["10.0.0.1"].transfer_vote(3.0)
         assert asyncio.get_running_loop().time() == started_at
         assert "10.0.0.1" in voters(cluster).addresses()
 
