--- a/stoneyoke/gateway/request_handler.py
+++ b/stoneyoke/gateway/request_handler.py
@@ -18,7 +18,7 @@
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.client_connection import ClientConnection
 from stoneyoke.net.descriptor_budget import DescriptorBudget
-from stoneyoke.net.http_server import IN_TRANSIT_S, HttpServer
+from stoneyoke.net.http_server import LATE_CONNECTION_GRACE_S, HttpServer
 from stoneyoke.net.message_reader import Message
 from stoneyoke.net.reply import CLIENT_GONE, Reply
 from stoneyoke.runtime.clock import Clock
@@ -123,7 +123,7 @@
         await asyncio.sleep(drain_s)
         await self.close_idle_connections()
         stop_listening()
-        await self.finish_pending(max(FINISH_MIN_S, grace_s - drain_s - IN_TRANSIT_S - EXIT_MARGIN_S))
+        await self.finish_pending(max(FINISH_MIN_S, grace_s - drain_s - LATE_CONNECTION_GRACE_S - EXIT_MARGIN_S))
 
     async def respond(self, client: ClientConnection, message: Message) -> None:
         """Responds to one message of a connection, and closes the connection after it while the gateway drains."""
--- a/stoneyoke/net/http_server.py
+++ b/stoneyoke/net/http_server.py
@@ -24,7 +24,7 @@
 LINGER_S = 1.0  # how long input is discarded after a malformed message was rejected, before the connection is closed
 # A request can cross with the close of its idle connection. The client then sends it again over a new connection, which
 # the listener accepts for this long after the idle connections were closed.
-IN_TRANSIT_S = 0.2
+LATE_CONNECTION_GRACE_S = 0.2
 # The server shuts down after this many successive checks, IDLE_CHECK_INTERVAL_S apart, that found no request in flight.
 IDLE_CHECKS = 3
 IDLE_CHECK_INTERVAL_S = 0.02
@@ -216,11 +216,12 @@
     async def close_idle_connections(self) -> None:
         """Closes the idle connections and, from now on, each other connection after its response.
 
-        Returns after IN_TRANSIT_S, so that requests that crossed with a close can be sent again over new connections.
+        Returns after LATE_CONNECTION_GRACE_S, so that requests that crossed with a close can be sent again over new
+        connections.
         """
         self.shutting_down = True
         self.connections.close_idle()
-        await asyncio.sleep(IN_TRANSIT_S)
+        await asyncio.sleep(LATE_CONNECTION_GRACE_S)
 
     async def finish_pending(self, time_limit_s: float) -> None:
         """Returns once no request is in flight, or at the time limit.
--- a/stoneyoke/single_gateway/rpc_handler.py
+++ b/stoneyoke/single_gateway/rpc_handler.py
@@ -9,7 +9,7 @@
 from stoneyoke.net.client_connection import ClientConnection
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.net.errors import MalformedMessage
-from stoneyoke.net.http_server import IN_TRANSIT_S, HttpServer
+from stoneyoke.net.http_server import LATE_CONNECTION_GRACE_S, HttpServer
 from stoneyoke.net.message_reader import Message
 from stoneyoke.net.reply import CLIENT_GONE, Reply
 from stoneyoke.runtime.pending_request import PendingRequest
@@ -130,7 +130,7 @@
     async def drain(self) -> None:
         """After SIGTERM, serves as before for DRAIN_S, then closes the idle connections."""
         time_to_kill_s = max(self.longest_deadline_s, DEADLINE_MIN_S) + KILL_MARGIN_S
-        self.respond_by_us = self.clock.now() + int((time_to_kill_s - IN_TRANSIT_S) * 1_000_000)
+        self.respond_by_us = self.clock.now() + int((time_to_kill_s - LATE_CONNECTION_GRACE_S) * 1_000_000)
         await asyncio.sleep(DRAIN_S)
         await self.close_idle_connections()
 
