--- a/stoneyoke/gateway/request_handler.py
+++ b/stoneyoke/gateway/request_handler.py
@@ -197,4 +197,4 @@
 def response_deadline_us(client: ClientConnection, request: Request, route: Route) -> int:
     """Returns when the response must be determined: by the client's or the route's time-out, whichever is shorter."""
     timeout_us = route.timeout_us if request.wait_us is None else min(request.wait_us, route.timeout_us)
-    return client.since_us + timeout_us - RESPONSE_MARGIN_US
+    return client.phase_started_us + timeout_us - RESPONSE_MARGIN_US
--- a/stoneyoke/net/client_connection.py
+++ b/stoneyoke/net/client_connection.py
@@ -33,7 +33,7 @@
     Attributes:
         messages: Reads the requests that arrive on it.
         accepted_at: When it was accepted, in microseconds.
-        since_us: When its phase began, in microseconds. READING and RESPONDING count from the first byte of the
+        phase_started_us: When its phase began, in microseconds. READING and RESPONDING count from the first byte of the
             message; a response that waits for the client to read it counts from the write.
         next_message_at: In the phase RESPONDING, when the first byte after the current request arrived, in
             microseconds; else 0.
@@ -47,7 +47,7 @@
         """Wraps a connection that was accepted at the time `now`, in microseconds."""
         self.protocol, self.writer = protocol, writer
         self.messages = MessageReader(protocol.reader, responses=False)
-        self.accepted_at = self.since_us = now
+        self.accepted_at = self.phase_started_us = now
         self.next_message_at = 0
         self.phase = Phase.IDLE
         self.silent = True
@@ -58,7 +58,7 @@
 
     def message_begun(self, arrival_time: int) -> None:
         """Notes the first byte of a message on the idle connection."""
-        self.phase, self.since_us = Phase.READING, arrival_time
+        self.phase, self.phase_started_us = Phase.READING, arrival_time
 
     def peer_closed(self) -> None:
         """Notes that the client has disconnected, and reports it to the owner of the pending request."""
@@ -74,11 +74,11 @@
         """Notes that a response is written. Input that has arrived in the meantime belongs to the next message."""
         more_came = self.next_message_at or self.messages.has_input()
         self.phase = Phase.READING if more_came else Phase.IDLE
-        self.since_us, self.next_message_at = self.next_message_at or now, 0
+        self.phase_started_us, self.next_message_at = self.next_message_at or now, 0
 
     def rejected(self, now: int) -> None:
         """Notes that a malformed message has been answered with an error; no further message is read."""
-        self.phase, self.since_us = Phase.REJECTED, now
+        self.phase, self.phase_started_us = Phase.REJECTED, now
 
     # ---- state of the connection ----
 
--- a/stoneyoke/net/connection_table.py
+++ b/stoneyoke/net/connection_table.py
@@ -102,7 +102,7 @@
         for client in sorted(self.open.values(), key=eviction_order):
             if client.can_close_safely():
                 mid_message = client.phase not in (Phase.IDLE, Phase.REJECTED)
-                return EvictionCandidate(mid_message, client.since_us, partial(self.evict, client))
+                return EvictionCandidate(mid_message, client.phase_started_us, partial(self.evict, client))
         return None
 
     def evict(self, client: ClientConnection) -> None:
@@ -128,7 +128,7 @@
         for client in list(self.open.values()):
             if client.phase is Phase.RESPONDING:
                 notice_departure(client)
-            age = now - (client.accepted_at if client.silent else client.since_us)
+            age = now - (client.accepted_at if client.silent else client.phase_started_us)
             if client.phase is Phase.REJECTED or client.pending or age < self.time_limit(client):
                 continue
             self.close_overdue(client, age)
@@ -169,4 +169,4 @@
 
 def eviction_order(client: ClientConnection) -> tuple[bool, bool, int]:
     """Sort key: rejected connections first, then idle ones, then the others; within each, the oldest phase first."""
-    return client.phase is not Phase.REJECTED, client.phase is not Phase.IDLE, client.since_us
+    return client.phase is not Phase.REJECTED, client.phase is not Phase.IDLE, client.phase_started_us
--- a/stoneyoke/net/http_server.py
+++ b/stoneyoke/net/http_server.py
@@ -143,7 +143,7 @@
             if client.disconnected:  # further requests that it has sent are not answered
                 return
             if writer.transport.get_write_buffer_size():
-                client.since_us = self.clock.now()
+                client.phase_started_us = self.clock.now()
                 await writer.drain()
             if not message.keep_alive or writer.is_closing() or self.closes_after_response(client):
                 return
--- a/stoneyoke/single_gateway/rpc_handler.py
+++ b/stoneyoke/single_gateway/rpc_handler.py
@@ -64,7 +64,7 @@
         if head.id in self.open_ids:
             raise MalformedMessage(f"{head.id[:QUOTED_BYTES]!r} is open already", 409)
         self.open_ids.add(head.id)
-        deadline_us = min(client.since_us + head.wait_us, self.respond_by_us)
+        deadline_us = min(client.phase_started_us + head.wait_us, self.respond_by_us)
         self.metrics.add("RPCs")
         pending = client.pending = self.runtime.open_request(head, deadline_us)
         try:
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -36,7 +36,7 @@
         def advance_time(by):
             for connection in all_open.values():
                 connection.accepted_at -= by
-                connection.since_us -= by
+                connection.phase_started_us -= by
             close_expired()
 
         advance_time(MESSAGE_TIMEOUT_US - 1_500_000)
@@ -140,7 +140,7 @@
         close_expired()
         assert len(clients_open) == 2
         for connection in clients_open.values():
-            connection.since_us -= MESSAGE_TIMEOUT_US + 1
+            connection.phase_started_us -= MESSAGE_TIMEOUT_US + 1
         close_expired()
         await until(lambda: not clients_open)
 
