--- a/stoneyoke/control/gateway.py
+++ b/stoneyoke/control/gateway.py
@@ -58,11 +58,11 @@
         """The current parameters."""
         return self.context.parameters
 
-    def holds(self, rpc: int) -> bool:
+    def is_open_rpc(self, rpc: int) -> bool:
         """Whether an RPC waits for its response or has attempts in flight. Its index must not be reused then."""
         return rpc in self.rpcs.open
 
-    def knows(self, backend: int) -> bool:
+    def is_known_backend(self, backend: int) -> bool:
         """Whether a backend is listed or has attempts in flight. Its index must not be reused then."""
         return backend in self.backends.table.by_index
 
@@ -98,7 +98,7 @@
         self.tick_of_second = tick
         self.shares.schedule.send_due(tick)
         if tick % RANKING_TICKS == 0:
-            self.backends.look()
+            self.backends.check_ranking()
         if self.context.parameters.must_subscribe and self.context.now >= self.subscribe_at:
             self.subscribe_at = math.inf
             self.context.actions.append(Subscribe())
--- a/stoneyoke/gateway/request_handler.py
+++ b/stoneyoke/gateway/request_handler.py
@@ -18,7 +18,7 @@
 from stoneyoke.net.backends import Backends
 from stoneyoke.net.client_connection import ClientConnection
 from stoneyoke.net.descriptor_budget import DescriptorBudget
-from stoneyoke.net.http_server import IN_TRANSIT_S, HttpServer
+from stoneyoke.net.http_server import LATE_CONNECTION_GRACE_S, HttpServer
 from stoneyoke.net.message_reader import Message
 from stoneyoke.net.reply import CLIENT_GONE, Reply
 from stoneyoke.runtime.clock import Clock
@@ -123,7 +123,7 @@
         await asyncio.sleep(drain_s)
         await self.close_idle_connections()
         stop_listening()
-        await self.finish_pending(max(FINISH_MIN_S, grace_s - drain_s - IN_TRANSIT_S - EXIT_MARGIN_S))
+        await self.finish_pending(max(FINISH_MIN_S, grace_s - drain_s - LATE_CONNECTION_GRACE_S - EXIT_MARGIN_S))
 
     async def respond(self, client: ClientConnection, message: Message) -> None:
         """Responds to one message of a connection, and closes the connection after it while the gateway drains."""
@@ -197,4 +197,4 @@
 def response_deadline_us(client: ClientConnection, request: Request, route: Route) -> int:
     """Returns when the response must be determined: by the client's or the route's time-out, whichever is shorter."""
     timeout_us = route.timeout_us if request.wait_us is None else min(request.wait_us, route.timeout_us)
-    return client.since_us + timeout_us - RESPONSE_MARGIN_US
+    return client.phase_started_us + timeout_us - RESPONSE_MARGIN_US
--- a/stoneyoke/lab/capacity/hot_paths/quotas.py
+++ b/stoneyoke/lab/capacity/hot_paths/quotas.py
@@ -5,7 +5,7 @@
 from stoneyoke.lab.capacity.figures import Figure
 from stoneyoke.lab.capacity.meters import cpu_seconds, cpu_seconds_once, measure_heap, megabytes, sample_indexes
 from stoneyoke.lab.simulation.bounds import BOUNDS
-from stoneyoke.limits.local_quota import LocalQuota, take_demands
+from stoneyoke.limits.local_quota import LocalQuota, build_demands
 from stoneyoke.limits.quota_allocator import QuotaAllocator
 from stoneyoke.limits.token_bucket import SECOND
 from stoneyoke.transport.messages import QuotaDemand, QuotaRequest, QuotaResponse, pack
@@ -72,6 +72,6 @@
     return [
         Figure("first request of each tenant", "s", first_s),
         Figure("one decision", "s", cpu_seconds(decide) / len(later)),
-        Figure("wants of a quiet round", "s", cpu_seconds(lambda: take_demands(quotas, {}, 0.0, False, 1.0))),
+        Figure("wants of a quiet round", "s", cpu_seconds(lambda: build_demands(quotas, {}, 0.0, False, 1.0))),
         Figure("local quotas held", "MB", megabytes(quotas_heap.retained)),
     ]
--- a/stoneyoke/runtime/runtime.py
+++ b/stoneyoke/runtime/runtime.py
@@ -200,7 +200,7 @@
         self.pending.pop(request.index, None)
         self.departures.request_closed(request)
         self.metrics.check_invariant(
-            request.client_gone or not self.gateway.holds(request.index),
+            request.client_gone or not self.gateway.is_open_rpc(request.index),
             "request closed while the decision logic holds it",
         )
 
@@ -212,9 +212,9 @@
         """Reports a new endpoint list, or changes to it, to the decision logic."""
         self.dispatch(change)
 
-    def knows_backend(self, backend: int) -> bool:
+    def is_known_backend(self, backend: int) -> bool:
         """Whether the decision logic still has a row for a backend, so that its index is in use."""
-        return self.gateway.knows(backend)
+        return self.gateway.is_known_backend(backend)
 
     # ---- actions ----
 
--- a/stoneyoke/single_gateway/rpc_handler.py
+++ b/stoneyoke/single_gateway/rpc_handler.py
@@ -9,7 +9,7 @@
 from stoneyoke.net.client_connection import ClientConnection
 from stoneyoke.net.descriptor_budget import DescriptorBudget
 from stoneyoke.net.errors import MalformedMessage
-from stoneyoke.net.http_server import IN_TRANSIT_S, HttpServer
+from stoneyoke.net.http_server import LATE_CONNECTION_GRACE_S, HttpServer
 from stoneyoke.net.message_reader import Message
 from stoneyoke.net.reply import CLIENT_GONE, Reply
 from stoneyoke.runtime.pending_request import PendingRequest
@@ -64,7 +64,7 @@
         if head.id in self.open_ids:
             raise MalformedMessage(f"{head.id[:QUOTED_BYTES]!r} is open already", 409)
         self.open_ids.add(head.id)
-        deadline_us = min(client.since_us + head.wait_us, self.respond_by_us)
+        deadline_us = min(client.phase_started_us + head.wait_us, self.respond_by_us)
         self.metrics.add("RPCs")
         pending = client.pending = self.runtime.open_request(head, deadline_us)
         try:
@@ -130,7 +130,7 @@
     async def drain(self) -> None:
         """After SIGTERM, serves as before for DRAIN_S, then closes the idle connections."""
         time_to_kill_s = max(self.longest_deadline_s, DEADLINE_MIN_S) + KILL_MARGIN_S
-        self.respond_by_us = self.clock.now() + int((time_to_kill_s - IN_TRANSIT_S) * 1_000_000)
+        self.respond_by_us = self.clock.now() + int((time_to_kill_s - LATE_CONNECTION_GRACE_S) * 1_000_000)
         await asyncio.sleep(DRAIN_S)
         await self.close_idle_connections()
 
