--- a/stoneyoke/lab/simulation/__init__.py
+++ b/stoneyoke/lab/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Scenarios of the whole control plane in simulated time, from seeds, with checks after each step."""
+"""Scenarios of the whole control plane in simulated time, from seeds, with invariants checked throughout."""
--- a/stoneyoke/lab/simulation/__main__.py
+++ b/stoneyoke/lab/simulation/__main__.py
@@ -1,12 +1,12 @@
-"""Simulations of the whole control plane in simulated time.
+"""Command line of the simulations of the whole control plane.
 
-python -m stoneyoke.lab.simulation run --seeds 0-399      # random scenarios; exit status 1 if any breaks a promise
-python -m stoneyoke.lab.simulation show 32                # by seed, or a script by name: its plan, events, violations
+python -m stoneyoke.lab.simulation run --seeds 0-399      # random scenarios; exit status 1 if any violates an invariant
+python -m stoneyoke.lab.simulation show 32                # a seed or a scripted scenario: its plan, events, violations
 python -m stoneyoke.lab.simulation reduce 32              # the smallest plan found that still fails, as JSON
 python -m stoneyoke.lab.simulation replay FILE...         # stored plans
-python -m stoneyoke.lab.simulation seeded_defects --seeds 0-99   # each with the first scenario that finds it
-python -m stoneyoke.lab.simulation check                  # every order of messages in the models of the register
-python -m stoneyoke.lab.simulation consensus_defects      # each with what the check finds of it
+python -m stoneyoke.lab.simulation seeded_defects --seeds 0-99   # each defect with the first scenario that finds it
+python -m stoneyoke.lab.simulation check                  # exhaustive search in models of the consensus register
+python -m stoneyoke.lab.simulation consensus_defects      # each defect with the counterexample of the search
 """
 
 import json
@@ -38,13 +38,13 @@
 
 
 def seeds() -> range:
-    """Returns the seeds that the flag names."""
+    """Returns the seeds of the flag `--seeds`."""
     first, _, last = SEEDS.value.partition("-")
     return range(int(first), int(last or first) + 1)
 
 
 def run() -> int:
-    """Plays random scenarios; exit status 1 if any promise was broken."""
+    """Runs random scenarios; returns exit status 1 if any invariant was violated."""
     summary = summarize(play_many(seeds(), JOBS.value))
     if JSON.value:
         print(json.dumps(summary_fields(summary)))
@@ -69,7 +69,7 @@
 
 
 def show(name: str) -> int:
-    """Plays one scenario, by seed or by the name of a script, and prints its plan, its events and its violations."""
+    """Runs one scenario, by seed or by the name of a script, and prints its plan, its events and its violations."""
     name = FORMER_NAMES.get(name, name)
     scenario = Scenario(SCRIPTED_SCENARIOS[name] if name in SCRIPTED_SCENARIOS else make_plan(int(name)))
     scenario.checker.on_event = lambda now, event: print(f"{now - START_S:9.3f} {event}")
@@ -81,7 +81,7 @@
 
 
 def reduce_seed(seed: str) -> int:
-    """Prints the smallest plan found that fails like a seed's; exit status 2 if the seed does not fail."""
+    """Prints the smallest plan found that fails like a seed's; returns exit status 2 if the seed does not fail."""
     plan = make_plan(int(seed))
     violations = play(plan, DEFECT.value).violations
     if not violations:
@@ -93,7 +93,7 @@
 
 
 def replay(*files: str) -> int:
-    """Plays stored plans; exit status 1 if any promise was broken."""
+    """Runs stored plans; returns exit status 1 if any invariant was violated."""
     failed = 0
     for file in files:
         result = play(read_plan(Path(file).read_text()), DEFECT.value)
@@ -114,7 +114,7 @@
 
 
 def report_defects(names: Iterable[str], findings: Iterable[str]) -> int:
-    """Prints a line for each defect; exit status 1 if any was not found."""
+    """Prints a line for each defect; returns exit status 1 if any was not found."""
     missed = 0
     for name, finding in zip(names, findings, strict=True):
         print(f"{name}: {finding or 'NOT FOUND'}", flush=True)
@@ -123,18 +123,18 @@
 
 
 def find_seeded_defects() -> int:
-    """Looks for each seeded defect in scenarios."""
+    """Runs scenarios with each seeded defect until one finds it."""
     with ProcessPoolExecutor(JOBS.value) as pool:
         return report_defects(SEEDED_DEFECTS, pool.map(find_defect, SEEDED_DEFECTS, [seeds()] * len(SEEDED_DEFECTS)))
 
 
 def check() -> int:
-    """Searches the models of the consensus register."""
+    """Runs the exhaustive search of the models of the consensus register."""
     return search.report(DEPTH.value, JOBS.value)
 
 
 def find_consensus_defects() -> int:
-    """Looks for each defect of the consensus register in the models."""
+    """Searches a model with each defect of the consensus register."""
     with ProcessPoolExecutor(JOBS.value) as pool:
         return report_defects(MODEL_THAT_FINDS, pool.map(find, MODEL_THAT_FINDS))
 
@@ -151,7 +151,7 @@
 
 
 def main(argv: list[str]) -> None:
-    """Runs the command that is named first; `run` if there is none."""
+    """Runs the command of the first argument; `run` if there is none."""
     command = COMMANDS.get(argv[1] if len(argv) > 1 else "run")
     if command is None:
         print(f"simulation: {argv[1]!r} is none of {', '.join(COMMANDS)}", file=sys.stderr)
--- a/stoneyoke/lab/simulation/backends.py
+++ b/stoneyoke/lab/simulation/backends.py
@@ -1,4 +1,4 @@
-"""Backends: incarnations that follow each other at one address, send heartbeats, drain, leave or just end."""
+"""Backends: consecutive incarnations at one address, which send heartbeats and then drain and leave, or just end."""
 
 import asyncio
 import json
@@ -11,12 +11,12 @@
 from stoneyoke.lab.simulation.faults import FaultInjector
 from stoneyoke.lab.simulation.plans import FaultKind
 
-MAX_CALLS = 3  # for one heartbeat
-INCARNATION_S = (3, 25)  # how long an incarnation is ready
-DRAIN_S = (3.0, 3.0, 9.0)  # between a drain and the end, one of these
-DRAIN_PROBABILITY = 0.7  # else the incarnation ends without notice
-PAUSE_S = 2.0  # between two incarnations
-PARALLEL_INSTANCES = 20  # short-lived ones
+MAX_CALLS = 3  # maximum number of calls for one heartbeat
+INCARNATION_S = (3, 25)  # range of the time for which an incarnation is ready
+DRAIN_S = (3.0, 3.0, 9.0)  # time between the drain of an incarnation and its end, one of these
+DRAIN_PROBABILITY = 0.7  # otherwise the incarnation ends without a drain
+PAUSE_S = 2.0  # time between two incarnations at an address
+PARALLEL_INSTANCES = 20  # number of short-lived instances at the same time
 
 
 def heartbeat_text(address: str, phase: str, call_seq: int) -> bytes:
@@ -31,7 +31,7 @@
 
 
 class BackendIncarnation:
-    """One incarnation of a backend. Its calls are numbered by `call_seq`."""
+    """One incarnation of a backend. `call_seq` numbers its heartbeat calls."""
 
     def __init__(self, client: ControlApiClient, faults: FaultInjector, name: str, address: str) -> None:
         """Sends heartbeats for an instance at an address; acknowledged drains may trigger faults."""
@@ -39,7 +39,7 @@
         self.name, self.address, self.call_seq = name, address, 0
 
     async def send_heartbeat(self, phase: str) -> bool:
-        """Calls some controllers until one acknowledges; returns whether one did."""
+        """Calls up to MAX_CALLS controllers until one acknowledges; returns whether one did."""
         names = self.client.choices()
         for name in (names * MAX_CALLS)[:MAX_CALLS]:
             self.call_seq += 1
@@ -52,13 +52,13 @@
         return False
 
     async def send_heartbeats_until(self, ends_at: float) -> None:
-        """Sends heartbeats at their interval, with some jitter."""
+        """Sends heartbeats every HEARTBEAT_S, with a jitter of 10 %, until a time."""
         while self.environment.now() < ends_at:
             await self.send_heartbeat("ready")
             await asyncio.sleep(HEARTBEAT_S * self.environment.random_source.uniform(0.9, 1.1))
 
     async def drain(self, then_s: float) -> None:
-        """Drains, and leaves after `then_s` seconds."""
+        """Drains the instance, and sends its leave call after `then_s` seconds."""
         environment = self.environment
         if await self.send_heartbeat("draining"):
             environment.checker.drains.append(AcknowledgedDrain(environment.now(), self.name))
@@ -70,7 +70,7 @@
 
 
 async def run_backends_at(client: ControlApiClient, faults: FaultInjector, index: int) -> None:
-    """Runs one incarnation after the other at the address of this index, for as long as the scenario lasts."""
+    """Runs consecutive incarnations at the address of this index, for as long as the scenario lasts."""
     environment, random_source = client.environment, client.environment.random_source
     number = 0
     while True:
@@ -83,7 +83,7 @@
 
 
 async def run_short_lived_instances(client: ControlApiClient, faults: FaultInjector, count: int) -> None:
-    """Runs instances that send one heartbeat, drain and leave, each with its own address, some at once."""
+    """Runs instances that send one heartbeat, drain and leave, each at its own address, several at a time."""
 
     async def run_every_nth(first: int) -> None:
         for number in range(first, count, PARALLEL_INSTANCES):
--- a/stoneyoke/lab/simulation/checker.py
+++ b/stoneyoke/lab/simulation/checker.py
@@ -1,4 +1,4 @@
-"""The invariant checker: what operators and tenants were promised, and each promise that was broken."""
+"""The invariant checker: records the guarantees given to operators and tenants, and each violation of them."""
 
 from collections import deque
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from stoneyoke.lab.simulation.disturbances import Disturbances
 from stoneyoke.lab.simulation.register_history import RegisterHistory
 
-MAX_VIOLATIONS = 20  # that are kept
+MAX_VIOLATIONS = 20  # of one scenario; later violations are dropped
 
 
 class AcknowledgedDrain(NamedTuple):
@@ -22,29 +22,29 @@
 
 
 class PendingOrder(NamedTuple):
-    """A configuration that an operator has sent and that has no clear answer yet."""
+    """A configuration that an operator has sent and whose outcome is not certain yet."""
 
     sent_at: float
     version: Version
 
 
 class InvariantChecker:
-    """Collects what was promised during a scenario and the violations. Times are the loop's, in seconds.
+    """Collects the guarantees given during a scenario and their violations. Times are in seconds of the event loop.
 
     Attributes:
-        disturbances: What the faults have disturbed.
-        violations: One line for each, with its time.
-        register: What anybody was shown of the configuration register.
+        disturbances: The machines and links that faults have disturbed.
+        violations: One line for each violation, with its time.
+        register: The history of the configuration register, as operators and gateways saw it.
         drains: The drains that were acknowledged.
-        intolerable_until: When more was last disturbed than the operators tolerate.
-        pending_orders: Orders without a clear answer, by the operator's key.
-        admitted_at: When the requests of each tenant were admitted, within the quota's window.
-        trace_digest: Digest of all that happened, in order. The same seed gives the same digest.
+        intolerable_until: The last time at which more was disturbed than the operators require the system to tolerate.
+        pending_orders: Configuration changes whose outcome is not certain, by a key of their own.
+        admitted_at: The times at which requests of each tenant were admitted, within the quota's window.
+        trace_digest: Digest of all events, in order. The same seed gives the same digest.
         on_event: Called with the time and the text of each event, if set.
     """
 
     def __init__(self, losses: int) -> None:
-        """Starts with nothing promised. `losses`: controllers that may be lost at once."""
+        """Starts without guarantees. `losses`: number of controllers that may be lost at the same time."""
         self.disturbances = Disturbances(losses)
         self.violations: list[str] = []
         self.register = RegisterHistory(self.check)
@@ -62,12 +62,12 @@
         self.trace_digest.update(f"{now:.4f} {event}\n".encode())
 
     def check(self, holds: object, now: float, violation: str) -> None:
-        """Keeps the violation if the condition does not hold."""
+        """Adds the violation if the condition does not hold."""
         if not holds and len(self.violations) < MAX_VIOLATIONS:
             self.violations.append(f"{now - START_S:.2f} s: {violation}")
 
     def check_orders(self, now: float) -> None:
-        """Checks that each valid order is acknowledged within ACKNOWLEDGE_S without disturbance."""
+        """Checks that each valid configuration change has a certain outcome after ACKNOWLEDGE_S without disturbance."""
         if self.disturbances.is_beyond_tolerance(now):
             self.intolerable_until = now
         for key, order in list(self.pending_orders.items()):
@@ -79,10 +79,10 @@
         """Counts an admitted request of a tenant and checks its quota over the window.
 
         Args:
-            label: The tenant's.
-            rate: The tenant's quota in requests a second.
-            burst: Requests that the tenant may send at once.
-            now: The loop's time.
+            label: The tenant's name.
+            rate: The tenant's quota in requests per second.
+            burst: The burst size of the quota, in requests.
+            now: The time of the event loop.
         """
         window = self.admitted_at.setdefault(label, deque())
         window.append(now)
--- a/stoneyoke/lab/simulation/clock.py
+++ b/stoneyoke/lab/simulation/clock.py
@@ -1,4 +1,4 @@
-"""An event loop whose time is simulated, and on which single machines can be frozen."""
+"""An event loop with simulated time, on which individual machines can be frozen."""
 
 import asyncio
 import contextvars
@@ -7,13 +7,13 @@
 from typing import Any
 
 START_S = 1000.0  # the time at which a loop starts
-MAX_TURNS_WITHOUT_PROGRESS = 200_000  # turns without time passing, after which a task must be spinning
-# The machine to which a task or a timer belongs; empty for the network and the callers outside.
+MAX_TURNS_WITHOUT_PROGRESS = 200_000  # loop iterations at one time; more mean that a task never waits
+# The machine to which a task or a timer belongs; empty for the network and for callers outside the system.
 MACHINE: contextvars.ContextVar[str] = contextvars.ContextVar("machine", default="")
 
 
 class FreezableHandle(asyncio.Handle):
-    """One step of a task. It waits while its machine is frozen."""
+    """One step of a task, which waits while its machine is frozen."""
 
     __slots__ = ()
 
@@ -23,7 +23,7 @@
 
 
 class FreezableTimerHandle(asyncio.TimerHandle):
-    """A timer. Time passes for a frozen machine, which learns so once it is thawed."""
+    """A timer. If it expires while its machine is frozen, its callback runs after the thaw."""
 
     __slots__ = ()
 
@@ -33,19 +33,19 @@
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """An event loop that jumps to the next timer when no step is left to run.
+    """An event loop that advances its time to the next timer when no step is ready to run.
 
-    A frozen machine stops at the await that it has reached, which may lie between a check and what rests on it. Its
-    timers, messages and writes are delivered after the thaw, in their order.
+    A frozen machine stops at the await that it has reached, which may lie between a check and the action that relies on
+    it. Its timers, messages and writes are delivered after the thaw, in their order.
 
     Attributes:
         now: The simulated time in seconds.
-        turns: Turns of the loop since time passed last.
-        frozen: The steps that wait, by machine.
+        turns: Loop iterations since the time last advanced.
+        frozen: The waiting steps of each frozen machine.
     """
 
     def __init__(self) -> None:
-        """Starts at START_S; replaces the selector's wait by a jump in time."""
+        """Starts at START_S. The selector advances the time instead of waiting."""
         super().__init__()
         self.now, self.turns = START_S, 0
         self.frozen: dict[str, deque[asyncio.Handle]] = {}
@@ -70,15 +70,15 @@
         return self.now
 
     def freeze(self, machine: str) -> None:
-        """Stops a machine; nothing changes if it is frozen."""
+        """Freezes a machine; does nothing if it is frozen already."""
         self.frozen.setdefault(machine, deque())
 
     def thaw(self, machine: str) -> None:
-        """Lets a machine continue; nothing changes if it is not frozen."""
+        """Resumes a machine; does nothing if it is not frozen."""
         self._ready.extend(self.frozen.pop(machine, ()))  # type: ignore[attr-defined]
 
     def hold_if_frozen(self, handle: asyncio.Handle) -> bool:
-        """Keeps a step of a frozen machine; returns whether it has to wait."""
+        """Queues a step if its machine is frozen; returns whether it was queued."""
         if not self.frozen:
             return False
         waiting = self.frozen.get(handle._context.get(MACHINE, ""))  # type: ignore[attr-defined]
@@ -95,7 +95,7 @@
     def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: Any = None
     ) -> asyncio.TimerHandle:
-        """Starts a timer that a freeze of its machine holds back."""
+        """Starts a timer whose callback waits while its machine is frozen."""
         timer = FreezableTimerHandle(when, callback, args, self, context)
         heapq.heappush(self._scheduled, timer)  # type: ignore[attr-defined]
         timer._scheduled = True  # type: ignore[attr-defined]
--- a/stoneyoke/lab/simulation/control_api_client.py
+++ b/stoneyoke/lab/simulation/control_api_client.py
@@ -1,4 +1,4 @@
-"""Calls of operators and backends to a controller over HTTP: each has an answer, or none that is clear."""
+"""Calls of operators and backends to a controller over HTTP. A call has a response, or its outcome is uncertain."""
 
 import asyncio
 
@@ -8,16 +8,16 @@
 from stoneyoke.lab.simulation.network import LATE_S
 from stoneyoke.lab.simulation.simulated_cluster import SimulatedCluster
 
-ONE_WAY_S = 0.002  # between a caller and a controller
-NEVER_S = 1e18  # later than any moment of a scenario
+ONE_WAY_S = 0.002  # one-way delay between a caller and a controller
+NEVER_S = 1e18  # later than any time of a scenario
 
 
 class ControlApiClient:
-    """The callers outside the system.
+    """The client through which operators and backends call controllers.
 
     Attributes:
-        cut_off_since: Controllers that reach no majority, and since when.
-        excused_until: Controllers that could not answer for other reasons, and until when.
+        cut_off_since: The controllers that reach no majority, and since when.
+        excused_until: The controllers that need not respond in time for other reasons, and until when.
     """
 
     def __init__(self, cluster: SimulatedCluster) -> None:
@@ -27,7 +27,7 @@
         self.excused_until: dict[str, float] = {}
 
     def choices(self) -> list[str]:
-        """Returns the controllers that callers know, in random order: callers try one after the other."""
+        """Returns the controllers that callers know, in the random order in which a caller tries them."""
         names = [name for name, machine in self.cluster.controllers.items() if machine.is_listed()]
         self.environment.random_source.shuffle(names)
         return names
@@ -37,11 +37,11 @@
 
         Args:
             name: The controller's address.
-            asked: The call; one that is rejected by its form alone is answered at once.
-            timeout_s: After which the caller gives up.
+            asked: The call; an invalid one is `Rejected` and returned immediately.
+            timeout_s: Time-out of the call in seconds.
 
         Returns:
-            The answer; None if there is none in time, or if the process ended meanwhile.
+            The response; None if the call timed out or the controller's process ended meanwhile.
         """
         if isinstance(asked, Rejected):
             return asked
@@ -61,7 +61,7 @@
         return received
 
     async def carry(self, machine: ControllerMachine, asked: ApiCall, answer: "asyncio.Future[ApiResult]") -> None:
-        """Carries a call out whether or not its caller waits, maybe late or twice, while the process runs."""
+        """Delivers a call, possibly late or twice, even if its caller has timed out, unless no process runs."""
         network, random_source = self.environment.network, self.environment.random_source
         await asyncio.sleep(ONE_WAY_S)
         if network.late and random_source.random() < network.late:
@@ -79,7 +79,7 @@
             answer.set_result(given)
 
     def check_refusal(self, machine: ControllerMachine, asked_at: float, received: ApiResult | None) -> None:
-        """Checks that a controller which is cut off refuses at once, and not as its caller's fault."""
+        """Checks that an isolated controller rejects a call within REFUSE_S, and not as an error of the caller."""
         cut_off_since = self.cut_off_since.get(machine.name, NEVER_S)
         must_know_at = max(cut_off_since, machine.started_at) + DETECT_CUT_S
         if asked_at <= self.excused_until.get(machine.name, 0.0):
--- a/stoneyoke/lab/simulation/defects/gateways.py
+++ b/stoneyoke/lab/simulation/defects/gateways.py
@@ -1,4 +1,4 @@
-"""Defects of what gateways know of configurations and instances."""
+"""Defects in how gateways receive configurations and track instances."""
 
 import zlib
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 def caught_up_from_one_controller() -> list[Patch]:
-    """A gateway counts as caught up once one controller has answered."""
+    """A gateway considers itself caught up once one controller has responded."""
 
     def caught_up(self: instance_directory.InstanceDirectory, now: float) -> Any:
         updates = [one.last_pull for one in self.controllers.values() if one.last_pull]
@@ -22,7 +22,7 @@
 
 
 def configuration_goes_back() -> list[Patch]:
-    """A gateway takes whatever configuration it is given, older ones too."""
+    """A gateway applies any configuration that it receives, even an older one."""
 
     async def fetch(self: config_sync.ConfigSync, name: str) -> None:
         answer = await self.peer_clients[name].call(FetchRequest(), 1.0)
@@ -57,7 +57,7 @@
 
 
 def drain_lost_to_new_instance() -> list[Patch]:
-    """A new instance at the address of a draining one makes that one silent."""
+    """A new instance at the address of a draining instance marks the draining one as silent."""
 
     def silence_previous_owner(self: instance_registry.InstanceRegistry, row: Any) -> None:
         for other in self.records.values():
--- a/stoneyoke/lab/simulation/defects/in_models.py
+++ b/stoneyoke/lab/simulation/defects/in_models.py
@@ -1,4 +1,4 @@
-"""The defects that the exhaustive check must find, by name, each with the model that finds it."""
+"""The defects that the exhaustive search must find, by name, each with the model that finds it."""
 
 import contextlib
 
@@ -6,7 +6,7 @@
 from stoneyoke.lab.simulation.defects.patches import Defect, applied, by_name
 from stoneyoke.lab.simulation.exhaustive import search
 
-MAX_STATES = 20_000  # in which a defect must be found
+MAX_STATES = 20_000  # number of states within which the search must find a defect
 
 CONSENSUS_DEFECTS: dict[str, Defect] = by_name(
     quorums.majority_one_short,
@@ -56,12 +56,12 @@
 
 
 def seeded(name: str) -> contextlib.AbstractContextManager[None]:
-    """Runs the logic with a defect; with none if the name is empty."""
+    """Returns a context in which the logic has a defect; none if the name is empty."""
     return applied(CONSENSUS_DEFECTS[name]() if name else [])
 
 
 def find(name: str) -> str:
-    """Returns what the search finds of a defect, with its counterexample; empty if nothing."""
+    """Returns the result of the search with a defect, and its counterexample; empty if it finds no violation."""
     with seeded(name):
         result = search.explore(search.model_named(MODEL_THAT_FINDS[name]), max_states=MAX_STATES)
     return f"{result.describe()} {'; '.join(result.counterexample)}" if result.violation else ""
--- a/stoneyoke/lab/simulation/defects/in_scenarios.py
+++ b/stoneyoke/lab/simulation/defects/in_scenarios.py
@@ -1,4 +1,4 @@
-"""The defects that scenarios must find, by name. Stored plans are named after them."""
+"""The defects that scenarios must find, by name. The files of stored plans have the names of defects."""
 
 import contextlib
 
@@ -44,5 +44,5 @@
 
 
 def seeded(name: str) -> contextlib.AbstractContextManager[None]:
-    """Runs the logic with a defect; with none if the name is empty."""
+    """Returns a context in which the logic has a defect; none if the name is empty."""
     return applied(SEEDED_DEFECTS[name]() if name else [])
--- a/stoneyoke/lab/simulation/defects/leases.py
+++ b/stoneyoke/lab/simulation/defects/leases.py
@@ -1,4 +1,4 @@
-"""Defects of the quota lease."""
+"""Defects in the quota lease."""
 
 from dataclasses import replace
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 def late_grant_counts() -> list[Patch]:
-    """A grant counts for the current round of a lease, whichever round it answers."""
+    """A grant counts for the current round of a lease, even if it responds to an earlier round."""
     real = leases.LeaseHolder.record_grant
 
     def record_grant(self: leases.LeaseHolder, voter: Any, voters: Any, round_started_at: float) -> None:
@@ -19,12 +19,12 @@
 
 
 def lease_held_too_long() -> list[Patch]:
-    """A holder believes in its lease for twice as long as the voters do."""
+    """A lease holder considers its lease valid for twice as long as the voters do."""
     return [Patch(leases, "HOLDER_TTL_FRACTION", 2.0)]
 
 
 def grants_right_after_start() -> list[Patch]:
-    """A voter grants a lease right after its start, though it may have granted one before."""
+    """A voter grants a lease right after a restart, though it may have granted another one before."""
     real = leases.LeaseGranter.__init__
 
     def init(self: leases.LeaseGranter, now: float, fresh: bool) -> None:
@@ -34,7 +34,7 @@
 
 
 def lease_counted_from_answer() -> list[Patch]:
-    """A holder counts its lease from the arrival of the grants, not from before it asked."""
+    """A lease holder measures its lease from the arrival of the grants, not from the time of its request."""
     real = quota_lease.QuotaLease.record_grant
 
     def record_grant(self: quota_lease.QuotaLease, voter: ReplicaId, lease_round: quota_lease.LeaseRound) -> None:
@@ -47,7 +47,7 @@
 
 
 def late_release_counts() -> list[Patch]:
-    """Rounds of a lease have no number: a late release undoes a newer grant."""
+    """Rounds of a lease have no number, so that a late release revokes a newer grant."""
     real = leases.LeaseGranter.request
 
     def request(self: leases.LeaseGranter, request: leases.GrantRequest, now: float) -> leases.GrantDecision:
--- a/stoneyoke/lab/simulation/defects/model_steps.py
+++ b/stoneyoke/lab/simulation/defects/model_steps.py
@@ -1,4 +1,4 @@
-"""Defects of the model's own steps: of the failures, the reads and the ballots that it builds."""
+"""Defects in the steps of the model itself: its failures, its reads and its ballots."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 def lost_disk_same_member() -> list[Patch]:
-    """A machine that comes back with an empty disk counts as the same member."""
+    """A machine that restarts with an empty disk counts as the same member."""
     real = failures.restart
 
     def restart(model: Any, before: state.State, process: state.Process, disk: str) -> state.State:
@@ -25,7 +25,7 @@
 
 
 def conflict_from_undecided() -> list[Patch]:
-    """An order is refused by a value that its controller has accepted and nobody has chosen."""
+    """A controller rejects a configuration change because of a value that it has accepted and that is not chosen."""
     real = operations.reads_first
 
     def reads_first(process: state.Process, operation: state.Operation) -> bool:
@@ -41,7 +41,7 @@
 
 
 def one_view_enough() -> list[Patch]:
-    """A gateway takes one controller's view for the newest."""
+    """A gateway considers the view of a single controller the newest."""
 
     def newest_view(views: Mapping[ReplicaId, Proposal]) -> Proposal | None:
         return max(views.values(), key=lambda view: view.ballot, default=None)
@@ -50,7 +50,7 @@
 
 
 def views_of_new_voters() -> list[Patch]:
-    """A gateway asks only the newest voters that it hears of, even while the change to them may fail."""
+    """A gateway needs a quorum of the newest voters only, though the change to them may not be chosen."""
 
     def newest_view(views: Mapping[ReplicaId, Proposal]) -> Proposal | None:
         newest = max(views.values(), key=lambda view: view.ballot)
@@ -60,5 +60,5 @@
 
 
 def ballot_used_twice() -> list[Patch]:
-    """A process uses the ballots of its incarnation before again."""
+    """A process reuses the ballots of its previous incarnation."""
     return [Patch(state.Process, "proposer", lambda self: self.replica.address)]
--- a/stoneyoke/lab/simulation/defects/orders.py
+++ b/stoneyoke/lab/simulation/defects/orders.py
@@ -1,4 +1,4 @@
-"""Defects of the answers to operators' orders and reads."""
+"""Defects in the responses to configuration changes and reads of operators."""
 
 from dataclasses import replace
 from http import HTTPStatus
@@ -16,7 +16,7 @@
 
 
 def equal_numbers_overwritten() -> list[Patch]:
-    """Of two contents under one number the later one replaces the first."""
+    """If two contents have the same number, the later one replaces the first."""
 
     def apply_replacements(orders: tuple[Configuration, ...], found: RegisterValue) -> RegisterValue:
         newer = [one for one in orders if one.version.number >= found.version.number]
@@ -29,7 +29,7 @@
 
 
 def conflict_for_older() -> list[Patch]:
-    """An order below what is chosen is refused."""
+    """A configuration with a lower number than the chosen one is rejected."""
 
     def outcome_of(order: Configuration, chosen: RegisterValue) -> ApiResult | None:
         if chosen.version.number > order.version.number:
@@ -41,7 +41,7 @@
 
 
 def conflict_acknowledged() -> list[Patch]:
-    """Another content under a number that is in force is acknowledged."""
+    """A different content under a number that is already chosen is acknowledged."""
 
     def outcome_of(order: Configuration, chosen: RegisterValue) -> ApiResult | None:
         return Acknowledged() if chosen.version.number >= order.version.number else None
@@ -50,7 +50,7 @@
 
 
 def query_without_agreement() -> list[Patch]:
-    """A read takes the newest value in a majority of answers, though one member alone may hold it."""
+    """A read returns the newest value in a majority of responses, though only one member may have it."""
 
     def chosen_proposal(self: MajorityRead) -> Proposal | None:
         return self.newest_found() if self.has_quorum() else None
@@ -59,7 +59,7 @@
 
 
 def query_incomplete() -> list[Patch]:
-    """A read asks no majority: what this process knows to be newest is enough."""
+    """A read queries no majority and returns the newest value that this process knows."""
     return [
         Patch(MajorityRead, "has_quorum", lambda self: True),
         Patch(MajorityRead, "chosen_proposal", lambda self: self.newest_found()),
@@ -67,7 +67,7 @@
 
 
 def highest_digest_wins() -> list[Patch]:
-    """Of two contents under one number the greater digest replaces the other, and both are acknowledged."""
+    """Of two contents under one number, that with the greater digest replaces the other; both are acknowledged."""
 
     def apply_replacements(orders: Any, found: Any) -> Any:
         highest = max(orders, key=lambda one: one.version)
@@ -83,7 +83,7 @@
 
 
 def read_without_majority() -> list[Patch]:
-    """A controller reads back what it knows itself."""
+    """A controller responds to a read with the value that it knows itself."""
 
     async def read(self: Any, timeout_s: float) -> Any:
         return self.replica.chosen
@@ -92,7 +92,7 @@
 
 
 def repeated_order_refused() -> list[Patch]:
-    """An order whose number is taken is refused, even if it is the same one sent again."""
+    """A configuration below the chosen number is rejected, even if it is a retry of an acknowledged one."""
     real = configuration_service.outcome_of
 
     def outcome_of(order: Any, chosen: Any) -> Any:
@@ -105,7 +105,7 @@
 
 
 def acknowledged_once_accepted() -> list[Patch]:
-    """An order is acknowledged once its own controller has accepted it."""
+    """A configuration change is acknowledged once the controller that received it has accepted it."""
     real = Proposer.accept_at
 
     async def accept_at(self: Proposer, current: Any, address: str) -> None:
--- a/stoneyoke/lab/simulation/defects/patches.py
+++ b/stoneyoke/lab/simulation/defects/patches.py
@@ -1,4 +1,4 @@
-"""Seeded defects as patches of the code under test."""
+"""Patches of the code under test, which seed defects."""
 
 import contextlib
 from collections.abc import Callable, Iterator
@@ -6,7 +6,7 @@
 
 
 class Patch(NamedTuple):
-    """An attribute of a module or a class, and what takes its place."""
+    """An attribute of a module or a class, and its replacement."""
 
     target: Any
     attribute: str
@@ -23,7 +23,7 @@
 
 @contextlib.contextmanager
 def applied(patches: list[Patch]) -> Iterator[None]:
-    """Applies patches, and takes them back in reverse order."""
+    """Applies patches, and restores the original attributes in reverse order at the end."""
     originals = [Patch(target, attribute, getattr(target, attribute)) for target, attribute, _ in patches]
     for patch in patches:
         setattr(patch.target, patch.attribute, patch.replacement)
--- a/stoneyoke/lab/simulation/defects/quorums.py
+++ b/stoneyoke/lab/simulation/defects/quorums.py
@@ -1,4 +1,4 @@
-"""Defects of majorities and of the voters that count."""
+"""Defects in majorities, and in which voters count."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -25,7 +25,7 @@
 
 
 def only_old_voters() -> list[Patch]:
-    """A change of voters is chosen by a majority of the voters before alone."""
+    """A change of voters is chosen by a majority of the old voters alone."""
 
     def quorum_groups(self: RegisterValue) -> tuple[tuple[ReplicaId, ...], ...]:
         return (self.previous or self.voters.members,)
@@ -34,7 +34,7 @@
 
 
 def any_member_counts() -> list[Patch]:
-    """Every answer counts for a majority, of a voter or not."""
+    """Every response counts for a majority, even one of a non-voter."""
 
     def has_majority(group: Iterable[ReplicaId], heard: Iterable[ReplicaId]) -> bool:
         return len(set(heard)) >= majority(len(set(group)))
@@ -43,7 +43,7 @@
 
 
 def read_quorum_one_short() -> list[Patch]:
-    """A read counts as complete with one answer too few."""
+    """A read counts as complete with one response too few."""
 
     def short(voters: int) -> int:
         return max(1, (voters + 1) // 2 - 1)
@@ -52,7 +52,7 @@
 
 
 def change_without_old_voters() -> list[Patch]:
-    """A change of voters forgets the voters before at once, and needs a majority of the new ones only."""
+    """A change of voters drops the old voters immediately, and needs a majority of the new voters only."""
     real = ProposalRound.build_value
 
     def build_value(self: ProposalRound, found: RegisterValue) -> RegisterValue:
--- a/stoneyoke/lab/simulation/defects/quotas.py
+++ b/stoneyoke/lab/simulation/defects/quotas.py
@@ -1,4 +1,4 @@
-"""Defects of quotas, of isolated gateways and of a new lease holder."""
+"""Defects in quotas, in isolated gateways and in a new lease holder."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 def isolated_usage_not_counted() -> list[Patch]:
-    """What isolated gateways admit is never counted."""
+    """Requests that isolated gateways admit are never counted."""
     real = quota_allocator.QuotaAllocator.grant
 
     def grant(
@@ -21,7 +21,7 @@
 
 
 def silent_gateways_not_withheld() -> list[Patch]:
-    """What silent gateways may admit is not withheld from the tenant's bucket."""
+    """The units that silent gateways may admit are not withheld from the tenant's bucket."""
     real = tenant_bucket.TenantBucket.refill
 
     def refill(self: tenant_bucket.TenantBucket, withheld_share: float, silent: Any, now: float) -> None:
@@ -41,7 +41,7 @@
 
 
 def shares_exceed_one() -> list[Patch]:
-    """Shares follow the demand alone, so that they add up to more than the whole."""
+    """Shares follow the demand alone, so that they add up to more than the whole quota."""
     real = quota_allocator.QuotaAllocator.grant
 
     def grant(
@@ -64,5 +64,5 @@
 
 
 def isolated_gateway_starts_whole() -> list[Patch]:
-    """Each gateway that becomes isolated starts with the quota of all of them."""
+    """Each gateway that becomes isolated starts with the quota of all gateways."""
     return [Patch(admission, "ISOLATED_START_RATIO", 6.0), Patch(local_quota, "ISOLATED_START_RATIO", 6.0)]
--- a/stoneyoke/lab/simulation/defects/replicas.py
+++ b/stoneyoke/lab/simulation/defects/replicas.py
@@ -1,4 +1,4 @@
-"""Defects of a replica's disk, of what it learns, and of its place among the voters."""
+"""Defects in a replica's disk, in what it learns, and in its membership of the voters."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 
 def lost_disk_votes() -> list[Patch]:
-    """A controller that lost its disk comes back as the member that it was."""
+    """A controller that lost its disk restarts under its former identity."""
     real = replica.Replica.load
 
     async def load(self: replica.Replica, seeds: tuple[str, ...], first_start: bool, random_source: Any) -> None:
@@ -35,7 +35,7 @@
 
 
 def accepted_counts_as_chosen() -> list[Patch]:
-    """What a controller has accepted counts as chosen, so that gateways receive it."""
+    """A proposal that a controller has accepted counts as chosen, so that gateways receive it."""
     real = replica.Replica.accept
 
     async def accept(self: replica.Replica, proposal: Any) -> bool:
@@ -48,12 +48,12 @@
 
 
 def isolated_controller_serves() -> list[Patch]:
-    """A controller that reaches no majority goes on as if it did."""
+    """A controller that reaches no majority continues to serve."""
     return [Patch(peers.Peers, "majority_reachable", lambda self, members, own: True)]
 
 
 def never_caught_up() -> list[Patch]:
-    """A controller that missed a value waits for the next one."""
+    """A controller that missed a chosen value does not fetch it and waits for the next one."""
 
     async def catch_up(self: Any, address: str, chosen: Any) -> None:
         self.replica.learn_chosen_ballot(chosen)
@@ -67,12 +67,12 @@
 
 
 def lost_voter_never_replaced() -> list[Patch]:
-    """A voter that is gone for good is never replaced."""
+    """A voter that is lost permanently is never replaced."""
     return [Patch(membership, "LOST_FRACTION", 1e9)]
 
 
 def partial_proposal_left() -> list[Patch]:
-    """A proposal that its proposer left half way waits for the next order."""
+    """A proposal that its proposer did not complete is not resolved before the next configuration change."""
     return [Patch(membership, "RESOLVE_DELAY_S", 1e9)]
 
 
--- a/stoneyoke/lab/simulation/defects/rounds.py
+++ b/stoneyoke/lab/simulation/defects/rounds.py
@@ -1,4 +1,4 @@
-"""Defects of proposers, acceptors and their promises."""
+"""Defects in proposers, acceptors and their promises."""
 
 from dataclasses import replace
 
@@ -11,7 +11,7 @@
 
 
 def own_value_first() -> list[Patch]:
-    """A round builds on what its process knew, not on the highest value that it found."""
+    """A round builds on the value that its process knew, not on the newest value that it found."""
 
     def build_value(self: ProposalRound, found: RegisterValue) -> RegisterValue:
         return real(self, self.known.value)
@@ -26,7 +26,7 @@
 
 
 def number_believed_early() -> list[Patch]:
-    """The newest voters that are known count as chosen: those before are let go early."""
+    """The newest known voters count as chosen, so that the old voters are released too early."""
 
     def chosen_voters_number(self: replica.Replica) -> int:
         view = self.view()
@@ -36,7 +36,7 @@
 
 
 def change_on_undecided() -> list[Patch]:
-    """A second change of voters is begun on top of one that is not known to be chosen."""
+    """A second change of voters starts on top of one that is not known to be chosen."""
 
     def build_value(self: ProposalRound, found: RegisterValue) -> RegisterValue:
         proposal = self.change(found)
@@ -69,7 +69,7 @@
 
 
 def promise_forgotten() -> list[Patch]:
-    """A voter does not remember its promise."""
+    """A voter does not store its promise."""
 
     def promise(self: Acceptor, ballot: Ballot) -> None:
         pass
--- a/stoneyoke/lab/simulation/disks.py
+++ b/stoneyoke/lab/simulation/disks.py
@@ -1,7 +1,7 @@
-"""Simulated disks: the real record store in a real folder, and what a loss of power leaves of it.
+"""Simulated disks: the real record store in a real folder, and the effect of a power loss on that folder.
 
-A loss of power keeps what was synced. Each later write is kept whole, torn or not at all, and each name that was made
-or removed since is kept or not, at random (DEPLOY, Disk).
+Synced data survives a power loss. Each write after the last sync survives in full, in part or not at all, and each file
+name that was created or removed since the last sync of the folder survives or not, at random (DEPLOY, Disk).
 """
 
 import asyncio
@@ -17,28 +17,28 @@
 from stoneyoke.storage.errors import StorageError
 from stoneyoke.storage.record_store import RecordStore
 
-WRITE_S = 0.004  # of a healthy disk
-SLOW_WRITE_S = 0.15  # of a slow disk
-STALL_POLL_S = 0.05  # between two looks whether a disk still stalls
-RECORD_STEPS = 8  # syncs and removals of one record, at most
-ALL_UNSYNCED_LOST = 0.25  # probability that a loss of power takes all that is not synced
-NEW_NAME_LOST = 0.5  # probability that a name made since the folder's last sync is lost
+WRITE_S = 0.004  # mean duration of a write on a healthy disk
+SLOW_WRITE_S = 0.15  # mean duration of a write on a slow disk
+STALL_POLL_S = 0.05  # interval between two checks whether a disk is still stalled
+RECORD_STEPS = 8  # maximum number of syncs and removals while one record is saved
+ALL_UNSYNCED_LOST = 0.25  # probability that a power loss discards everything that is not synced
+NEW_NAME_LOST = 0.5  # probability that a file name created since the folder's last sync is lost
 UNSYNCED_LOST = 0.4  # probability that the writes after a file's last sync are lost
-UNSYNCED_KEPT = 0.5  # probability, else, that they are kept whole
-TORN_WITH_ZEROS = 0.5  # probability that a torn file is filled up with zeros
-END_DURING_WRITE = 0.6  # probability that a process which writes ends within the write
+UNSYNCED_KEPT = 0.5  # probability that those writes survive in full if they are not lost
+TORN_WITH_ZEROS = 0.5  # probability that the missing part of a torn file is filled with zeros
+END_DURING_WRITE = 0.6  # probability that a process with a write in progress ends during that write
 
 
 class PowerLost(BaseException):
-    """The process ends in the middle of a write."""
+    """Raised where a process ends in the middle of a write."""
 
 
 class FileState(NamedTuple):
-    """A file's bytes.
+    """The current and the synced content of a file.
 
     Attributes:
-        content: As a process reads them.
-        synced: As the file's last sync found them; None if it had none.
+        content: The bytes that a process reads.
+        synced: The bytes at the file's last sync; None if it was never synced.
     """
 
     content: bytes
@@ -47,12 +47,12 @@
 
 @dataclass(slots=True)
 class SyncedState:
-    """What a loss of power starts from.
+    """The synced state of a folder, from which a power loss derives what survives.
 
     Attributes:
-        contents: The content of each file that has a name now, as its own last sync found it.
-        names: The names that the folder's last sync found.
-        removed: The files of each name that were removed since that sync, in their order.
+        contents: The content of each existing file at its own last sync, by name.
+        names: The file names at the folder's last sync.
+        removed: The files that were removed since that sync, by name, in the order of their removal.
     """
 
     contents: dict[str, bytes] = field(default_factory=dict)
@@ -64,14 +64,14 @@
     """The real record store in a real folder, with its syncs and removals recorded.
 
     Attributes:
-        state: What a loss of power starts from.
+        state: The synced state, from which a power loss derives what survives.
         refuses: Whether every sync fails.
-        capacity_bytes: Bytes that the folder may hold; None for no bound.
-        steps_left: Syncs and removals until the process ends; -1 if it does not.
+        capacity_bytes: Maximum size of the folder in bytes; None for no limit.
+        steps_left: Number of syncs and removals before the process ends; -1 if it does not end.
     """
 
     def __init__(self, folder: str, state: SyncedState | None = None) -> None:
-        """Opens the store of a folder; `state` is that of the process before."""
+        """Opens the store of a folder; `state` is the synced state that the previous process left."""
         self.state = state or SyncedState()
         self.refuses = False
         self.capacity_bytes: int | None = None
@@ -82,7 +82,7 @@
         """Counts a sync or a removal.
 
         Raises:
-            PowerLost: If the process ends here.
+            PowerLost: If the process ends at this step.
         """
         if self.steps_left == 0:
             raise PowerLost
@@ -97,7 +97,7 @@
             return None
 
     def write_files(self, family: str, number: int, record: dict[bytes, bytes]) -> None:
-        """Writes the files of a record; the last one is cut off where the folder is full."""
+        """Writes the files of a record; the data file is truncated if the folder exceeds its capacity."""
         super().write_files(family, number, record)
         sizes = {name: os.path.getsize(os.path.join(self.folder, name)) for name in os.listdir(self.folder)}
         if self.capacity_bytes is not None and (over := sum(sizes.values()) - self.capacity_bytes) > 0:
@@ -106,7 +106,7 @@
             raise OSError(errno.ENOSPC, "the disk is full")
 
     def sync_path(self, path: str) -> None:
-        """Records what a sync of the folder or of a file covers."""
+        """Records the names that a sync of the folder persists, or the content that a sync of a file persists."""
         if self.refuses:
             raise OSError(errno.EIO, "refused")
         self.step()
@@ -119,7 +119,7 @@
             self.state.contents[name] = content
 
     def remove_file(self, path: str) -> None:
-        """Removes a file, which a loss of power may bring back."""
+        """Removes a file. A power loss before the folder's next sync may restore it."""
         name = os.path.basename(path)
         if (content := self.content(name)) is None:
             return
@@ -128,10 +128,10 @@
         super().remove_file(path)
 
     def lose_power(self, random_source: random.Random) -> None:
-        """Rewrites the folder as a loss of power leaves it.
+        """Rewrites the folder to what survives a power loss.
 
-        Writes after a file's last sync are kept, lost or torn. Each name made or removed since the folder's last sync
-        is kept or lost by itself. At some losses all that was not synced is gone.
+        Writes after a file's last sync survive, are lost or are torn. Each file name created or removed since the
+        folder's last sync survives or is lost independently. Some power losses discard everything that was not synced.
         """
         all_gone = random_source.random() < ALL_UNSYNCED_LOST
         state, after = self.state, dict[str, bytes]()
@@ -141,7 +141,7 @@
             if files and name in state.names and (all_gone or not removed):
                 left = files[0]
             elif all_gone or (not removed and random_source.random() < NEW_NAME_LOST):
-                continue  # a name that was made is lost
+                continue  # the file name was created since the folder's last sync and is lost
             elif (at := random_source.randrange(len(files) + 1)) < len(files):
                 left = files[at]
             else:
@@ -156,7 +156,7 @@
 
 
 def torn_content(file: FileState, random_source: random.Random) -> bytes:
-    """Returns a file after a loss of power: as synced, as written, or torn, with zeros or nothing after some byte."""
+    """Returns a file's content after a power loss: as synced, as written, or torn, maybe with zeros at the end."""
     content, synced = file.content, file.synced or b""
     if content == synced or random_source.random() < UNSYNCED_LOST:
         return synced
@@ -170,12 +170,12 @@
     """A machine's disk, which outlives the processes that run on it.
 
     Attributes:
-        folder: Holds its files.
+        folder: Path of the folder with its files.
         write_s: Mean duration of a write, in seconds.
-        stalled: Whether writes wait until this is False.
+        stalled: Whether the disk stalls: writes wait until this is False.
         refuses: Whether every sync fails.
         store: The record store of the last process.
-        writing: The write that is under way, if any.
+        writing: The write in progress, if any.
     """
 
     def __init__(self, folder: str, random_source: random.Random) -> None:
@@ -192,11 +192,11 @@
         return self.store
 
     async def blocking(self, work: Callable[..., Any], *args: Any) -> Any:
-        """Runs work with the disk's delay, in place of a thread that waits for a real disk."""
+        """Runs a function with the disk's delay. Real machines run it in a thread, which waits for the disk."""
         self.writing = lambda: work(*args)
         try:
             await asyncio.sleep(self.write_s * (0.5 + self.random_source.random()))
-            while self.stalled:  # noqa: ASYNC110 -- a poll is part of the trace: an event would wake it earlier
+            while self.stalled:  # noqa: ASYNC110 -- the interval is part of the trace: an event would wake earlier
                 await asyncio.sleep(STALL_POLL_S)
             self.writing = None
             done = work(*args)
@@ -206,7 +206,7 @@
             self.writing = None
 
     def end(self, power: bool) -> None:
-        """Ends the process that uses the disk, perhaps within a write; `power`: whether the machine loses its power."""
+        """Ends the process that uses the disk, possibly during a write; `power`: whether the machine loses power."""
         if self.writing and self.random_source.random() < END_DURING_WRITE:
             self.store.steps_left = self.random_source.randrange(RECORD_STEPS)
             with contextlib.suppress(PowerLost, StorageError):
@@ -223,11 +223,11 @@
         self.store.state = SyncedState()
 
     def size(self) -> int:
-        """Returns the bytes that the folder holds."""
+        """Returns the total size of the files in bytes."""
         return sum(entry.stat().st_size for entry in os.scandir(self.folder))
 
     def set_fault(self, how: str) -> None:
-        """Makes the disk "slow", lets it "hang" or "refuse"; an empty text makes it healthy."""
+        """Sets the fault "slow", "hang" (writes stall) or "refuse" (syncs fail); an empty string removes the fault."""
         self.write_s = SLOW_WRITE_S if how == "slow" else WRITE_S
         self.stalled = how == "hang"
         self.refuses = self.store.refuses = how == "refuse"
--- a/stoneyoke/lab/simulation/disturbances.py
+++ b/stoneyoke/lab/simulation/disturbances.py
@@ -1,4 +1,4 @@
-"""What the faults of a scenario disturb, and until when: nothing is expected of a machine that is disturbed."""
+"""The machines and links that faults disturb, and until when. They need not be up to date."""
 
 from collections.abc import Iterable
 
@@ -6,17 +6,18 @@
 
 
 class Disturbances:
-    """The disturbed machines and links. Times are the loop's, in seconds.
+    """The disturbed machines and links. Times are in seconds of the event loop.
 
-    A disturbed controller counts as lost for catch_up_s more, because it must first catch up. The operators promise
-    that no more than a number of controllers, the tolerance, are lost at once: the faults of a plan keep to that.
+    A disturbed controller counts as lost for another catch_up_s, because it must first catch up. The operators
+    guarantee that no more than `losses` controllers, the tolerance, are lost at the same time: the faults of a plan
+    observe that.
 
     Attributes:
-        losses: The tolerance: controllers that may be lost at once.
+        losses: The tolerance: number of controllers that may be lost at the same time.
         controllers_until: When the last disturbance of any controller ends.
-        links_until: When the last disturbance of all links ends.
+        links_until: When the last fault that disturbs all links ends.
         gateways_until: When the last disturbance of each gateway ends.
-        lost_until: Until when each controller counts as lost.
+        lost_until: The time until which each controller counts as lost.
     """
 
     def __init__(self, losses: int) -> None:
@@ -27,7 +28,7 @@
         self.lost_until: dict[str, float] = {}
 
     def disturb_controller(self, name: str, now: float, until: float) -> None:
-        """Counts a controller as lost; controllers that have not caught up yet need longer, too."""
+        """Counts a controller as lost. Other controllers that have not caught up yet count as lost for longer, too."""
         self.controllers_until = max(self.controllers_until, until)
         caught_up_at = until + BOUNDS.catch_up_s
         self.lost_until[name] = max(self.lost_until.get(name, 0.0), caught_up_at)
@@ -40,7 +41,7 @@
         self.extend_recovery(now, until + BOUNDS.catch_up_s)
 
     def extend_recovery(self, now: float, caught_up_at: float) -> None:
-        """Gives controllers that are catching up more time: their peers were disturbed meanwhile."""
+        """Extends the time of controllers that are catching up, since their peers are disturbed meanwhile."""
         for name, until in self.lost_until.items():
             if until > now:
                 self.lost_until[name] = max(until, caught_up_at)
@@ -54,12 +55,12 @@
         return [name for name, until in self.lost_until.items() if until > now]
 
     def tolerates_loss_of(self, names: Iterable[str], now: float) -> bool:
-        """Returns whether these controllers may lose their disks for good now, within the tolerance."""
+        """Returns whether these controllers may lose their disks now, within the tolerance."""
         settled = now > self.links_until + BOUNDS.catch_up_s
         return settled and len({*names, *self.lost(now)}) <= self.losses
 
     def is_beyond_tolerance(self, now: float) -> bool:
-        """Returns whether so much is disturbed that an order need not be acknowledged."""
+        """Returns whether so much is disturbed that a configuration change need not be acknowledged."""
         return len(self.lost(now)) > self.losses or now <= self.links_until
 
     def has_contact(self, gateway: str, now: float) -> bool:
--- a/stoneyoke/lab/simulation/environment.py
+++ b/stoneyoke/lab/simulation/environment.py
@@ -1,4 +1,4 @@
-"""What all parts of one scenario share: its plan, its random source, its network, its checker."""
+"""The parts that all components of one scenario share: the plan, the random source, the network and the checker."""
 
 import asyncio
 import random
@@ -17,10 +17,10 @@
 
     Attributes:
         plan: The scenario's plan.
-        random_source: The one source of chance. Every draw is part of the trace, so their order must not change.
+        random_source: The only random source. Every draw is part of the trace, so their order must not change.
         network: The simulated network.
-        checker: Takes what is promised and what is seen.
-        folder: Holds a folder for each simulated disk.
+        checker: Records guarantees and observations, and reports violations.
+        folder: Path of the folder with a subfolder for each simulated disk.
         event_counts: How often each kind of event happened.
     """
 
@@ -32,12 +32,12 @@
     event_counts: Counter[str] = field(default_factory=Counter)
 
     def now(self) -> float:
-        """Returns the loop's time in seconds."""
+        """Returns the time of the event loop in seconds."""
         return asyncio.get_running_loop().time()
 
 
 def simulated_loop() -> SimulatedLoop:
-    """Returns the running loop."""
+    """Returns the running event loop."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, SimulatedLoop)
     return loop
--- a/stoneyoke/lab/simulation/fault_effects.py
+++ b/stoneyoke/lab/simulation/fault_effects.py
@@ -1,4 +1,4 @@
-"""What all kinds of faults share: they record what they disturb."""
+"""The base of all handlers of faults, which records what a fault disturbs."""
 
 from stoneyoke.lab.simulation.control_api_client import ControlApiClient
 from stoneyoke.lab.simulation.plans import Fault
@@ -6,16 +6,16 @@
 
 
 class FaultEffects:
-    """Base of the handlers of faults."""
+    """Records the machines that a fault disturbs, and those that need not respond in time."""
 
     def __init__(self, cluster: SimulatedCluster, client: ControlApiClient) -> None:
-        """Disturbs a cluster, and excuses its controllers from answering the client's calls."""
+        """Disturbs a cluster, and exempts its controllers from responding to the client's calls in time."""
         self.cluster, self.client, self.environment = cluster, client, cluster.environment
         self.network, self.checker = self.environment.network, self.environment.checker
         self.disturbances = self.checker.disturbances
 
     def disturb(self, names: tuple[str, ...], for_s: float) -> None:
-        """Counts machines as disturbed from now on."""
+        """Counts machines as disturbed for `for_s` seconds from now on."""
         now = self.environment.now()
         for name in names:
             if name in self.cluster.controllers:
@@ -24,6 +24,6 @@
                 self.disturbances.disturb_gateway(name, now + for_s)
 
     def excuse(self, fault: Fault) -> None:
-        """Excuses the machines of a fault from answering in time, whether they are cut off or not."""
+        """Exempts the machines of a fault from responding in time, whether they are isolated or not."""
         for name in fault.who:
             self.client.excused_until[name] = self.environment.now() + fault.for_s
--- a/stoneyoke/lab/simulation/faults.py
+++ b/stoneyoke/lab/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Fault injection: carries out the faults of a plan, at their time or when a trigger fires."""
+"""Fault injection: carries out the faults of a plan, at their time or when their trigger fires."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,7 +12,7 @@
 from stoneyoke.lab.simulation.simulated_cluster import SimulatedCluster
 from stoneyoke.lab.simulation.tenants import Tenants
 
-MAX_TRIGGER_DELAY_S = 0.004  # between an acknowledgement and the fault that it triggers
+MAX_TRIGGER_DELAY_S = 0.004  # maximum delay between an acknowledgement and the fault that it triggers
 DISK_LOSS_KINDS = (FaultKind.WIPE, FaultKind.WIPE_SOME, FaultKind.EXCHANGE)
 IMMEDIATE_KINDS = (FaultKind.KILL, FaultKind.POWER, FaultKind.FREEZE)
 
@@ -23,10 +23,10 @@
     """Carries out faults.
 
     Attributes:
-        acknowledgement_triggers: Faults that wait for the next acknowledgement, by the kind of trigger. The controller
-            that acknowledges is the one that fails.
-        faults_end_at: When the last fault has ended; no triggered fault may last longer.
-        handlers: What carries out each kind of fault.
+        acknowledgement_triggers: Faults that the next acknowledgement starts, by the kind of the trigger. They strike
+            the controller that acknowledges.
+        faults_end_at: When the last fault of the plan ends; a triggered fault that would last longer is skipped.
+        handlers: The function that carries out each kind of fault.
     """
 
     def __init__(self, cluster: SimulatedCluster, client: ControlApiClient, tenants: Tenants) -> None:
@@ -66,11 +66,11 @@
         }
 
     async def inject(self, fault: Fault) -> None:
-        """Carries out a fault. A loss of disks beyond the tolerance becomes a loss of power."""
+        """Carries out a fault. A disk loss beyond the tolerance is replaced by a power loss."""
         controllers = [name for name in fault.who if name in self.cluster.controllers]
         now = self.environment.now()
         if fault.kind in DISK_LOSS_KINDS and not self.checker.disturbances.tolerates_loss_of(controllers, now):
-            # The text is part of the trace digest: it stays as it is.
+            # This text is part of the trace digest: a change of it changes the traces.
             self.checker.record(now, f"{fault.kind} {fault.who} is more than is to be borne")
             fault = replace(fault, kind=FaultKind.POWER)
         self.checker.record(now, f"{fault.kind} {fault.how or ''} {list(fault.who)}")
@@ -83,17 +83,17 @@
         await self.inject(fault)
 
     async def shift(self, fault: Fault) -> None:
-        """Tenants choose among gateways by other weights."""
+        """Changes the weights by which tenants choose among gateways."""
         self.tenants.shift(fault.weights)
 
     # ---- triggers ----
 
     async def arm_acknowledgement_trigger(self, fault: Fault) -> None:
-        """Lets the next acknowledgement of a configuration or a drain trigger a fault of its controller."""
+        """Arms a trigger: the next acknowledgement of a configuration or a drain starts a fault of its controller."""
         self.acknowledgement_triggers[fault.kind] = fault
 
     def on_acknowledgement(self, kind: FaultKind, name: str) -> None:
-        """Fires the trigger of this kind, if one is armed: the controller fails within milliseconds."""
+        """Fires the trigger of this kind, if one is armed: the controller fails within MAX_TRIGGER_DELAY_S."""
         fault = self.acknowledgement_triggers.pop(kind, None)
         if fault and self.environment.now() + fault.for_s < self.faults_end_at:
             delay_s = self.environment.random_source.uniform(0, MAX_TRIGGER_DELAY_S)
@@ -101,7 +101,7 @@
             self.network.run_on("", self.inject_later(triggered, delay_s))
 
     async def arm_message_trigger(self, fault: Fault) -> None:
-        """Lets the next message of a kind trigger a fault of its sender or its receiver, which lasts `for_s`."""
+        """Arms a trigger: the matching message starts a fault of its sender or receiver, which lasts `for_s`."""
 
         def fire(name: str) -> None:
             if name in self.cluster.controllers and self.environment.now() + fault.for_s < self.faults_end_at:
@@ -112,9 +112,10 @@
             self.network.message_triggers.append(trigger)
 
     def inject_immediately(self, fault: Fault) -> None:
-        """Carries out a triggered fault within the step that triggered it.
+        """Carries out a triggered fault within the event loop step that triggered it.
 
-        A kill or a freeze comes with the message: the machine takes no further step. Other kinds start a task.
+        A kill, a power loss or a freeze takes effect with the message: the machine runs no further step. Other kinds
+        run in a task.
         """
         if fault.kind not in IMMEDIATE_KINDS:
             self.network.run_on("", self.inject(fault))
--- a/stoneyoke/lab/simulation/invariants.py
+++ b/stoneyoke/lab/simulation/invariants.py
@@ -12,26 +12,26 @@
 from stoneyoke.lab.simulation.simulated_cluster import SimulatedCluster
 from stoneyoke.lab.simulation.tenants import Tenants
 
-READY_S = 2.5  # beyond contact_s, that a gateway may take to be ready
-FIRST_CONFIGURATION_S = 4.0  # controllers that start at once need three seconds, and a gateway learns of it then
+READY_S = 2.5  # how long a gateway may take to become ready, beyond contact_s
+FIRST_CONFIGURATION_S = 4.0  # controllers that start together need 3 s, and a gateway receives the configuration then
 
 
 class Invariants:
     """Checks the invariants of a scenario.
 
     Attributes:
-        learned: What each controller last took for chosen.
+        learned: The proposal that each controller last considered chosen.
     """
 
     def __init__(self, cluster: SimulatedCluster, operators: Operators, tenants: Tenants) -> None:
-        """Checks the machines of a cluster; the operators read back at the end."""
+        """Checks the machines of a cluster. At the end the operators read the configuration from each controller."""
         self.cluster, self.operators, self.tenants = cluster, operators, tenants
         self.environment, self.checker = cluster.environment, cluster.environment.checker
         self.disturbances = self.checker.disturbances
         self.learned: dict[str, Proposal | None] = {}
 
     async def watch(self) -> None:
-        """Checks all invariants at an interval, for as long as the scenario lasts."""
+        """Checks all invariants every CHECK_INTERVAL_S, for as long as the scenario lasts."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             now = self.environment.now()
@@ -45,13 +45,13 @@
                     self.check_gateway(gateway, now)
 
     def check_lease(self, now: float) -> None:
-        """Checks that no two controllers believe that they hold the lease."""
+        """Checks that at most one controller considers itself the lease holder."""
         machines = self.cluster.controllers.items()
         holders = [name for name, one in machines if one.controller and one.controller.lease.is_held()]
         self.checker.check(len(holders) <= 1, now, f"LEASE: two hold it: {holders}")
 
     def check_controller(self, machine: ControllerMachine, controller: Controller, now: float) -> None:
-        """Checks what a controller takes for chosen, its vote after a loss of its disk, and that it has caught up."""
+        """Checks what a controller considers chosen, its identity after a disk loss, and that it has caught up."""
         name, chosen = machine.name, controller.replica.chosen
         if chosen is not None and chosen is not self.learned.get(name):
             self.learned[name] = chosen
@@ -64,7 +64,7 @@
         self.check_caught_up(machine, controller, now)
 
     def check_caught_up(self, machine: ControllerMachine, controller: Controller, now: float) -> None:
-        """Checks that an undisturbed controller holds what was acknowledged catch_up_s ago."""
+        """Checks that an undisturbed controller has every version that was acknowledged at least catch_up_s ago."""
         name, catch_up_s = machine.name, BOUNDS.catch_up_s
         disturbed_until = max(self.disturbances.controllers_until, self.disturbances.links_until, machine.started_at)
         if now <= disturbed_until + catch_up_s or self.cluster.cannot_answer(name):
@@ -74,13 +74,13 @@
         self.checker.check(held.number >= needed, now, violation)
 
     def check_gateway(self, gateway: GatewayMachine, now: float) -> None:
-        """Checks that a gateway in contact has what was acknowledged, is ready, and knows each drain."""
+        """Checks that a gateway with contact has the acknowledged version, is ready, and knows each drain."""
         checker, name, client = self.checker, gateway.name, gateway.client
         assert client
         needed = checker.register.newest_acknowledged(now - BOUNDS.apply_s)
         held = gateway.version()
         checker.check(held.number >= needed, now, f"CONFIG: {name} has {held} only, r{needed} was acknowledged")
-        # Not a rule of the operators: without it a gateway that never becomes ready would break none.
+        # The operators set no such bound. Without this check a gateway that never becomes ready violates nothing.
         has_configuration = checker.register.newest_acknowledged(now - FIRST_CONFIGURATION_S)
         must_be_ready = has_configuration and self.disturbances.has_contact(name, now - READY_S)
         checker.check(client.config_sync.ready or not must_be_ready, now, f"{name} is not ready")
@@ -88,7 +88,7 @@
             self.check_drain(gateway, drain, now)
 
     def check_drain(self, gateway: GatewayMachine, drain: AcknowledgedDrain, now: float) -> None:
-        """Checks that a gateway sends nothing to an instance drain_s after its acknowledged drain."""
+        """Checks that a gateway no longer considers an instance ready drain_s after its drain was acknowledged."""
         assert gateway.client
         known = gateway.client.instance_directory.instances.get(drain.instance)
         holds = known is None or known.row.phase == Phase.DRAINING or now - drain.at < BOUNDS.drain_s
@@ -97,7 +97,7 @@
     # ---- at the end ----
 
     async def check_converged(self) -> None:
-        """Checks, well after the last fault, that all machines agree and nothing acknowledged is lost."""
+        """Checks, REST_S after the last fault, that all machines agree and that no acknowledged version is lost."""
         checker, now = self.checker, self.environment.now()
         up = {name: one.controller for name, one in self.cluster.controllers.items() if one.controller}
         newest = checker.register.newest_acknowledged(now)
@@ -114,10 +114,10 @@
         checker.record(now, f"end {versions} {tenants.admitted} {tenants.rejected} {violations}")
 
     def check_agreement(self, up: dict[str, Controller], newest: int, now: float) -> list[str]:
-        """Checks that all machines hold one version and one set of voters, and that one controller has the lease.
+        """Checks that all machines have the same version and the same voters, and that one controller holds the lease.
 
         Returns:
-            The versions that are held, sorted by their text.
+            The versions that the machines have, sorted by their text.
         """
         checker = self.checker
         for name, controller in up.items():
@@ -134,7 +134,7 @@
         return texts
 
     def check_removed(self, up: dict[str, Controller], now: float) -> None:
-        """Checks that a machine which was taken away votes no more, if another one could take its place."""
+        """Checks that a permanently removed machine is no longer a voter, if another machine could replace it."""
         removed = [name for name, one in self.cluster.controllers.items() if one.removed]
         youngest_s = min((controller.clock() - controller.started_at for controller in up.values()), default=0.0)
         if not removed or youngest_s < CONVERGE_S:
--- a/stoneyoke/lab/simulation/link_faults.py
+++ b/stoneyoke/lab/simulation/link_faults.py
@@ -1,4 +1,4 @@
-"""Faults of links and disks: partitions, held and late messages, lost answers, disks that are slow or fail."""
+"""Faults of links and disks: partitions, held and late messages, lost responses, disks that are slow or fail."""
 
 import asyncio
 from dataclasses import replace
@@ -14,10 +14,10 @@
     """Handles the faults of links and disks."""
 
     async def cut(self, fault: Fault) -> None:
-        """Cuts machines, together, off from all others.
+        """Partitions a group of machines from all others.
 
-        If gateways are cut or controllers split, from the controllers only. If the cut is one-way, what they send is
-        lost and what they receive is not; then none of them counts as cut off.
+        The kinds CUT_GATEWAYS and SPLIT partition the group from the controllers only. A one-way partition blocks what
+        the group sends and not what it receives; then none of its machines counts as isolated.
         """
         who = set(fault.who)
         gateways = [] if fault.kind in CONTROLLERS_ONLY else [*self.cluster.gateways]
@@ -36,7 +36,7 @@
             self.client.cut_off_since.pop(name, None)
 
     def cut_off_since(self, who: set[str]) -> dict[str, float]:
-        """Returns the controllers that reach no majority of their voters among these machines, with the time."""
+        """Returns the controllers that reach no majority of their voters within this group, with the current time."""
         now, cut_off = self.environment.now(), {}
         for name in who & set(self.cluster.controllers):
             controller = self.cluster.controllers[name].controller
@@ -46,7 +46,7 @@
         return cut_off
 
     async def hold(self, fault: Fault) -> None:
-        """Holds all messages to and from machines, and delivers them afterwards."""
+        """Holds all messages to and from machines, and delivers them when the fault ends."""
         self.disturb(fault.who, fault.for_s)
         self.network.held.update(fault.who)
         self.excuse(fault)
@@ -55,7 +55,7 @@
         self.network.release_waiting()
 
     async def delay_messages(self, fault: Fault) -> None:
-        """Delays a share of all messages and delivers another share twice."""
+        """Delays a share of all messages, and delivers a share of them twice."""
         now = self.environment.now()
         self.disturbances.disturb_links(now, now + fault.for_s)
         for name in self.cluster.gateways:
@@ -66,7 +66,7 @@
         self.network.late = self.network.doubled = 0.0
 
     async def drop_answers(self, fault: Fault) -> None:
-        """Drops a share of the answers to operators and backends, whose calls are carried out."""
+        """Drops a share of the responses to operators and backends. Their calls are carried out."""
         now = self.environment.now()
         self.disturbances.disturb_links(now, now + fault.for_s)
         self.network.answers_lost = fault.share
@@ -74,7 +74,7 @@
         self.network.answers_lost = 0.0
 
     async def disturb_disk(self, fault: Fault) -> None:
-        """Makes a controller's disk slow, stall or refuse."""
+        """Makes a controller's disk slow, stalls it or lets its syncs fail."""
         disk = self.cluster.controllers[fault.who[0]].disk
         self.disturb(fault.who, fault.for_s)
         disk.set_fault(fault.how)
--- a/stoneyoke/lab/simulation/machines.py
+++ b/stoneyoke/lab/simulation/machines.py
@@ -1,4 +1,4 @@
-"""The machines of a scenario: a controller or a gateway each, with the real logic inside while its process runs."""
+"""The machines of a scenario. Each runs the real logic of a controller or a gateway while its process runs."""
 
 import asyncio
 import random
@@ -16,9 +16,9 @@
 from stoneyoke.lab.simulation.environment import Environment, simulated_loop
 from stoneyoke.lab.simulation.network import in_creation_order
 
-SILENT_S = 2.4 * HEARTBEAT_S + 0.5  # after which a backend counts as silent
-SWEEP_S = 0.25  # between two sweeps of a gateway's instance directory
-MAX_CLOCK_OFFSET_S = 500.0  # the steady clocks of two machines have nothing in common
+SILENT_S = 2.4 * HEARTBEAT_S + 0.5  # time without a heartbeat after which a backend counts as silent
+SWEEP_S = 0.25  # interval between two sweeps of a gateway's instance directory
+MAX_CLOCK_OFFSET_S = 500.0  # the monotonic clocks of two machines are unrelated
 ZONE, PORT = "east", 1
 
 
@@ -27,13 +27,13 @@
 
     Attributes:
         name: The machine's address.
-        disk: Its disk, which outlives the processes.
-        controller: The controller that runs; None while no process runs or until it answers.
+        disk: The machine's disk, which outlives the processes.
+        controller: The running controller; None while no process runs or until it accepts calls.
         incarnations: The number of processes that were started.
-        wiped: Whether the disk was emptied since the machine last voted.
-        removed: Whether the machine was taken away for good.
-        started_at: When the last process began to answer, by the loop's time.
-        seeds: Addresses that the machine's settings name.
+        wiped: Whether the disk was emptied since the machine was last a voter.
+        removed: Whether the machine was removed permanently.
+        started_at: When the last process began to accept calls, in the time of the event loop.
+        seeds: The seed addresses in the machine's settings.
     """
 
     def __init__(self, environment: Environment, name: str) -> None:
@@ -47,18 +47,18 @@
         self.seeds: tuple[str, ...] = ()
 
     def is_listed(self) -> bool:
-        """Returns whether operators and backends know of the machine."""
+        """Returns whether operators and backends know the machine's address."""
         return self.incarnations > 0 and not self.removed
 
     def is_up(self) -> bool:
-        """Returns whether a process runs and answers."""
+        """Returns whether a process runs and accepts calls."""
         return self.controller is not None
 
     async def start(self, seeds: tuple[str, ...], first_start: bool = False) -> None:
-        """Starts a process; returns once it answers or has ended.
+        """Starts a process; returns once it accepts calls or has ended.
 
         Args:
-            seeds: Addresses for the machine's settings; the first start of all decides.
+            seeds: The seed addresses for the machine's settings. Only the machine's first start uses them.
             first_start: Whether the whole system starts for the first time.
         """
         if not self.incarnations:
@@ -74,7 +74,7 @@
         controller = Controller(self.settings(first_start), self.controller_environment(clock_offset_s))
         try:
             await controller.start()
-        except Exception as error:  # whatever ends a start is a violation of its own
+        except Exception as error:  # any exception that aborts a start is reported as a violation
             violation = f"START: {self.name}: {type(error).__name__}: {error}"
             environment.checker.check(False, loop.time(), violation)
             return
@@ -96,7 +96,7 @@
         )
 
     def controller_environment(self, clock_offset_s: float) -> ControllerEnvironment:
-        """Returns what a process has of its machine: disk, clock, network and a random source of its own."""
+        """Returns the environment of a process: the machine's disk, clock and network, and its own random source."""
         loop, seed = asyncio.get_running_loop(), self.environment.plan.seed
         return ControllerEnvironment(
             store=self.disk.mount(),
@@ -107,10 +107,10 @@
         )
 
     def end(self, power: bool) -> None:
-        """Ends the process, perhaps within a write.
+        """Ends the process, possibly during a write.
 
         Args:
-            power: Whether the machine loses its power, so that writes that are not synced may be lost.
+            power: Whether the machine loses power, so that writes that are not synced may be lost.
         """
         self.disk.end(power)
         controller, self.controller = self.controller, None
@@ -127,15 +127,15 @@
 
 
 class GatewayMachine:
-    """A gateway's machine, and what the gateway knows while a process runs.
+    """The machine of a gateway, with the gateway's state while a process runs.
 
     Attributes:
         name: The machine's address.
         client: The gateway's client of the control plane; None while no process runs.
         table: The routing table in force; None until there is one.
-        tasks: Tasks of the process.
+        tasks: The tasks of the process.
         incarnations: The number of processes that were started.
-        started_at: When the last process started, by the loop's time.
+        started_at: When the last process started, in the time of the event loop.
         has_been_ready: Whether this process has been ready once.
     """
 
@@ -153,7 +153,7 @@
         return self.client is not None
 
     async def start(self, seeds: tuple[str, ...]) -> None:
-        """Starts a process that knows the controllers at these addresses."""
+        """Starts a process with these controllers as its seed addresses."""
         self.environment.network.context(self.name).run(self.run, seeds)
 
     def run(self, seeds: tuple[str, ...]) -> None:
@@ -179,7 +179,7 @@
             client.instance_directory.sweep(client.clock())
 
     def take(self, configuration: Configuration) -> None:
-        """Puts a configuration in force. It must be newer than the one before, and one that was sent."""
+        """Puts a configuration in force. It must be newer than the previous one, and an operator must have sent it."""
         checker, now = self.environment.checker, self.environment.now()
         checker.record(now, f"{self.name} takes {configuration.version}")
         checker.register.show(now, self.name, configuration)
@@ -188,7 +188,7 @@
         self.table = build_routing_table(configuration)
 
     def on_update(self) -> None:
-        """Checks the first moment at which the gateway serves: it has all that was shown before it started."""
+        """Checks, when the gateway becomes ready, that its version is not older than any shown before it started."""
         if self.client is None or self.has_been_ready or not self.client.config_sync.ready:
             return
         self.has_been_ready = True
@@ -203,7 +203,7 @@
         return self.table.version if self.table else Version()
 
     def end(self, power: bool) -> None:
-        """Ends the process; `power`: whether the machine loses its power, so that connections end without notice."""
+        """Ends the process; `power`: whether the machine loses power, so that its peers are not notified."""
         self.environment.network.end_machine(self.name, power)
         client, self.client, self.table = self.client, None, None
         if client:
--- a/stoneyoke/lab/simulation/network.py
+++ b/stoneyoke/lab/simulation/network.py
@@ -1,7 +1,7 @@
-"""The network between the machines of a scenario: it delays, loses, doubles and cuts messages.
+"""The simulated network between the machines of a scenario: it delays, loses and duplicates messages, and partitions.
 
-Messages go through the real encoding. A call may be delivered late, twice, or after its caller has given up. TCP allows
-less, so what holds here holds there.
+Messages go through the real encoding. A call may be delivered late, twice, or after its caller has timed out. TCP
+allows fewer of these, so an invariant that holds over this network also holds over TCP.
 """
 
 import asyncio
@@ -17,24 +17,24 @@
 from stoneyoke.transport.messages import Message, pack, unpack
 
 MessageHandler = Callable[[Message], Awaitable[Message | None]]
-DELAY_S = 0.0015  # one way, on average
-LATE_S = (0.02, 0.2, 0.8, 2.0)  # a late message is later by one of these
-NO_POWER_POLL_S = 0.5  # between two looks whether a machine has power again
-MAX_RELEASE_DELAY_S = 0.05  # messages that waited arrive within this, in any order
-FRAME_HEADER_BYTES = 4  # the length of a frame, which the encoding puts first
-CALL_ID = 1  # every call has its own answer here, so that the id of a call does not matter
+DELAY_S = 0.0015  # mean one-way delay of a message
+LATE_S = (0.02, 0.2, 0.8, 2.0)  # a late message has one of these additional delays
+NO_POWER_POLL_S = 0.5  # interval between two checks whether a machine has power again
+MAX_RELEASE_DELAY_S = 0.05  # blocked messages arrive within this time after they are unblocked, in any order
+FRAME_HEADER_BYTES = 4  # size of the length prefix of an encoded frame
+CALL_ID = 1  # each call has its own future for the response here, so that its id is not used for matching
 PORT = 1
 
 
 @dataclass(slots=True)
 class MessageTrigger:
-    """Starts an action when a message passes.
+    """Starts an action when a matching message is sent or delivered.
 
     Attributes:
         machine: The machine that sends or receives it; empty for any.
         kind: The message's type.
-        sent: Whether the action comes before the message leaves its sender, else before its receiver handles it.
-        count: Which such message starts the action, counted from 1.
+        sent: Whether the action runs before the message is sent, else before the receiver handles it.
+        count: The number of the matching message that starts the action, counted from 1.
         action: Called with the sender, or the receiver.
     """
 
@@ -54,7 +54,7 @@
         receiver: The machine that is called.
         kind: The message's type.
         frame: The encoded message.
-        answer: Takes the encoded answer.
+        answer: Future for the encoded response.
     """
 
     sender: str
@@ -68,17 +68,17 @@
     """The network, and the tasks of the machines.
 
     Attributes:
-        ports: What answers at an address; None where the machine is up and nothing listens; absent without power.
-        tasks: What runs on each machine and ends with it.
-        ended: How often all that ran on a machine has ended.
-        cuts: How many cuts lie on each way, from one machine to another. A way with a cut carries nothing.
-        held: How many faults hold the links of a machine. Held messages wait.
+        ports: The handler at each address; None if the machine has power and nothing listens; absent without power.
+        tasks: The tasks of each machine, which are cancelled when its process ends.
+        ended: How often the processes of each machine have ended.
+        cuts: Number of active partitions between each sender and receiver. Any partition blocks their messages.
+        held: Number of active faults that hold the links of each machine. Held messages wait.
         late: Share of messages that are late.
         doubled: Share of messages that arrive twice.
-        answers_lost: Share of the answers to operators and backends that are lost.
-        messages_by_kind: Messages that were sent, by their type.
-        message_triggers: Actions that wait for a message.
-        opened: Set, and replaced by a new event, when a cut or a hold ends.
+        answers_lost: Share of the responses to operators and backends that are lost.
+        messages_by_kind: Number of messages that were sent, by type.
+        message_triggers: Triggers whose message has not passed yet.
+        opened: Set, and replaced by a new event, when a partition or a hold ends.
     """
 
     def __init__(self, random_source: random.Random) -> None:
@@ -97,7 +97,7 @@
     # ---- machines ----
 
     def context(self, machine: str) -> contextvars.Context:
-        """Returns a context whose tasks and timers belong to a machine; empty: to the network or the callers."""
+        """Returns a context whose tasks and timers belong to a machine; empty: to the network or outside callers."""
         context = contextvars.copy_context()
         context.run(MACHINE.set, machine)
         return context
@@ -111,7 +111,7 @@
         return task
 
     def end_machine(self, machine: str, power: bool) -> None:
-        """Ends all tasks of a machine. Without power nothing answers there; else connections are refused."""
+        """Cancels all tasks of a machine. Without power calls get no response; otherwise connections are refused."""
         self.ended[machine] += 1
         if power:
             self.ports.pop(machine, None)
@@ -121,18 +121,18 @@
             task.cancel()
 
     def dialler(self, own: str) -> Callable[[tuple[str, int]], Any]:
-        """Returns what a machine uses to connect to an address."""
+        """Returns the function with which a machine connects to an address."""
         return lambda address: SimulatedPeerClient(self, own, address[0])
 
     # ---- faults ----
 
     def release_waiting(self) -> None:
-        """Lets messages look again whether their way is open."""
+        """Wakes blocked messages, which check again whether they may pass."""
         self.opened.set()
         self.opened = asyncio.Event()
 
     def is_blocked(self, sender: str, receiver: str) -> bool:
-        """Returns whether a message has to wait."""
+        """Returns whether a partition or a hold blocks messages from a sender to a receiver."""
         return self.cuts[sender, receiver] > 0 or self.held[sender] > 0 or self.held[receiver] > 0
 
     def fire_message_triggers(self, machine: str, kind: str, sent: bool) -> None:
@@ -147,10 +147,10 @@
     # ---- messages ----
 
     async def transmit(self, sender: str, receiver: str) -> bool:
-        """Waits for as long as a message is on its way; a blocked one is repeated until its sender ends.
+        """Waits for the transmission of a message. A blocked message waits until it may pass.
 
         Returns:
-            Whether it arrives.
+            Whether it arrives: False if the sender's process ended while the message was blocked.
         """
         wait_s = DELAY_S * (0.7 + 0.6 * self.random_source.random())
         if self.late and self.random_source.random() < self.late:
@@ -163,13 +163,13 @@
         return self.ended[sender] == ended
 
     async def deliver(self, call: PeerCall) -> None:
-        """Carries a call to its receiver whether or not the caller still waits."""
+        """Delivers a call to its receiver whether or not the caller still waits."""
         if not await self.transmit(call.sender, call.receiver):
             return
         while call.receiver not in self.ports:
             await asyncio.sleep(NO_POWER_POLL_S)
             if call.receiver in self.ports:
-                return  # a machine that comes back does not know the old connection
+                return  # the connection does not survive the restart of the machine
         self.fire_message_triggers(call.receiver, call.kind, sent=False)
         handler = self.ports.get(call.receiver)
         if handler is None:
@@ -181,42 +181,42 @@
             self.run_on(call.receiver, self.serve(handler, call))
 
     async def serve(self, handler: MessageHandler, call: PeerCall) -> None:
-        """Lets the receiver handle a call, and sends its answer back."""
+        """Lets the receiver handle a call, and sends its response back."""
         answer = await handler(unpack(call.frame[FRAME_HEADER_BYTES:])[1])
         if answer is not None:
-            # On its way back the answer belongs to the network: the end or a freeze of its sender does not hold it.
+            # The response is a task of the network: it arrives even if its sender ends or freezes meanwhile.
             self.run_on("", self.return_answer(call, pack(CALL_ID, answer)))
 
     async def return_answer(self, call: PeerCall, frame: bytes) -> None:
-        """Carries an answer back to the caller, if that still waits."""
+        """Delivers a response to the caller, if the caller still waits."""
         if await self.transmit(call.receiver, call.sender) and not call.answer.done():
             call.answer.set_result(frame)
 
 
 def in_creation_order(tasks: Iterable[asyncio.Future[Any]]) -> list[asyncio.Task[Any]]:
-    """Returns tasks in the order of their creation: the order of a set differs from process to process."""
+    """Returns tasks in the order of their creation, since the order of a set differs between processes."""
     return sorted((one for one in tasks if isinstance(one, asyncio.Task)), key=lambda one: int(one.get_name()[5:]))
 
 
 class SimulatedPeerClient:
-    """Stands in for transport.peer_client.PeerClient."""
+    """Replaces transport.peer_client.PeerClient in a simulation."""
 
     def __init__(self, network: SimulatedNetwork, own: str, other: str) -> None:
-        """Connects one machine to another one."""
+        """Creates the client of one machine for another one."""
         self.network, self.own, self.other, self.address = network, own, other, (other, PORT)
 
     async def call(self, message: Message, timeout_s: float) -> Message:
         """Calls the other machine.
 
         Raises:
-            PeerUnreachable: If there is no answer within the time, or if nothing listens.
+            PeerUnreachable: If no response arrives within `timeout_s`, or if nothing listens.
         """
         kind = type(message).__name__
         self.network.messages_by_kind[kind] += 1
         self.network.fire_message_triggers(self.own, kind, sent=True)
         answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         call = PeerCall(self.own, self.other, kind, pack(CALL_ID, message), answer)
-        # On its way the call belongs to the network: the end of its sender does not take it back.
+        # The call is a task of the network: it is delivered even if its sender ends meanwhile.
         self.network.run_on("", self.network.deliver(call))
         try:
             async with asyncio.timeout(timeout_s):
@@ -225,5 +225,5 @@
             raise PeerUnreachable("no answer in time") from error
         finally:
             if answer.done() and not answer.cancelled():
-                answer.exception()  # else asyncio reports an exception that nobody took
+                answer.exception()  # otherwise asyncio logs that the exception was never retrieved
         return unpack(frame[FRAME_HEADER_BYTES:])[1]
--- a/stoneyoke/lab/simulation/operators.py
+++ b/stoneyoke/lab/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Operators: they write configurations, repeat them until the answer is clear, compete, and read back."""
+"""Operators: they send configurations, concurrently too, retry until the outcome is certain, and read back."""
 
 import asyncio
 import itertools
@@ -13,15 +13,15 @@
 from stoneyoke.lab.simulation.faults import FaultInjector
 from stoneyoke.lab.simulation.plans import FaultKind, Order, Tenant, controller_address
 
-FIRST_PAUSE_S, MAX_PAUSE_S, PAUSE_GROWTH = 0.1, 1.0, 1.5  # between two calls for one order
-MAX_REPEAT_PAUSE_S = 4.0  # before an acknowledged order is sent again
-READ_PAUSE_S = (0.2, 0.8)
+FIRST_PAUSE_S, MAX_PAUSE_S, PAUSE_GROWTH = 0.1, 1.0, 1.5  # backoff between two calls for one configuration
+MAX_REPEAT_PAUSE_S = 4.0  # before an acknowledged configuration is sent again
+READ_PAUSE_S = (0.2, 0.8)  # range of the pause between two reads
 CONTENT_SUFFIXES = ("", "-b", "-c", "-d", "-e", "-f", "-g", "-h")  # make contents under one number differ
 NOT_FOUND = 404
 
 
 def configuration_text(tenants: tuple[Tenant, ...], number: int, content_suffix: str = "") -> bytes:
-    """Returns a valid configuration. No two numbers or suffixes have the same text."""
+    """Returns a valid configuration. Its text differs for each number and suffix."""
     route = {
         "label": f"r-{number}{content_suffix}",
         "path_prefix": f"/{number}/",
@@ -57,7 +57,7 @@
         return configuration_text(self.environment.plan.tenants, number, content_suffix)
 
     async def carry_out(self, order: Order) -> None:
-        """Carries out one order of the plan: each of its numbers, with all contents at once."""
+        """Sends the configurations of one order: one number after the other, all contents of a number concurrently."""
         if order.bad:
             await self.put_invalid(order.number)
         for number in range(order.number, order.number + order.series):
@@ -67,7 +67,7 @@
             await asyncio.gather(*calls)
 
     async def put_invalid(self, number: int) -> None:
-        """Writes a configuration that names an unknown service; it must be rejected, and not as a conflict."""
+        """Sends a configuration that names an unknown service. It must be rejected, and not as a conflict."""
         body = self.text(number + 50).replace(b'"target_service": "orders"', b'"target_service": "other"')
         received = await self.client.call(controller_address(0), read_call("POST", "/config/replace", body))
         is_rejected = isinstance(received, Rejected) and received.status != HTTPStatus.CONFLICT
@@ -75,12 +75,12 @@
         self.checker.check(is_rejected, self.environment.now(), violation)
 
     async def put(self, number: int, content_suffix: str = "", again: int = 0) -> None:
-        """Writes a configuration until the answer is clear, then repeats it: it must never be rejected later.
+        """Sends a configuration until its outcome is certain, then repeats it: it must not be rejected after that.
 
         Args:
-            number: The configuration's.
-            content_suffix: Makes its content differ from others under the number.
-            again: How often it is sent again after its acknowledgement.
+            number: The configuration's number.
+            content_suffix: Distinguishes this content from other contents under the same number.
+            again: How often the configuration is sent again after its acknowledgement.
         """
         body = self.text(number, content_suffix)
         version = read_configuration(body).version
@@ -91,7 +91,7 @@
             await self.put_until_clear(version, body)
 
     async def put_until_clear(self, version: Version, body: bytes) -> bool:
-        """Calls one controller after the other; returns whether one acknowledged, else the number conflicts."""
+        """Calls one controller after the other; returns True if one acknowledged, False if one reported a conflict."""
         pause_s, key, names = FIRST_PAUSE_S, next(self.keys), self.client.choices()
         self.checker.pending_orders[key] = PendingOrder(self.environment.now(), version)
         while True:
@@ -105,7 +105,7 @@
             pause_s = min(MAX_PAUSE_S, pause_s * PAUSE_GROWTH)
 
     async def put_once(self, name: str, version: Version, body: bytes) -> bool | None:
-        """Calls one controller; returns whether it acknowledged or rejected, None if the answer is not clear."""
+        """Calls one controller; returns whether it acknowledged or rejected, None if the outcome is uncertain."""
         checker = self.checker
         received = await self.client.call(name, read_call("POST", "/config/replace", body))
         now = self.environment.now()
@@ -127,13 +127,13 @@
         return True
 
     async def read_back_repeatedly(self) -> None:
-        """Reads back from any controller, again and again."""
+        """Reads the configuration from a random controller, repeatedly, for as long as the scenario lasts."""
         while True:
             await asyncio.sleep(self.random_source.uniform(*READ_PAUSE_S))
             await self.read_back(self.random_source.choice(self.client.choices()))
 
     async def read_back(self, name: str) -> bool:
-        """Reads the configuration back from one controller; returns whether it was given."""
+        """Reads the configuration from one controller; returns whether the response contains one."""
         asked_at = self.environment.now()
         received = await self.client.call(name, ReadConfiguration())
         now, register = self.environment.now(), self.checker.register
--- a/stoneyoke/lab/simulation/plans.py
+++ b/stoneyoke/lab/simulation/plans.py
@@ -1,6 +1,6 @@
-"""Plans of scenarios: the machines, the load of tenants, the orders of operators, and the faults with their times.
+"""Plans of scenarios: the machines, the load of tenants, the configuration changes of operators, and the faults.
 
-A plan is plain data. It is written as JSON, read back, and reduced while it still fails.
+A plan is plain data. It is stored as JSON, read back, and reduced to a smaller plan that still fails.
 """
 
 import json
@@ -9,61 +9,61 @@
 from enum import StrEnum
 from typing import Any
 
-LEAD_S = 3.0  # before the first fault
-REST_S = 9.0  # after the last one ended: all has to have come together by then
+LEAD_S = 3.0  # from the start of a scenario to the earliest time of a fault
+REST_S = 9.0  # from the end of the last fault to the final check, by which all machines must agree
 
 
 class FaultKind(StrEnum):
-    """What a fault does. The values stand in stored plans."""
+    """What a fault does. Stored plans contain the values."""
 
     KILL = "kill"  # processes end and start again
-    POWER = "power"  # machines lose their power: writes that are not synced may be lost
+    POWER = "power"  # machines lose power: writes that are not synced may be lost
     WIPE = "wipe"  # machines lose their disks
-    WIPE_SOME = "wipe_some"  # the same, at times while all other controllers lose power
+    WIPE_SOME = "wipe_some"  # machines lose their disks, in half of the cases while all other controllers lose power
     RESTART_GATEWAYS = "restart_gateways"
     ALL_CONTROLLERS = "all_controllers"
     KILL_ALL = "kill_all"
     POWER_ALL = "power_all"
-    LEASE_HOLDER = "lease_holder"  # the controller that allocates the quotas ends
-    SIGTERM = "sigterm"  # a controller hands over, ends and starts again
-    EXCHANGE = "exchange"  # machines go for good, and empty ones take their place
-    REMOVE = "remove"  # machines go for good
-    RETURN = "return"  # machines that went for good start again with their old disks
+    LEASE_HOLDER = "lease_holder"  # the controller that allocates the quotas is restarted
+    SIGTERM = "sigterm"  # a controller hands over, ends and is started again
+    EXCHANGE = "exchange"  # machines are removed permanently and replaced by machines with empty disks
+    REMOVE = "remove"  # machines are removed permanently
+    RETURN = "return"  # removed machines start again with their old disks
     JOIN = "join"  # spare machines start
-    FREEZE = "freeze"  # processes stop where they are, and continue
-    CUT = "cut"  # machines are cut off from all others
-    CUT_GATEWAYS = "cut_gateways"  # gateways are cut off from the controllers
-    SPLIT = "split"  # controllers are cut off from the other controllers, not from gateways
-    HOLD = "hold"  # messages to and from machines wait
-    DISK = "disk"  # a disk is slow, stalls or refuses
+    FREEZE = "freeze"  # processes are suspended at their current step, and resumed
+    CUT = "cut"  # a network partition between these machines and all others
+    CUT_GATEWAYS = "cut_gateways"  # a network partition between gateways and the controllers
+    SPLIT = "split"  # a network partition between controllers; gateways still reach all of them
+    HOLD = "hold"  # messages to and from machines wait until the fault ends
+    DISK = "disk"  # a disk is slow, stalls or fails its syncs
     LATE = "late"  # messages are late or arrive twice
-    ANSWERS_LOST = "answers_lost"  # answers to operators and backends are lost
+    ANSWERS_LOST = "answers_lost"  # responses to operators and backends are lost
     AT_MESSAGE = "at_message"  # a message triggers another fault
     AFTER_ACK = "after_ack"  # the acknowledgement of a configuration triggers another fault
     AFTER_DRAIN = "after_drain"  # the acknowledgement of a drain triggers another fault
-    SHIFT = "shift"  # tenants choose other gateways
+    SHIFT = "shift"  # tenants choose gateways by new weights
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault of a plan. The names of the fields stand in stored plans.
+    """A fault of a plan. Stored plans contain the names of the fields.
 
     Attributes:
-        at: Seconds from the start.
-        kind: What it does.
-        for_s: How long it lasts, in seconds.
-        who: Addresses of its machines.
-        power: Whether machines lose their power, not only their processes.
-        one_way: Whether a cut loses only what the machines send.
-        how: The state of a disk, or the kind of the fault that a trigger sets off.
+        at: Seconds from the start of the scenario.
+        kind: What the fault does.
+        for_s: Duration of the fault in seconds.
+        who: Addresses of the affected machines.
+        power: Whether machines lose power, not only their processes.
+        one_way: Whether a partition blocks only what these machines send.
+        how: The fault of a disk, or the kind of the fault that a trigger starts.
         share: Share of messages that are late or lost.
         doubled: Share of messages that arrive twice.
-        weights: Of gateways, as tenants choose among them.
-        asked: Whether SIGTERM comes before a machine goes for good.
-        successor: The address of the machine that takes the place.
+        weights: The weight of each gateway when tenants choose one.
+        asked: Whether a machine receives SIGTERM before it is removed permanently.
+        successor: The address of the replacement; empty for the address of the removed machine.
         message: The type of the message that triggers a fault.
-        sent: Whether the sender fails, else the receiver.
-        count: Which such message triggers the fault, counted from 1.
+        sent: Whether the fault strikes the sender of the message, else its receiver.
+        count: The number of the matching message that triggers the fault, counted from 1.
     """
 
     at: float
@@ -85,15 +85,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """Operators write configurations. The names of the fields stand in stored plans.
+    """Configuration changes that operators send. Stored plans contain the names of the fields.
 
     Attributes:
-        at: Seconds from the start.
-        number: The configuration's number.
-        contents: Different contents under this number, each written by an operator of its own.
-        series: How many numbers follow one another.
-        again: How often each is sent again after it was acknowledged.
-        stale: Whether an older number is sent as well.
+        at: Seconds from the start of the scenario.
+        number: The number of the configuration, or of the first one of a series.
+        contents: Number of different contents under each number, each sent by its own operator at the same time.
+        series: How many consecutive numbers are sent, one after the other.
+        again: How often each configuration is sent again after it was acknowledged.
+        stale: Whether configuration number 1 is sent as well, which is older.
         bad: Whether an invalid configuration is sent first.
     """
 
@@ -108,13 +108,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and its load. The names of the fields stand in stored plans.
+    """A tenant and its load. Stored plans contain the names of the fields.
 
     Attributes:
-        label: Its name.
-        rate: Its quota in requests a second.
-        burst: Requests that it may send at once.
-        asks: Pairs of a second from the start and the load from then on, as a multiple of the rate; idle before.
+        label: The tenant's name.
+        rate: The tenant's quota in requests per second.
+        burst: The burst size of the quota, in requests.
+        asks: Pairs of a time in seconds from the start and the load from then on, as a multiple of the rate. The load
+            is zero before the first pair.
     """
 
     label: str
@@ -125,21 +126,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The plan of a scenario. The names of the fields stand in stored plans.
+    """The plan of a scenario. Stored plans contain the names of the fields.
 
     Attributes:
-        seed: Of the random source.
-        controllers: How many start at first; the first three are the seeds.
-        spares: Machines that may join as controllers.
-        gateways: How many there are.
-        losses: Controllers that may be lost at once.
-        seconds: How long faults happen; REST_S follow.
+        seed: The seed of the random source.
+        controllers: Number of controllers that start first; the first three of them are the seed addresses.
+        spares: Number of machines that may join as controllers.
+        gateways: Number of gateways.
+        losses: Number of controllers that may be lost at the same time.
+        seconds: Duration of the phase with faults; REST_S follow.
         tenants: The tenants.
-        backends: Addresses of backends, with one incarnation after another each.
-        instances: Short-lived instances that come and go besides.
-        reads: Whether operators read back now and then.
-        orders: What operators write.
-        faults: What fails.
+        backends: Number of backend addresses; at each one incarnation follows another.
+        instances: Number of additional short-lived instances.
+        reads: Whether operators read the configuration back repeatedly.
+        orders: The configuration changes of the operators.
+        faults: The faults.
     """
 
     seed: int
@@ -156,7 +157,7 @@
     faults: tuple[Fault, ...] = ()
 
     def text(self) -> str:
-        """Returns the plan as JSON, without fields of faults and orders that have their default."""
+        """Returns the plan as JSON, without those fields of faults and orders that have their default value."""
         given = asdict(self)
         given["faults"] = [without_defaults(fault) for fault in self.faults]
         given["orders"] = [without_defaults(order) for order in self.orders]
@@ -164,7 +165,7 @@
 
 
 def without_defaults(record: Fault | Order) -> dict[str, Any]:
-    """Returns the fields that differ from their default."""
+    """Returns the fields that differ from their default value."""
     given = asdict(record)
     return {
         one.name: given[one.name]
@@ -207,10 +208,10 @@
 
     Args:
         plan: A plan that fails.
-        fails: Whether a plan fails in the same way.
+        fails: Returns whether a plan fails in the same way.
 
     Returns:
-        A plan of which no smaller one of `smaller_plans` fails.
+        A plan for which none of the plans of `smaller_plans` fails.
     """
     while True:
         smaller = next((other for other in smaller_plans(plan) if fails(other)), None)
@@ -220,7 +221,7 @@
 
 
 def smaller_plans(plan: Plan) -> Iterator[Plan]:
-    """Yields plans with one fault, order or tenant less, fewer machines or a shorter time."""
+    """Yields plans with one fault, order or tenant less, fewer machines or a shorter duration."""
     for name in ("faults", "orders", "tenants"):
         rows = getattr(plan, name)
         for index in range(len(rows)):
--- a/stoneyoke/lab/simulation/process_faults.py
+++ b/stoneyoke/lab/simulation/process_faults.py
@@ -1,4 +1,4 @@
-"""Faults of processes and machines: they end, restart, freeze, lose their disk, are replaced or join."""
+"""Faults of processes and machines: ends, restarts, freezes, lost disks, replacements and joins."""
 
 import asyncio
 from dataclasses import replace
@@ -9,8 +9,8 @@
 from stoneyoke.lab.simulation.machines import ControllerMachine
 from stoneyoke.lab.simulation.plans import Fault, FaultKind
 
-LEAVE_S = 0.5 * BOUNDS.grace_s  # the time that the controller program has for its hand-over
-RESTART_MARGIN_S = 0.3  # a machine counts as disturbed for so much longer than it is down
+LEAVE_S = 0.5 * BOUNDS.grace_s  # the time that the controller program allows for its hand-over
+RESTART_MARGIN_S = 0.3  # a machine counts as disturbed for this much longer than it is down
 FOREVER_S = 1e9
 
 
@@ -23,9 +23,9 @@
         """Ends the processes of a fault and starts them again after `for_s`.
 
         Args:
-            fault: Names the machines.
-            power: Whether they lose their power; None: as the fault says.
-            wiped: Machines among them that lose their disks, too.
+            fault: The fault, whose `who` lists the machines.
+            power: Whether the machines lose power; None: as the fault says.
+            wiped: Those of the machines that also lose their disks.
         """
         ended = self.end_machines(fault, fault.power if power is None else power)
         for name in set(ended).intersection(wiped):
@@ -33,7 +33,7 @@
         await self.start_after(ended, fault.for_s)
 
     def end_machines(self, fault: Fault, power: bool) -> tuple[str, ...]:
-        """Ends the processes of a fault at once; returns the machines on which one ran."""
+        """Ends the processes on the machines of a fault immediately; returns the machines on which one ran."""
         up = tuple(name for name in fault.who if self.cluster.machine(name).is_up())
         self.disturb(up, fault.for_s + RESTART_MARGIN_S)
         for name in up:
@@ -47,7 +47,7 @@
             await self.start_again(name)
 
     async def start_again(self, name: str) -> None:
-        """Starts the process of a machine, unless one runs or the machine was taken away."""
+        """Starts the process of a machine, unless one runs or the machine was removed."""
         machine = self.cluster.machine(name)
         if machine.is_up() or isinstance(machine, ControllerMachine) and machine.removed:
             return
@@ -56,28 +56,28 @@
         self.disturb((name,), 0.0)
 
     async def lose_power(self, fault: Fault) -> None:
-        """Machines lose their power: writes that are not synced may be lost."""
+        """Cuts the power of machines, so that writes that are not synced may be lost, and restarts them."""
         await self.restart_machines(fault, power=True)
 
     async def wipe(self, fault: Fault) -> None:
-        """Machines lose their disks and start again on empty ones."""
+        """Empties the disks of machines and restarts them."""
         await self.restart_machines(fault, power=True, wiped=fault.who)
 
     async def wipe_some(self, fault: Fault) -> None:
-        """Machines lose their disks, at times while all other controllers lose power."""
+        """Empties the disks of machines and restarts them; with probability 0.5 all other controllers lose power."""
         others = tuple(name for name in self.cluster.controllers if name not in fault.who)
         all_lose_power = self.environment.random_source.random() < 0.5
         who = fault.who + others if all_lose_power else fault.who
         await self.restart_machines(replace(fault, who=who), power=True, wiped=fault.who)
 
     async def kill_lease_holder(self, fault: Fault) -> None:
-        """The controller that allocates the quotas ends and starts again."""
+        """Restarts the controller that allocates the quotas."""
         machines = self.cluster.controllers.items()
         holders = tuple(name for name, one in machines if one.controller and one.controller.lease.allocator)
         await self.restart_machines(replace(fault, who=holders))
 
     async def terminate_gracefully(self, fault: Fault) -> None:
-        """SIGTERM: the controller may hand over, then its process ends and starts again with its disk."""
+        """Lets a controller hand over, as on SIGTERM, then ends its process and starts it again with its disk."""
         machine = self.cluster.controllers[fault.who[0]]
         if controller := machine.controller:
             self.disturb(fault.who, LEAVE_S + fault.for_s)
@@ -86,14 +86,14 @@
                 await self.restart_machines(fault)
 
     async def request_shutdown(self, machine: ControllerMachine) -> None:
-        """Asks a controller to hand over; returns once it has, or has ended."""
+        """Lets a controller hand over; returns once that is done or its process has ended."""
         if machine.controller:
             await asyncio.wait([self.network.run_on(machine.name, machine.controller.leave(LEAVE_S))])
 
-    # ---- machines that come and go ----
+    # ---- machines that are removed, replaced or added ----
 
     async def remove(self, fault: Fault) -> None:
-        """Machines are taken away for good. Each counts as lost until its successor has caught up."""
+        """Removes machines permanently. Each counts as lost until its successor has caught up."""
         for name in fault.who:
             machine = self.cluster.controllers[name]
             if machine.is_up():
@@ -104,7 +104,7 @@
             machine.removed = True
 
     async def exchange(self, fault: Fault) -> None:
-        """Machines are taken away; after `for_s` an empty one starts in the place of each."""
+        """Removes machines permanently; after `for_s` seconds starts a replacement with an empty disk for each."""
         before = self.disturbances.controllers_until
         await self.remove(fault)
         self.disturbances.controllers_until = max(before, self.environment.now())
@@ -115,18 +115,18 @@
                 successor.wipe()
                 await successor.start(self.cluster.seeds())
             now = self.environment.now()
-            self.disturbances.lost_until.pop(name, None)  # its successor counts in its place
+            self.disturbances.lost_until.pop(name, None)  # from now on its successor counts as lost instead
             self.disturbances.disturb_controller(successor.name, now, now)
 
     async def restart_removed(self, fault: Fault) -> None:
-        """Machines that were taken away start again with their old disks."""
+        """Starts removed machines again, with their old disks."""
         for name in fault.who:
             if not self.cluster.controllers[name].is_up():
                 self.disturb((name,), 0.0)
                 await self.cluster.controllers[name].start(self.cluster.seeds())
 
     async def join(self, fault: Fault) -> None:
-        """Spare machines start for the first time."""
+        """Starts spare machines for the first time."""
         self.disturb(fault.who, 0.0)
         for name in fault.who:
             machine = self.cluster.controllers[name]
@@ -136,11 +136,11 @@
     # ---- machines that freeze ----
 
     async def freeze(self, fault: Fault) -> None:
-        """Processes stop wherever they are while time goes on, and continue from there after `for_s`."""
+        """Suspends processes at their current step, and resumes them after `for_s`. Their clocks go on meanwhile."""
         await self.thaw_after(self.freeze_machines(fault), fault.for_s)
 
     def freeze_machines(self, fault: Fault) -> dict[str, int]:
-        """Freezes machines at once; returns those on which a process ran, with its incarnation."""
+        """Freezes machines immediately; returns those on which a process ran, with its incarnation."""
         up = [name for name in fault.who if self.cluster.machine(name).is_up() and not self.cluster.is_frozen(name)]
         self.disturb(tuple(up), fault.for_s)
         self.excuse(fault)
@@ -149,7 +149,7 @@
         return {name: self.cluster.machine(name).incarnations for name in up}
 
     async def thaw_after(self, incarnations: dict[str, int], delay_s: float) -> None:
-        """Thaws the processes that still run after a delay; the end of a process has thawed its machine."""
+        """Thaws the processes that still run after a delay. The end of a process has already thawed its machine."""
         await asyncio.sleep(delay_s)
         for name, incarnation in incarnations.items():
             if self.cluster.machine(name).incarnations == incarnation:
--- a/stoneyoke/lab/simulation/random_faults.py
+++ b/stoneyoke/lab/simulation/random_faults.py
@@ -1,6 +1,6 @@
-"""Random faults: each recipe draws the machines and the details of one kind of fault.
+"""Random faults: each generator draws the machines and the details of one kind of fault.
 
-The order of the draws is part of what a seed means. A change of it changes every plan.
+The order of the draws determines the plan of a seed: a change of the order changes every plan.
 """
 
 import random
@@ -21,13 +21,13 @@
 )
 DISK_FAULTS = ("slow", "hang", "refuse")
 TRIGGERED_KINDS = (FaultKind.KILL, FaultKind.POWER, FaultKind.WIPE, FaultKind.FREEZE)
-MAX_SYSTEM_DOWN_S = 2.0  # no longer are all controllers down at once
+MAX_SYSTEM_DOWN_S = 2.0  # maximum time for which all controllers are down at the same time
 
 Recipe = Callable[["RandomFaults", float, float], Fault]
 
 
 class RandomFaults:
-    """Draws faults for the machines of a plan. Each recipe takes the time and the length of a fault, in seconds."""
+    """Draws faults for the machines of a plan. Each generator takes the time and the duration of a fault in seconds."""
 
     def __init__(self, random_source: random.Random, plan: Plan) -> None:
         """Draws from a random source."""
@@ -58,7 +58,7 @@
         return Fault(at, kind, for_s, who=(self.random_source.choice(self.controllers),))
 
     def exchange(self, at: float, for_s: float) -> Fault:
-        """Replaces one controller by an empty machine at its address."""
+        """Replaces one controller by a machine with an empty disk at the same address."""
         who = (self.random_source.choice(self.controllers),)
         return Fault(at, FaultKind.EXCHANGE, for_s, who, asked=self.random_source.random() < 0.5)
 
@@ -67,32 +67,32 @@
         return Fault(at, FaultKind.RESTART_GATEWAYS, for_s, self.some_of(self.gateways, (0.3, 0.6, 0.8)))
 
     def all_controllers(self, at: float, for_s: float) -> Fault:
-        """Restarts all controllers at once, or cuts their power."""
+        """Restarts all controllers at the same time, with or without a power loss."""
         power = self.random_source.random() < 0.5
         down_s = min(for_s, MAX_SYSTEM_DOWN_S)
         return Fault(at, FaultKind.ALL_CONTROLLERS, down_s, tuple(self.controllers), power=power)
 
     def one_machine_off(self, at: float, for_s: float, kind: FaultKind) -> Fault:
-        """Cuts or holds one machine, at times in one direction only."""
+        """Partitions one machine or holds its messages, in 30 % of the cases in one direction only."""
         who = (self.random_source.choice(self.everyone),)
         return Fault(at, kind, for_s, who, one_way=self.random_source.random() < 0.3)
 
     def cut_some(self, at: float, for_s: float) -> Fault:
-        """Cuts half of the controllers off."""
+        """Partitions half of the controllers from all others."""
         who = tuple(self.random_source.sample(self.controllers, max(1, len(self.controllers) // 2)))
         return Fault(at, FaultKind.CUT, for_s, who, one_way=self.random_source.random() < 0.2)
 
     def cut_group(self, at: float, for_s: float) -> Fault:
-        """Cuts one controller and some gateways, together, off from all others."""
+        """Partitions a group of one controller and some gateways from all others."""
         who = (self.random_source.choice(self.controllers), *self.some_of(self.gateways, (0.3, 0.6)))
         return Fault(at, FaultKind.CUT, for_s, who)
 
     def cut_gateways(self, at: float, for_s: float) -> Fault:
-        """Cuts a share of the gateways off from the controllers."""
+        """Partitions a share of the gateways from the controllers."""
         return Fault(at, FaultKind.CUT_GATEWAYS, for_s, self.some_of(self.gateways, (0.2, 0.5, 0.8)))
 
     def at_message(self, at: float, for_s: float, triggered: FaultKind) -> Fault:
-        """Lets a message trigger a fault."""
+        """Draws a message that triggers a fault of its sender or receiver."""
         return Fault(
             at,
             FaultKind.AT_MESSAGE,
@@ -109,20 +109,20 @@
         return Fault(at, FaultKind.DISK, for_s, who, how=self.random_source.choice(DISK_FAULTS))
 
     def late(self, at: float, for_s: float) -> Fault:
-        """Delays and doubles a share of all messages."""
+        """Delays a share of all messages, and delivers a share of them twice."""
         share = self.random_source.choice((0.01, 0.1, 0.3))
         return Fault(at, FaultKind.LATE, for_s, share=share, doubled=self.random_source.choice((0.0, 0.05)))
 
     def answers_lost(self, at: float, for_s: float) -> Fault:
-        """Loses a share of the answers to operators and backends."""
+        """Drops a share of the responses to operators and backends."""
         return Fault(at, FaultKind.ANSWERS_LOST, for_s, share=self.random_source.choice((0.3, 0.7, 1.0)))
 
     def after_acknowledgement(self, at: float, for_s: float, kind: FaultKind) -> Fault:
-        """Lets an acknowledgement trigger a fault of its controller."""
+        """Draws a fault of a controller that its next acknowledgement triggers."""
         return Fault(at, kind, for_s, how=self.random_source.choice(TRIGGERED_KINDS).value)
 
     def shift(self, at: float, for_s: float) -> Fault:
-        """Draws new weights of the gateways."""
+        """Draws new weights by which tenants choose among gateways."""
         weights = tuple(self.random_source.choice((0.0, 0.2, 1.0, 5.0)) for _ in self.gateways)
         return Fault(at, FaultKind.SHIFT, for_s, weights=weights)
 
@@ -134,7 +134,7 @@
 KILL: Recipe = partial(RandomFaults.one_machine, kind=FaultKind.KILL)
 FREEZE: Recipe = partial(RandomFaults.one_machine, kind=FaultKind.FREEZE)
 CUT: Recipe = partial(RandomFaults.one_machine_off, kind=FaultKind.CUT)
-# One of these is drawn for each fault. Those that stand twice are drawn twice as often.
+# One of these is drawn for each fault. Those that are listed twice are drawn twice as often.
 RECIPES: tuple[Recipe, ...] = (
     KILL,
     KILL,
--- a/stoneyoke/lab/simulation/random_plans.py
+++ b/stoneyoke/lab/simulation/random_plans.py
@@ -1,6 +1,6 @@
-"""Random plans: machines, tenants, orders and faults from a seed, within the operators' tolerance.
+"""Random plans: machines, tenants, configuration changes and faults drawn from a seed, within the plan's tolerance.
 
-The order of the draws is part of what a seed means. A change of it changes every plan.
+The order of the draws determines the plan of a seed: a change of the order changes every plan.
 """
 
 import random
@@ -20,8 +20,8 @@
 )
 from stoneyoke.lab.simulation.random_faults import RandomFaults
 
-EXCHANGE_INTERVAL_S = 6.0  # holds the successor's start and catch_up_s
-HEAVY_RATE = 60  # requests a second; such a tenant sends at two loads only, to bound the time that a scenario takes
+EXCHANGE_INTERVAL_S = 6.0  # includes the start of the successor and catch_up_s
+HEAVY_RATE = 60  # requests per second; from here on only HEAVY_LOADS, to bound the run time of a scenario
 LOADS = (0.05, 0.5, 0.5, 0.9, 3.0, 10.0)  # multiples of a tenant's rate
 HEAVY_LOADS = (0.5, 3.0)
 
@@ -57,7 +57,7 @@
 
 
 def make_tenants(random_source: random.Random, seconds: float) -> Iterator[Tenant]:
-    """Yields tenants with loads that change now and then."""
+    """Yields tenants, each with a load that changes every 2, 5 or 20 seconds."""
     for index in range(random_source.choice((1, 2, 3))):
         rate = random_source.choice((3.0, 10.0, 30.0, 60.0))
         asks, second = [], random_source.uniform(0, 2)
@@ -69,7 +69,7 @@
 
 
 def make_orders(random_source: random.Random, seconds: float) -> Iterator[Order]:
-    """Yields orders with rising numbers."""
+    """Yields configuration changes with rising numbers."""
     number = 1
     for _ in range(random_source.choice((1, 3, 6))):
         number += random_source.choice((1, 1, 3))
@@ -84,7 +84,7 @@
 
 
 def make_exchanges(random_source: random.Random, plan: Plan, exchanges: int) -> Iterator[Fault]:
-    """Yields the replacement of voters, one after the other; spares that none needs join by themselves."""
+    """Yields replacements of voters, one after the other. Spares without a voter to replace just join."""
     voters = [controller_address(index) for index in range(plan.controllers)]
     for index in range(plan.spares):
         spare = controller_address(plan.controllers + index)
@@ -99,7 +99,7 @@
 
 
 def make_closing(random_source: random.Random, plan: Plan) -> Iterator[Fault]:
-    """Yields a last fault that many machines share, or none."""
+    """Yields a final fault of several machines, or none."""
     controllers = tuple(controller_address(index) for index in range(plan.controllers))
     gateways = tuple(gateway_address(index) for index in range(plan.gateways))
     kind = random_source.choice((None, None, FaultKind.POWER_ALL, FaultKind.WIPE_SOME, FaultKind.KILL_ALL))
--- a/stoneyoke/lab/simulation/register_history.py
+++ b/stoneyoke/lab/simulation/register_history.py
@@ -1,7 +1,7 @@
-"""The history of the configuration register, as operators and gateways saw it, and whether one register can have it.
+"""The history of the configuration register, as operators and gateways saw it, and checks that it is linearizable.
 
-One number means one content for ever. Nobody is shown an older state than anybody was shown before he asked: the
-register is linearizable, and its number only rises.
+A number permanently identifies one content. A read never returns an older number than any that was returned or in force
+before the read began.
 """
 
 import bisect
@@ -14,12 +14,12 @@
 from stoneyoke.consensus.register_value import Proposal, RegisterValue
 
 Check = Callable[[bool, float, str], None]
-END_S = 1e18  # later than any moment of a scenario
+END_S = 1e18  # later than any time of a scenario
 LARGEST_NUMBER = 1 << 62
 
 
 class Claim(NamedTuple):
-    """An answer that an operator got for a version, and when."""
+    """A response that an operator received for a version, and when."""
 
     at: float
     version: Version
@@ -27,18 +27,20 @@
 
 @dataclass
 class RegisterHistory:
-    """What was sent, shown, acknowledged and refused. Times are the loop's, in seconds.
+    """The versions that were sent, shown, acknowledged and rejected. Times are in seconds of the event loop.
+
+    A version is shown when an operator reads it or when it is in force at a gateway.
 
     Attributes:
-        check: Takes whether something holds, the time, and the violation if it does not.
+        check: Called with a condition, the time, and the violation to report if the condition is false.
         sent: When each version was first sent.
         bodies: The text of each version.
-        shown_levels: Rising numbers that anybody was shown, with their times.
-        acknowledged_levels: Rising numbers that were acknowledged, with their times.
-        shown: The version that was read back or in force, by its number.
+        shown_levels: Times and numbers at which the highest number that was shown or acknowledged rose.
+        acknowledged_levels: Times and numbers at which the highest number that was acknowledged rose.
+        shown: The version that was shown first, by its number.
         acknowledged: The acknowledgements.
-        conflicts: The refusals.
-        chosen: What any controller took for chosen, by ballot. Operators do not see this.
+        conflicts: The rejections as a conflict.
+        chosen: The proposals that any controller considers chosen, sorted by ballot. Operators do not see this.
     """
 
     check: Check
@@ -57,26 +59,26 @@
         self.bodies[version] = body
 
     def level(self, before: float) -> int:
-        """Returns the highest number that anybody was shown until then."""
+        """Returns the highest number that was shown or acknowledged until a time."""
         return highest_until(self.shown_levels, before)
 
     def raise_level(self, now: float, number: int) -> None:
-        """Records that somebody was shown a number."""
+        """Records that a number was shown or acknowledged."""
         if number > self.level(now):
             self.shown_levels.append((now, number))
 
     def newest_acknowledged(self, before: float) -> int:
-        """Returns the highest number that was acknowledged until then."""
+        """Returns the highest number that was acknowledged until a time."""
         return highest_until(self.acknowledged_levels, before)
 
     def was_refused(self, version: Version) -> bool:
-        """Returns whether a version was refused as a conflict."""
+        """Returns whether a version was rejected as a conflict."""
         return any(claim.version == version for claim in self.conflicts)
 
-    # ---- what is shown ----
+    # ---- what operators and gateways see ----
 
     def show(self, now: float, where: str, configuration: Configuration) -> None:
-        """Records a configuration that is read back, or in force at a gateway."""
+        """Records a configuration that an operator reads, or that is in force at a gateway."""
         version = configuration.version
         is_known = self.bodies.get(version) == configuration.body
         self.check(is_known, now, f"CONFIG: {where} has a text of {version} that nobody sent")
@@ -88,13 +90,13 @@
         self.raise_level(now, version.number)
 
     def read(self, asked_at: float, now: float, where: str, configuration: Configuration) -> None:
-        """Records the answer to a read that was asked at a time."""
+        """Records the response to a read that was sent at a time."""
         number, least = configuration.version.number, self.level(asked_at)
         self.check(number >= least, now, f"CONFIG: {where} reads back r{number}, r{least} was shown before")
         self.show(now, where, configuration)
 
     def read_nothing(self, asked_at: float, now: float, where: str) -> None:
-        """Records the answer that there is no configuration."""
+        """Records the response that there is no configuration."""
         least = self.level(asked_at)
         violation = f"CONFIG: {where} says that there is no configuration, r{least} was shown before"
         self.check(least == 0, now, violation)
@@ -108,13 +110,13 @@
         self.raise_level(now, version.number)
 
     def conflict(self, now: float, version: Version, controller: str, chosen: RegisterValue | None) -> None:
-        """Records that a version was refused because another content has its number.
+        """Records that a version was rejected because another content has its number.
 
         Args:
             now: The time.
-            version: What the operator sent.
-            controller: The controller that refused.
-            chosen: What that controller knows to be chosen.
+            version: The version that the operator sent.
+            controller: The controller that rejected it.
+            chosen: The value that this controller knows to be chosen; None if it knows none or has ended.
         """
         is_decided = chosen is not None and chosen.version.number >= version.number and chosen.version != version
         violation = f"CONFIG: {controller} reports a conflict at {version}, and nothing else was decided"
@@ -125,10 +127,10 @@
         self.check(not was_shown, now, f"CONFIG: {version} was shown, then refused as a conflict")
         self.conflicts.append(Claim(now, version))
 
-    # ---- what controllers take for chosen ----
+    # ---- what controllers consider chosen ----
 
     def learn(self, now: float, where: str, proposal: Proposal) -> None:
-        """Records a proposal that a controller takes for chosen: it must fit between those before and after it."""
+        """Records a proposal that a controller considers chosen. It must fit the next lower and next higher ballots."""
         place = bisect.bisect_left(self.chosen, proposal.ballot, key=ballot_of)
         if place < len(self.chosen) and self.chosen[place].ballot == proposal.ballot:
             is_same = self.chosen[place].value == proposal.value
@@ -143,7 +145,7 @@
     # ---- at the end ----
 
     def audit(self, now: float) -> None:
-        """Checks what can be decided only at the end."""
+        """Checks conditions that can be decided only when the whole history is known."""
         for claim in self.acknowledged:
             content = self.shown.get(claim.version.number, claim.version)
             holds = content == claim.version or self.is_superseded(claim)
@@ -160,7 +162,7 @@
             self.check(holds, now, f"CONFIG: every content of {claim.version} was refused")
 
     def is_superseded(self, claim: Claim) -> bool:
-        """Returns whether a higher number may have been decided before an acknowledgement: then it says only that."""
+        """Returns whether a higher number may have been chosen first: the acknowledgement then confirms no content."""
         return any(
             version.number > claim.version.number and sent_at <= claim.at and self.level(END_S) >= version.number
             for version, sent_at in self.sent.items()
@@ -168,7 +170,7 @@
 
 
 def highest_until(levels: list[tuple[float, int]], before: float) -> int:
-    """Returns the last of rising numbers with their times until a time; 0 if there is none."""
+    """Returns the last of the rising numbers whose time is not after `before`; 0 if there is none."""
     place = bisect.bisect_right(levels, (before, LARGEST_NUMBER))
     return levels[place - 1][1] if place else 0
 
@@ -184,7 +186,7 @@
 
 
 def may_follow(older: RegisterValue, newer: RegisterValue) -> bool:
-    """Returns whether one chosen value may come after another one, with others between them."""
+    """Returns whether a chosen value may follow another one, directly or with others in between."""
     version_rises = newer.version.number > older.version.number or newer.version == older.version
     voters_rise = newer.voters.number > older.voters.number or newer.voters == older.voters
     return version_rises and voters_rise
--- a/stoneyoke/lab/simulation/results.py
+++ b/stoneyoke/lab/simulation/results.py
@@ -9,15 +9,16 @@
     """The result of one scenario.
 
     Attributes:
-        seed: The plan's.
-        violations: A line for each promise that was broken.
-        trace: Digest of all that happened, in order; the same seed gives the same digest.
+        seed: The seed of the plan.
+        violations: One line for each violated invariant.
+        trace: Digest of all events, in order; the same seed gives the same digest.
         event_counts: How often each kind of event happened.
         admitted: Requests of tenants that were admitted.
         rejected: Requests of tenants that were rejected.
-        requests_below_quota: Requests of steady tenants at half their quota, long after the last disturbance.
-        rejected_below_quota: Those of them that were rejected.
-        disk_bytes: What the fullest controller's disk holds at the end.
+        requests_below_quota: Requests of tenants with a steady load of half their quota, more than QUIET_S after
+            the last disturbance.
+        rejected_below_quota: Those of requests_below_quota that were rejected.
+        disk_bytes: Size of the largest folder of a controller's disk at the end.
     """
 
     seed: int
@@ -40,14 +41,14 @@
     """The results of many scenarios.
 
     Attributes:
-        scenarios: How many there were.
+        scenarios: Number of scenarios.
         failed: The results with violations.
-        event_counts: How often each kind of event happened in all of them.
-        admitted: Requests that were admitted in all of them.
+        event_counts: How often each kind of event happened in all scenarios.
+        admitted: Requests that were admitted in all scenarios.
         requests_below_quota: See `ScenarioResult`.
         rejected_below_quota: See `ScenarioResult`.
-        seconds: Wall time.
-        trace: Digest of all their traces, in the order of their seeds.
+        seconds: Wall-clock time in seconds.
+        trace: Digest of the traces of all scenarios, in the order of the results.
     """
 
     scenarios: int = 0
--- a/stoneyoke/lab/simulation/runs.py
+++ b/stoneyoke/lab/simulation/runs.py
@@ -1,4 +1,4 @@
-"""Runs of scenarios: from seeds, from scripts and from stored plans, several at once."""
+"""Runs scenarios from seeds, scripts and stored plans, in several processes."""
 
 import time
 from collections.abc import Iterable, Iterator
@@ -14,31 +14,31 @@
 from stoneyoke.lab.simulation.scenario import Scenario
 from stoneyoke.lab.simulation.scripted import SCRIPTED_SCENARIOS
 
-SEEDS_AT_ONCE = 4  # that a process takes
+SEEDS_AT_ONCE = 4  # that a process fetches from the pool
 
 
 def play(plan: Plan, defect: str = "") -> ScenarioResult:
-    """Plays a plan, with a seeded defect if one is named. An exception of the scenario itself is a violation."""
+    """Runs a plan, with a seeded defect if one is named. An exception of the scenario is reported as a violation."""
     with in_scenarios.seeded(defect):
         try:
             return Scenario(plan).play()
-        except Exception as error:  # one scenario that fails must not end the run
+        except Exception as error:  # an exception in one scenario must not abort the others
             violation = f"an exception: {type(error).__name__}: {error}"
             return ScenarioResult(seed=plan.seed, violations=[violation])
 
 
 def play_seed(seed: int, defect: str = "") -> ScenarioResult:
-    """Plays the random plan of a seed."""
+    """Runs the random plan of a seed."""
     return play(make_plan(seed), defect)
 
 
 def play_scripted(name: str, defect: str = "") -> ScenarioResult:
-    """Plays a scripted scenario."""
+    """Runs a scripted scenario."""
     return play(SCRIPTED_SCENARIOS[name], defect)
 
 
 def play_many(seeds: Iterable[int], jobs: int) -> Iterator[ScenarioResult]:
-    """Plays many seeds in so many processes; yields the results in the order of the seeds."""
+    """Runs seeds in `jobs` processes; yields the results in the order of the seeds."""
     if jobs <= 1:
         yield from map(play_seed, seeds)
         return
@@ -47,7 +47,7 @@
 
 
 def summarize(results: Iterable[ScenarioResult]) -> Summary:
-    """Returns the summary of results, with a digest of their traces in this order."""
+    """Returns the summary of results, with a digest of their traces in the order of the results."""
     summary, trace, started_at = Summary(), blake2b(digest_size=12), time.monotonic()
     for result in results:
         summary.scenarios += 1
@@ -63,14 +63,14 @@
 
 
 class StoredCaseResult(NamedTuple):
-    """Whether a plan that is stored for a seeded defect fails without that defect, and with it."""
+    """Whether the plan that is stored for a seeded defect fails without the defect, and whether it fails with it."""
 
     fails_without: bool
     fails_with: bool
 
 
 def play_stored_case(path: str) -> StoredCaseResult:
-    """Plays a stored plan without and with the defect that its file is named after."""
+    """Runs a stored plan without and with the defect that its file is named after."""
     file = Path(path)
     plan = read_plan(file.read_text())
     return StoredCaseResult(bool(play(plan).violations), bool(play(plan, file.stem).violations))
--- a/stoneyoke/lab/simulation/scenario.py
+++ b/stoneyoke/lab/simulation/scenario.py
@@ -23,12 +23,12 @@
 from stoneyoke.lab.simulation.simulated_cluster import SimulatedCluster
 from stoneyoke.lab.simulation.tenants import Tenants
 
-CANCELLATION_TURNS = 4  # turns of the loop in which cancelled tasks end
+CANCELLATION_TURNS = 4  # loop iterations in which cancelled tasks end
 Due = TypeVar("Due", Fault, Order)
 
 
 class Scenario:
-    """A plan with all that takes part in it."""
+    """A plan with its simulated machines, operators, tenants, faults and checks."""
 
     def __init__(self, plan: Plan) -> None:
         """Prepares a scenario; nothing runs before `play`."""
@@ -48,7 +48,7 @@
         self.disk_bytes = 0
 
     def play(self) -> ScenarioResult:
-        """Runs the scenario from its start to its end, in a loop of its own."""
+        """Runs the scenario to its end, in an event loop of its own."""
         self.environment.folder = tempfile.mkdtemp(prefix="scenario-")
         logger.disable("stoneyoke")
         loop = SimulatedLoop()
@@ -62,7 +62,7 @@
         return self.result()
 
     def result(self) -> ScenarioResult:
-        """Returns what came of the scenario."""
+        """Returns the result of the scenario."""
         return ScenarioResult(
             seed=self.plan.seed,
             violations=self.checker.violations,
@@ -76,12 +76,12 @@
         )
 
     def on_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Counts an exception that ended a task of a machine, and that nobody awaited, as a violation."""
+        """Reports an exception that ended a task of a machine and was never retrieved as a violation."""
         error = context.get("exception") or context["message"]
         self.checker.check(False, loop.time(), f"EXCEPTION: {error!r}")
 
     async def run(self) -> None:
-        """Starts the machines, runs the plan, and checks the end state once all has settled."""
+        """Starts the machines, runs the plan, and checks the final state REST_S after the last fault."""
         plan, now = self.plan, self.environment.now
         self.cluster.create_machines()
         await self.cluster.start()
@@ -102,7 +102,7 @@
             await self.end_all()
 
     def start_tasks(self, started_at: float) -> list[asyncio.Task[Any]]:
-        """Starts all that happens outside the machines. The order of the tasks is part of the trace."""
+        """Starts the tasks of operators, tenants, backends, faults and checks. Their order is part of the trace."""
         plan, client, faults = self.plan, self.client, self.faults
         work = [self.operators.put(1), self.tenants.send_requests(), self.invariants.watch()]
         if plan.reads:
@@ -115,7 +115,7 @@
         return [self.network.run_on("", one) for one in work]
 
     async def run_at(self, started_at: float, due: Due, act: Callable[[Due], Awaitable[None]]) -> None:
-        """Carries out a fault or an order at its time."""
+        """Carries out a fault or a configuration change at its time."""
         await asyncio.sleep(started_at + due.at - self.environment.now())
         await act(due)
 
--- a/stoneyoke/lab/simulation/scripted/__init__.py
+++ b/stoneyoke/lab/simulation/scripted/__init__.py
@@ -1,4 +1,4 @@
-"""Scripted scenarios: each is a plan that brings one situation about (docs/design/control-safety.md)."""
+"""Scripted scenarios: each is a plan that produces one situation (docs/design/control-safety.md)."""
 
 from stoneyoke.lab.simulation.plans import Plan
 from stoneyoke.lab.simulation.scripted import (
@@ -59,7 +59,7 @@
     "late_while_voters_change": message_faults.late_while_voters_change(),
 }
 
-# Names of the release before; `show` still takes them.
+# Names of the previous release, which `show` still accepts.
 FORMER_NAMES: dict[str, str] = {
     "frozen_in_each_step_sent": "frozen_when_sending",
     "frozen_in_each_step_got": "frozen_when_receiving",
--- a/stoneyoke/lab/simulation/scripted/conflicting_orders.py
+++ b/stoneyoke/lab/simulation/scripted/conflicting_orders.py
@@ -1,17 +1,17 @@
-"""Scripted scenarios with two contents under one number, and with orders that are sent again."""
+"""Scripted scenarios with several contents under one number, and with configurations that are sent again."""
 
 from stoneyoke.lab.simulation.plans import Fault, FaultKind, Order, Plan
 from stoneyoke.lab.simulation.scripted.scripting import BEGIN_S, at_message, steady_orders
 
 
 def two_contents_answers_lost() -> Plan:
-    """Two contents compete for each number while most answers are lost."""
+    """Two contents compete for each number while most responses are lost."""
     faults = tuple(Fault(BEGIN_S + 5 * index, FaultKind.ANSWERS_LOST, 3.0, share=0.8) for index in range(3))
     return Plan(201, seconds=18.0, orders=steady_orders(16, every_s=1.0, contents=2, again=3), faults=faults)
 
 
 def eight_orders_at_once() -> Plan:
-    """Eight numbers are ordered at the same time, three times."""
+    """Eight numbers are sent at the same time, three times."""
     orders = tuple(Order(BEGIN_S + 4 * index, 2 + 10 * index + one, again=2) for index in range(3) for one in range(8))
     return Plan(202, seconds=14.0, orders=orders)
 
@@ -23,7 +23,7 @@
 
 
 def proposer_dies_between_messages(message: str) -> Plan:
-    """The proposer of an order ends once its request has left for some voters only."""
+    """The proposer ends once it has sent its request to some of the voters only."""
     counts = (1, 2, 3, 4, 2, 3)
     faults = tuple(
         at_message(
@@ -36,7 +36,7 @@
 
 
 def frozen_between_phases() -> Plan:
-    """The proposer freezes once it has asked for promises; others decide the same number meanwhile."""
+    """The proposer freezes when it requests promises; others choose a value for the same number meanwhile."""
     faults = tuple(
         at_message(
             BEGIN_S + 4 * index - 0.05,
@@ -51,14 +51,14 @@
 
 
 def cut_between_phases() -> Plan:
-    """The proposer is cut off from the other controllers, not from the gateways, as its proposal leaves."""
+    """The proposer is partitioned from the other controllers, not from the gateways, as it sends its proposal."""
     faults = tuple(at_message(BEGIN_S + 8 * index - 0.05, FaultKind.SPLIT, 5.0, "AcceptRequest") for index in range(5))
     orders = tuple(Order(BEGIN_S + 8 * index, 2 + index, contents=4) for index in range(5))
     return Plan(206, seconds=42.0, orders=orders, faults=faults)
 
 
 def promise_before_restart() -> Plan:
-    """A proposer freezes between its phases; a voter restarts that has promised another proposer's ballot."""
+    """A proposer freezes between its phases; a voter that has promised another proposer's ballot restarts."""
     faults = [
         fault
         for index in range(10)
--- a/stoneyoke/lab/simulation/scripted/leases_and_drains.py
+++ b/stoneyoke/lab/simulation/scripted/leases_and_drains.py
@@ -5,7 +5,7 @@
 
 
 def lease_answers_late(one_way: bool) -> Plan:
-    """The holder freezes while its grants are on their way, and is cut off as it asks next."""
+    """The lease holder freezes while its grants are in flight, and is partitioned as it sends its next request."""
     faults = [
         fault
         for index in range(8)
@@ -18,6 +18,6 @@
 
 
 def power_lost_after_drain() -> Plan:
-    """The controller that acknowledges a drain loses its power within milliseconds."""
+    """The controller that acknowledges a drain loses power within milliseconds."""
     faults = tuple(Fault(BEGIN_S + 10 * index, FaultKind.AFTER_DRAIN, 0.2, how=FaultKind.POWER) for index in range(8))
     return Plan(112, gateways=3, seconds=84.0, backends=12, faults=faults)
--- a/stoneyoke/lab/simulation/scripted/many_changes.py
+++ b/stoneyoke/lab/simulation/scripted/many_changes.py
@@ -6,12 +6,12 @@
 
 
 def after_many_changes(how: str, series: int = 100, instances: int = 50) -> Plan:
-    """Configurations and instances come and go; one machine misses all changes.
+    """Configurations and instances change many times; one controller misses all changes.
 
     Args:
-        how: Why it misses them.
-        series: Configurations, one after the other.
-        instances: Instances that come and go.
+        how: The fault because of which it misses them.
+        series: Number of configurations, which are sent one after the other.
+        instances: Number of short-lived instances.
     """
     orders = (Order(BEGIN_S, 2, series=series),)
     fault = {
@@ -25,12 +25,12 @@
 
 
 def thirty_changes_of_voters() -> Plan:
-    """Thirty voters go for good, one after the other."""
+    """Thirty voters are replaced permanently, one after the other."""
     return every_voter_replaced(402, 3, 1, exchanges=30)
 
 
 def starts_on_a_disk_that_refuses() -> Plan:
-    """A controller restarts while its disk refuses reads and writes; another one does so with an empty disk."""
+    """A controller restarts while its disk refuses syncs; another one does so with an empty disk."""
     faults = (
         Fault(BEGIN_S, FaultKind.DISK, 4.0, (C2,), how="refuse"),
         Fault(BEGIN_S + 1, FaultKind.KILL, 0.2, (C2,)),
--- a/stoneyoke/lab/simulation/scripted/message_faults.py
+++ b/stoneyoke/lab/simulation/scripted/message_faults.py
@@ -1,11 +1,11 @@
-"""Scripted scenarios with late, doubled and lost messages."""
+"""Scripted scenarios with late, duplicated and lost messages."""
 
 from stoneyoke.lab.simulation.plans import Fault, FaultKind, Plan
 from stoneyoke.lab.simulation.scripted.scripting import BEGIN_S, C1, C4, G1, GAP_S, steady_orders
 
 
 def late_and_doubled() -> Plan:
-    """Messages are late, arrive twice, or have no answer, while gateways restart."""
+    """Messages are late, arrive twice, or have no response, while a gateway restarts."""
     faults = (
         Fault(BEGIN_S, FaultKind.LATE, 16.0, share=0.3, doubled=0.3),
         Fault(BEGIN_S + 2, FaultKind.ANSWERS_LOST, 14.0, share=0.4),
--- a/stoneyoke/lab/simulation/scripted/partitions_and_freezes.py
+++ b/stoneyoke/lab/simulation/scripted/partitions_and_freezes.py
@@ -1,11 +1,14 @@
-"""Scripted scenarios in which machines are cut off or frozen."""
+"""Scripted scenarios in which machines are partitioned or frozen."""
 
 from stoneyoke.lab.simulation.plans import Fault, FaultKind, Plan
 from stoneyoke.lab.simulation.scripted.scripting import BEGIN_S, C1, C2, C3, G1, G2, STEPS, at_message, steady_orders
 
 
 def cut_off_for_20_s() -> Plan:
-    """A seed and a gateway, which restarts there, are cut off. Backends, orders and reads go on at every controller."""
+    """A seed controller and a gateway, which restarts meanwhile, are partitioned from the others.
+
+    Backends, configuration changes and reads continue at every controller.
+    """
     faults = (
         Fault(BEGIN_S, FaultKind.CUT, 20.0, (C1, G1)),
         Fault(BEGIN_S + 2, FaultKind.KILL, 0.5, (G1,)),
@@ -15,13 +18,13 @@
 
 
 def two_of_five_cut_off() -> Plan:
-    """Two of five controllers and a gateway are cut off together."""
+    """Two of five controllers and a gateway are partitioned together from the others."""
     faults = (Fault(BEGIN_S, FaultKind.CUT, 20.0, (C1, C2, G1)), Fault(BEGIN_S + 3, FaultKind.KILL, 0.5, (G1,)))
     return Plan(102, 5, gateways=3, losses=2, seconds=22.0, backends=4, orders=steady_orders(18), faults=faults)
 
 
 def cut_off_and_restarted() -> Plan:
-    """The controller that is cut off starts again behind the cut, with its disk."""
+    """A partitioned controller restarts with its disk while the partition lasts."""
     faults = (
         Fault(BEGIN_S, FaultKind.CUT, 20.0, (C1, G1)),
         Fault(BEGIN_S + 4, FaultKind.POWER, 0.5, (C1, G1)),
@@ -41,7 +44,7 @@
 
 
 def frozen_for_20_s() -> Plan:
-    """The first controller thaws with an old view at the moment at which gateways start."""
+    """The first controller thaws with a stale view at the time at which gateways start."""
     faults = (
         Fault(BEGIN_S, FaultKind.FREEZE, 20.0, (C1,)),
         Fault(BEGIN_S + 19.9, FaultKind.RESTART_GATEWAYS, 0.15, (G1, G2)),
--- a/stoneyoke/lab/simulation/scripted/scripting.py
+++ b/stoneyoke/lab/simulation/scripted/scripting.py
@@ -1,4 +1,4 @@
-"""What scripted scenarios share: addresses, times, the messages of the register and a steady load of orders."""
+"""Shared by scripted scenarios: addresses, times, message types and a steady series of configuration changes."""
 
 from typing import Any
 
@@ -8,17 +8,17 @@
 C1, C2, C3, C4, C5, C6, C7 = (controller_address(index) for index in range(7))
 G1, G2, G3 = (gateway_address(index) for index in range(3))
 CATCH_UP_S = BOUNDS.catch_up_s
-GAP_S = 0.5  # between the end of a machine and the start of its successor
-BEGIN_S = 4.0  # by then a system that starts for the first time has settled
+GAP_S = 0.5  # time between the removal of a machine and the start of its successor
+BEGIN_S = 4.0  # time by which a system that starts for the first time is stable
 STEPS = ("PrepareRequest", "AcceptRequest", "ChosenNotice", "QueryRequest", "ValueRequest", "LeaseRequest")
 
 
 def steady_orders(seconds: float, every_s: float = 2.0, contents: int = 1, again: int = 0) -> tuple[Order, ...]:
-    """Returns orders with rising numbers from BEGIN_S on.
+    """Returns configuration changes with rising numbers from BEGIN_S on.
 
     Args:
-        seconds: How long orders are sent.
-        every_s: Seconds between two orders.
+        seconds: Duration of the series.
+        every_s: Seconds between two changes.
         contents: See `Order`.
         again: See `Order`.
     """
@@ -32,9 +32,9 @@
     """Returns a fault that a message triggers.
 
     Args:
-        at: Seconds from the start, from which on the message counts.
+        at: Seconds from the start of the scenario, from which on messages are counted.
         triggered: The kind of the fault.
-        for_s: How long the fault lasts, in seconds.
+        for_s: Duration of the fault in seconds.
         message: The type of the message.
         **details: Other fields of `Fault`, such as `sent` and `count`.
     """
--- a/stoneyoke/lab/simulation/scripted/voter_changes.py
+++ b/stoneyoke/lab/simulation/scripted/voter_changes.py
@@ -19,16 +19,16 @@
 
 
 def every_voter_replaced(seed: int, controllers: int, losses: int, exchanges: int, again: int = 0) -> Plan:
-    """Each voter goes for good, catch_up_s after the successor of the one before has started.
+    """Replaces each voter permanently, catch_up_s after the successor of the previous one has started.
 
-    The first successors have addresses of their own, later ones those of machines that went before.
+    The first successors have new addresses, later ones those of machines that were removed before.
 
     Args:
-        seed: The plan's.
-        controllers: Voters at first.
-        losses: Controllers that may be lost at once.
-        exchanges: Voters that go.
-        again: How often each order is sent again.
+        seed: The seed of the plan.
+        controllers: Number of initial voters.
+        losses: Number of controllers that may be lost at the same time.
+        exchanges: Number of replacements.
+        again: How often each configuration is sent again.
     """
     spares = 2
     addresses = [controller_address(index) for index in range(controllers + spares)]
@@ -49,7 +49,7 @@
 
 
 def disks_replaced_in_turn() -> Plan:
-    """Each voter goes for good in turn; its successor starts with an empty disk at the same address."""
+    """Each voter is replaced permanently in turn; its successor starts with an empty disk at the same address."""
     period = GAP_S + CATCH_UP_S + 0.2
     faults = tuple(
         Fault(round(BEGIN_S + index * period, 2), FaultKind.EXCHANGE, GAP_S, (controller_address(index % 3),))
@@ -60,7 +60,7 @@
 
 
 def second_loss_after_exchange() -> Plan:
-    """Another voter is down for long from the moment at which the successor of the first must have caught up."""
+    """Another voter loses power for 12 s once the successor of the first must have caught up."""
     faults = (
         Fault(BEGIN_S, FaultKind.EXCHANGE, GAP_S, (C1,), successor=C4),
         Fault(BEGIN_S + GAP_S + CATCH_UP_S + 0.1, FaultKind.POWER, 12.0, (C2,)),
@@ -69,7 +69,7 @@
 
 
 def sigterm_with_learner() -> Plan:
-    """Each voter gets SIGTERM in turn; a learner can take its place."""
+    """Each voter receives SIGTERM in turn; a learner can replace it."""
     faults = tuple(
         Fault(BEGIN_S + 7 * index, FaultKind.SIGTERM, 0.5, (controller_address(index),)) for index in range(3)
     )
@@ -77,7 +77,7 @@
 
 
 def sigterm_without_learner() -> Plan:
-    """Each voter gets SIGTERM in turn; nobody can take its place."""
+    """Each voter receives SIGTERM in turn; no learner can replace it."""
     faults = tuple(
         Fault(BEGIN_S + 7 * index, FaultKind.SIGTERM, 0.5, (controller_address(index),)) for index in range(3)
     )
@@ -112,7 +112,7 @@
 
 
 def wiped_during_change() -> Plan:
-    """One of five voters goes for good, and another one loses its disk while the successor takes the place."""
+    """One of five voters is removed permanently, and another one loses its disk while the successor becomes a voter."""
     faults = (
         Fault(BEGIN_S + 3, FaultKind.EXCHANGE, GAP_S, (C1,), successor=C6),
         Fault(BEGIN_S + 3 + GAP_S + 1.0, FaultKind.WIPE, 0.3, (C2,)),
@@ -123,9 +123,9 @@
 
 
 def former_majority_returns() -> Plan:
-    """Two replaced voters come back with their old disks and reach only each other: a majority of the former voters.
+    """Two replaced voters restart with their old disks and reach only each other: a majority of the former voters.
 
-    A gateway starts there.
+    A gateway starts in the same partition.
     """
     faults = (
         Fault(BEGIN_S, FaultKind.EXCHANGE, GAP_S, (C1,), successor=C4),
@@ -138,7 +138,7 @@
 
 
 def former_majority_reconnects(holder: int) -> Plan:
-    """A voter is replaced while it is cut off, another one misses that, and then both are cut off from the others."""
+    """A partitioned voter is replaced, another one misses that; then these two are partitioned from the others."""
     removed, misses, stays = ((C1, C2, C3), (C2, C3, C1), (C3, C1, C2), (C1, C3, C2))[holder]
     faults = (
         Fault(BEGIN_S, FaultKind.CUT, 4.0, (removed,)),
@@ -150,7 +150,7 @@
 
 
 def acknowledged_and_learned_by_nobody() -> Plan:
-    """The controller that acknowledged an order goes for good before any other one learns that it is chosen."""
+    """The controller that acknowledged a change is removed before any other one learns that the change is chosen."""
     faults = (
         at_message(BEGIN_S, FaultKind.CUT, 0.5, "ChosenNotice"),
         Fault(BEGIN_S, FaultKind.AFTER_ACK, how=FaultKind.REMOVE),
--- a/stoneyoke/lab/simulation/simulated_cluster.py
+++ b/stoneyoke/lab/simulation/simulated_cluster.py
@@ -1,20 +1,20 @@
-"""All machines of a scenario."""
+"""The simulated cluster: all machines of a scenario."""
 
 from stoneyoke.lab.simulation.environment import Environment, simulated_loop
 from stoneyoke.lab.simulation.machines import ControllerMachine, GatewayMachine
 from stoneyoke.lab.simulation.plans import controller_address, gateway_address
 
-MAX_SEEDS = 3  # controllers that a machine's settings name
+MAX_SEEDS = 3  # maximum number of seed addresses in a machine's settings
 
 
 class SimulatedCluster:
     """The controllers and the gateways of a scenario, by their addresses.
 
     Attributes:
-        environment: What all parts of the scenario share.
+        environment: The parts that all components of the scenario share.
         controllers: The machines of controllers, spares included.
         gateways: The machines of gateways.
-        first_seeds: The seeds of the controllers that start first.
+        first_seeds: The seed addresses of the controllers that start first.
     """
 
     def __init__(self, environment: Environment) -> None:
@@ -42,7 +42,7 @@
             await gateway.start(self.seeds())
 
     def seeds(self) -> tuple[str, ...]:
-        """Returns the seeds for a machine that starts now: the first machines that the operators still list."""
+        """Returns the seed addresses for a machine that starts now: the first machines that operators know."""
         listed = [name for name, machine in self.controllers.items() if machine.is_listed()]
         return tuple(listed[:MAX_SEEDS]) or self.first_seeds
 
@@ -55,7 +55,7 @@
         return name in simulated_loop().frozen
 
     def cannot_answer(self, name: str) -> bool:
-        """Returns whether a machine is frozen or held, or its disk, its links or its answers are disturbed."""
+        """Returns whether a machine is frozen or held, or its disk, its links or its responses are disturbed."""
         network = self.environment.network
         disk = self.controllers[name].disk if name in self.controllers else None
         disk_disturbed = disk is not None and (disk.stalled or disk.refuses)
--- a/stoneyoke/lab/simulation/tenants.py
+++ b/stoneyoke/lab/simulation/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants: they send requests to gateways, which admit or reject them. Backends are not reached."""
+"""Tenants: they send requests to gateways, which admit or reject them. Nothing is forwarded to backends."""
 
 import asyncio
 
@@ -10,11 +10,11 @@
 from stoneyoke.lab.simulation.simulated_cluster import SimulatedCluster
 from stoneyoke.limits.token_bucket import SECOND
 
-HALF = 0.5  # of its quota: a tenant that sends so much is not rejected in quiet times
-STEADY_CHANGES = 3  # a tenant is steady if its last changes of rate, so many, were all to HALF
-QUIET_S = 6.0  # after the last disturbance
-LARGE_RATE = 10.0  # requests a second; below, a single request is a large share of the quota
-TIMEOUT_S = 2  # of a request
+HALF = 0.5  # load as a share of the quota at which an undisturbed gateway should not reject a tenant
+STEADY_CHANGES = 3  # the load of a tenant is steady if it was HALF at each of its last 3 changes
+QUIET_S = 6.0  # time after the last disturbance from which on a scenario counts as quiet
+LARGE_RATE = 10.0  # requests per second; at lower rates a single request is a large share of the quota
+TIMEOUT_S = 2  # time-out of a request
 ADMITTED = 0
 
 
@@ -22,23 +22,23 @@
     """All tenants of a scenario.
 
     Attributes:
-        weights: Of the gateways, as tenants choose among them.
-        shifted_at: When the weights changed last, by the loop's time.
-        admitted: Requests that were admitted.
-        rejected: Requests that were rejected.
-        requests_below_quota: Requests of steady tenants at half their quota in quiet times.
-        rejected_below_quota: Those of them that were rejected.
+        weights: The weight of each gateway when tenants choose one.
+        shifted_at: When the weights last changed, in the time of the event loop.
+        admitted: Number of admitted requests.
+        rejected: Number of rejected requests.
+        requests_below_quota: Requests of tenants with a steady load of half their quota in quiet times.
+        rejected_below_quota: Those of requests_below_quota that were rejected.
     """
 
     def __init__(self, cluster: SimulatedCluster) -> None:
-        """Sends to the gateways of a cluster, at first with equal weights."""
+        """Sends to the gateways of a cluster, initially with equal weights."""
         self.cluster, self.environment = cluster, cluster.environment
         self.weights = [1.0] * self.environment.plan.gateways
         self.shifted_at = 0.0
         self.admitted = self.rejected = self.rejected_below_quota = self.requests_below_quota = 0
 
     def shift(self, weights: tuple[float, ...]) -> None:
-        """Changes the weights; none is zero, so that a choice is always possible."""
+        """Changes the weights. None becomes zero, since a random choice fails if all weights are zero."""
         self.weights = [weight + 1e-9 for weight in weights]
         self.shifted_at = self.environment.now()
 
@@ -58,14 +58,14 @@
                         self.request(gateway, gateway.client, gateway.table, tenant, is_steady)
 
     def is_quiet(self) -> bool:
-        """Returns whether the last disturbance is long ago."""
+        """Returns whether the last disturbance ended more than QUIET_S ago."""
         last = max(self.environment.checker.disturbances.last_end(), self.shifted_at)
         return last + QUIET_S < self.environment.now()
 
     def request(
         self, gateway: GatewayMachine, client: ControlClient, table: RoutingTable, tenant: Tenant, is_steady: bool
     ) -> None:
-        """Sends one request of a tenant to a gateway that runs and has a routing table."""
+        """Sends one request of a tenant to a running gateway that has a routing table."""
         known_tenant = next(one for one in table.tenants if one.label == tenant.label)
         call = client.admission.arrival(known_tenant, TIMEOUT_S * SECOND)
         local_quota = client.admission.local_quotas[tenant.label]
