--- a/stoneyoke/lab/soak/__init__.py
+++ b/stoneyoke/lab/soak/__init__.py
@@ -1,5 +1,5 @@
-"""The soak: the whole system as real processes on loopback, under faults that overlap, judged by a ledger.
+"""The soak test: the whole system as real processes on loopback, under overlapping faults, checked against a ledger.
 
-Controllers and gateways are processes of their own. Clients, stand-in backends and the links between them run in the
-process that judges, so that what they saw stands on one clock. See docs/soak.md.
+Each controller and gateway is a separate process. Clients, stand-in backends and the links between them run in the
+process that checks the rules, so that all their observations use one clock. See docs/soak.md.
 """
--- a/stoneyoke/lab/soak/__main__.py
+++ b/stoneyoke/lab/soak/__main__.py
@@ -1,7 +1,7 @@
-"""Runs the soak for one seed after the other.
+"""Runs the soak test for one seed after the other.
 
-python -m stoneyoke.lab.soak --seeds=1-20 --seconds=14      # ends with 1 at the first seed that breaks a rule
-python -m stoneyoke.lab.soak --seeds=7 --schedule           # what a seed does, without doing it
+python -m stoneyoke.lab.soak --seeds=1-20 --seconds=14      # exits with 1 at the first seed that violates a rule
+python -m stoneyoke.lab.soak --seeds=7 --schedule           # prints a seed's schedule without running it
 """
 
 import asyncio
@@ -25,23 +25,23 @@
 DEFECT = flags.DEFINE_enum("defect", "", ["", *DEFECTS], "A defect to put into the gateways: the soak has to find it.")
 KEEP_GOING = flags.DEFINE_bool("keep_going", False, "Go on after a seed that breaks a rule.")
 SCHEDULE = flags.DEFINE_bool("schedule", False, "Print each seed's schedule, and run nothing.")
-FIRST_BLOCK, BLOCKS = 100, 150  # of addresses: soaks of neighbouring seeds may run beside each other
+FIRST_BLOCK, BLOCKS = 100, 150  # address blocks: soaks of neighbouring seeds may run at the same time
 PRINTED_MAX = 20
 EXIT_RED, EXIT_NOT_RUN = 1, 2
 
 
 def parse_seeds(text: str) -> range:
-    """The seeds of "7" or "1-20".
+    """Returns the seeds of a text such as "7" or "1-20".
 
     Raises:
-        ValueError: The text is neither.
+        ValueError: The text is neither a number nor a range.
     """
     first, _, last = text.partition("-")
     return range(int(first), int(last or first) + 1)
 
 
 def settings_of(seed: int) -> SoakSettings:
-    """The soak of one seed, by the command line."""
+    """Returns the settings of the soak of one seed, from the command line."""
     return SoakSettings(
         seed=seed,
         seconds=SECONDS.value,
@@ -53,7 +53,7 @@
 
 
 def write_result(result: SoakResult, folder: Path) -> None:
-    """Keeps a red seed's schedule, violations and ledger beside its logs."""
+    """Stores the schedule, violations and ledger of a failed seed beside its logs."""
     (folder / "schedule.txt").write_text("".join(f"{fault}\n" for fault in result.schedule))
     (folder / "violations.txt").write_text("".join(f"{violation}\n" for violation in result.violations))
     ledger = result.ledger
@@ -68,13 +68,15 @@
 
 
 def run_seed(seed: int) -> bool:
-    """Runs one seed, says what came of it, and returns whether all rules held."""
+    """Runs one seed, prints its result, and returns whether all rules were observed."""
     folder = Path(OUT.value) / f"soak-{seed}"
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
     try:
         result = asyncio.run(Soak(settings_of(seed), folder).run())
-    except OSError as error:  # an address, most likely: a soak of the same seed, or of one BLOCKS away
+    except (
+        OSError
+    ) as error:  # most likely an address in use by a soak of the same seed, or of one that differs by BLOCKS
         print(f"seed {seed}: not run: {error}", file=sys.stderr)
         sys.exit(EXIT_NOT_RUN)
     print(f"seed {seed}: {result}", flush=True)
@@ -109,7 +111,7 @@
 
 
 def main() -> None:
-    """Parses the command line and runs. SIGTERM ends it as Ctrl-C does: with all processes that it has started."""
+    """Parses the command line and runs. SIGTERM, as Ctrl-C, also ends all processes that the soak has started."""
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     app.run(run)
 
--- a/stoneyoke/lab/soak/backend.py
+++ b/stoneyoke/lab/soak/backend.py
@@ -1,4 +1,4 @@
-"""A backend of the soak: drops a run when its connection closes, and loses or holds back answers when it is told to."""
+"""A backend of the soak: it stops a run when its connection closes, and loses or stalls responses during a fault."""
 
 import asyncio
 
@@ -8,35 +8,35 @@
 from stoneyoke.net.message_reader import Message
 from stoneyoke.net.stream import StreamProtocol
 
-WORK_HEADER = "X-Work-Ms"  # of a request: how long it takes; the gateway passes it on
+WORK_HEADER = "X-Work-Ms"  # request header with the duration of the run; the gateway forwards it
 DEFAULT_WORK_MS = 20
-STALL_S = 4.0  # how long the rest of an answer is held back: longer than any client waits
+STALL_S = 4.0  # how long the rest of a response is withheld: longer than any client waits
 PART_OF_AN_ANSWER = b"HTTP/1.1 200 OK\r\nServer-St"
 
 
 class AnswerLost(ConnectionError):
-    """The backend closes in place of an answer."""
+    """Raised where the backend closes a connection instead of sending a response."""
 
 
 class SoakBackend(StandInBackend):
-    """One instance. Its heartbeats tell the address of the link that leads to it.
+    """One instance. Its heartbeats report the address of the link that leads to it.
 
     Attributes:
-        loses_answers: Each run ends with a close in place of its answer.
-        stalls: Each answer is begun and its rest held back.
+        loses_answers: Whether each run ends with a close instead of a response.
+        stalls: Whether only the beginning of each response is sent and the rest withheld.
     """
 
     def __init__(
         self, service: str, number: int, ledger: SoakLedger, cluster: ClusterProcesses, entry: tuple[str, int]
     ) -> None:
-        """Opens nothing yet.
+        """Creates a backend that does not listen yet.
 
         Args:
             service: Name of the service.
-            number: Of the instance; the last part of its address.
-            ledger: Takes what runs here.
-            cluster: Names the controllers.
-            entry: Where the link that leads here is entered.
+            number: Number of the instance; the last part of its address.
+            ledger: Records the runs at this backend.
+            cluster: Provides the addresses of the controllers.
+            entry: Address at which the link to this backend accepts connections.
         """
         super().__init__(service, number, ledger, cluster)
         self.soak_ledger = ledger
@@ -44,10 +44,10 @@
         self.loses_answers = self.stalls = False
 
     async def work(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """Works for as long as the request says, or until its connection closes.
+        """Runs for the duration that the request sets, or until its connection closes.
 
         Raises:
-            OSError: The connection has closed, or the answer is lost on purpose.
+            OSError: The connection has closed, or a fault loses the response.
         """
         loop = asyncio.get_running_loop()
         attempt_id = message.headers.get(b"attempt-id", b"").decode()
@@ -71,10 +71,10 @@
             protocol.on_close = None
 
     async def work_until_closed(self, seconds: float, closed: asyncio.Event, writer: asyncio.StreamWriter) -> None:
-        """Lets a time pass.
+        """Waits for the duration of a run; in a stall, then sends the beginning of a response and withholds the rest.
 
         Raises:
-            ConnectionResetError: The connection has closed meanwhile.
+            ConnectionResetError: The connection has closed meanwhile, or the response was stalled.
         """
         try:
             async with asyncio.timeout(seconds):
@@ -87,7 +87,7 @@
         raise ConnectionResetError("closed while at work")
 
     async def hold_back(self, closed: asyncio.Event) -> None:
-        """Waits until nobody waits for the rest of an answer any more."""
+        """Waits until the connection closes, for at most STALL_S."""
         try:
             async with asyncio.timeout(STALL_S):
                 await closed.wait()
--- a/stoneyoke/lab/soak/client.py
+++ b/stoneyoke/lab/soak/client.py
@@ -1,4 +1,4 @@
-"""A client of the soak: it leaves some of its requests before they are answered, in all ways in which clients leave."""
+"""A client of the soak: it abandons some of its requests before the response, by a close, a half-close or a reset."""
 
 import asyncio
 import random
@@ -16,18 +16,18 @@
 
 Address = tuple[str, int]
 
-USUAL_LEAVE_SHARE, WAVE_LEAVE_SHARE = 0.15, 0.8  # of the requests: always, and while a fault makes clients leave
-LONG_WORK_MS = 1600  # of a request that is left: its run would go on for long
-LATEST_LEAVE_S = 0.35  # after it was sent
-STRAIGHT_SHARE = 0.3  # of the requests go to the gateway without a link: over one, a reset arrives as a close
-BACKLOG_SHARE = 0.25  # of the clients that leave have sent more than a gateway reads meanwhile
-BACKLOG_BYTES = 80_000  # and less than its kernel takes: behind a full receive window no FIN arrives
+USUAL_LEAVE_SHARE, WAVE_LEAVE_SHARE = 0.15, 0.8  # share of abandoned requests: normally, and during a LEAVE fault
+LONG_WORK_MS = 1600  # duration of the run of an abandoned request, long enough to outlive its client
+LATEST_LEAVE_S = 0.35  # maximum time from the sending of a request until it is abandoned
+STRAIGHT_SHARE = 0.3  # share of requests sent without a link, since a link turns a reset into a close
+BACKLOG_SHARE = 0.25  # share of abandoned requests behind which more input is sent than a gateway reads meanwhile
+BACKLOG_BYTES = 80_000  # less than the kernel buffers, since no FIN arrives behind a full receive window
 HALF_CLOSED_S = 2.5  # how long a half-closed connection stays open
-CONNECT_S = 2.0
+CONNECT_S = 2.0  # time-out of a connect
 
 
 class LeaveWay(Enum):
-    """How a client leaves."""
+    """How a client ends the connection of an abandoned request."""
 
     CLOSE = "close"
     HALF_CLOSE = "half-close"
@@ -35,11 +35,11 @@
 
 
 class SoakClient(Client):
-    """Sends requests as the cluster's client does, and leaves some of them.
+    """Sends requests as the cluster's client does, and abandons some of them.
 
     Attributes:
-        leave_share: The share of the requests that are left.
-        left: How many were.
+        leave_share: The share of requests that the client abandons.
+        left: The number of abandoned requests.
     """
 
     def __init__(
@@ -49,13 +49,13 @@
         random_source: random.Random,
         links: dict[str, Address],
     ) -> None:
-        """Sends nothing yet.
+        """Creates a client that has sent nothing yet.
 
         Args:
-            cluster: Names the gateways.
-            ledger: Takes each try.
-            random_source: Draws all that is random.
-            links: Where the link to each gateway is entered, by the gateway's name.
+            cluster: Provides the addresses of the gateways.
+            ledger: Records each try.
+            random_source: Source of all random choices.
+            links: Address at which the link to each gateway accepts connections, by the gateway's name.
         """
         super().__init__(cluster, ledger, random_source)
         self.cluster, self.ledger, self.draw, self.links = cluster, ledger, random_source, links
@@ -63,7 +63,7 @@
         self.left = 0
 
     async def send_once(self, is_order: bool) -> int:
-        """Sends one try to a gateway, over its link or straight, and leaves it or waits."""
+        """Sends one try to a gateway, over its link or directly, and abandons it or waits for the response."""
         gateway = self.draw.choice(list(self.cluster.gateways))
         goes_straight = self.draw.random() < STRAIGHT_SHARE
         address = (self.cluster.gateways[gateway], FRONT_PORT) if goes_straight else self.links[gateway]
@@ -80,7 +80,7 @@
         return self.note_response(request, response)
 
     async def leave(self, address: Address, request: ClientRequest, one: Try) -> None:
-        """Sends a request and leaves before it is answered."""
+        """Sends a request and ends its connection without waiting for the response."""
         way = self.draw.choice(list(LeaveWay))
         after_s = self.draw.uniform(0.0, LATEST_LEAVE_S)
         backlog = self.draw.random() < BACKLOG_SHARE
@@ -97,7 +97,7 @@
         await self.end_connection(writer, way, one)
 
     async def end_connection(self, writer: asyncio.StreamWriter, way: LeaveWay, one: Try) -> None:
-        """Ends a connection in one of the ways, and notes when."""
+        """Ends a connection in one of the ways, and records when."""
         loop, sock = asyncio.get_running_loop(), writer.get_extra_info("socket")
         self.left += 1
         try:
@@ -107,7 +107,7 @@
                 await asyncio.sleep(HALF_CLOSED_S)
             elif way is LeaveWay.RESET and sock is not None:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        except OSError:  # the gateway has closed before
+        except OSError:  # the gateway has closed the connection before
             pass
         finally:
             writer.transport.abort()
--- a/stoneyoke/lab/soak/defects.py
+++ b/stoneyoke/lab/soak/defects.py
@@ -1,4 +1,4 @@
-"""Faults put back into a gateway on purpose, to see that the soak finds them.
+"""Defects that are seeded into a gateway, to verify that the soak finds them.
 
 python -O -m stoneyoke.lab.soak.defects NAME [the gateway's arguments]
 """
@@ -18,28 +18,28 @@
 
 
 def attempts_outlive_clients() -> list[Patch]:
-    """Nobody ends an attempt when its client leaves (incident inc1)."""
+    """An attempt is not cancelled when its client disconnects (incident inc1)."""
     return [Patch(RpcRunner, "cancel_attempts", lambda _, __: None)]
 
 
 def unread_clients_unseen() -> list[Patch]:
-    """A client that leaves while input of it waits unread is not noticed (incident inc1)."""
+    """The gateway does not detect the disconnect of a client with unread input (incident inc1)."""
     return [Patch(connection_table, "notice_departure", lambda _: None)]
 
 
 def orders_end_with_clients() -> list[Patch]:
-    """An order that may be running is cancelled when its client leaves."""
+    """A non-idempotent request that may be running is cancelled when its client disconnects."""
     return [Patch(RetryPolicy, "ends_with_client", lambda _, __: True)]
 
 
 def cancelled_connections_stay_open() -> list[Patch]:
-    """A connection that is done with is kept in place of being closed."""
-    kept: list[BackendConnection] = []  # a stream that nobody holds would close itself
+    """A connection that should be closed stays open."""
+    kept: list[BackendConnection] = []  # a stream without references closes itself
     return [Patch(BackendConnection, "close", lambda connection: kept.append(connection))]
 
 
 def descriptors_leak() -> list[Patch]:
-    """One descriptor in LEAK_INTERVAL is not given back."""
+    """One descriptor in LEAK_INTERVAL is not released."""
     release, numbers = DescriptorBudget.release, itertools.count(1)
 
     def release_most(self: DescriptorBudget) -> None:
@@ -59,7 +59,7 @@
 
 
 def main() -> None:
-    """Puts one defect in, and runs the gateway."""
+    """Runs the gateway with one defect."""
     with applied(DEFECTS[sys.argv.pop(1)]()):
         gateway.main()
 
--- a/stoneyoke/lab/soak/faults.py
+++ b/stoneyoke/lab/soak/faults.py
@@ -1,4 +1,4 @@
-"""Carries out a schedule: signals to processes, conditions of links, moods of backends and clients."""
+"""Carries out a schedule: signals to processes, link faults, and faults of backends and clients."""
 
 import asyncio
 import signal
@@ -15,16 +15,16 @@
 from stoneyoke.lab.soak.schedule import LINK_FAULTS, FaultKind, ScheduledFault
 
 DELAY_MS, JITTER_MS = 250.0, 150.0
-GRACE_S = 4.0  # of the cluster's settings: from SIGTERM to the end
-# A planned end excuses nothing before the last sixth of the grace period: until then a process lets finish what it has
-# begun (RULES, LOST).
+GRACE_S = 4.0  # grace period in the cluster's settings, from SIGTERM to the end of the process
+# A graceful shutdown counts as a disturbance only in the last sixth of the grace period: until then a process completes
+# the requests that it has begun (RULES, LOST).
 LET_FINISH_SHARE = 5 / 6
-GRACE_MARGIN_S = 2.0  # for a machine that many processes share
+GRACE_MARGIN_S = 2.0  # additional time, since many processes share the machine
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FaultTargets:
-    """Whom faults strike."""
+    """The processes, clients, links and backends that faults affect."""
 
     cluster: ClusterProcesses
     client: SoakClient
@@ -33,26 +33,26 @@
 
 
 class FaultInjector:
-    """Begins and ends the faults of a schedule, and notes in the ledger what was disturbed meanwhile."""
+    """Starts and ends the faults of a schedule, and records the disturbances in the ledger."""
 
     def __init__(self, targets: FaultTargets, ledger: SoakLedger) -> None:
-        """Does nothing yet."""
+        """Creates an injector without active faults."""
         self.targets, self.ledger = targets, ledger
         self.loop = asyncio.get_running_loop()
-        self.down: set[str] = set()  # processes that are down on purpose
+        self.down: set[str] = set()  # processes that a fault has ended and not restarted yet
 
     async def run(self, schedule: tuple[ScheduledFault, ...]) -> None:
-        """Carries out a schedule from now on, and returns once all of it is undone."""
+        """Carries out a schedule from now on; returns once all faults have ended."""
         start_s = self.loop.time()
         async with asyncio.TaskGroup() as faults:
             for fault in schedule:
                 faults.create_task(self.strike(fault, start_s + fault.at_s), name=str(fault))
 
     async def strike(self, fault: ScheduledFault, at_s: float) -> None:
-        """One fault, from its time until it is undone."""
+        """Carries out one fault, from its start until its effect is removed."""
         await asyncio.sleep(at_s - self.loop.time())
         from_s = self.loop.time()
-        if fault.target in self.down:  # a process that was told to end in the episode before, and has not ended yet
+        if fault.target in self.down:  # a SIGTERM of the previous episode has not ended this process yet
             return
         if fault.kind in LINK_FAULTS:
             await self.disturb_link(fault)
@@ -74,14 +74,14 @@
     # ---- processes ----
 
     async def kill(self, fault: ScheduledFault) -> None:
-        """Kills a process, and starts it again after a while."""
+        """Kills a process, and starts it again after the duration of the fault."""
         self.down.add(fault.target)
         await self.targets.cluster.kill(fault.target)
         await asyncio.sleep(fault.for_s)
         await self.start_again(fault.target)
 
     async def terminate(self, fault: ScheduledFault) -> None:
-        """Tells a process to end, and starts it again. One that does not end in its grace period breaks a rule."""
+        """Ends a process by SIGTERM and starts it again. Not ending within its grace period violates a rule."""
         cluster, name = self.targets.cluster, fault.target
         self.down.add(name)
         cluster.signal(name, signal.SIGTERM)
@@ -95,12 +95,12 @@
         await self.start_again(name)
 
     async def start_again(self, name: str) -> None:
-        """Starts a process that was ended on purpose."""
+        """Starts a process that a fault has ended."""
         await self.targets.cluster.start(name)
         self.down.discard(name)
 
     async def pause(self, fault: ScheduledFault) -> None:
-        """Stops a process for a while: it does nothing, and its connections stay open."""
+        """Suspends a process for the duration of the fault. Its connections stay open."""
         self.targets.cluster.signal(fault.target, signal.SIGSTOP)
         await asyncio.sleep(fault.for_s)
         self.targets.cluster.signal(fault.target, signal.SIGCONT)
@@ -108,7 +108,7 @@
     # ---- links, backends, clients ----
 
     async def disturb_link(self, fault: ScheduledFault) -> None:
-        """Puts a condition on a link, and takes it away after a while."""
+        """Applies a fault to a link, and removes it after its duration; a reset needs no removal."""
         link = self.targets.links[fault.target]
         condition = Fault(at_s=fault.at_s, kind=fault.kind.value, for_s=fault.for_s, ms=DELAY_MS, jitter_ms=JITTER_MS)
         link.change_fault(fault.number, condition, True)
@@ -117,21 +117,21 @@
             link.change_fault(fault.number, condition, False)
 
     async def lose_answers(self, fault: ScheduledFault) -> None:
-        """Lets a backend lose the answers to what it runs, for a while."""
+        """Makes a backend lose the responses to its runs, for the duration of the fault."""
         backend = self.targets.backends[fault.target]
         backend.loses_answers = True
         await asyncio.sleep(fault.for_s)
         backend.loses_answers = False
 
     async def stall(self, fault: ScheduledFault) -> None:
-        """Lets a backend hold back the rest of its answers, for a while."""
+        """Makes a backend withhold the rest of its responses, for the duration of the fault."""
         backend = self.targets.backends[fault.target]
         backend.stalls = True
         await asyncio.sleep(fault.for_s)
         backend.stalls = False
 
     async def make_clients_leave(self, fault: ScheduledFault) -> None:
-        """Lets most clients leave early, for a while."""
+        """Makes clients abandon most requests, for the duration of the fault."""
         self.targets.client.leave_share = WAVE_LEAVE_SHARE
         await asyncio.sleep(fault.for_s)
         self.targets.client.leave_share = USUAL_LEAVE_SHARE
--- a/stoneyoke/lab/soak/judge.py
+++ b/stoneyoke/lab/soak/judge.py
@@ -1,7 +1,7 @@
-"""The rules of a soak that need time: what ran on for a client that had left, what was broken off, what was lost.
+"""The time-dependent rules of a soak: runs that outlive their client, cancelled runs, and lost responses.
 
-A disturbance excuses what it can explain, and no more: a stopped gateway or a link that holds a close up moves the
-moment from which a rule counts to the moment at which it was undone.
+A disturbance exempts only what it can explain. A suspended gateway, or a link that delays a close, moves the time from
+which a rule applies to the end of the disturbance.
 """
 
 from collections.abc import Iterable
@@ -9,33 +9,33 @@
 from stoneyoke.lab.cluster.traffic_ledger import NO_RESPONSE, Rule, Violation
 from stoneyoke.lab.soak.ledger import Disturbance, Run, RunEnd, SoakLedger, Try
 
-# The operators' rule: half a second from the moment at which the close has reached the gateway.
+# The operators' rule: a run ends within half a second after the close of its client has reached the gateway.
 GONE_S = 0.5
-# For the laboratory's own event loop and a machine that it shares with the processes.
+# Tolerance for delays in the laboratory's event loop, which shares the machine with the processes.
 SLACK_S = 0.25
-# A close that a disturbance has held up may arrive a little after its end: a silent link lets its queue go, the kernel
-# sends again what was not acknowledged.
+# A close that a disturbance has delayed may arrive shortly after the end of the disturbance: a link that was silent
+# delivers its queue, and the kernel retransmits unacknowledged segments.
 SETTLE_S = 0.5
 BACKEND_LINK, CLIENT_LINK = "gateways>{}", "clients>{}"
 
 
 class Judge:
-    """Reads a ledger once all is over."""
+    """Checks a ledger after the end of a soak."""
 
     def __init__(self, ledger: SoakLedger, ended_s: float) -> None:
-        """Takes the ledger, and when the last process was looked at."""
+        """Takes the ledger and the time `ended_s` until which runs still at work are counted."""
         self.ledger, self.ended_s = ledger, ended_s
         self.runs = ledger.runs_by_attempt()
 
     def violations(self) -> list[Violation]:
-        """All breaks of the rules that need time, in the order of the tries."""
+        """Returns all violations of the time-dependent rules, in the order of the tries."""
         found: list[Violation] = []
         for attempt_id, one in self.ledger.tries.items():
             found += self.judge_try(attempt_id, one)
         return found
 
     def judge_try(self, attempt_id: str, one: Try) -> list[Violation]:
-        """What was wrong with one try."""
+        """Returns the violations of one try."""
         runs, is_order = self.runs.get(attempt_id, []), attempt_id in self.ledger.orders
         found = [text for run in runs if is_order and (text := self.order_broken_off(one, run))]
         violations = [Violation(Rule.ORDERS_FINISH, f"{attempt_id} {text}") for text in found]
@@ -47,7 +47,7 @@
         return violations
 
     def outlived(self, one: Try, run: Run, is_order: bool) -> str:
-        """Says how a run outlived its client; "" if it did not. An order that has begun is let finish."""
+        """Describes how a run outlived its client; "" if it did not. A non-idempotent run that began may finish."""
         left_s = one.left_s or 0.0
         limit_s = self.excused_until(left_s, self.on_the_way(one, run)) + GONE_S + SLACK_S
         what = f"at {run.backend} by {one.gateway}, whose client left ({one.how}) at {left_s:.3f}"
@@ -59,7 +59,7 @@
         return ""
 
     def order_broken_off(self, one: Try, run: Run) -> str:
-        """Says that an order's run ended with its connection though nothing was disturbed; else ""."""
+        """Describes a non-idempotent run that ended with its connection without a disturbance; otherwise ""."""
         if run.end is not RunEnd.CLOSED or run.ended_s is None:
             return ""
         if self.was_disturbed(self.on_the_way(one, run), one.sent_s, run.ended_s):
@@ -67,7 +67,7 @@
         return f"was broken off at {run.backend} by {one.gateway}, at {run.ended_s:.3f}"
 
     def lost(self, attempt_id: str, one: Try, runs: list[Run]) -> str:
-        """Says that a try ran and its client, which waited, had no response though nothing was disturbed; else ""."""
+        """Describes a try that ran and whose client waited and got no response without a disturbance; else ""."""
         if not runs or one.ended_s is None or self.ledger.statuses[attempt_id] != NO_RESPONSE:
             return ""
         targets = {target for run in runs for target in self.on_the_way(one, run)}
@@ -78,21 +78,21 @@
     # ---- disturbances ----
 
     def on_the_way(self, one: Try, run: Run) -> set[str]:
-        """The names of all that a try passed on its way to a run."""
+        """Returns the names of the processes, links and the backend that a try passed on its way to a run."""
         return {one.gateway, one.link, run.backend, BACKEND_LINK.format(run.backend)}
 
     def disturbed(self, targets: Iterable[str], from_s: float, to_s: float) -> list[Disturbance]:
-        """The disturbances of these targets in a time, the earliest first."""
+        """Returns the disturbances of these targets within a period, the earliest first."""
         names = set(targets)
         found = [one for one in self.ledger.disturbances if one.target in names and one.overlaps(from_s, to_s)]
         return sorted(found, key=lambda one: one.from_s)
 
     def was_disturbed(self, targets: Iterable[str], from_s: float, to_s: float) -> bool:
-        """Whether a disturbance can explain what happened in a time."""
+        """Returns whether a disturbance of these targets can explain what happened in a period."""
         return bool(self.disturbed(targets, from_s - SETTLE_S, to_s))
 
     def excused_until(self, left_s: float, targets: Iterable[str]) -> float:
-        """The moment by which a client's close has surely passed: each disturbance on the way holds it up."""
+        """Returns the time by which a client's close has certainly arrived. Each disturbance on its path delays it."""
         passed_s = left_s
         for one in self.disturbed(targets, left_s - SETTLE_S, self.ended_s):
             if one.from_s <= passed_s + GONE_S + SLACK_S:
--- a/stoneyoke/lab/soak/ledger.py
+++ b/stoneyoke/lab/soak/ledger.py
@@ -1,4 +1,4 @@
-"""What clients and backends of a soak saw, each with its time on the one clock, and what was disturbed meanwhile."""
+"""The observations of the clients and backends of a soak, with times of one clock, and the disturbances."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -12,7 +12,7 @@
     AT_WORK = "at work"
     ANSWERED = "answered"
     CLOSED = "its connection closed"
-    LOST = "its answer was lost"  # on purpose, by a fault
+    LOST = "its answer was lost"  # by a fault
 
 
 @dataclass(slots=True, kw_only=True)
@@ -31,12 +31,12 @@
     """A request as its client sent it.
 
     Attributes:
-        gateway: The gateway that it was sent to.
-        link: The link that it went over; "" if it went straight.
-        sent_s: When.
-        left_s: When its client left; None if it waited to the end.
-        how: In which way it left.
-        ended_s: When its client had its response, or gave up.
+        gateway: The gateway to which the request was sent.
+        link: The link over which it was sent; "" if it was sent directly.
+        sent_s: When it was sent.
+        left_s: When its client abandoned it; None if the client waited for the response.
+        how: How the client ended the connection of an abandoned request.
+        ended_s: When its client received the response or timed out.
     """
 
     gateway: str
@@ -49,27 +49,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Disturbance:
-    """A time in which something was done to a process, a link or a backend; `to_s` is when it was undone."""
+    """The period in which a fault affected a process, a link or a backend; `to_s` is when the fault ended."""
 
     target: str
     from_s: float
     to_s: float
 
     def overlaps(self, from_s: float, to_s: float) -> bool:
-        """Whether it lies within a time, in part at least."""
+        """Returns whether the disturbance overlaps a period."""
         return self.from_s <= to_s and from_s <= self.to_s
 
 
 @dataclass
 class SoakLedger(TrafficLedger):
-    """The cluster's ledger, and in time what became of each try."""
+    """The cluster's ledger, with the tries, the runs and the disturbances in time."""
 
     tries: dict[str, Try] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
     disturbances: list[Disturbance] = field(default_factory=list)
 
     def runs_by_attempt(self) -> dict[str, list[Run]]:
-        """All runs, by attempt id."""
+        """Returns all runs by their attempt id."""
         found: dict[str, list[Run]] = {}
         for run in self.runs:
             found.setdefault(run.attempt_id, []).append(run)
--- a/stoneyoke/lab/soak/operator.py
+++ b/stoneyoke/lab/soak/operator.py
@@ -1,4 +1,4 @@
-"""The operator of a soak: changes the configuration again and again, and reads it back at any controller."""
+"""The operator of a soak: changes the configuration repeatedly, and reads it back from any controller."""
 
 import asyncio
 import json
@@ -9,25 +9,25 @@
 from stoneyoke.lab.cluster.traffic_ledger import Rule
 from stoneyoke.lab.soak.ledger import SoakLedger
 
-PAUSE_S = 0.6
-CALL_S = 1.0
-# What was acknowledged so long ago is read at each controller that answers at all, in touch or not.
+PAUSE_S = 0.6  # maximum pause between two calls
+CALL_S = 1.0  # time-out of a call
+# Every controller that responds, even an isolated one, must return a configuration that was acknowledged this long ago.
 APPLY_S = 2.5
 READ_HEAD = b"GET /config/read HTTP/1.1\r\nHost: control\r\n"
 REPLACE_HEAD = b"POST /config/replace HTTP/1.1\r\nHost: control\r\n"
 
 
 class Operator:
-    """Sends configurations with rising numbers, each to a drawn controller, and keeps what was acknowledged."""
+    """Sends configurations with rising numbers, each to a random controller, and records the acknowledged ones."""
 
     def __init__(self, cluster: ClusterProcesses, ledger: SoakLedger, random_source: random.Random) -> None:
-        """Sends nothing yet; number 1 is in force."""
+        """Creates an operator that has sent nothing yet; configuration number 1 is in force."""
         self.cluster, self.ledger, self.draw = cluster, ledger, random_source
         self.number = 1
         self.acknowledged: list[tuple[float, int]] = []  # times and numbers, both rising
 
     async def run(self, seconds: float) -> None:
-        """Changes and reads for a time, in turn."""
+        """Changes and reads the configuration in turn, for this many seconds."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + seconds
         while loop.time() < end_s:
@@ -46,10 +46,10 @@
             self.acknowledged.append((asyncio.get_running_loop().time(), self.number))
 
     async def read(self, controller: str) -> bool:
-        """Reads the configuration at a controller; an older one than it owes breaks a rule.
+        """Reads the configuration from a controller. One older than required violates a rule.
 
         Returns:
-            Whether there was an answer with a configuration.
+            Whether there was a response with a configuration.
         """
         sent_s = asyncio.get_running_loop().time()
         answer = await send_request((self.cluster.controllers[controller], CONTROL_PORT), READ_HEAD, b"", CALL_S)
@@ -62,12 +62,12 @@
         return True
 
     async def read_back(self, timeout_s: float) -> None:
-        """After the faults: every controller has to tell the configuration."""
+        """Checks, after the faults, that every controller returns the configuration within a time-out."""
         await asyncio.sleep(APPLY_S)
         for controller in self.cluster.controllers:
             try:
                 async with asyncio.timeout(timeout_s):
-                    while not await self.read(controller):  # noqa: ASYNC110 -- another process answers, or does not
+                    while not await self.read(controller):  # noqa: ASYNC110 -- the response depends on another process
                         await asyncio.sleep(PAUSE_S)
             except TimeoutError:
                 self.ledger.report(Rule.DURABLE_CONFIGURATION, f"{controller} told none for {timeout_s} s")
--- a/stoneyoke/lab/soak/run.py
+++ b/stoneyoke/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: brings the system up, sends traffic under the faults of a seed, and judges what was seen."""
+"""One soak: starts the system, sends traffic under the faults of a seed, and checks the observations."""
 
 import asyncio
 import contextlib
@@ -22,23 +22,23 @@
 from stoneyoke.lab.soak.watch import ProcessWatch
 
 BACKENDS = 4
-READY_S = 20.0
-IDLE_S = 8.0  # after the traffic: longer than an idle connection of a client is kept
-READ_BACK_S = 10.0
-LEAST_SERVED = 0.3  # of the requests that were not left; fewer, and the run shows nothing
+READY_S = 20.0  # time within which all gateways must become ready
+IDLE_S = 8.0  # time after the traffic for gateways to become idle: longer than idle client connections stay open
+READ_BACK_S = 10.0  # time within which each controller must return the configuration at the end
+LEAST_SERVED = 0.3  # minimum share of served requests; a run with fewer proves nothing
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SoakSettings:
-    """What a soak is made of.
+    """The settings of a soak.
 
     Attributes:
-        seed: Of the schedule and of the clients' draws.
-        seconds: How long traffic lasts.
-        gateways: How many.
-        rate_per_s: Requests.
+        seed: Seed of the schedule, of the client and of the operator.
+        seconds: Duration of the traffic.
+        gateways: Number of gateways.
+        rate_per_s: Requests per second.
         address_block: See ClusterProcesses.
-        defect: A defect that is put into the gateways; "" for none.
+        defect: The defect that is seeded into the gateways; "" for none.
     """
 
     seed: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SoakResult:
-    """What came of a soak."""
+    """The result of a soak."""
 
     schedule: tuple[ScheduledFault, ...]
     ledger: SoakLedger
@@ -61,7 +61,7 @@
     left: int
 
     def __str__(self) -> str:
-        """One line for people."""
+        """Returns a summary in one line."""
         ends = [run.end for run in self.ledger.runs]
         return (
             f"{len(self.schedule)} faults, {len(self.ledger.tries)} tries, {self.left} left, {self.served} served, "
@@ -74,7 +74,7 @@
     """The parts of one soak. All are made anew for each seed."""
 
     def __init__(self, settings: SoakSettings, folder: Path) -> None:
-        """Opens nothing yet. `folder` takes settings, data and log files."""
+        """Prepares a soak; nothing runs before `run`. `folder` is for settings, data and log files."""
         self.settings = settings
         self.ledger = SoakLedger()
         self.cluster = ClusterProcesses(folder, settings.gateways, settings.address_block, keeps_logs=True)
@@ -90,12 +90,12 @@
         self.operator = Operator(self.cluster, self.ledger, random.Random(f"operator {settings.seed}"))
 
     def make_backend(self, number: int) -> SoakBackend:
-        """A backend behind a link of its own."""
+        """Returns a backend behind a link of its own."""
         entry = (f"127.{self.settings.address_block}.5.{number}", SERVICE_PORT)
         return SoakBackend(SERVICES[number % len(SERVICES)], number, self.ledger, self.cluster, entry)
 
     def make_links(self) -> list[Link]:
-        """The links from the clients to each gateway, and from all gateways to each backend."""
+        """Returns the links from the clients to each gateway, and from all gateways to each backend."""
         links = [
             Link(LinkAddresses("clients", CLIENT_LINK.format(name), self.entries[name], (ip, FRONT_PORT)))
             for name, ip in self.cluster.gateways.items()
@@ -109,7 +109,7 @@
         return links
 
     def schedule(self) -> tuple[ScheduledFault, ...]:
-        """The faults of the seed."""
+        """Returns the faults of the seed."""
         targets = Targets(
             controllers=tuple(self.cluster.controllers),
             gateways=tuple(self.cluster.gateways),
@@ -119,12 +119,12 @@
         return draw_schedule(self.settings.seed, self.settings.seconds, targets)
 
     async def run(self) -> SoakResult:
-        """Runs to the end and ends all its processes."""
+        """Runs the soak to its end, and ends all its processes."""
         backend_tasks = [asyncio.create_task(backend.run()) for backend in self.backends.values()]
         try:
             await self.bring_up()
             for task in backend_tasks:
-                if task.done():  # its address could not be had, most likely
+                if task.done():  # most likely its address is in use
                     await task
             ended_s = await self.soak()
         finally:
@@ -137,7 +137,7 @@
         return self.result(ended_s)
 
     async def bring_up(self) -> None:
-        """Starts all processes, puts the first configuration and waits for the gateways."""
+        """Starts all processes, sends the first configuration and waits until the gateways are ready."""
         for link in self.links.values():
             link.listen()
         for name in (*self.cluster.controllers, *self.cluster.gateways):
@@ -146,7 +146,7 @@
         await self.wait_until_ready()
 
     async def wait_until_ready(self) -> None:
-        """Waits for all gateways; one that never gets ready breaks a rule."""
+        """Waits until all gateways are ready; violates a rule if one is not ready within READY_S."""
         try:
             async with asyncio.timeout(READY_S):
                 await asyncio.gather(*(self.cluster.wait_until_ready(name) for name in self.cluster.gateways))
@@ -154,7 +154,7 @@
             self.ledger.report(Rule.STAYS_UP, f"a gateway was not ready within {READY_S} s")
 
     async def soak(self) -> float:
-        """Sends traffic under faults, and looks at all once it is over; returns when that was."""
+        """Sends traffic under faults, then checks all processes; returns when the gateways were ready after it."""
         settings = self.settings
         targets = FaultTargets(cluster=self.cluster, client=self.client, links=self.links, backends=self.backends)
         injector = FaultInjector(targets, self.ledger)
@@ -176,7 +176,7 @@
         return ended_s
 
     def result(self, ended_s: float) -> SoakResult:
-        """Judges what was seen."""
+        """Checks the observations against the rules and returns the result."""
         violations = self.ledger.violations() + Judge(self.ledger, ended_s).violations()
         served, given_up = self.client.served, self.client.given_up
         if served < LEAST_SERVED * max(1, served + given_up):
--- a/stoneyoke/lab/soak/schedule.py
+++ b/stoneyoke/lab/soak/schedule.py
@@ -1,4 +1,4 @@
-"""What goes wrong during a soak, and when. Drawn from the seed alone: the same seed gives the same schedule."""
+"""The faults of a soak and their times. They depend on the seed only: the same seed gives the same schedule."""
 
 import random
 from dataclasses import dataclass
@@ -7,20 +7,20 @@
 
 
 class FaultKind(Enum):
-    """What is done to a target."""
-
-    KILL = "kill"  # SIGKILL to a process, which starts again afterwards
-    TERMINATE = "terminate"  # SIGTERM, likewise
-    PAUSE = "pause"  # SIGSTOP, then SIGCONT
-    CUT = "cut"  # a link is silent in both directions
-    CUT_THERE = "cut_there"  # a link carries nothing away from where it is entered
-    CUT_BACK = "cut_back"  # a link carries nothing back
+    """The kinds of faults."""
+
+    KILL = "kill"  # SIGKILL to a process, which is restarted afterwards
+    TERMINATE = "terminate"  # SIGTERM to a process, which is restarted afterwards
+    PAUSE = "pause"  # SIGSTOP to a process, then SIGCONT
+    CUT = "cut"  # a link forwards nothing in both directions
+    CUT_THERE = "cut_there"  # a link forwards nothing from the side that connects
+    CUT_BACK = "cut_back"  # a link forwards nothing to the side that connects
     REFUSE = "refuse"  # a link refuses new connections
-    DELAY = "delay"  # a link holds up what it carries
+    DELAY = "delay"  # a link delays what it forwards
     RESET = "reset"  # all open connections over a link are reset, once
-    LOSE_ANSWERS = "lose answers"  # a backend closes in place of an answer to what it ran
-    STALL = "stall"  # a backend begins its answers and holds the rest back
-    LEAVE = "leave"  # most clients leave before they have an answer
+    LOSE_ANSWERS = "lose answers"  # a backend closes the connection instead of sending a response
+    STALL = "stall"  # a backend sends the beginning of its responses and withholds the rest
+    LEAVE = "leave"  # clients abandon most requests before the response
 
 
 PROCESS_FAULTS = (FaultKind.KILL, FaultKind.TERMINATE, FaultKind.PAUSE)
@@ -33,17 +33,18 @@
     FaultKind.RESET,
 )
 BACKEND_FAULTS = (FaultKind.LOSE_ANSWERS, FaultKind.STALL)
-# A drawn fault is of each group about as often; clients leave in most episodes, since that is what the rest must bear.
+# Each entry is drawn about equally often. LEAVE is added to most episodes separately, since the system must withstand
+# abandoned requests together with the other faults.
 GROUPS = (PROCESS_FAULTS, PROCESS_FAULTS, LINK_FAULTS, LINK_FAULTS, BACKEND_FAULTS)
 EPISODE_S, EPISODE_PAUSE_S = 1.6, 1.2  # faults of one episode overlap; the pause lets the system settle
-FAULTS_MIN, FAULTS_MAX = 2, 3  # of an episode, beside clients that leave
-SHORTEST_S, LONGEST_S = 0.3, 1.5
-LEAVE_SHARE = 0.8  # of the episodes
-QUIET_S = 1.0  # at the beginning
+FAULTS_MIN, FAULTS_MAX = 2, 3  # number of faults of an episode, not counting LEAVE
+SHORTEST_S, LONGEST_S = 0.3, 1.5  # duration of a fault
+LEAVE_SHARE = 0.8  # share of the episodes with a LEAVE fault
+QUIET_S = 1.0  # time without faults at the beginning
 
 
 class Targets(NamedTuple):
-    """The names that a schedule draws from."""
+    """The names of the targets from which a schedule draws."""
 
     controllers: tuple[str, ...]
     gateways: tuple[str, ...]
@@ -56,11 +57,11 @@
     """One fault.
 
     Attributes:
-        number: Its place in the schedule.
-        kind: What is done.
-        target: To whom, by name; "" for the clients.
-        at_s: From the start of the traffic.
-        for_s: How long it lasts, or how long a process is down.
+        number: The index of the fault in the schedule.
+        kind: What the fault does.
+        target: Name of the target; "" for the clients.
+        at_s: Start of the fault, in seconds from the start of the traffic.
+        for_s: Duration of the fault, or of the downtime of a process, in seconds.
     """
 
     number: int
@@ -70,19 +71,19 @@
     for_s: float
 
     def __str__(self) -> str:
-        """One line for people."""
+        """Returns the fault and its times in one line."""
         return f"{self.at_s:7.3f} s to {self.at_s + self.for_s:7.3f} s  {self.kind.value} {self.target}".rstrip()
 
 
 def draw_schedule(seed: int, seconds: float, targets: Targets) -> tuple[ScheduledFault, ...]:
     """Draws episodes of faults that overlap in time.
 
-    Of the controllers at most one is down or stopped at a time, so that a majority runs; gateways have no such bound.
+    At most one controller is down or suspended at a time, so that a majority runs; gateways have no such bound.
 
     Args:
-        seed: Of all draws.
-        seconds: How long the traffic lasts; the last episode ends before that.
-        targets: Whom faults may strike.
+        seed: The seed of all draws.
+        seconds: Duration of the traffic; the last episode ends before that.
+        targets: The targets that faults may affect.
     """
     draw, faults = random.Random(f"soak {seed}"), list[ScheduledFault]()
     start_s = QUIET_S
@@ -98,7 +99,7 @@
 
 
 def draw_fault(draw: random.Random, targets: Targets, struck: set[str]) -> tuple[FaultKind, str]:
-    """A kind and a target that the episode has not struck yet; one controller strikes all of them."""
+    """Draws a kind and a target without a fault in this episode. A fault of one controller excludes the others."""
     while True:
         kind = draw.choice(draw.choice(GROUPS))
         candidates = [name for name in fitting(kind, targets) if name not in struck]
@@ -110,14 +111,14 @@
 
 
 def fitting(kind: FaultKind, targets: Targets) -> tuple[str, ...]:
-    """The targets of a kind of fault."""
+    """Returns the possible targets of a kind of fault."""
     if kind in PROCESS_FAULTS:
         return targets.gateways + targets.controllers
     return targets.links if kind in LINK_FAULTS else targets.backends
 
 
 def placed(draw: random.Random, number: int, kind: FaultKind, target: str, episode_s: float) -> ScheduledFault:
-    """A fault at a drawn time of an episode. Each begins in its first half, so that they overlap."""
+    """Returns a fault at a random time in the first half of an episode, so that the faults of an episode overlap."""
     at_s = round(episode_s + draw.uniform(0.0, EPISODE_S / 2), 3)
     for_s = round(draw.uniform(SHORTEST_S, LONGEST_S), 3)
     return ScheduledFault(number=number, kind=kind, target=target, at_s=at_s, for_s=for_s)
--- a/stoneyoke/lab/soak/watch.py
+++ b/stoneyoke/lab/soak/watch.py
@@ -1,4 +1,4 @@
-"""Looks at the processes of a soak while it runs and after it: their figures, and whether they are there."""
+"""Monitors the processes of a soak while it runs and after it: their metrics, and whether they run."""
 
 import asyncio
 
@@ -8,9 +8,9 @@
 from stoneyoke.lab.soak.ledger import SoakLedger
 from stoneyoke.runtime.metrics_text import VIOLATIONS, read_metrics_text
 
-WATCH_S = 0.5
+WATCH_S = 0.5  # interval between two checks, and time-out of a query of metrics
 METRICS_HEAD = b"GET /metrics HTTP/1.1\r\nHost: metrics\r\n"
-# Of a gateway without clients: all of these are zero, and each descriptor belongs to an idle connection.
+# In a gateway without clients all of these metrics are zero, and each descriptor belongs to an idle connection.
 HELD = (
     "stoneyoke_requests_in_flight",
     "stoneyoke_attempts_in_flight",
@@ -18,27 +18,27 @@
     "stoneyoke_client_connections_open",
 )
 DESCRIPTORS, IDLE = "stoneyoke_descriptors_in_use", "stoneyoke_backend_connections_idle"
-POLL_S = 0.1
+POLL_S = 0.1  # interval between two checks whether a gateway is idle
 
 Figures = dict[str, float]
 
 
 class ProcessWatch:
-    """Fetches the figures of all processes, and reports what must not be."""
+    """Queries the metrics of all processes, and reports violations."""
 
     def __init__(self, cluster: ClusterProcesses, ledger: SoakLedger, down: set[str]) -> None:
-        """Looks at nothing yet. `down`: the processes that are down on purpose, at any moment."""
+        """Creates a monitor; `down` is the current set of processes that a fault has ended."""
         self.cluster, self.ledger, self.down = cluster, ledger, down
         self.reported: set[tuple[str, str]] = set()
 
     async def run(self) -> None:
-        """Looks again and again until it is cancelled."""
+        """Checks all processes every WATCH_S until it is cancelled."""
         while True:
             await asyncio.sleep(WATCH_S)
             await self.look()
 
     async def look(self) -> None:
-        """Reports violated invariants, and processes that have ended by themselves."""
+        """Reports violated invariants, and processes that have ended without a fault."""
         names = [*self.cluster.controllers, *self.cluster.gateways]
         for name in names:
             process = self.cluster.running.get(name)
@@ -50,23 +50,23 @@
                 self.report_once(Rule.NO_VIOLATIONS, name, key)
 
     def report_once(self, rule: Rule, name: str, detail: str) -> None:
-        """Reports what stays as it is, and would be seen at each look."""
+        """Reports a violation once, though each check finds it again."""
         if (name, detail) not in self.reported:
             self.reported.add((name, detail))
             self.ledger.report(rule, f"{name}: {detail}")
 
     async def fetch(self, name: str) -> Figures | None:
-        """The figures of a process; None if it does not answer."""
+        """Returns the metrics of a process; None if it does not respond."""
         ip = (self.cluster.controllers | self.cluster.gateways)[name]
         answer = await send_request((ip, METRICS_PORT), METRICS_HEAD, b"", WATCH_S)
         return read_metrics_text(answer.body.decode()) if answer and answer.status == OK else None
 
     async def expect_nothing_held(self, timeout_s: float) -> None:
-        """After the traffic: no gateway holds anything for a request within a time."""
+        """Checks, after the traffic, that all gateways release the resources of requests within a time-out."""
         await asyncio.gather(*(self.expect_idle(name, timeout_s) for name in self.cluster.gateways))
 
     async def expect_idle(self, gateway: str, timeout_s: float) -> None:
-        """Waits until a gateway holds nothing; what it holds at the end of the time breaks a rule."""
+        """Waits until a gateway is idle. Resources that are in use at the time-out violate a rule."""
         held: Figures | None = None
         try:
             async with asyncio.timeout(timeout_s):
@@ -81,7 +81,7 @@
 
 
 def held_by(figures: Figures) -> Figures:
-    """What a gateway holds that it should not hold without clients."""
+    """Returns the metrics of resources in use that a gateway without clients should have released."""
     held = {name: figures[name] for name in HELD if figures[name]}
     if figures[DESCRIPTORS] != figures[IDLE]:
         held |= {name: figures[name] for name in (DESCRIPTORS, IDLE)}
