--- a/stoneyoke/lab/simulation/__main__.py
+++ b/stoneyoke/lab/simulation/__main__.py
@@ -30,9 +30,13 @@
 from stoneyoke.lab.simulation.scenario import Scenario
 from stoneyoke.lab.simulation.scripted import FORMER_NAMES, SCRIPTED_SCENARIOS
 
-SEEDS = flags.DEFINE_string("seeds", "0-199", "The first and the last seed, or one.")
-JOBS = flags.DEFINE_integer("jobs", len(os.sched_getaffinity(0)), "Scenarios at once.", lower_bound=1)
-DEPTH = flags.DEFINE_integer("depth", 0, "Of the exhaustive check, in steps; 0: each world's own.", lower_bound=0)
+SEEDS = flags.DEFINE_string("seeds", "0-199", "The first and the last seed, such as 0-199, or one seed.")
+JOBS = flags.DEFINE_integer(
+    "jobs", len(os.sched_getaffinity(0)), "Number of scenarios that run at the same time.", lower_bound=1
+)
+DEPTH = flags.DEFINE_integer(
+    "depth", 0, "Depth of the exhaustive search in steps; 0 for the default of each model.", lower_bound=0
+)
 DEFECT = flags.DEFINE_string("defect", "", "A defect seeded into the logic, for show, reduce and replay.")
 JSON = flags.DEFINE_bool("json", False, "Results as JSON.")
 
--- a/stoneyoke/lab/simulation/checker.py
+++ b/stoneyoke/lab/simulation/checker.py
@@ -72,7 +72,11 @@
             self.intolerable_until = now
         for key, order in list(self.pending_orders.items()):
             if now - max(order.sent_at, self.intolerable_until) > ACKNOWLEDGE_S:
-                self.check(False, now, f"ACK: {order.version} has no answer after {ACKNOWLEDGE_S} s of calm")
+                self.check(
+                    False,
+                    now,
+                    f"ACK: {order.version} has no certain outcome after {ACKNOWLEDGE_S} s without disturbance",
+                )
                 del self.pending_orders[key]
 
     def record_admitted(self, label: str, rate: float, burst: float, now: float) -> None:
@@ -90,4 +94,8 @@
             window.popleft()
         quota = rate * BOUNDS.quota_window_s + burst
         allowed = quota * (1 + BOUNDS.quota_excess_ratio) + BOUNDS.quota_slack_units
-        self.check(len(window) <= allowed, now, f"QUOTA: {label} sent {len(window)} of {allowed:.0f}")
+        self.check(
+            len(window) <= allowed,
+            now,
+            f"QUOTA: {label} had {len(window)} requests admitted, {allowed:.0f} were allowed",
+        )
--- a/stoneyoke/lab/simulation/clock.py
+++ b/stoneyoke/lab/simulation/clock.py
@@ -54,12 +54,12 @@
         def jump(timeout: float | None) -> Any:
             self.turns += 1
             if self.turns > MAX_TURNS_WITHOUT_PROGRESS:
-                raise RuntimeError(f"no time passes at {self.now:.3f} s: a task runs again and again")
+                raise RuntimeError(f"time does not advance at {self.now:.3f} s: a task never waits")
             if timeout == 0:
                 return []
             events = real(0)
             if not events:
-                assert timeout is not None, "everything waits for something else"
+                assert timeout is not None, "deadlock: no step is ready and no timer is scheduled"
                 self.now, self.turns = self.now + timeout, self.turns if timeout < 1e-9 else 0
             return events
 
--- a/stoneyoke/lab/simulation/control_api_client.py
+++ b/stoneyoke/lab/simulation/control_api_client.py
@@ -89,7 +89,9 @@
         now, checker = self.environment.now(), self.environment.checker
         took_s = now - asked_at
         in_time = received is not None and took_s <= REFUSE_S
-        checker.check(in_time, now, f"CUT: {machine.name} is cut off and takes {took_s:.2f} s to say so")
+        checker.check(in_time, now, f"CUT: {machine.name} is isolated and takes {took_s:.2f} s to reject a call")
         is_served = isinstance(received, Document | Rejected)
-        checker.check(not is_served, now, f"CUT: {machine.name} is cut off and says {type(received).__name__}")
+        checker.check(
+            not is_served, now, f"CUT: {machine.name} is isolated and responds with {type(received).__name__}"
+        )
         self.environment.event_counts["refused, cut off"] += 1
--- a/stoneyoke/lab/simulation/disks.py
+++ b/stoneyoke/lab/simulation/disks.py
@@ -103,12 +103,12 @@
         if self.capacity_bytes is not None and (over := sum(sizes.values()) - self.capacity_bytes) > 0:
             data = f"{family}-{number}.dat"
             os.truncate(os.path.join(self.folder, data), max(0, sizes[data] - over))
-            raise OSError(errno.ENOSPC, "the disk is full")
+            raise OSError(errno.ENOSPC, "the simulated disk is full")
 
     def sync_path(self, path: str) -> None:
         """Records the names that a sync of the folder persists, or the content that a sync of a file persists."""
         if self.refuses:
-            raise OSError(errno.EIO, "refused")
+            raise OSError(errno.EIO, "the simulated disk refuses to sync")
         self.step()
         name = os.path.basename(path)
         if path == self.folder:
--- a/stoneyoke/lab/simulation/invariants.py
+++ b/stoneyoke/lab/simulation/invariants.py
@@ -48,7 +48,7 @@
         """Checks that at most one controller considers itself the lease holder."""
         machines = self.cluster.controllers.items()
         holders = [name for name, one in machines if one.controller and one.controller.lease.is_held()]
-        self.checker.check(len(holders) <= 1, now, f"LEASE: two hold it: {holders}")
+        self.checker.check(len(holders) <= 1, now, f"LEASE: several controllers hold it: {holders}")
 
     def check_controller(self, machine: ControllerMachine, controller: Controller, now: float) -> None:
         """Checks what a controller considers chosen, its identity after a disk loss, and that it has caught up."""
@@ -60,7 +60,7 @@
             machine.wiped = False
             self.environment.event_counts["wiped, votes again"] += 1
             has_new_identity = controller.replica.identity.disk != FIRST_DISK
-            self.checker.check(has_new_identity, now, f"{name} votes by the name of the disk that it lost")
+            self.checker.check(has_new_identity, now, f"{name} votes under the identity of its lost disk")
         self.check_caught_up(machine, controller, now)
 
     def check_caught_up(self, machine: ControllerMachine, controller: Controller, now: float) -> None:
@@ -70,7 +70,7 @@
         if now <= disturbed_until + catch_up_s or self.cluster.cannot_answer(name):
             return
         held, needed = controller.replica.version(), self.checker.register.newest_acknowledged(now - catch_up_s)
-        violation = f"BEHIND: {name} holds {held} and not r{needed} after {catch_up_s} s"
+        violation = f"BEHIND: {name} has {held} instead of r{needed} after {catch_up_s} s"
         self.checker.check(held.number >= needed, now, violation)
 
     def check_gateway(self, gateway: GatewayMachine, now: float) -> None:
@@ -79,7 +79,7 @@
         assert client
         needed = checker.register.newest_acknowledged(now - BOUNDS.apply_s)
         held = gateway.version()
-        checker.check(held.number >= needed, now, f"CONFIG: {name} has {held} only, r{needed} was acknowledged")
+        checker.check(held.number >= needed, now, f"CONFIG: {name} has {held}, though r{needed} was acknowledged")
         # The operators set no such bound. Without this check a gateway that never becomes ready violates nothing.
         has_configuration = checker.register.newest_acknowledged(now - FIRST_CONFIGURATION_S)
         must_be_ready = has_configuration and self.disturbances.has_contact(name, now - READY_S)
@@ -92,7 +92,7 @@
         assert gateway.client
         known = gateway.client.instance_directory.instances.get(drain.instance)
         holds = known is None or known.row.phase == Phase.DRAINING or now - drain.at < BOUNDS.drain_s
-        self.checker.check(holds, now, f"DRAIN: {gateway.name} takes {drain.instance} for ready")
+        self.checker.check(holds, now, f"DRAIN: {gateway.name} considers {drain.instance} ready")
 
     # ---- at the end ----
 
@@ -107,7 +107,7 @@
             checker.check(is_ready, now, f"{name} is not ready at the end")
         for name in up:
             was_read = await self.operators.read_back(name) or await self.operators.read_back(name)
-            checker.check(was_read or not newest, now, f"LOST: {name} can't read back r{newest}")
+            checker.check(was_read or not newest, now, f"LOST: {name} can't read r{newest}")
         self.check_removed(up, now)
         checker.register.audit(self.environment.now())
         tenants, violations = self.tenants, len(checker.violations)
@@ -122,7 +122,9 @@
         checker = self.checker
         for name, controller in up.items():
             held = controller.replica.version()
-            checker.check(held.number >= newest, now, f"{name} holds {held}, r{newest} is the newest")
+            checker.check(
+                held.number >= newest, now, f"{name} has {held}, though r{newest} is the newest acknowledged version"
+            )
         versions = {controller.replica.version() for controller in up.values()}
         versions |= {one.version() for one in self.cluster.gateways.values() if one.table}
         texts = sorted(map(str, versions))
@@ -130,7 +132,7 @@
         voters = {controller.replica.voters() for controller in up.values()}
         checker.check(len(voters) == 1, now, f"voters differ at the end: {voters}")
         holders = sum(controller.lease.is_held() for controller in up.values())
-        checker.check(holders == 1, now, "LEASE: nobody holds it at the end")
+        checker.check(holders == 1, now, "LEASE: not exactly one controller holds it at the end")
         return texts
 
     def check_removed(self, up: dict[str, Controller], now: float) -> None:
@@ -142,5 +144,5 @@
         for controller in up.values():
             voters = controller.replica.voters().addresses()
             if len(up) >= len(voters):
-                self.checker.check(not set(removed) & set(voters), now, f"{removed} still votes")
+                self.checker.check(not set(removed) & set(voters), now, f"{removed} are removed and still voters")
                 self.environment.event_counts["voter replaced"] += 1
--- a/stoneyoke/lab/simulation/machines.py
+++ b/stoneyoke/lab/simulation/machines.py
@@ -184,7 +184,7 @@
         checker.record(now, f"{self.name} takes {configuration.version}")
         checker.register.show(now, self.name, configuration)
         is_newer = self.table is None or configuration.version > self.table.version
-        checker.check(is_newer, now, f"CONFIG: {self.name} goes back")
+        checker.check(is_newer, now, f"CONFIG: {self.name} applies an older configuration")
         self.table = build_routing_table(configuration)
 
     def on_update(self) -> None:
@@ -194,7 +194,7 @@
         self.has_been_ready = True
         checker, now = self.environment.checker, self.environment.now()
         held, needed = self.version().number, checker.register.level(self.started_at)
-        violation = f"CONFIG: {self.name} begins to serve with r{held}, r{needed} was shown before"
+        violation = f"CONFIG: {self.name} becomes ready with r{held}, though r{needed} was shown before it started"
         checker.check(held >= needed, now, violation)
         checker.record(now, f"{self.name} is ready")
 
--- a/stoneyoke/lab/simulation/network.py
+++ b/stoneyoke/lab/simulation/network.py
@@ -174,7 +174,7 @@
         handler = self.ports.get(call.receiver)
         if handler is None:
             if not call.answer.done():
-                call.answer.set_exception(PeerUnreachable("nothing listens"))
+                call.answer.set_exception(PeerUnreachable(f"nothing listens at {call.receiver}"))
             return
         times = 2 if self.doubled and self.random_source.random() < self.doubled else 1
         for _ in range(times):
@@ -222,7 +222,7 @@
             async with asyncio.timeout(timeout_s):
                 frame = await answer
         except TimeoutError as error:
-            raise PeerUnreachable("no answer in time") from error
+            raise PeerUnreachable(f"no response from {self.other} within {timeout_s} s") from error
         finally:
             if answer.done() and not answer.cancelled():
                 answer.exception()  # otherwise asyncio logs that the exception was never retrieved
--- a/stoneyoke/lab/simulation/operators.py
+++ b/stoneyoke/lab/simulation/operators.py
@@ -71,7 +71,7 @@
         body = self.text(number + 50).replace(b'"target_service": "orders"', b'"target_service": "other"')
         received = await self.client.call(controller_address(0), read_call("POST", "/config/replace", body))
         is_rejected = isinstance(received, Rejected) and received.status != HTTPStatus.CONFLICT
-        violation = "CONFIG: something invalid was not refused"
+        violation = "CONFIG: an invalid configuration was not rejected"
         self.checker.check(is_rejected, self.environment.now(), violation)
 
     async def put(self, number: int, content_suffix: str = "", again: int = 0) -> None:
@@ -112,7 +112,7 @@
         if isinstance(received, Rejected):
             checker.record(now, f"{name} rejected {version} {received.field}")
             is_conflict = received.status == HTTPStatus.CONFLICT
-            checker.check(is_conflict, now, f"CONFIG: {name} refuses a valid order: {received}")
+            checker.check(is_conflict, now, f"CONFIG: {name} rejects a valid configuration: {received}")
             controller = self.client.cluster.controllers[name].controller
             chosen = controller.replica.chosen if controller else None
             checker.register.conflict(now, version, name, chosen.value if chosen else None)
@@ -141,6 +141,6 @@
             self.environment.event_counts["read back"] += 1
             register.read(asked_at, now, name, read_configuration(received.body))
         elif isinstance(received, Rejected):
-            self.checker.check(received.status == NOT_FOUND, now, f"CONFIG: {name} refuses a read: {received}")
+            self.checker.check(received.status == NOT_FOUND, now, f"CONFIG: {name} rejects a read: {received}")
             register.read_nothing(asked_at, now, name)
         return isinstance(received, Document)
--- a/stoneyoke/lab/simulation/register_history.py
+++ b/stoneyoke/lab/simulation/register_history.py
@@ -81,24 +81,26 @@
         """Records a configuration that an operator reads, or that is in force at a gateway."""
         version = configuration.version
         is_known = self.bodies.get(version) == configuration.body
-        self.check(is_known, now, f"CONFIG: {where} has a text of {version} that nobody sent")
+        self.check(is_known, now, f"CONFIG: {where} has a text of {version} that no operator sent")
         first = self.shown.setdefault(version.number, version)
-        violation = f"CONFIG: {where} shows another content of {version} than was shown before"
+        violation = f"CONFIG: {where} shows a different content of {version} than was shown before"
         self.check(first == version, now, violation)
-        violation = f"CONFIG: {where} shows a content of {version} that was refused as a conflict"
+        violation = f"CONFIG: {where} shows a content of {version} that was rejected as a conflict"
         self.check(not self.was_refused(version), now, violation)
         self.raise_level(now, version.number)
 
     def read(self, asked_at: float, now: float, where: str, configuration: Configuration) -> None:
         """Records the response to a read that was sent at a time."""
         number, least = configuration.version.number, self.level(asked_at)
-        self.check(number >= least, now, f"CONFIG: {where} reads back r{number}, r{least} was shown before")
+        self.check(
+            number >= least, now, f"CONFIG: a read from {where} returns r{number}, though r{least} was shown before"
+        )
         self.show(now, where, configuration)
 
     def read_nothing(self, asked_at: float, now: float, where: str) -> None:
         """Records the response that there is no configuration."""
         least = self.level(asked_at)
-        violation = f"CONFIG: {where} says that there is no configuration, r{least} was shown before"
+        violation = f"CONFIG: {where} reports no configuration, though r{least} was shown before"
         self.check(least == 0, now, violation)
 
     def acknowledge(self, now: float, version: Version) -> None:
@@ -119,12 +121,12 @@
             chosen: The value that this controller knows to be chosen; None if it knows none or has ended.
         """
         is_decided = chosen is not None and chosen.version.number >= version.number and chosen.version != version
-        violation = f"CONFIG: {controller} reports a conflict at {version}, and nothing else was decided"
+        violation = f"CONFIG: {controller} reports a conflict at {version}, but knows no conflicting chosen version"
         self.check(is_decided, now, violation)
         was_acknowledged = any(claim.version == version for claim in self.acknowledged)
-        self.check(not was_acknowledged, now, f"CONFIG: {version} was acknowledged, then refused")
+        self.check(not was_acknowledged, now, f"CONFIG: {version} was acknowledged, then rejected as a conflict")
         was_shown = self.shown.get(version.number) == version
-        self.check(not was_shown, now, f"CONFIG: {version} was shown, then refused as a conflict")
+        self.check(not was_shown, now, f"CONFIG: {version} was shown, then rejected as a conflict")
         self.conflicts.append(Claim(now, version))
 
     # ---- what controllers consider chosen ----
@@ -149,7 +151,7 @@
         for claim in self.acknowledged:
             content = self.shown.get(claim.version.number, claim.version)
             holds = content == claim.version or self.is_superseded(claim)
-            violation = f"CONFIG: {claim.version} was acknowledged, and another content was shown under its number"
+            violation = f"CONFIG: {claim.version} was acknowledged, but a different content was shown under its number"
             self.check(holds, now, violation)
         for claim in self.acknowledged:
             rival = next((other for other in self.acknowledged if is_rival(claim.version, other.version)), None)
@@ -159,7 +161,7 @@
         for claim in self.conflicts:
             rivals = [other for other in self.sent if is_rival(claim.version, other) and self.sent[other] <= claim.at]
             holds = any(rival not in refused for rival in rivals)
-            self.check(holds, now, f"CONFIG: every content of {claim.version} was refused")
+            self.check(holds, now, f"CONFIG: every content of {claim.version} was rejected")
 
     def is_superseded(self, claim: Claim) -> bool:
         """Returns whether a higher number may have been chosen first: the acknowledgement then confirms no content."""
--- a/stoneyoke/lab/simulation/runs.py
+++ b/stoneyoke/lab/simulation/runs.py
@@ -23,7 +23,7 @@
         try:
             return Scenario(plan).play()
         except Exception as error:  # an exception in one scenario must not abort the others
-            violation = f"an exception: {type(error).__name__}: {error}"
+            violation = f"exception in the simulation: {type(error).__name__}: {error}"
             return ScenarioResult(seed=plan.seed, violations=[violation])
 
 
--- a/stoneyoke/lab/soak/__main__.py
+++ b/stoneyoke/lab/soak/__main__.py
@@ -21,9 +21,11 @@
 SECONDS = flags.DEFINE_float("seconds", 14.0, "How long traffic lasts for each seed.", lower_bound=1, upper_bound=600)
 GATEWAYS = flags.DEFINE_integer("gateways", 3, "Gateways.", lower_bound=2, upper_bound=20)
 RATE = flags.DEFINE_float("rate", 40.0, "Requests a second.", lower_bound=1, upper_bound=200)
-OUT = flags.DEFINE_string("out", "runs", "The folder that keeps the schedule, the ledger and all logs of a red seed.")
-DEFECT = flags.DEFINE_enum("defect", "", ["", *DEFECTS], "A defect to put into the gateways: the soak has to find it.")
-KEEP_GOING = flags.DEFINE_bool("keep_going", False, "Go on after a seed that breaks a rule.")
+OUT = flags.DEFINE_string(
+    "out", "runs", "The folder for the schedule, the ledger and all logs of a seed that violates a rule."
+)
+DEFECT = flags.DEFINE_enum("defect", "", ["", *DEFECTS], "A defect to seed into the gateways: the soak must find it.")
+KEEP_GOING = flags.DEFINE_bool("keep_going", False, "Continue after a seed that violates a rule.")
 SCHEDULE = flags.DEFINE_bool("schedule", False, "Print each seed's schedule, and run nothing.")
 FIRST_BLOCK, BLOCKS = 100, 150  # address blocks: soaks of neighbouring seeds may run at the same time
 PRINTED_MAX = 20
@@ -84,7 +86,7 @@
         print(f"  {violation}", flush=True)
     if result.violations:
         write_result(result, folder)
-        print(f"  kept in {folder}; again: --seeds={seed} --seconds={SECONDS.value:g}", flush=True)
+        print(f"  stored in {folder}; repeat with: --seeds={seed} --seconds={SECONDS.value:g}", flush=True)
     else:
         shutil.rmtree(folder)
     return not result.violations
--- a/stoneyoke/lab/soak/backend.py
+++ b/stoneyoke/lab/soak/backend.py
@@ -84,7 +84,7 @@
                 return
             writer.write(PART_OF_AN_ANSWER)
             await self.hold_back(closed)
-        raise ConnectionResetError("closed while at work")
+        raise ConnectionResetError("the connection closed during the run")
 
     async def hold_back(self, closed: asyncio.Event) -> None:
         """Waits until the connection closes, for at most STALL_S."""
--- a/stoneyoke/lab/soak/faults.py
+++ b/stoneyoke/lab/soak/faults.py
@@ -89,7 +89,7 @@
             async with asyncio.timeout(GRACE_S + GRACE_MARGIN_S):
                 await cluster.running[name].wait()
         except TimeoutError:
-            self.ledger.report(Rule.STAYS_UP, f"{name} has not ended {GRACE_S + GRACE_MARGIN_S} s after SIGTERM")
+            self.ledger.report(Rule.STAYS_UP, f"{name} is still running {GRACE_S + GRACE_MARGIN_S} s after SIGTERM")
         await cluster.kill(name)
         await asyncio.sleep(fault.for_s)
         await self.start_again(name)
--- a/stoneyoke/lab/soak/judge.py
+++ b/stoneyoke/lab/soak/judge.py
@@ -50,12 +50,12 @@
         """Describes how a run outlived its client; "" if it did not. A non-idempotent run that began may finish."""
         left_s = one.left_s or 0.0
         limit_s = self.excused_until(left_s, self.on_the_way(one, run)) + GONE_S + SLACK_S
-        what = f"at {run.backend} by {one.gateway}, whose client left ({one.how}) at {left_s:.3f}"
+        what = f"at {run.backend} by {one.gateway}, whose client disconnected ({one.how}) at {left_s:.3f}"
         if run.started_s > limit_s:
             return f"began {what}, at {run.started_s:.3f}"
         ended_s = run.ended_s if run.ended_s is not None else self.ended_s
         if not is_order and ended_s > limit_s:
-            return f"was still at work {what}, until {ended_s:.3f}: {run.end.value}"
+            return f"was still running {what}, until {ended_s:.3f}: {run.end.value}"
         return ""
 
     def order_broken_off(self, one: Try, run: Run) -> str:
@@ -64,7 +64,7 @@
             return ""
         if self.was_disturbed(self.on_the_way(one, run), one.sent_s, run.ended_s):
             return ""
-        return f"was broken off at {run.backend} by {one.gateway}, at {run.ended_s:.3f}"
+        return f"was cancelled at {run.backend} by {one.gateway}, at {run.ended_s:.3f}"
 
     def lost(self, attempt_id: str, one: Try, runs: list[Run]) -> str:
         """Describes a try that ran and whose client waited and got no response without a disturbance; else ""."""
@@ -73,7 +73,7 @@
         targets = {target for run in runs for target in self.on_the_way(one, run)}
         if self.was_disturbed(targets, one.sent_s, one.ended_s) or any(run.end is RunEnd.LOST for run in runs):
             return ""
-        return f"ran at {runs[-1].backend} by {one.gateway} and had no response by {one.ended_s:.3f}"
+        return f"ran at {runs[-1].backend} by {one.gateway}, but its client received no response by {one.ended_s:.3f}"
 
     # ---- disturbances ----
 
--- a/stoneyoke/lab/soak/operator.py
+++ b/stoneyoke/lab/soak/operator.py
@@ -58,7 +58,9 @@
         generation = int(json.loads(answer.body)["generation"].removeprefix("r"))
         owed = max((number for at_s, number in self.acknowledged if at_s <= sent_s - APPLY_S), default=1)
         if generation < owed:
-            self.ledger.report(Rule.DURABLE_CONFIGURATION, f"{controller} told r{generation}, r{owed} was acknowledged")
+            self.ledger.report(
+                Rule.DURABLE_CONFIGURATION, f"{controller} returned r{generation}, r{owed} was acknowledged"
+            )
         return True
 
     async def read_back(self, timeout_s: float) -> None:
@@ -70,4 +72,4 @@
                     while not await self.read(controller):  # noqa: ASYNC110 -- the response depends on another process
                         await asyncio.sleep(PAUSE_S)
             except TimeoutError:
-                self.ledger.report(Rule.DURABLE_CONFIGURATION, f"{controller} told none for {timeout_s} s")
+                self.ledger.report(Rule.DURABLE_CONFIGURATION, f"{controller} returned none within {timeout_s} s")
--- a/stoneyoke/lab/soak/run.py
+++ b/stoneyoke/lab/soak/run.py
@@ -180,7 +180,7 @@
         violations = self.ledger.violations() + Judge(self.ledger, ended_s).violations()
         served, given_up = self.client.served, self.client.given_up
         if served < LEAST_SERVED * max(1, served + given_up):
-            violations.append(Violation(Rule.ANSWERED, f"only {served} requests were served, {given_up} given up"))
+            violations.append(Violation(Rule.ANSWERED, f"only {served} requests were served, {given_up} failed"))
         return SoakResult(
             schedule=self.schedule(),
             ledger=self.ledger,
--- a/stoneyoke/lab/soak/watch.py
+++ b/stoneyoke/lab/soak/watch.py
@@ -43,7 +43,7 @@
         for name in names:
             process = self.cluster.running.get(name)
             if process and process.returncode is not None and name not in self.down:
-                self.report_once(Rule.STAYS_UP, name, f"has ended by itself with {process.returncode}")
+                self.report_once(Rule.STAYS_UP, name, f"exited unexpectedly with status {process.returncode}")
         for name, figures in zip(names, await asyncio.gather(*map(self.fetch, names)), strict=True):
             broken = [key for key, value in (figures or {}).items() if key.startswith(VIOLATIONS + "{") and value]
             for key in broken:
@@ -77,7 +77,7 @@
                         return
                     await asyncio.sleep(POLL_S)
         except TimeoutError:
-            self.ledger.report(Rule.NOTHING_HELD, f"{gateway} {f'holds {held}' if held else 'tells no figures'}")
+            self.ledger.report(Rule.NOTHING_HELD, f"{gateway} {f'still has {held}' if held else 'returns no metrics'}")
 
 
 def held_by(figures: Figures) -> Figures:
