--- a/stoneyoke/lab/simulation/__main__.py
+++ b/stoneyoke/lab/simulation/__main__.py
@@ -26,7 +26,7 @@
 from stoneyoke.lab.simulation.plans import read_plan, reduce
 from stoneyoke.lab.simulation.random_plans import make_plan
 from stoneyoke.lab.simulation.results import Summary
-from stoneyoke.lab.simulation.runs import play, play_many, play_scripted, play_seed, summarize
+from stoneyoke.lab.simulation.runs import run_plan, run_scripted, run_seed, run_seeds, summarize
 from stoneyoke.lab.simulation.scenario import Scenario
 from stoneyoke.lab.simulation.scripted import FORMER_NAMES, SCRIPTED_SCENARIOS
 
@@ -49,7 +49,7 @@
 
 def run() -> int:
     """Runs random scenarios; returns exit status 1 if any invariant was violated."""
-    summary = summarize(play_many(seeds(), JOBS.value))
+    summary = summarize(run_seeds(seeds(), JOBS.value))
     if JSON.value:
         print(json.dumps(summary_fields(summary)))
     else:
@@ -79,7 +79,7 @@
     scenario.checker.on_event = lambda now, event: print(f"{now - START_S:9.3f} {event}")
     print(scenario.plan.text())
     with seeded(DEFECT.value):
-        result = scenario.play()
+        result = scenario.simulate()
     print("\n".join(result.violations) or "nothing broke")
     return bool(result.violations)
 
@@ -87,12 +87,12 @@
 def reduce_seed(seed: str) -> int:
     """Prints the smallest plan found that fails like a seed's; returns exit status 2 if the seed does not fail."""
     plan = make_plan(int(seed))
-    violations = play(plan, DEFECT.value).violations
+    violations = run_plan(plan, DEFECT.value).violations
     if not violations:
         print("nothing breaks", file=sys.stderr)
         return 2
     kind = violations[0].partition(": ")[2].split(":")[0].split(" 10.")[0]
-    print(reduce(plan, lambda other: any(kind in line for line in play(other, DEFECT.value).violations)).text())
+    print(reduce(plan, lambda other: any(kind in line for line in run_plan(other, DEFECT.value).violations)).text())
     return 0
 
 
@@ -100,7 +100,7 @@
     """Runs stored plans; returns exit status 1 if any invariant was violated."""
     failed = 0
     for file in files:
-        result = play(read_plan(Path(file).read_text()), DEFECT.value)
+        result = run_plan(read_plan(Path(file).read_text()), DEFECT.value)
         print(f"{file}: {'; '.join(result.violations[:3]) or 'nothing broke'}")
         failed += bool(result.violations)
     return bool(failed)
@@ -109,10 +109,10 @@
 def find_defect(name: str, among: range) -> str:
     """Returns the first scenario that finds a seeded defect, with its violations; empty if none does."""
     for script in SCRIPTED_SCENARIOS:
-        if (result := play_scripted(script, name)).violations:
+        if (result := run_scripted(script, name)).violations:
             return f"{script}: " + "; ".join(result.violations[:2])
     for seed in among:
-        if (result := play_seed(seed, name)).violations:
+        if (result := run_seed(seed, name)).violations:
             return result.describe()
     return ""
 
--- a/stoneyoke/lab/simulation/backends.py
+++ b/stoneyoke/lab/simulation/backends.py
@@ -40,7 +40,7 @@
 
     async def send_heartbeat(self, phase: str) -> bool:
         """Calls up to MAX_CALLS controllers until one acknowledges; returns whether one did."""
-        names = self.client.choices()
+        names = self.client.shuffled_controllers()
         for name in (names * MAX_CALLS)[:MAX_CALLS]:
             self.call_seq += 1
             body = heartbeat_text(self.address, phase, self.call_seq)
@@ -65,7 +65,7 @@
             environment.checker.record(environment.now(), f"{self.name} drains")
             environment.event_counts["drains"] += 1
         await asyncio.sleep(then_s)
-        name = self.client.choices()[0]
+        name = self.client.shuffled_controllers()[0]
         await self.client.call(name, read_call("POST", f"/instances/{self.name}/leave", b""))
 
 
--- a/stoneyoke/lab/simulation/checker.py
+++ b/stoneyoke/lab/simulation/checker.py
@@ -36,7 +36,7 @@
         violations: One line for each violation, with its time.
         register: The history of the configuration register, as operators and gateways saw it.
         drains: The drains that were acknowledged.
-        intolerable_until: The last time at which more was disturbed than the operators require the system to tolerate.
+        beyond_tolerance_until: The last time at which more was disturbed than the tolerance allows.
         pending_orders: Configuration changes whose outcome is not certain, by a key of their own.
         admitted_at: The times at which requests of each tenant were admitted, within the quota's window.
         trace_digest: Digest of all events, in order. The same seed gives the same digest.
@@ -49,7 +49,7 @@
         self.violations: list[str] = []
         self.register = RegisterHistory(self.check)
         self.drains: list[AcknowledgedDrain] = []
-        self.intolerable_until = 0.0
+        self.beyond_tolerance_until = 0.0
         self.pending_orders: dict[int, PendingOrder] = {}
         self.admitted_at: dict[str, deque[float]] = {}
         self.trace_digest = blake2b(digest_size=12)
@@ -69,9 +69,9 @@
     def check_orders(self, now: float) -> None:
         """Checks that each valid configuration change has a certain outcome after ACKNOWLEDGE_S without disturbance."""
         if self.disturbances.is_beyond_tolerance(now):
-            self.intolerable_until = now
+            self.beyond_tolerance_until = now
         for key, order in list(self.pending_orders.items()):
-            if now - max(order.sent_at, self.intolerable_until) > ACKNOWLEDGE_S:
+            if now - max(order.sent_at, self.beyond_tolerance_until) > ACKNOWLEDGE_S:
                 self.check(
                     False,
                     now,
--- a/stoneyoke/lab/simulation/clock.py
+++ b/stoneyoke/lab/simulation/clock.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 START_S = 1000.0  # the time at which a loop starts
-MAX_TURNS_WITHOUT_PROGRESS = 200_000  # loop iterations at one time; more mean that a task never waits
+MAX_ITERATIONS_WITHOUT_PROGRESS = 200_000  # loop iterations at one time; more mean that a task never waits
 # The machine to which a task or a timer belongs; empty for the network and for callers outside the system.
 MACHINE: contextvars.ContextVar[str] = contextvars.ContextVar("machine", default="")
 
@@ -18,7 +18,7 @@
     __slots__ = ()
 
     def _run(self) -> None:
-        if not self._loop.hold_if_frozen(self):  # type: ignore[attr-defined]
+        if not self._loop.queue_if_frozen(self):  # type: ignore[attr-defined]
             super()._run()
 
 
@@ -28,7 +28,7 @@
     __slots__ = ()
 
     def _run(self) -> None:
-        if not self._loop.hold_if_frozen(self):  # type: ignore[attr-defined]
+        if not self._loop.queue_if_frozen(self):  # type: ignore[attr-defined]
             super()._run()
 
 
@@ -40,30 +40,30 @@
 
     Attributes:
         now: The simulated time in seconds.
-        turns: Loop iterations since the time last advanced.
+        iterations: Loop iterations since the time last advanced.
         frozen: The waiting steps of each frozen machine.
     """
 
     def __init__(self) -> None:
         """Starts at START_S. The selector advances the time instead of waiting."""
         super().__init__()
-        self.now, self.turns = START_S, 0
+        self.now, self.iterations = START_S, 0
         self.frozen: dict[str, deque[asyncio.Handle]] = {}
-        real = self._selector.select  # type: ignore[attr-defined]
+        real_select = self._selector.select  # type: ignore[attr-defined]
 
-        def jump(timeout: float | None) -> Any:
-            self.turns += 1
-            if self.turns > MAX_TURNS_WITHOUT_PROGRESS:
+        def advance_time(timeout: float | None) -> Any:
+            self.iterations += 1
+            if self.iterations > MAX_ITERATIONS_WITHOUT_PROGRESS:
                 raise RuntimeError(f"time does not advance at {self.now:.3f} s: a task never waits")
             if timeout == 0:
                 return []
-            events = real(0)
+            events = real_select(0)
             if not events:
                 assert timeout is not None, "deadlock: no step is ready and no timer is scheduled"
-                self.now, self.turns = self.now + timeout, self.turns if timeout < 1e-9 else 0
+                self.now, self.iterations = self.now + timeout, self.iterations if timeout < 1e-9 else 0
             return events
 
-        self._selector.select = jump  # type: ignore[attr-defined]
+        self._selector.select = advance_time  # type: ignore[attr-defined]
 
     def time(self) -> float:
         """Returns the simulated time in seconds."""
@@ -77,7 +77,7 @@
         """Resumes a machine; does nothing if it is not frozen."""
         self._ready.extend(self.frozen.pop(machine, ()))  # type: ignore[attr-defined]
 
-    def hold_if_frozen(self, handle: asyncio.Handle) -> bool:
+    def queue_if_frozen(self, handle: asyncio.Handle) -> bool:
         """Queues a step if its machine is frozen; returns whether it was queued."""
         if not self.frozen:
             return False
--- a/stoneyoke/lab/simulation/disks.py
+++ b/stoneyoke/lab/simulation/disks.py
@@ -20,13 +20,13 @@
 WRITE_S = 0.004  # mean duration of a write on a healthy disk
 SLOW_WRITE_S = 0.15  # mean duration of a write on a slow disk
 STALL_POLL_S = 0.05  # interval between two checks whether a disk is still stalled
-RECORD_STEPS = 8  # maximum number of syncs and removals while one record is saved
-ALL_UNSYNCED_LOST = 0.25  # probability that a power loss discards everything that is not synced
-NEW_NAME_LOST = 0.5  # probability that a file name created since the folder's last sync is lost
-UNSYNCED_LOST = 0.4  # probability that the writes after a file's last sync are lost
-UNSYNCED_KEPT = 0.5  # probability that those writes survive in full if they are not lost
-TORN_WITH_ZEROS = 0.5  # probability that the missing part of a torn file is filled with zeros
-END_DURING_WRITE = 0.6  # probability that a process with a write in progress ends during that write
+MAX_RECORD_STEPS = 8  # maximum number of syncs and removals while one record is saved
+ALL_UNSYNCED_LOST_PROBABILITY = 0.25  # probability that a power loss discards everything that is not synced
+NEW_NAME_LOST_PROBABILITY = 0.5  # probability that a file name created since the folder's last sync is lost
+UNSYNCED_LOST_PROBABILITY = 0.4  # probability that the writes after a file's last sync are lost
+UNSYNCED_KEPT_PROBABILITY = 0.5  # probability that those writes survive in full if they are not lost
+ZERO_FILL_PROBABILITY = 0.5  # probability that the missing part of a torn file is filled with zeros
+END_DURING_WRITE_PROBABILITY = 0.6  # probability that a process with a write in progress ends during that write
 
 
 class PowerLost(BaseException):
@@ -133,20 +133,20 @@
         Writes after a file's last sync survive, are lost or are torn. Each file name created or removed since the
         folder's last sync survives or is lost independently. Some power losses discard everything that was not synced.
         """
-        all_gone = random_source.random() < ALL_UNSYNCED_LOST
+        discards_all_unsynced = random_source.random() < ALL_UNSYNCED_LOST_PROBABILITY
         state, after = self.state, dict[str, bytes]()
         for name in sorted({*os.listdir(self.folder), *state.names, *state.removed}):
             content, removed = self.content(name), state.removed.get(name, [])
             files = [*removed, *([FileState(content, state.contents.get(name))] if content is not None else [])]
-            if files and name in state.names and (all_gone or not removed):
+            if files and name in state.names and (discards_all_unsynced or not removed):
                 left = files[0]
-            elif all_gone or (not removed and random_source.random() < NEW_NAME_LOST):
+            elif discards_all_unsynced or (not removed and random_source.random() < NEW_NAME_LOST_PROBABILITY):
                 continue  # the file name was created since the folder's last sync and is lost
             elif (at := random_source.randrange(len(files) + 1)) < len(files):
                 left = files[at]
             else:
                 continue
-            after[name] = (left.synced or b"") if all_gone else torn_content(left, random_source)
+            after[name] = (left.synced or b"") if discards_all_unsynced else torn_content(left, random_source)
         shutil.rmtree(self.folder)
         os.makedirs(self.folder)
         for name, data in after.items():
@@ -158,12 +158,12 @@
 def torn_content(file: FileState, random_source: random.Random) -> bytes:
     """Returns a file's content after a power loss: as synced, as written, or torn, maybe with zeros at the end."""
     content, synced = file.content, file.synced or b""
-    if content == synced or random_source.random() < UNSYNCED_LOST:
+    if content == synced or random_source.random() < UNSYNCED_LOST_PROBABILITY:
         return synced
-    if random_source.random() < UNSYNCED_KEPT:
+    if random_source.random() < UNSYNCED_KEPT_PROBABILITY:
         return content
     cut = random_source.randrange(len(content) + 1)
-    return content[:cut] + (b"\0" * (len(content) - cut) if random_source.random() < TORN_WITH_ZEROS else b"")
+    return content[:cut] + (b"\0" * (len(content) - cut) if random_source.random() < ZERO_FILL_PROBABILITY else b"")
 
 
 class Disk:
@@ -175,7 +175,7 @@
         stalled: Whether the disk stalls: writes wait until this is False.
         refuses: Whether every sync fails.
         store: The record store of the last process.
-        writing: The write in progress, if any.
+        pending_write: The write in progress, if any.
     """
 
     def __init__(self, folder: str, random_source: random.Random) -> None:
@@ -183,7 +183,7 @@
         self.folder, self.random_source = folder, random_source
         self.write_s, self.stalled, self.refuses = WRITE_S, False, False
         self.store = SimulatedRecordStore(folder)
-        self.writing: Callable[[], Any] | None = None
+        self.pending_write: Callable[[], Any] | None = None
 
     def mount(self) -> SimulatedRecordStore:
         """Returns the record store for a new process."""
@@ -193,25 +193,25 @@
 
     async def blocking(self, work: Callable[..., Any], *args: Any) -> Any:
         """Runs a function with the disk's delay. Real machines run it in a thread, which waits for the disk."""
-        self.writing = lambda: work(*args)
+        self.pending_write = lambda: work(*args)
         try:
             await asyncio.sleep(self.write_s * (0.5 + self.random_source.random()))
             while self.stalled:  # noqa: ASYNC110 -- the interval is part of the trace: an event would wake earlier
                 await asyncio.sleep(STALL_POLL_S)
-            self.writing = None
+            self.pending_write = None
             done = work(*args)
             await asyncio.sleep(self.write_s * self.random_source.random())
             return done
         finally:
-            self.writing = None
+            self.pending_write = None
 
     def end(self, power: bool) -> None:
         """Ends the process that uses the disk, possibly during a write; `power`: whether the machine loses power."""
-        if self.writing and self.random_source.random() < END_DURING_WRITE:
-            self.store.steps_left = self.random_source.randrange(RECORD_STEPS)
+        if self.pending_write and self.random_source.random() < END_DURING_WRITE_PROBABILITY:
+            self.store.steps_left = self.random_source.randrange(MAX_RECORD_STEPS)
             with contextlib.suppress(PowerLost, StorageError):
-                self.writing()
-        self.writing = None
+                self.pending_write()
+        self.pending_write = None
         self.store.steps_left = -1
         if power:
             self.store.lose_power(self.random_source)
--- a/stoneyoke/lab/simulation/fault_effects.py
+++ b/stoneyoke/lab/simulation/fault_effects.py
@@ -23,7 +23,7 @@
             else:
                 self.disturbances.disturb_gateway(name, now + for_s)
 
-    def excuse(self, fault: Fault) -> None:
+    def exempt(self, fault: Fault) -> None:
         """Exempts the machines of a fault from responding in time, whether they are isolated or not."""
         for name in fault.who:
-            self.client.excused_until[name] = self.environment.now() + fault.for_s
+            self.client.exempt_until[name] = self.environment.now() + fault.for_s
--- a/stoneyoke/lab/simulation/faults.py
+++ b/stoneyoke/lab/simulation/faults.py
@@ -58,7 +58,7 @@
             FaultKind.HOLD: self.links.hold,
             FaultKind.DISK: self.links.disturb_disk,
             FaultKind.LATE: self.links.delay_messages,
-            FaultKind.ANSWERS_LOST: self.links.drop_answers,
+            FaultKind.ANSWERS_LOST: self.links.drop_responses,
             FaultKind.AT_MESSAGE: self.arm_message_trigger,
             FaultKind.AFTER_ACK: self.arm_acknowledgement_trigger,
             FaultKind.AFTER_DRAIN: self.arm_acknowledgement_trigger,
--- a/stoneyoke/lab/simulation/invariants.py
+++ b/stoneyoke/lab/simulation/invariants.py
@@ -69,17 +69,17 @@
         disturbed_until = max(self.disturbances.controllers_until, self.disturbances.links_until, machine.started_at)
         if now <= disturbed_until + catch_up_s or self.cluster.cannot_answer(name):
             return
-        held, needed = controller.replica.version(), self.checker.register.newest_acknowledged(now - catch_up_s)
-        violation = f"BEHIND: {name} has {held} instead of r{needed} after {catch_up_s} s"
-        self.checker.check(held.number >= needed, now, violation)
+        held, required = controller.replica.version(), self.checker.register.newest_acknowledged(now - catch_up_s)
+        violation = f"BEHIND: {name} has {held} instead of r{required} after {catch_up_s} s"
+        self.checker.check(held.number >= required, now, violation)
 
     def check_gateway(self, gateway: GatewayMachine, now: float) -> None:
         """Checks that a gateway with contact has the acknowledged version, is ready, and knows each drain."""
         checker, name, client = self.checker, gateway.name, gateway.client
         assert client
-        needed = checker.register.newest_acknowledged(now - BOUNDS.apply_s)
+        required = checker.register.newest_acknowledged(now - BOUNDS.apply_s)
         held = gateway.version()
-        checker.check(held.number >= needed, now, f"CONFIG: {name} has {held}, though r{needed} was acknowledged")
+        checker.check(held.number >= required, now, f"CONFIG: {name} has {held}, though r{required} was acknowledged")
         # The operators set no such bound. Without this check a gateway that never becomes ready violates nothing.
         has_configuration = checker.register.newest_acknowledged(now - FIRST_CONFIGURATION_S)
         must_be_ready = has_configuration and self.disturbances.has_contact(name, now - READY_S)
@@ -127,19 +127,19 @@
             )
         versions = {controller.replica.version() for controller in up.values()}
         versions |= {one.version() for one in self.cluster.gateways.values() if one.table}
-        texts = sorted(map(str, versions))
-        checker.check(len(versions) <= 1, now, f"versions differ at the end: {texts}")
+        version_texts = sorted(map(str, versions))
+        checker.check(len(versions) <= 1, now, f"versions differ at the end: {version_texts}")
         voters = {controller.replica.voters() for controller in up.values()}
         checker.check(len(voters) == 1, now, f"voters differ at the end: {voters}")
         holders = sum(controller.lease.is_held() for controller in up.values())
         checker.check(holders == 1, now, "LEASE: not exactly one controller holds it at the end")
-        return texts
+        return version_texts
 
     def check_removed(self, up: dict[str, Controller], now: float) -> None:
         """Checks that a permanently removed machine is no longer a voter, if another machine could replace it."""
         removed = [name for name, one in self.cluster.controllers.items() if one.removed]
-        youngest_s = min((controller.clock() - controller.started_at for controller in up.values()), default=0.0)
-        if not removed or youngest_s < CONVERGE_S:
+        shortest_uptime_s = min((controller.clock() - controller.started_at for controller in up.values()), default=0.0)
+        if not removed or shortest_uptime_s < CONVERGE_S:
             return
         for controller in up.values():
             voters = controller.replica.voters().addresses()
--- a/stoneyoke/lab/simulation/link_faults.py
+++ b/stoneyoke/lab/simulation/link_faults.py
@@ -26,30 +26,30 @@
         if not fault.one_way:
             pairs |= {(other, one) for one, other in pairs}
         self.disturb(fault.who, fault.for_s)
-        self.network.cuts.update(pairs)
-        cut_off = {} if fault.one_way else self.cut_off_since(who)
-        self.client.cut_off_since |= cut_off
+        self.network.partitions.update(pairs)
+        isolated = {} if fault.one_way else self.isolated_controllers(who)
+        self.client.isolated_since |= isolated
         await asyncio.sleep(fault.for_s)
-        self.network.cuts.subtract(pairs)
+        self.network.partitions.subtract(pairs)
         self.network.release_waiting()
-        for name in cut_off:
-            self.client.cut_off_since.pop(name, None)
+        for name in isolated:
+            self.client.isolated_since.pop(name, None)
 
-    def cut_off_since(self, who: set[str]) -> dict[str, float]:
+    def isolated_controllers(self, who: set[str]) -> dict[str, float]:
         """Returns the controllers that reach no majority of their voters within this group, with the current time."""
-        now, cut_off = self.environment.now(), {}
+        now, isolated = self.environment.now(), {}
         for name in who & set(self.cluster.controllers):
             controller = self.cluster.controllers[name].controller
             voters = controller.replica.voters().addresses() if controller else ()
             if controller and len(who.intersection(voters)) < majority(len(voters)):
-                cut_off[name] = now
-        return cut_off
+                isolated[name] = now
+        return isolated
 
     async def hold(self, fault: Fault) -> None:
         """Holds all messages to and from machines, and delivers them when the fault ends."""
         self.disturb(fault.who, fault.for_s)
         self.network.held.update(fault.who)
-        self.excuse(fault)
+        self.exempt(fault)
         await asyncio.sleep(fault.for_s)
         self.network.held.subtract(fault.who)
         self.network.release_waiting()
@@ -61,11 +61,11 @@
         for name in self.cluster.gateways:
             self.disturbances.disturb_gateway(name, now + fault.for_s)
         self.network.late, self.network.doubled = fault.share, fault.doubled
-        self.excuse(replace(fault, who=tuple(self.cluster.controllers)))
+        self.exempt(replace(fault, who=tuple(self.cluster.controllers)))
         await asyncio.sleep(fault.for_s)
         self.network.late = self.network.doubled = 0.0
 
-    async def drop_answers(self, fault: Fault) -> None:
+    async def drop_responses(self, fault: Fault) -> None:
         """Drops a share of the responses to operators and backends. Their calls are carried out."""
         now = self.environment.now()
         self.disturbances.disturb_links(now, now + fault.for_s)
@@ -78,6 +78,6 @@
         disk = self.cluster.controllers[fault.who[0]].disk
         self.disturb(fault.who, fault.for_s)
         disk.set_fault(fault.how)
-        self.excuse(fault)
+        self.exempt(fault)
         await asyncio.sleep(fault.for_s)
         disk.set_fault("")
--- a/stoneyoke/lab/simulation/machines.py
+++ b/stoneyoke/lab/simulation/machines.py
@@ -193,9 +193,9 @@
             return
         self.has_been_ready = True
         checker, now = self.environment.checker, self.environment.now()
-        held, needed = self.version().number, checker.register.level(self.started_at)
-        violation = f"CONFIG: {self.name} becomes ready with r{held}, though r{needed} was shown before it started"
-        checker.check(held >= needed, now, violation)
+        held, required = self.version().number, checker.register.level(self.started_at)
+        violation = f"CONFIG: {self.name} becomes ready with r{held}, though r{required} was shown before it started"
+        checker.check(held >= required, now, violation)
         checker.record(now, f"{self.name} is ready")
 
     def version(self) -> Version:
--- a/stoneyoke/lab/simulation/network.py
+++ b/stoneyoke/lab/simulation/network.py
@@ -54,14 +54,14 @@
         receiver: The machine that is called.
         kind: The message's type.
         frame: The encoded message.
-        answer: Future for the encoded response.
+        response: Future for the encoded response.
     """
 
     sender: str
     receiver: str
     kind: str
     frame: bytes
-    answer: asyncio.Future[bytes]
+    response: asyncio.Future[bytes]
 
 
 class SimulatedNetwork:
@@ -71,14 +71,14 @@
         ports: The handler at each address; None if the machine has power and nothing listens; absent without power.
         tasks: The tasks of each machine, which are cancelled when its process ends.
         ended: How often the processes of each machine have ended.
-        cuts: Number of active partitions between each sender and receiver. Any partition blocks their messages.
+        partitions: Number of active partitions between each sender and receiver. Any partition blocks their messages.
         held: Number of active faults that hold the links of each machine. Held messages wait.
         late: Share of messages that are late.
         doubled: Share of messages that arrive twice.
         answers_lost: Share of the responses to operators and backends that are lost.
         messages_by_kind: Number of messages that were sent, by type.
         message_triggers: Triggers whose message has not passed yet.
-        opened: Set, and replaced by a new event, when a partition or a hold ends.
+        unblocked: Set, and replaced by a new event, when a partition or a hold ends.
     """
 
     def __init__(self, random_source: random.Random) -> None:
@@ -87,12 +87,12 @@
         self.ports: dict[str, MessageHandler | None] = {}
         self.tasks: dict[str, set[asyncio.Task[Any]]] = {}
         self.ended: Counter[str] = Counter()
-        self.cuts: Counter[tuple[str, str]] = Counter()
+        self.partitions: Counter[tuple[str, str]] = Counter()
         self.held: Counter[str] = Counter()
         self.late, self.doubled, self.answers_lost = 0.0, 0.0, 0.0
         self.messages_by_kind: Counter[str] = Counter()
         self.message_triggers: list[MessageTrigger] = []
-        self.opened = asyncio.Event()
+        self.unblocked = asyncio.Event()
 
     # ---- machines ----
 
@@ -128,12 +128,12 @@
 
     def release_waiting(self) -> None:
         """Wakes blocked messages, which check again whether they may pass."""
-        self.opened.set()
-        self.opened = asyncio.Event()
+        self.unblocked.set()
+        self.unblocked = asyncio.Event()
 
     def is_blocked(self, sender: str, receiver: str) -> bool:
         """Returns whether a partition or a hold blocks messages from a sender to a receiver."""
-        return self.cuts[sender, receiver] > 0 or self.held[sender] > 0 or self.held[receiver] > 0
+        return self.partitions[sender, receiver] > 0 or self.held[sender] > 0 or self.held[receiver] > 0
 
     def fire_message_triggers(self, machine: str, kind: str, sent: bool) -> None:
         """Counts a message at all triggers, and starts the actions that are due."""
@@ -158,7 +158,7 @@
         await asyncio.sleep(wait_s)
         ended = self.ended[sender]
         while self.is_blocked(sender, receiver):
-            await self.opened.wait()
+            await self.unblocked.wait()
             await asyncio.sleep(self.random_source.uniform(0.0, MAX_RELEASE_DELAY_S))
         return self.ended[sender] == ended
 
@@ -173,8 +173,8 @@
         self.fire_message_triggers(call.receiver, call.kind, sent=False)
         handler = self.ports.get(call.receiver)
         if handler is None:
-            if not call.answer.done():
-                call.answer.set_exception(PeerUnreachable(f"nothing listens at {call.receiver}"))
+            if not call.response.done():
+                call.response.set_exception(PeerUnreachable(f"nothing listens at {call.receiver}"))
             return
         times = 2 if self.doubled and self.random_source.random() < self.doubled else 1
         for _ in range(times):
@@ -182,15 +182,15 @@
 
     async def serve(self, handler: MessageHandler, call: PeerCall) -> None:
         """Lets the receiver handle a call, and sends its response back."""
-        answer = await handler(unpack(call.frame[FRAME_HEADER_BYTES:])[1])
-        if answer is not None:
+        response = await handler(unpack(call.frame[FRAME_HEADER_BYTES:])[1])
+        if response is not None:
             # The response is a task of the network: it arrives even if its sender ends or freezes meanwhile.
-            self.run_on("", self.return_answer(call, pack(CALL_ID, answer)))
+            self.run_on("", self.return_answer(call, pack(CALL_ID, response)))
 
     async def return_answer(self, call: PeerCall, frame: bytes) -> None:
         """Delivers a response to the caller, if the caller still waits."""
-        if await self.transmit(call.receiver, call.sender) and not call.answer.done():
-            call.answer.set_result(frame)
+        if await self.transmit(call.receiver, call.sender) and not call.response.done():
+            call.response.set_result(frame)
 
 
 def in_creation_order(tasks: Iterable[asyncio.Future[Any]]) -> list[asyncio.Task[Any]]:
@@ -214,16 +214,16 @@
         kind = type(message).__name__
         self.network.messages_by_kind[kind] += 1
         self.network.fire_message_triggers(self.own, kind, sent=True)
-        answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        call = PeerCall(self.own, self.other, kind, pack(CALL_ID, message), answer)
+        response: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+        call = PeerCall(self.own, self.other, kind, pack(CALL_ID, message), response)
         # The call is a task of the network: it is delivered even if its sender ends meanwhile.
         self.network.run_on("", self.network.deliver(call))
         try:
             async with asyncio.timeout(timeout_s):
-                frame = await answer
+                frame = await response
         except TimeoutError as error:
             raise PeerUnreachable(f"no response from {self.other} within {timeout_s} s") from error
         finally:
-            if answer.done() and not answer.cancelled():
-                answer.exception()  # otherwise asyncio logs that the exception was never retrieved
+            if response.done() and not response.cancelled():
+                response.exception()  # otherwise asyncio logs that the exception was never retrieved
         return unpack(frame[FRAME_HEADER_BYTES:])[1]
--- a/stoneyoke/lab/simulation/operators.py
+++ b/stoneyoke/lab/simulation/operators.py
@@ -92,11 +92,11 @@
 
     async def put_until_clear(self, version: Version, body: bytes) -> bool:
         """Calls one controller after the other; returns True if one acknowledged, False if one reported a conflict."""
-        pause_s, key, names = FIRST_PAUSE_S, next(self.keys), self.client.choices()
+        pause_s, key, names = FIRST_PAUSE_S, next(self.keys), self.client.shuffled_controllers()
         self.checker.pending_orders[key] = PendingOrder(self.environment.now(), version)
         while True:
             if not names:
-                names = self.client.choices()
+                names = self.client.shuffled_controllers()
             is_acknowledged = await self.put_once(names.pop(), version, body)
             if is_acknowledged is not None:
                 self.checker.pending_orders.pop(key, None)
@@ -130,7 +130,7 @@
         """Reads the configuration from a random controller, repeatedly, for as long as the scenario lasts."""
         while True:
             await asyncio.sleep(self.random_source.uniform(*READ_PAUSE_S))
-            await self.read_back(self.random_source.choice(self.client.choices()))
+            await self.read_back(self.random_source.choice(self.client.shuffled_controllers()))
 
     async def read_back(self, name: str) -> bool:
         """Reads the configuration from one controller; returns whether the response contains one."""
--- a/stoneyoke/lab/simulation/process_faults.py
+++ b/stoneyoke/lab/simulation/process_faults.py
@@ -143,7 +143,7 @@
         """Freezes machines immediately; returns those on which a process ran, with its incarnation."""
         up = [name for name in fault.who if self.cluster.machine(name).is_up() and not self.cluster.is_frozen(name)]
         self.disturb(tuple(up), fault.for_s)
-        self.excuse(fault)
+        self.exempt(fault)
         for name in up:
             simulated_loop().freeze(name)
         return {name: self.cluster.machine(name).incarnations for name in up}
--- a/stoneyoke/lab/simulation/random_faults.py
+++ b/stoneyoke/lab/simulation/random_faults.py
@@ -23,7 +23,7 @@
 TRIGGERED_KINDS = (FaultKind.KILL, FaultKind.POWER, FaultKind.WIPE, FaultKind.FREEZE)
 MAX_SYSTEM_DOWN_S = 2.0  # maximum time for which all controllers are down at the same time
 
-Recipe = Callable[["RandomFaults", float, float], Fault]
+FaultGenerator = Callable[["RandomFaults", float, float], Fault]
 
 
 class RandomFaults:
@@ -34,7 +34,7 @@
         self.random_source, self.plan = random_source, plan
         self.controllers = [controller_address(index) for index in range(plan.controllers)]
         self.gateways = [gateway_address(index) for index in range(plan.gateways)]
-        self.everyone = self.controllers + self.gateways
+        self.machines = self.controllers + self.gateways
 
     def draw(self) -> Iterator[Fault]:
         """Yields the faults of a plan."""
@@ -42,16 +42,16 @@
         for _ in range(random_source.choice((0, 1, 2, 3, 5, 8))):
             at = round(LEAD_S + random_source.uniform(0, self.plan.seconds), 2)
             for_s = round(random_source.choice((0.1, 0.5, 1.5, 3.0, 6.0)) * random_source.uniform(0.7, 1.3), 2)
-            yield random_source.choice(RECIPES)(self, at, for_s)
+            yield random_source.choice(FAULT_GENERATORS)(self, at, for_s)
 
-    def some_of(self, names: list[str], shares: tuple[float, ...]) -> tuple[str, ...]:
+    def sample_share(self, names: list[str], shares: tuple[float, ...]) -> tuple[str, ...]:
         """Draws a share of the names, at least one."""
         count = max(1, int(self.random_source.choice(shares) * len(names)))
         return tuple(self.random_source.sample(names, count))
 
     def one_machine(self, at: float, for_s: float, kind: FaultKind) -> Fault:
         """Disturbs one controller or gateway."""
-        return Fault(at, kind, for_s, who=(self.random_source.choice(self.everyone),))
+        return Fault(at, kind, for_s, who=(self.random_source.choice(self.machines),))
 
     def one_controller(self, at: float, for_s: float, kind: FaultKind) -> Fault:
         """Disturbs one controller."""
@@ -64,7 +64,7 @@
 
     def restart_gateways(self, at: float, for_s: float) -> Fault:
         """Restarts a share of the gateways."""
-        return Fault(at, FaultKind.RESTART_GATEWAYS, for_s, self.some_of(self.gateways, (0.3, 0.6, 0.8)))
+        return Fault(at, FaultKind.RESTART_GATEWAYS, for_s, self.sample_share(self.gateways, (0.3, 0.6, 0.8)))
 
     def all_controllers(self, at: float, for_s: float) -> Fault:
         """Restarts all controllers at the same time, with or without a power loss."""
@@ -72,24 +72,24 @@
         down_s = min(for_s, MAX_SYSTEM_DOWN_S)
         return Fault(at, FaultKind.ALL_CONTROLLERS, down_s, tuple(self.controllers), power=power)
 
-    def one_machine_off(self, at: float, for_s: float, kind: FaultKind) -> Fault:
+    def partition_or_hold_machine(self, at: float, for_s: float, kind: FaultKind) -> Fault:
         """Partitions one machine or holds its messages, in 30 % of the cases in one direction only."""
-        who = (self.random_source.choice(self.everyone),)
+        who = (self.random_source.choice(self.machines),)
         return Fault(at, kind, for_s, who, one_way=self.random_source.random() < 0.3)
 
-    def cut_some(self, at: float, for_s: float) -> Fault:
+    def partition_controllers(self, at: float, for_s: float) -> Fault:
         """Partitions half of the controllers from all others."""
         who = tuple(self.random_source.sample(self.controllers, max(1, len(self.controllers) // 2)))
         return Fault(at, FaultKind.CUT, for_s, who, one_way=self.random_source.random() < 0.2)
 
-    def cut_group(self, at: float, for_s: float) -> Fault:
+    def partition_group(self, at: float, for_s: float) -> Fault:
         """Partitions a group of one controller and some gateways from all others."""
-        who = (self.random_source.choice(self.controllers), *self.some_of(self.gateways, (0.3, 0.6)))
+        who = (self.random_source.choice(self.controllers), *self.sample_share(self.gateways, (0.3, 0.6)))
         return Fault(at, FaultKind.CUT, for_s, who)
 
     def cut_gateways(self, at: float, for_s: float) -> Fault:
         """Partitions a share of the gateways from the controllers."""
-        return Fault(at, FaultKind.CUT_GATEWAYS, for_s, self.some_of(self.gateways, (0.2, 0.5, 0.8)))
+        return Fault(at, FaultKind.CUT_GATEWAYS, for_s, self.sample_share(self.gateways, (0.2, 0.5, 0.8)))
 
     def at_message(self, at: float, for_s: float, triggered: FaultKind) -> Fault:
         """Draws a message that triggers a fault of its sender or receiver."""
@@ -131,11 +131,11 @@
         return Fault(at, FaultKind.LEASE_HOLDER, for_s)
 
 
-KILL: Recipe = partial(RandomFaults.one_machine, kind=FaultKind.KILL)
-FREEZE: Recipe = partial(RandomFaults.one_machine, kind=FaultKind.FREEZE)
-CUT: Recipe = partial(RandomFaults.one_machine_off, kind=FaultKind.CUT)
+KILL: FaultGenerator = partial(RandomFaults.one_machine, kind=FaultKind.KILL)
+FREEZE: FaultGenerator = partial(RandomFaults.one_machine, kind=FaultKind.FREEZE)
+CUT: FaultGenerator = partial(RandomFaults.partition_or_hold_machine, kind=FaultKind.CUT)
 # One of these is drawn for each fault. Those that are listed twice are drawn twice as often.
-RECIPES: tuple[Recipe, ...] = (
+FAULT_GENERATORS: tuple[FaultGenerator, ...] = (
     KILL,
     KILL,
     partial(RandomFaults.one_machine, kind=FaultKind.POWER),
@@ -145,10 +145,10 @@
     RandomFaults.all_controllers,
     CUT,
     CUT,
-    RandomFaults.cut_some,
+    RandomFaults.partition_controllers,
     RandomFaults.cut_gateways,
-    RandomFaults.cut_group,
-    partial(RandomFaults.one_machine_off, kind=FaultKind.HOLD),
+    RandomFaults.partition_group,
+    partial(RandomFaults.partition_or_hold_machine, kind=FaultKind.HOLD),
     FREEZE,
     FREEZE,
     partial(RandomFaults.at_message, triggered=FaultKind.FREEZE),
--- a/stoneyoke/lab/simulation/random_plans.py
+++ b/stoneyoke/lab/simulation/random_plans.py
@@ -47,7 +47,7 @@
     faults = [
         *RandomFaults(random_source, plan).draw(),
         *make_exchanges(random_source, plan, exchanges),
-        *make_closing(random_source, plan),
+        *make_final_fault(random_source, plan),
     ]
     return replace(
         plan,
@@ -98,7 +98,7 @@
         yield Fault(round(exchanged_at, 2), FaultKind.EXCHANGE, gap_s, (removed,), asked=asked, successor=spare)
 
 
-def make_closing(random_source: random.Random, plan: Plan) -> Iterator[Fault]:
+def make_final_fault(random_source: random.Random, plan: Plan) -> Iterator[Fault]:
     """Yields a final fault of several machines, or none."""
     controllers = tuple(controller_address(index) for index in range(plan.controllers))
     gateways = tuple(gateway_address(index) for index in range(plan.gateways))
--- a/stoneyoke/lab/simulation/register_history.py
+++ b/stoneyoke/lab/simulation/register_history.py
@@ -18,7 +18,7 @@
 LARGEST_NUMBER = 1 << 62
 
 
-class Claim(NamedTuple):
+class OperatorResponse(NamedTuple):
     """A response that an operator received for a version, and when."""
 
     at: float
@@ -49,8 +49,8 @@
     shown_levels: list[tuple[float, int]] = field(default_factory=list)
     acknowledged_levels: list[tuple[float, int]] = field(default_factory=list)
     shown: dict[int, Version] = field(default_factory=dict)
-    acknowledged: list[Claim] = field(default_factory=list)
-    conflicts: list[Claim] = field(default_factory=list)
+    acknowledged: list[OperatorResponse] = field(default_factory=list)
+    conflicts: list[OperatorResponse] = field(default_factory=list)
     chosen: list[Proposal] = field(default_factory=list)
 
     def order(self, now: float, version: Version, body: bytes) -> None:
@@ -71,9 +71,9 @@
         """Returns the highest number that was acknowledged until a time."""
         return highest_until(self.acknowledged_levels, before)
 
-    def was_refused(self, version: Version) -> bool:
+    def was_rejected(self, version: Version) -> bool:
         """Returns whether a version was rejected as a conflict."""
-        return any(claim.version == version for claim in self.conflicts)
+        return any(response.version == version for response in self.conflicts)
 
     # ---- what operators and gateways see ----
 
@@ -86,27 +86,29 @@
         violation = f"CONFIG: {where} shows a different content of {version} than was shown before"
         self.check(first == version, now, violation)
         violation = f"CONFIG: {where} shows a content of {version} that was rejected as a conflict"
-        self.check(not self.was_refused(version), now, violation)
+        self.check(not self.was_rejected(version), now, violation)
         self.raise_level(now, version.number)
 
     def read(self, asked_at: float, now: float, where: str, configuration: Configuration) -> None:
         """Records the response to a read that was sent at a time."""
-        number, least = configuration.version.number, self.level(asked_at)
+        number, required = configuration.version.number, self.level(asked_at)
         self.check(
-            number >= least, now, f"CONFIG: a read from {where} returns r{number}, though r{least} was shown before"
+            number >= required,
+            now,
+            f"CONFIG: a read from {where} returns r{number}, though r{required} was shown before",
         )
         self.show(now, where, configuration)
 
     def read_nothing(self, asked_at: float, now: float, where: str) -> None:
         """Records the response that there is no configuration."""
-        least = self.level(asked_at)
-        violation = f"CONFIG: {where} reports no configuration, though r{least} was shown before"
-        self.check(least == 0, now, violation)
+        required = self.level(asked_at)
+        violation = f"CONFIG: {where} reports no configuration, though r{required} was shown before"
+        self.check(required == 0, now, violation)
 
     def acknowledge(self, now: float, version: Version) -> None:
         """Records an acknowledgement."""
-        self.check(not self.was_refused(version), now, f"CONFIG: {version} was rejected, then acknowledged")
-        self.acknowledged.append(Claim(now, version))
+        self.check(not self.was_rejected(version), now, f"CONFIG: {version} was rejected, then acknowledged")
+        self.acknowledged.append(OperatorResponse(now, version))
         if version.number > self.newest_acknowledged(now):
             self.acknowledged_levels.append((now, version.number))
         self.raise_level(now, version.number)
@@ -123,23 +125,23 @@
         is_decided = chosen is not None and chosen.version.number >= version.number and chosen.version != version
         violation = f"CONFIG: {controller} reports a conflict at {version}, but knows no conflicting chosen version"
         self.check(is_decided, now, violation)
-        was_acknowledged = any(claim.version == version for claim in self.acknowledged)
+        was_acknowledged = any(response.version == version for response in self.acknowledged)
         self.check(not was_acknowledged, now, f"CONFIG: {version} was acknowledged, then rejected as a conflict")
         was_shown = self.shown.get(version.number) == version
         self.check(not was_shown, now, f"CONFIG: {version} was shown, then rejected as a conflict")
-        self.conflicts.append(Claim(now, version))
+        self.conflicts.append(OperatorResponse(now, version))
 
     # ---- what controllers consider chosen ----
 
     def learn(self, now: float, where: str, proposal: Proposal) -> None:
         """Records a proposal that a controller considers chosen. It must fit the next lower and next higher ballots."""
-        place = bisect.bisect_left(self.chosen, proposal.ballot, key=ballot_of)
-        if place < len(self.chosen) and self.chosen[place].ballot == proposal.ballot:
-            is_same = self.chosen[place].value == proposal.value
+        index = bisect.bisect_left(self.chosen, proposal.ballot, key=ballot_of)
+        if index < len(self.chosen) and self.chosen[index].ballot == proposal.ballot:
+            is_same = self.chosen[index].value == proposal.value
             self.check(is_same, now, f"CHOSEN: {where} has another value under ballot {proposal.ballot}")
             return
-        self.chosen.insert(place, proposal)
-        neighbours = self.chosen[max(0, place - 1) : place + 2]
+        self.chosen.insert(index, proposal)
+        neighbours = self.chosen[max(0, index - 1) : index + 2]
         for older, newer in zip(neighbours, neighbours[1:], strict=False):
             violation = f"CHOSEN: {where}: {describe(older)}, then {describe(newer)}"
             self.check(may_follow(older.value, newer.value), now, violation)
@@ -148,36 +150,44 @@
 
     def audit(self, now: float) -> None:
         """Checks conditions that can be decided only when the whole history is known."""
-        for claim in self.acknowledged:
-            content = self.shown.get(claim.version.number, claim.version)
-            holds = content == claim.version or self.is_superseded(claim)
-            violation = f"CONFIG: {claim.version} was acknowledged, but a different content was shown under its number"
+        for response in self.acknowledged:
+            content = self.shown.get(response.version.number, response.version)
+            holds = content == response.version or self.is_superseded(response)
+            violation = (
+                f"CONFIG: {response.version} was acknowledged, but a different content was shown under its number"
+            )
             self.check(holds, now, violation)
-        for claim in self.acknowledged:
-            rival = next((other for other in self.acknowledged if is_rival(claim.version, other.version)), None)
-            holds = rival is None or self.is_superseded(claim) or self.is_superseded(rival)
-            self.check(holds, now, f"CONFIG: two contents of {claim.version} were acknowledged")
-        refused = {claim.version for claim in self.conflicts}
-        for claim in self.conflicts:
-            rivals = [other for other in self.sent if is_rival(claim.version, other) and self.sent[other] <= claim.at]
-            holds = any(rival not in refused for rival in rivals)
-            self.check(holds, now, f"CONFIG: every content of {claim.version} was rejected")
-
-    def is_superseded(self, claim: Claim) -> bool:
+        for response in self.acknowledged:
+            conflicting = next(
+                (other for other in self.acknowledged if is_conflicting(response.version, other.version)), None
+            )
+            holds = conflicting is None or self.is_superseded(response) or self.is_superseded(conflicting)
+            self.check(holds, now, f"CONFIG: two contents of {response.version} were acknowledged")
+        rejected = {response.version for response in self.conflicts}
+        for response in self.conflicts:
+            others = [
+                other
+                for other in self.sent
+                if is_conflicting(response.version, other) and self.sent[other] <= response.at
+            ]
+            holds = any(version not in rejected for version in others)
+            self.check(holds, now, f"CONFIG: every content of {response.version} was rejected")
+
+    def is_superseded(self, response: OperatorResponse) -> bool:
         """Returns whether a higher number may have been chosen first: the acknowledgement then confirms no content."""
         return any(
-            version.number > claim.version.number and sent_at <= claim.at and self.level(END_S) >= version.number
+            version.number > response.version.number and sent_at <= response.at and self.level(END_S) >= version.number
             for version, sent_at in self.sent.items()
         )
 
 
 def highest_until(levels: list[tuple[float, int]], before: float) -> int:
     """Returns the last of the rising numbers whose time is not after `before`; 0 if there is none."""
-    place = bisect.bisect_right(levels, (before, LARGEST_NUMBER))
-    return levels[place - 1][1] if place else 0
+    index = bisect.bisect_right(levels, (before, LARGEST_NUMBER))
+    return levels[index - 1][1] if index else 0
 
 
-def is_rival(one: Version, other: Version) -> bool:
+def is_conflicting(one: Version, other: Version) -> bool:
     """Returns whether two versions are different contents under one number."""
     return one.number == other.number and one != other
 
--- a/stoneyoke/lab/simulation/runs.py
+++ b/stoneyoke/lab/simulation/runs.py
@@ -14,36 +14,36 @@
 from stoneyoke.lab.simulation.scenario import Scenario
 from stoneyoke.lab.simulation.scripted import SCRIPTED_SCENARIOS
 
-SEEDS_AT_ONCE = 4  # that a process fetches from the pool
+SEEDS_PER_TASK = 4  # that a process fetches from the pool
 
 
-def play(plan: Plan, defect: str = "") -> ScenarioResult:
+def run_plan(plan: Plan, defect: str = "") -> ScenarioResult:
     """Runs a plan, with a seeded defect if one is named. An exception of the scenario is reported as a violation."""
     with in_scenarios.seeded(defect):
         try:
-            return Scenario(plan).play()
+            return Scenario(plan).simulate()
         except Exception as error:  # an exception in one scenario must not abort the others
             violation = f"exception in the simulation: {type(error).__name__}: {error}"
             return ScenarioResult(seed=plan.seed, violations=[violation])
 
 
-def play_seed(seed: int, defect: str = "") -> ScenarioResult:
+def run_seed(seed: int, defect: str = "") -> ScenarioResult:
     """Runs the random plan of a seed."""
-    return play(make_plan(seed), defect)
+    return run_plan(make_plan(seed), defect)
 
 
-def play_scripted(name: str, defect: str = "") -> ScenarioResult:
+def run_scripted(name: str, defect: str = "") -> ScenarioResult:
     """Runs a scripted scenario."""
-    return play(SCRIPTED_SCENARIOS[name], defect)
+    return run_plan(SCRIPTED_SCENARIOS[name], defect)
 
 
-def play_many(seeds: Iterable[int], jobs: int) -> Iterator[ScenarioResult]:
+def run_seeds(seeds: Iterable[int], jobs: int) -> Iterator[ScenarioResult]:
     """Runs seeds in `jobs` processes; yields the results in the order of the seeds."""
     if jobs <= 1:
-        yield from map(play_seed, seeds)
+        yield from map(run_seed, seeds)
         return
     with ProcessPoolExecutor(jobs) as pool:
-        yield from pool.map(play_seed, seeds, chunksize=SEEDS_AT_ONCE)
+        yield from pool.map(run_seed, seeds, chunksize=SEEDS_PER_TASK)
 
 
 def summarize(results: Iterable[ScenarioResult]) -> Summary:
@@ -69,8 +69,8 @@
     fails_with: bool
 
 
-def play_stored_case(path: str) -> StoredCaseResult:
+def run_stored_case(path: str) -> StoredCaseResult:
     """Runs a stored plan without and with the defect that its file is named after."""
     file = Path(path)
     plan = read_plan(file.read_text())
-    return StoredCaseResult(bool(play(plan).violations), bool(play(plan, file.stem).violations))
+    return StoredCaseResult(bool(run_plan(plan).violations), bool(run_plan(plan, file.stem).violations))
--- a/stoneyoke/lab/simulation/scenario.py
+++ b/stoneyoke/lab/simulation/scenario.py
@@ -23,15 +23,15 @@
 from stoneyoke.lab.simulation.simulated_cluster import SimulatedCluster
 from stoneyoke.lab.simulation.tenants import Tenants
 
-CANCELLATION_TURNS = 4  # loop iterations in which cancelled tasks end
-Due = TypeVar("Due", Fault, Order)
+CANCELLATION_ITERATIONS = 4  # loop iterations in which cancelled tasks end
+FaultOrOrder = TypeVar("FaultOrOrder", Fault, Order)
 
 
 class Scenario:
     """A plan with its simulated machines, operators, tenants, faults and checks."""
 
     def __init__(self, plan: Plan) -> None:
-        """Prepares a scenario; nothing runs before `play`."""
+        """Prepares a scenario; nothing runs before `simulate`."""
         self.plan, random_source = plan, random.Random(plan.seed * 7 + 1)
         self.environment = Environment(
             plan=plan,
@@ -47,7 +47,7 @@
         self.invariants = Invariants(self.cluster, self.operators, self.tenants)
         self.disk_bytes = 0
 
-    def play(self) -> ScenarioResult:
+    def simulate(self) -> ScenarioResult:
         """Runs the scenario to its end, in an event loop of its own."""
         self.environment.folder = tempfile.mkdtemp(prefix="scenario-")
         logger.disable("stoneyoke")
@@ -86,7 +86,7 @@
         self.cluster.create_machines()
         await self.cluster.start()
         started_at = now()
-        self.checker.disturbances.controllers_until = self.checker.intolerable_until = started_at
+        self.checker.disturbances.controllers_until = self.checker.beyond_tolerance_until = started_at
         tasks = self.start_tasks(started_at)
         ends_s = max([LEAD_S + plan.seconds, *(fault.at + fault.for_s for fault in plan.faults)])
         self.faults.faults_end_at = started_at + ends_s
@@ -99,7 +99,7 @@
             await self.invariants.check_converged()
             self.disk_bytes = max(machine.disk.size() for machine in self.cluster.controllers.values())
         finally:
-            await self.end_all()
+            await self.cancel_all_tasks()
 
     def start_tasks(self, started_at: float) -> list[asyncio.Task[Any]]:
         """Starts the tasks of operators, tenants, backends, faults and checks. Their order is part of the trace."""
@@ -114,16 +114,18 @@
         work += [self.run_at(started_at, order, self.operators.carry_out) for order in plan.orders]
         return [self.network.run_on("", one) for one in work]
 
-    async def run_at(self, started_at: float, due: Due, act: Callable[[Due], Awaitable[None]]) -> None:
+    async def run_at(
+        self, started_at: float, due: FaultOrOrder, action: Callable[[FaultOrOrder], Awaitable[None]]
+    ) -> None:
         """Carries out a fault or a configuration change at its time."""
         await asyncio.sleep(started_at + due.at - self.environment.now())
-        await act(due)
+        await action(due)
 
-    async def end_all(self) -> None:
+    async def cancel_all_tasks(self) -> None:
         """Cancels every task of every machine."""
         for name in list(simulated_loop().frozen):
             simulated_loop().thaw(name)
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
-        for _ in range(CANCELLATION_TURNS):
+        for _ in range(CANCELLATION_ITERATIONS):
             await asyncio.sleep(0)
--- a/stoneyoke/lab/simulation/scripted/message_faults.py
+++ b/stoneyoke/lab/simulation/scripted/message_faults.py
@@ -1,7 +1,7 @@
 """Scripted scenarios with late, duplicated and lost messages."""
 
 from stoneyoke.lab.simulation.plans import Fault, FaultKind, Plan
-from stoneyoke.lab.simulation.scripted.scripting import BEGIN_S, C1, C4, G1, GAP_S, steady_orders
+from stoneyoke.lab.simulation.scripted.scripting import BEGIN_S, C1, C4, G1, REPLACEMENT_GAP_S, steady_orders
 
 
 def late_and_doubled() -> Plan:
@@ -17,7 +17,7 @@
 def late_while_voters_change() -> Plan:
     """Messages are late or arrive twice while a voter is replaced and the lease holder restarts."""
     faults = (
-        Fault(BEGIN_S, FaultKind.EXCHANGE, GAP_S, (C1,), successor=C4),
+        Fault(BEGIN_S, FaultKind.EXCHANGE, REPLACEMENT_GAP_S, (C1,), successor=C4),
         Fault(BEGIN_S + 0.6, FaultKind.LATE, 8.0, share=0.3, doubled=0.5),
         Fault(BEGIN_S + 2, FaultKind.LEASE_HOLDER, 0.5),
     )
--- a/stoneyoke/lab/simulation/scripted/partitions_and_freezes.py
+++ b/stoneyoke/lab/simulation/scripted/partitions_and_freezes.py
@@ -1,7 +1,17 @@
 """Scripted scenarios in which machines are partitioned or frozen."""
 
 from stoneyoke.lab.simulation.plans import Fault, FaultKind, Plan
-from stoneyoke.lab.simulation.scripted.scripting import BEGIN_S, C1, C2, C3, G1, G2, STEPS, at_message, steady_orders
+from stoneyoke.lab.simulation.scripted.scripting import (
+    BEGIN_S,
+    C1,
+    C2,
+    C3,
+    G1,
+    G2,
+    MESSAGE_TYPES,
+    at_message,
+    steady_orders,
+)
 
 
 def cut_off_for_20_s() -> Plan:
@@ -37,7 +47,7 @@
     """A controller freezes as it sends, or as it receives, each kind of message of the register and the lease."""
     faults = tuple(
         at_message(BEGIN_S + 3.5 * index, FaultKind.FREEZE, for_s, message, sent=sent, count=1 + index % 2)
-        for index, (message, for_s) in enumerate((step, for_s) for step in STEPS for for_s in (0.6, 2.5))
+        for index, (message, for_s) in enumerate((step, for_s) for step in MESSAGE_TYPES for for_s in (0.6, 2.5))
     )
     orders = steady_orders(40, every_s=0.8, contents=2, again=1)
     return Plan(104 + sent, seconds=42.0, backends=3, orders=orders, faults=faults)
--- a/stoneyoke/lab/simulation/scripted/scripting.py
+++ b/stoneyoke/lab/simulation/scripted/scripting.py
@@ -8,9 +8,9 @@
 C1, C2, C3, C4, C5, C6, C7 = (controller_address(index) for index in range(7))
 G1, G2, G3 = (gateway_address(index) for index in range(3))
 CATCH_UP_S = BOUNDS.catch_up_s
-GAP_S = 0.5  # time between the removal of a machine and the start of its successor
+REPLACEMENT_GAP_S = 0.5  # time between the removal of a machine and the start of its successor
 BEGIN_S = 4.0  # time by which a system that starts for the first time is stable
-STEPS = ("PrepareRequest", "AcceptRequest", "ChosenNotice", "QueryRequest", "ValueRequest", "LeaseRequest")
+MESSAGE_TYPES = ("PrepareRequest", "AcceptRequest", "ChosenNotice", "QueryRequest", "ValueRequest", "LeaseRequest")
 
 
 def steady_orders(seconds: float, every_s: float = 2.0, contents: int = 1, again: int = 0) -> tuple[Order, ...]:
--- a/stoneyoke/lab/simulation/scripted/voter_changes.py
+++ b/stoneyoke/lab/simulation/scripted/voter_changes.py
@@ -12,7 +12,7 @@
     C7,
     CATCH_UP_S,
     G1,
-    GAP_S,
+    REPLACEMENT_GAP_S,
     at_message,
     steady_orders,
 )
@@ -33,11 +33,17 @@
     spares = 2
     addresses = [controller_address(index) for index in range(controllers + spares)]
     present, absent, faults = addresses[:controllers], addresses[controllers:], []
-    period = GAP_S + CATCH_UP_S + 0.1
+    period = REPLACEMENT_GAP_S + CATCH_UP_S + 0.1
     for index in range(exchanges):
         removed, successor = present.pop(0), absent.pop(0)
         faults.append(
-            Fault(round(BEGIN_S + index * period, 2), FaultKind.EXCHANGE, GAP_S, (removed,), successor=successor)
+            Fault(
+                round(BEGIN_S + index * period, 2),
+                FaultKind.EXCHANGE,
+                REPLACEMENT_GAP_S,
+                (removed,),
+                successor=successor,
+            )
         )
         present.append(successor)
         absent.append(removed)
@@ -50,9 +56,11 @@
 
 def disks_replaced_in_turn() -> Plan:
     """Each voter is replaced permanently in turn; its successor starts with an empty disk at the same address."""
-    period = GAP_S + CATCH_UP_S + 0.2
+    period = REPLACEMENT_GAP_S + CATCH_UP_S + 0.2
     faults = tuple(
-        Fault(round(BEGIN_S + index * period, 2), FaultKind.EXCHANGE, GAP_S, (controller_address(index % 3),))
+        Fault(
+            round(BEGIN_S + index * period, 2), FaultKind.EXCHANGE, REPLACEMENT_GAP_S, (controller_address(index % 3),)
+        )
         for index in range(9)
     )
     seconds = 9 * period + 1
@@ -62,8 +70,8 @@
 def second_loss_after_exchange() -> Plan:
     """Another voter loses power for 12 s once the successor of the first must have caught up."""
     faults = (
-        Fault(BEGIN_S, FaultKind.EXCHANGE, GAP_S, (C1,), successor=C4),
-        Fault(BEGIN_S + GAP_S + CATCH_UP_S + 0.1, FaultKind.POWER, 12.0, (C2,)),
+        Fault(BEGIN_S, FaultKind.EXCHANGE, REPLACEMENT_GAP_S, (C1,), successor=C4),
+        Fault(BEGIN_S + REPLACEMENT_GAP_S + CATCH_UP_S + 0.1, FaultKind.POWER, 12.0, (C2,)),
     )
     return Plan(306, spares=1, seconds=18.0, orders=steady_orders(16, every_s=1.0, again=1), faults=faults)
 
@@ -91,8 +99,8 @@
     for index, message in enumerate(("PrepareRequest", "AcceptRequest", "ChosenNotice") * 2):
         starts_at, removed = BEGIN_S + 10 * index, places.pop(0)
         successor = controller_address(3 + index)
-        faults.append(Fault(starts_at, FaultKind.EXCHANGE, GAP_S, (removed,), successor=successor))
-        restart = at_message(starts_at + GAP_S, FaultKind.KILL, 1.0, message, sent=sent, count=1 + index)
+        faults.append(Fault(starts_at, FaultKind.EXCHANGE, REPLACEMENT_GAP_S, (removed,), successor=successor))
+        restart = at_message(starts_at + REPLACEMENT_GAP_S, FaultKind.KILL, 1.0, message, sent=sent, count=1 + index)
         faults.append(restart)
         places.append(successor)
     return Plan(309 + sent, spares=6, seconds=62.0, faults=tuple(faults))
@@ -104,9 +112,14 @@
     for index, after_s in enumerate((0.05, 0.3, 0.7, 1.2)):
         starts_at = BEGIN_S + 12 * index
         removed, successor = controller_address(index % 3), controller_address(3 + index)
-        faults.append(Fault(starts_at, FaultKind.EXCHANGE, GAP_S, (removed,), successor=successor))
+        faults.append(Fault(starts_at, FaultKind.EXCHANGE, REPLACEMENT_GAP_S, (removed,), successor=successor))
         faults.append(
-            Fault(starts_at + GAP_S + after_s, FaultKind.POWER if index % 2 else FaultKind.WIPE, 0.5, (successor,))
+            Fault(
+                starts_at + REPLACEMENT_GAP_S + after_s,
+                FaultKind.POWER if index % 2 else FaultKind.WIPE,
+                0.5,
+                (successor,),
+            )
         )
     return Plan(311, spares=4, seconds=48.0, orders=steady_orders(44), faults=tuple(faults))
 
@@ -114,10 +127,10 @@
 def wiped_during_change() -> Plan:
     """One of five voters is removed permanently, and another one loses its disk while the successor becomes a voter."""
     faults = (
-        Fault(BEGIN_S + 3, FaultKind.EXCHANGE, GAP_S, (C1,), successor=C6),
-        Fault(BEGIN_S + 3 + GAP_S + 1.0, FaultKind.WIPE, 0.3, (C2,)),
-        Fault(BEGIN_S + 15, FaultKind.EXCHANGE, GAP_S, (C3,), successor=C7),
-        Fault(BEGIN_S + 15 + GAP_S + 0.2, FaultKind.WIPE, 0.3, (C4,)),
+        Fault(BEGIN_S + 3, FaultKind.EXCHANGE, REPLACEMENT_GAP_S, (C1,), successor=C6),
+        Fault(BEGIN_S + 3 + REPLACEMENT_GAP_S + 1.0, FaultKind.WIPE, 0.3, (C2,)),
+        Fault(BEGIN_S + 15, FaultKind.EXCHANGE, REPLACEMENT_GAP_S, (C3,), successor=C7),
+        Fault(BEGIN_S + 15 + REPLACEMENT_GAP_S + 0.2, FaultKind.WIPE, 0.3, (C4,)),
     )
     return Plan(312, 5, 2, losses=2, seconds=24.0, orders=steady_orders(22, every_s=1.0), faults=faults)
 
@@ -128,8 +141,8 @@
     A gateway starts in the same partition.
     """
     faults = (
-        Fault(BEGIN_S, FaultKind.EXCHANGE, GAP_S, (C1,), successor=C4),
-        Fault(BEGIN_S + 6, FaultKind.EXCHANGE, GAP_S, (C2,), successor=C5),
+        Fault(BEGIN_S, FaultKind.EXCHANGE, REPLACEMENT_GAP_S, (C1,), successor=C4),
+        Fault(BEGIN_S + 6, FaultKind.EXCHANGE, REPLACEMENT_GAP_S, (C2,), successor=C5),
         Fault(BEGIN_S + 13, FaultKind.CUT, 8.0, (C1, C2, G1)),
         Fault(BEGIN_S + 13.1, FaultKind.RETURN, 0.1, (C1, C2)),
         Fault(BEGIN_S + 13.2, FaultKind.KILL, 0.3, (G1,)),
--- a/stoneyoke/lab/simulation/tenants.py
+++ b/stoneyoke/lab/simulation/tenants.py
@@ -10,8 +10,8 @@
 from stoneyoke.lab.simulation.simulated_cluster import SimulatedCluster
 from stoneyoke.limits.token_bucket import SECOND
 
-HALF = 0.5  # load as a share of the quota at which an undisturbed gateway should not reject a tenant
-STEADY_CHANGES = 3  # the load of a tenant is steady if it was HALF at each of its last 3 changes
+HALF_OF_QUOTA = 0.5  # load as a share of the quota at which an undisturbed gateway should not reject a tenant
+STEADY_CHANGES = 3  # the load of a tenant is steady if it was HALF_OF_QUOTA at each of its last 3 changes
 QUIET_S = 6.0  # time after the last disturbance from which on a scenario counts as quiet
 LARGE_RATE = 10.0  # requests per second; at lower rates a single request is a large share of the quota
 TIMEOUT_S = 2  # time-out of a request
@@ -54,7 +54,7 @@
                 while random_source.random() < expected / (1 + expected):
                     gateway = self.cluster.gateways[random_source.choices(names, self.weights)[0]]
                     if gateway.client and gateway.table and not self.cluster.is_frozen(gateway.name):
-                        is_steady = shares[-STEADY_CHANGES:] == [HALF] * len(shares[-STEADY_CHANGES:])
+                        is_steady = shares[-STEADY_CHANGES:] == [HALF_OF_QUOTA] * len(shares[-STEADY_CHANGES:])
                         self.request(gateway, gateway.client, gateway.table, tenant, is_steady)
 
     def is_quiet(self) -> bool:
@@ -73,7 +73,7 @@
         is_large = known_tenant.rate_per_s >= LARGE_RATE and known_tenant.burst >= known_tenant.rate_per_s
         is_below_quota = is_steady and is_large and self.is_quiet()
 
-        def settle(decision: int) -> None:
+        def record_decision(decision: int) -> None:
             self.requests_below_quota += is_below_quota
             if decision == ADMITTED:
                 self.admitted += 1
@@ -83,12 +83,12 @@
                 self.rejected += 1
                 self.rejected_below_quota += is_below_quota
 
-        async def settle_after_draw() -> None:
+        async def decide_after_grant() -> None:
             await client.quota_client.wait_for_units(tenant.label)
             if gateway.client is client:
-                settle(client.admission.admit_after_reply(call, local_quota, client.now_us()))
+                record_decision(client.admission.admit_after_reply(call, local_quota, client.now_us()))
 
         if decision is None:
-            self.environment.network.run_on(gateway.name, settle_after_draw())
+            self.environment.network.run_on(gateway.name, decide_after_grant())
         else:
-            settle(decision)
+            record_decision(decision)
--- a/tests/system/test_scripted_scenarios.py
+++ b/tests/system/test_scripted_scenarios.py
@@ -7,11 +7,11 @@
 from ward import each, test
 
 from stoneyoke.lab.simulation.results import ScenarioResult
-from stoneyoke.lab.simulation.runs import play_scripted
+from stoneyoke.lab.simulation.runs import run_scripted
 from stoneyoke.lab.simulation.scripted import SCRIPTED_SCENARIOS
 
 # The events that a scenario has at least: none passes because its fault did not happen.
-LEAST_EVENTS = {
+MIN_EVENT_COUNTS = {
     "cut_off_for_20_s": {"cut": 1, "refused, cut off": 20, "drains": 2, "acknowledged": 15},
     "two_of_five_cut_off": {"cut": 1, "refused, cut off": 20, "acknowledged": 9},
     "cut_off_and_restarted": {"cut": 1, "refused, cut off": 10, "power": 1, "acknowledged": 9},
@@ -94,28 +94,28 @@
 def results() -> dict[str, ScenarioResult]:
     """Plays all scenarios once, on all processors."""
     with ProcessPoolExecutor(PROCESSES) as pool:
-        return dict(zip(SCRIPTED_SCENARIOS, pool.map(play_scripted, SCRIPTED_SCENARIOS), strict=True))
+        return dict(zip(SCRIPTED_SCENARIOS, pool.map(run_scripted, SCRIPTED_SCENARIOS), strict=True))
 
 
 @lru_cache(maxsize=1)
 def results_with_defects() -> dict[str, ScenarioResult]:
     """Plays each defect's scenario with that defect once, on all processors."""
     with ProcessPoolExecutor(PROCESSES) as pool:
-        played = pool.map(play_scripted, SCENARIO_THAT_FINDS.values(), SCENARIO_THAT_FINDS)
-        return dict(zip(SCENARIO_THAT_FINDS, played, strict=True))
+        with_defects = pool.map(run_scripted, SCENARIO_THAT_FINDS.values(), SCENARIO_THAT_FINDS)
+        return dict(zip(SCENARIO_THAT_FINDS, with_defects, strict=True))
 
 
 @test("every scripted scenario has its least events")
 def _():
-    assert set(LEAST_EVENTS) == set(SCRIPTED_SCENARIOS)
+    assert set(MIN_EVENT_COUNTS) == set(SCRIPTED_SCENARIOS)
 
 
 @test("scenario {name}: breaks no promise and has its events")
 def _(name=each(*SCRIPTED_SCENARIOS)):
     result = results()[name]
     assert not result.violations, str(result.violations[:3])
-    for event, least in LEAST_EVENTS[name].items():
-        assert result.event_counts[event] >= least, f"{event}: {result.event_counts[event]}"
+    for event, minimum in MIN_EVENT_COUNTS[name].items():
+        assert result.event_counts[event] >= minimum, f"{event}: {result.event_counts[event]}"
 
 
 @test("scenario {name}: the disk holds no more than the state needs at the end")
@@ -130,4 +130,4 @@
 
 @test("records that are never removed fill the disk")
 def _():
-    assert play_scripted("eight_contents_at_once", "records_never_removed").disk_bytes > DISK_BYTES
+    assert run_scripted("eight_contents_at_once", "records_never_removed").disk_bytes > DISK_BYTES
--- a/tests/system/test_simulation.py
+++ b/tests/system/test_simulation.py
@@ -17,10 +17,10 @@
 from stoneyoke.lab.simulation.results import Summary
 from stoneyoke.lab.simulation.runs import (
     StoredCaseResult,
-    play,
-    play_many,
-    play_seed,
-    play_stored_case,
+    run_plan,
+    run_seed,
+    run_seeds,
+    run_stored_case,
     summarize,
 )
 from stoneyoke.lab.simulation.scripted import SCRIPTED_SCENARIOS
@@ -40,14 +40,14 @@
 @lru_cache(maxsize=1)
 def random_scenarios() -> Summary:
     """Plays the first seeds once, on all processors."""
-    return summarize(play_many(range(SEEDS), PROCESSES))
+    return summarize(run_seeds(range(SEEDS), PROCESSES))
 
 
 @lru_cache(maxsize=1)
 def stored_case_results() -> dict[str, StoredCaseResult]:
     """Plays the stored cases once, on all processors."""
     with ProcessPoolExecutor(PROCESSES) as pool:
-        return dict(zip(STORED_CASES, pool.map(play_stored_case, map(str, STORED_CASES.values())), strict=True))
+        return dict(zip(STORED_CASES, pool.map(run_stored_case, map(str, STORED_CASES.values())), strict=True))
 
 
 @test("random scenarios of the first seeds break no promise")
@@ -70,8 +70,8 @@
 
 @test("a seed gives the same trace in another process, with string hashes of seed {hash_seed}")
 def _(hash_seed=each("1", "2")):
-    own = [play_seed(seed).trace for seed in (3, 4)]
-    code = "from stoneyoke.lab.simulation.runs import play_seed; print([play_seed(seed).trace for seed in (3, 4)])"
+    own = [run_seed(seed).trace for seed in (3, 4)]
+    code = "from stoneyoke.lab.simulation.runs import run_seed; print([run_seed(seed).trace for seed in (3, 4)])"
     other = subprocess.run(
         [sys.executable, "-c", code],
         env=os.environ | {"PYTHONHASHSEED": hash_seed},
@@ -96,8 +96,8 @@
 @test("a seeded defect is gone once its scenario has ended")
 def _():
     plan = read_plan(STORED_CASES["ack_before_sync"].read_text())
-    assert play(plan, "ack_before_sync").violations
-    assert not play(plan).violations
+    assert run_plan(plan, "ack_before_sync").violations
+    assert not run_plan(plan).violations
 
 
 @test("a random plan is equal after it was written and read")
