--- a/stoneyoke/lab/soak/__main__.py
+++ b/stoneyoke/lab/soak/__main__.py
@@ -29,7 +29,7 @@
 SCHEDULE = flags.DEFINE_bool("schedule", False, "Print each seed's schedule, and run nothing.")
 FIRST_BLOCK, BLOCKS = 100, 150  # address blocks: soaks of neighbouring seeds may run at the same time
 PRINTED_MAX = 20
-EXIT_RED, EXIT_NOT_RUN = 1, 2
+EXIT_FAILED, EXIT_NOT_RUN = 1, 2
 
 
 def parse_seeds(text: str) -> range:
@@ -42,7 +42,7 @@
     return range(int(first), int(last or first) + 1)
 
 
-def settings_of(seed: int) -> SoakSettings:
+def read_settings(seed: int) -> SoakSettings:
     """Returns the settings of the soak of one seed, from the command line."""
     return SoakSettings(
         seed=seed,
@@ -75,7 +75,7 @@
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
     try:
-        result = asyncio.run(Soak(settings_of(seed), folder).run())
+        result = asyncio.run(Soak(read_settings(seed), folder).run())
     except (
         OSError
     ) as error:  # most likely an address in use by a soak of the same seed, or of one that differs by BLOCKS
@@ -100,16 +100,16 @@
         raise app.UsageError(f"--seeds: {SEEDS.value!r} is neither a seed nor a range of seeds") from None
     if SCHEDULE.value:
         for seed in seeds:
-            print(f"seed {seed}", *Soak(settings_of(seed), Path(OUT.value)).schedule(), sep="\n")
+            print(f"seed {seed}", *Soak(read_settings(seed), Path(OUT.value)).schedule(), sep="\n")
         return
-    red: list[int] = []
+    failed_seeds: list[int] = []
     for seed in seeds:
         if not run_seed(seed):
-            red.append(seed)
+            failed_seeds.append(seed)
             if not KEEP_GOING.value:
                 break
-    print(f"seeds that broke a rule: {', '.join(map(str, red)) or 'none'}")
-    sys.exit(EXIT_RED if red else 0)
+    print(f"seeds that broke a rule: {', '.join(map(str, failed_seeds)) or 'none'}")
+    sys.exit(EXIT_FAILED if failed_seeds else 0)
 
 
 def main() -> None:
--- a/stoneyoke/lab/soak/backend.py
+++ b/stoneyoke/lab/soak/backend.py
@@ -11,10 +11,10 @@
 WORK_HEADER = "X-Work-Ms"  # request header with the duration of the run; the gateway forwards it
 DEFAULT_WORK_MS = 20
 STALL_S = 4.0  # how long the rest of a response is withheld: longer than any client waits
-PART_OF_AN_ANSWER = b"HTTP/1.1 200 OK\r\nServer-St"
+PARTIAL_RESPONSE = b"HTTP/1.1 200 OK\r\nServer-St"
 
 
-class AnswerLost(ConnectionError):
+class ResponseLost(ConnectionError):
     """Raised where the backend closes a connection instead of sending a response."""
 
 
@@ -22,7 +22,7 @@
     """One instance. Its heartbeats report the address of the link that leads to it.
 
     Attributes:
-        loses_answers: Whether each run ends with a close instead of a response.
+        loses_responses: Whether each run ends with a close instead of a response.
         stalls: Whether only the beginning of each response is sent and the rest withheld.
     """
 
@@ -41,7 +41,7 @@
         super().__init__(service, number, ledger, cluster)
         self.soak_ledger = ledger
         self.address = f"{entry[0]}:{entry[1]}"
-        self.loses_answers = self.stalls = False
+        self.loses_responses = self.stalls = False
 
     async def work(self, message: Message, writer: asyncio.StreamWriter) -> None:
         """Runs for the duration that the request sets, or until its connection closes.
@@ -60,9 +60,9 @@
         try:
             work_ms = int(message.headers.get(WORK_HEADER.lower().encode(), b"") or DEFAULT_WORK_MS)
             await self.work_until_closed(work_ms / 1000, closed, writer)
-            run.end = RunEnd.LOST if self.loses_answers else RunEnd.ANSWERED
-            if self.loses_answers:
-                raise AnswerLost(attempt_id)
+            run.end = RunEnd.LOST if self.loses_responses else RunEnd.ANSWERED
+            if self.loses_responses:
+                raise ResponseLost(attempt_id)
         except ConnectionResetError:
             run.end = RunEnd.CLOSED
             raise
@@ -82,11 +82,11 @@
         except TimeoutError:
             if not self.stalls:
                 return
-            writer.write(PART_OF_AN_ANSWER)
-            await self.hold_back(closed)
+            writer.write(PARTIAL_RESPONSE)
+            await self.withhold_response(closed)
         raise ConnectionResetError("the connection closed during the run")
 
-    async def hold_back(self, closed: asyncio.Event) -> None:
+    async def withhold_response(self, closed: asyncio.Event) -> None:
         """Waits until the connection closes, for at most STALL_S."""
         try:
             async with asyncio.timeout(STALL_S):
--- a/stoneyoke/lab/soak/faults.py
+++ b/stoneyoke/lab/soak/faults.py
@@ -10,7 +10,7 @@
 from stoneyoke.lab.links import Link
 from stoneyoke.lab.scenario import Fault
 from stoneyoke.lab.soak.backend import SoakBackend
-from stoneyoke.lab.soak.client import USUAL_LEAVE_SHARE, WAVE_LEAVE_SHARE, SoakClient
+from stoneyoke.lab.soak.client import FAULT_ABANDON_SHARE, NORMAL_ABANDON_SHARE, SoakClient
 from stoneyoke.lab.soak.ledger import Disturbance, SoakLedger
 from stoneyoke.lab.soak.schedule import LINK_FAULTS, FaultKind, ScheduledFault
 
@@ -18,7 +18,7 @@
 GRACE_S = 4.0  # grace period in the cluster's settings, from SIGTERM to the end of the process
 # A graceful shutdown counts as a disturbance only in the last sixth of the grace period: until then a process completes
 # the requests that it has begun (RULES, LOST).
-LET_FINISH_SHARE = 5 / 6
+UNDISTURBED_GRACE_SHARE = 5 / 6
 GRACE_MARGIN_S = 2.0  # additional time, since many processes share the machine
 
 
@@ -46,9 +46,9 @@
         start_s = self.loop.time()
         async with asyncio.TaskGroup() as faults:
             for fault in schedule:
-                faults.create_task(self.strike(fault, start_s + fault.at_s), name=str(fault))
+                faults.create_task(self.carry_out(fault, start_s + fault.at_s), name=str(fault))
 
-    async def strike(self, fault: ScheduledFault, at_s: float) -> None:
+    async def carry_out(self, fault: ScheduledFault, at_s: float) -> None:
         """Carries out one fault, from its start until its effect is removed."""
         await asyncio.sleep(at_s - self.loop.time())
         from_s = self.loop.time()
@@ -61,13 +61,13 @@
                 FaultKind.KILL: self.kill,
                 FaultKind.TERMINATE: self.terminate,
                 FaultKind.PAUSE: self.pause,
-                FaultKind.LOSE_ANSWERS: self.lose_answers,
+                FaultKind.LOSE_ANSWERS: self.lose_responses,
                 FaultKind.STALL: self.stall,
-                FaultKind.LEAVE: self.make_clients_leave,
+                FaultKind.LEAVE: self.make_clients_abandon_requests,
             }[fault.kind]
             await effect(fault)
         if fault.kind is FaultKind.TERMINATE:
-            from_s += LET_FINISH_SHARE * GRACE_S
+            from_s += UNDISTURBED_GRACE_SHARE * GRACE_S
         if fault.target and from_s < self.loop.time():
             self.ledger.disturbances.append(Disturbance(fault.target, from_s, self.loop.time()))
 
@@ -78,7 +78,7 @@
         self.down.add(fault.target)
         await self.targets.cluster.kill(fault.target)
         await asyncio.sleep(fault.for_s)
-        await self.start_again(fault.target)
+        await self.restart(fault.target)
 
     async def terminate(self, fault: ScheduledFault) -> None:
         """Ends a process by SIGTERM and starts it again. Not ending within its grace period violates a rule."""
@@ -92,9 +92,9 @@
             self.ledger.report(Rule.STAYS_UP, f"{name} is still running {GRACE_S + GRACE_MARGIN_S} s after SIGTERM")
         await cluster.kill(name)
         await asyncio.sleep(fault.for_s)
-        await self.start_again(name)
+        await self.restart(name)
 
-    async def start_again(self, name: str) -> None:
+    async def restart(self, name: str) -> None:
         """Starts a process that a fault has ended."""
         await self.targets.cluster.start(name)
         self.down.discard(name)
@@ -116,12 +116,12 @@
             await asyncio.sleep(fault.for_s)
             link.change_fault(fault.number, condition, False)
 
-    async def lose_answers(self, fault: ScheduledFault) -> None:
+    async def lose_responses(self, fault: ScheduledFault) -> None:
         """Makes a backend lose the responses to its runs, for the duration of the fault."""
         backend = self.targets.backends[fault.target]
-        backend.loses_answers = True
+        backend.loses_responses = True
         await asyncio.sleep(fault.for_s)
-        backend.loses_answers = False
+        backend.loses_responses = False
 
     async def stall(self, fault: ScheduledFault) -> None:
         """Makes a backend withhold the rest of its responses, for the duration of the fault."""
@@ -130,8 +130,8 @@
         await asyncio.sleep(fault.for_s)
         backend.stalls = False
 
-    async def make_clients_leave(self, fault: ScheduledFault) -> None:
+    async def make_clients_abandon_requests(self, fault: ScheduledFault) -> None:
         """Makes clients abandon most requests, for the duration of the fault."""
-        self.targets.client.leave_share = WAVE_LEAVE_SHARE
+        self.targets.client.abandon_share = FAULT_ABANDON_SHARE
         await asyncio.sleep(fault.for_s)
-        self.targets.client.leave_share = USUAL_LEAVE_SHARE
+        self.targets.client.abandon_share = NORMAL_ABANDON_SHARE
--- a/stoneyoke/lab/soak/judge.py
+++ b/stoneyoke/lab/soak/judge.py
@@ -10,7 +10,7 @@
 from stoneyoke.lab.soak.ledger import Disturbance, Run, RunEnd, SoakLedger, Try
 
 # The operators' rule: a run ends within half a second after the close of its client has reached the gateway.
-GONE_S = 0.5
+CANCEL_LIMIT_S = 0.5
 # Tolerance for delays in the laboratory's event loop, which shares the machine with the processes.
 SLACK_S = 0.25
 # A close that a disturbance has delayed may arrive shortly after the end of the disturbance: a link that was silent
@@ -19,7 +19,7 @@
 BACKEND_LINK, CLIENT_LINK = "gateways>{}", "clients>{}"
 
 
-class Judge:
+class RuleChecker:
     """Checks a ledger after the end of a soak."""
 
     def __init__(self, ledger: SoakLedger, ended_s: float) -> None:
@@ -31,25 +31,25 @@
         """Returns all violations of the time-dependent rules, in the order of the tries."""
         found: list[Violation] = []
         for attempt_id, one in self.ledger.tries.items():
-            found += self.judge_try(attempt_id, one)
+            found += self.check_try(attempt_id, one)
         return found
 
-    def judge_try(self, attempt_id: str, one: Try) -> list[Violation]:
+    def check_try(self, attempt_id: str, one: Try) -> list[Violation]:
         """Returns the violations of one try."""
         runs, is_order = self.runs.get(attempt_id, []), attempt_id in self.ledger.orders
-        found = [text for run in runs if is_order and (text := self.order_broken_off(one, run))]
+        found = [text for run in runs if is_order and (text := self.describe_cancelled(one, run))]
         violations = [Violation(Rule.ORDERS_FINISH, f"{attempt_id} {text}") for text in found]
         if one.left_s is not None:
-            late = [text for run in runs if (text := self.outlived(one, run, is_order))]
+            late = [text for run in runs if (text := self.describe_outlived(one, run, is_order))]
             violations += [Violation(Rule.ENDS_WITH_CLIENT, f"{attempt_id} {text}") for text in late]
-        elif text := self.lost(attempt_id, one, runs):
+        elif text := self.describe_lost(attempt_id, one, runs):
             violations.append(Violation(Rule.ANSWERED, f"{attempt_id} {text}"))
         return violations
 
-    def outlived(self, one: Try, run: Run, is_order: bool) -> str:
+    def describe_outlived(self, one: Try, run: Run, is_order: bool) -> str:
         """Describes how a run outlived its client; "" if it did not. A non-idempotent run that began may finish."""
         left_s = one.left_s or 0.0
-        limit_s = self.excused_until(left_s, self.on_the_way(one, run)) + GONE_S + SLACK_S
+        limit_s = self.close_arrival_limit(left_s, self.path_of(one, run)) + CANCEL_LIMIT_S + SLACK_S
         what = f"at {run.backend} by {one.gateway}, whose client disconnected ({one.how}) at {left_s:.3f}"
         if run.started_s > limit_s:
             return f"began {what}, at {run.started_s:.3f}"
@@ -58,26 +58,26 @@
             return f"was still running {what}, until {ended_s:.3f}: {run.end.value}"
         return ""
 
-    def order_broken_off(self, one: Try, run: Run) -> str:
+    def describe_cancelled(self, one: Try, run: Run) -> str:
         """Describes a non-idempotent run that ended with its connection without a disturbance; otherwise ""."""
         if run.end is not RunEnd.CLOSED or run.ended_s is None:
             return ""
-        if self.was_disturbed(self.on_the_way(one, run), one.sent_s, run.ended_s):
+        if self.was_disturbed(self.path_of(one, run), one.sent_s, run.ended_s):
             return ""
         return f"was cancelled at {run.backend} by {one.gateway}, at {run.ended_s:.3f}"
 
-    def lost(self, attempt_id: str, one: Try, runs: list[Run]) -> str:
+    def describe_lost(self, attempt_id: str, one: Try, runs: list[Run]) -> str:
         """Describes a try that ran and whose client waited and got no response without a disturbance; else ""."""
         if not runs or one.ended_s is None or self.ledger.statuses[attempt_id] != NO_RESPONSE:
             return ""
-        targets = {target for run in runs for target in self.on_the_way(one, run)}
+        targets = {target for run in runs for target in self.path_of(one, run)}
         if self.was_disturbed(targets, one.sent_s, one.ended_s) or any(run.end is RunEnd.LOST for run in runs):
             return ""
         return f"ran at {runs[-1].backend} by {one.gateway}, but its client received no response by {one.ended_s:.3f}"
 
     # ---- disturbances ----
 
-    def on_the_way(self, one: Try, run: Run) -> set[str]:
+    def path_of(self, one: Try, run: Run) -> set[str]:
         """Returns the names of the processes, links and the backend that a try passed on its way to a run."""
         return {one.gateway, one.link, run.backend, BACKEND_LINK.format(run.backend)}
 
@@ -91,10 +91,10 @@
         """Returns whether a disturbance of these targets can explain what happened in a period."""
         return bool(self.disturbed(targets, from_s - SETTLE_S, to_s))
 
-    def excused_until(self, left_s: float, targets: Iterable[str]) -> float:
+    def close_arrival_limit(self, left_s: float, targets: Iterable[str]) -> float:
         """Returns the time by which a client's close has certainly arrived. Each disturbance on its path delays it."""
-        passed_s = left_s
+        arrival_s = left_s
         for one in self.disturbed(targets, left_s - SETTLE_S, self.ended_s):
-            if one.from_s <= passed_s + GONE_S + SLACK_S:
-                passed_s = max(passed_s, one.to_s + SETTLE_S)
-        return passed_s
+            if one.from_s <= arrival_s + CANCEL_LIMIT_S + SLACK_S:
+                arrival_s = max(arrival_s, one.to_s + SETTLE_S)
+        return arrival_s
--- a/stoneyoke/lab/soak/operator.py
+++ b/stoneyoke/lab/soak/operator.py
@@ -10,7 +10,7 @@
 from stoneyoke.lab.soak.ledger import SoakLedger
 
 PAUSE_S = 0.6  # maximum pause between two calls
-CALL_S = 1.0  # time-out of a call
+CALL_TIMEOUT_S = 1.0  # time-out of a call
 # Every controller that responds, even an isolated one, must return a configuration that was acknowledged this long ago.
 APPLY_S = 2.5
 READ_HEAD = b"GET /config/read HTTP/1.1\r\nHost: control\r\n"
@@ -41,8 +41,8 @@
         self.number += 1
         address = self.cluster.controllers[self.draw.choice(list(self.cluster.controllers))], CONTROL_PORT
         body = json.dumps(example_configuration(self.number)).encode()
-        answer = await send_request(address, REPLACE_HEAD, body, CALL_S)
-        if answer and answer.status == OK:
+        response = await send_request(address, REPLACE_HEAD, body, CALL_TIMEOUT_S)
+        if response and response.status == OK:
             self.acknowledged.append((asyncio.get_running_loop().time(), self.number))
 
     async def read(self, controller: str) -> bool:
@@ -52,14 +52,16 @@
             Whether there was a response with a configuration.
         """
         sent_s = asyncio.get_running_loop().time()
-        answer = await send_request((self.cluster.controllers[controller], CONTROL_PORT), READ_HEAD, b"", CALL_S)
-        if answer is None or answer.status != OK:
+        response = await send_request(
+            (self.cluster.controllers[controller], CONTROL_PORT), READ_HEAD, b"", CALL_TIMEOUT_S
+        )
+        if response is None or response.status != OK:
             return False
-        generation = int(json.loads(answer.body)["generation"].removeprefix("r"))
-        owed = max((number for at_s, number in self.acknowledged if at_s <= sent_s - APPLY_S), default=1)
-        if generation < owed:
+        generation = int(json.loads(response.body)["generation"].removeprefix("r"))
+        required = max((number for at_s, number in self.acknowledged if at_s <= sent_s - APPLY_S), default=1)
+        if generation < required:
             self.ledger.report(
-                Rule.DURABLE_CONFIGURATION, f"{controller} returned r{generation}, r{owed} was acknowledged"
+                Rule.DURABLE_CONFIGURATION, f"{controller} returned r{generation}, r{required} was acknowledged"
             )
         return True
 
--- a/stoneyoke/lab/soak/run.py
+++ b/stoneyoke/lab/soak/run.py
@@ -15,7 +15,7 @@
 from stoneyoke.lab.soak.backend import SoakBackend
 from stoneyoke.lab.soak.client import SoakClient
 from stoneyoke.lab.soak.faults import FaultInjector, FaultTargets
-from stoneyoke.lab.soak.judge import BACKEND_LINK, CLIENT_LINK, Judge
+from stoneyoke.lab.soak.judge import BACKEND_LINK, CLIENT_LINK, RuleChecker
 from stoneyoke.lab.soak.ledger import RunEnd, SoakLedger
 from stoneyoke.lab.soak.operator import Operator
 from stoneyoke.lab.soak.schedule import ScheduledFault, Targets, draw_schedule
@@ -25,7 +25,7 @@
 READY_S = 20.0  # time within which all gateways must become ready
 IDLE_S = 8.0  # time after the traffic for gateways to become idle: longer than idle client connections stay open
 READ_BACK_S = 10.0  # time within which each controller must return the configuration at the end
-LEAST_SERVED = 0.3  # minimum share of served requests; a run with fewer proves nothing
+MIN_SERVED_SHARE = 0.3  # minimum share of served requests; a run with fewer proves nothing
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -122,7 +122,7 @@
         """Runs the soak to its end, and ends all its processes."""
         backend_tasks = [asyncio.create_task(backend.run()) for backend in self.backends.values()]
         try:
-            await self.bring_up()
+            await self.start_system()
             for task in backend_tasks:
                 if task.done():  # most likely its address is in use
                     await task
@@ -136,7 +136,7 @@
                 link.reset_connections()
         return self.result(ended_s)
 
-    async def bring_up(self) -> None:
+    async def start_system(self) -> None:
         """Starts all processes, sends the first configuration and waits until the gateways are ready."""
         for link in self.links.values():
             link.listen()
@@ -159,7 +159,7 @@
         targets = FaultTargets(cluster=self.cluster, client=self.client, links=self.links, backends=self.backends)
         injector = FaultInjector(targets, self.ledger)
         watch = ProcessWatch(self.cluster, self.ledger, injector.down)
-        watching = asyncio.create_task(watch.run())
+        watch_task = asyncio.create_task(watch.run())
         try:
             async with asyncio.TaskGroup() as work:
                 work.create_task(self.client.send_traffic(settings.seconds, settings.rate_per_s))
@@ -167,19 +167,19 @@
                 work.create_task(injector.run(self.schedule()))
             await self.wait_until_ready()
             ended_s = asyncio.get_running_loop().time()
-            await asyncio.gather(watch.expect_nothing_held(IDLE_S), self.operator.read_back(READ_BACK_S))
+            await asyncio.gather(watch.expect_all_idle(IDLE_S), self.operator.read_back(READ_BACK_S))
             await watch.look()
         finally:
-            watching.cancel()
+            watch_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await watching
+                await watch_task
         return ended_s
 
     def result(self, ended_s: float) -> SoakResult:
         """Checks the observations against the rules and returns the result."""
-        violations = self.ledger.violations() + Judge(self.ledger, ended_s).violations()
+        violations = self.ledger.violations() + RuleChecker(self.ledger, ended_s).violations()
         served, given_up = self.client.served, self.client.given_up
-        if served < LEAST_SERVED * max(1, served + given_up):
+        if served < MIN_SERVED_SHARE * max(1, served + given_up):
             violations.append(Violation(Rule.ANSWERED, f"only {served} requests were served, {given_up} failed"))
         return SoakResult(
             schedule=self.schedule(),
--- a/stoneyoke/lab/soak/schedule.py
+++ b/stoneyoke/lab/soak/schedule.py
@@ -38,8 +38,8 @@
 GROUPS = (PROCESS_FAULTS, PROCESS_FAULTS, LINK_FAULTS, LINK_FAULTS, BACKEND_FAULTS)
 EPISODE_S, EPISODE_PAUSE_S = 1.6, 1.2  # faults of one episode overlap; the pause lets the system settle
 FAULTS_MIN, FAULTS_MAX = 2, 3  # number of faults of an episode, not counting LEAVE
-SHORTEST_S, LONGEST_S = 0.3, 1.5  # duration of a fault
-LEAVE_SHARE = 0.8  # share of the episodes with a LEAVE fault
+MIN_FAULT_S, MAX_FAULT_S = 0.3, 1.5  # duration of a fault
+LEAVE_FAULT_SHARE = 0.8  # share of the episodes with a LEAVE fault
 QUIET_S = 1.0  # time without faults at the beginning
 
 
@@ -87,38 +87,38 @@
     """
     draw, faults = random.Random(f"soak {seed}"), list[ScheduledFault]()
     start_s = QUIET_S
-    while start_s + EPISODE_S + LONGEST_S <= seconds:
-        struck: set[str] = set()
+    while start_s + EPISODE_S + MAX_FAULT_S <= seconds:
+        targeted: set[str] = set()
         for _ in range(draw.randint(FAULTS_MIN, FAULTS_MAX)):
-            kind, target = draw_fault(draw, targets, struck)
-            faults.append(placed(draw, len(faults), kind, target, start_s))
-        if draw.random() < LEAVE_SHARE:
-            faults.append(placed(draw, len(faults), FaultKind.LEAVE, "", start_s))
-        start_s += EPISODE_S + LONGEST_S + EPISODE_PAUSE_S
+            kind, target = draw_fault(draw, targets, targeted)
+            faults.append(make_fault(draw, len(faults), kind, target, start_s))
+        if draw.random() < LEAVE_FAULT_SHARE:
+            faults.append(make_fault(draw, len(faults), FaultKind.LEAVE, "", start_s))
+        start_s += EPISODE_S + MAX_FAULT_S + EPISODE_PAUSE_S
     return tuple(faults)
 
 
-def draw_fault(draw: random.Random, targets: Targets, struck: set[str]) -> tuple[FaultKind, str]:
+def draw_fault(draw: random.Random, targets: Targets, targeted: set[str]) -> tuple[FaultKind, str]:
     """Draws a kind and a target without a fault in this episode. A fault of one controller excludes the others."""
     while True:
         kind = draw.choice(draw.choice(GROUPS))
-        candidates = [name for name in fitting(kind, targets) if name not in struck]
+        candidates = [name for name in targets_of(kind, targets) if name not in targeted]
         if candidates:
             break
     target = draw.choice(candidates)
-    struck.update(targets.controllers if target in targets.controllers else [target])
+    targeted.update(targets.controllers if target in targets.controllers else [target])
     return kind, target
 
 
-def fitting(kind: FaultKind, targets: Targets) -> tuple[str, ...]:
+def targets_of(kind: FaultKind, targets: Targets) -> tuple[str, ...]:
     """Returns the possible targets of a kind of fault."""
     if kind in PROCESS_FAULTS:
         return targets.gateways + targets.controllers
     return targets.links if kind in LINK_FAULTS else targets.backends
 
 
-def placed(draw: random.Random, number: int, kind: FaultKind, target: str, episode_s: float) -> ScheduledFault:
+def make_fault(draw: random.Random, number: int, kind: FaultKind, target: str, episode_s: float) -> ScheduledFault:
     """Returns a fault at a random time in the first half of an episode, so that the faults of an episode overlap."""
     at_s = round(episode_s + draw.uniform(0.0, EPISODE_S / 2), 3)
-    for_s = round(draw.uniform(SHORTEST_S, LONGEST_S), 3)
+    for_s = round(draw.uniform(MIN_FAULT_S, MAX_FAULT_S), 3)
     return ScheduledFault(number=number, kind=kind, target=target, at_s=at_s, for_s=for_s)
--- a/stoneyoke/lab/soak/watch.py
+++ b/stoneyoke/lab/soak/watch.py
@@ -45,8 +45,8 @@
             if process and process.returncode is not None and name not in self.down:
                 self.report_once(Rule.STAYS_UP, name, f"exited unexpectedly with status {process.returncode}")
         for name, figures in zip(names, await asyncio.gather(*map(self.fetch, names)), strict=True):
-            broken = [key for key, value in (figures or {}).items() if key.startswith(VIOLATIONS + "{") and value]
-            for key in broken:
+            violated = [key for key, value in (figures or {}).items() if key.startswith(VIOLATIONS + "{") and value]
+            for key in violated:
                 self.report_once(Rule.NO_VIOLATIONS, name, key)
 
     def report_once(self, rule: Rule, name: str, detail: str) -> None:
@@ -58,10 +58,10 @@
     async def fetch(self, name: str) -> Figures | None:
         """Returns the metrics of a process; None if it does not respond."""
         ip = (self.cluster.controllers | self.cluster.gateways)[name]
-        answer = await send_request((ip, METRICS_PORT), METRICS_HEAD, b"", WATCH_S)
-        return read_metrics_text(answer.body.decode()) if answer and answer.status == OK else None
+        response = await send_request((ip, METRICS_PORT), METRICS_HEAD, b"", WATCH_S)
+        return read_metrics_text(response.body.decode()) if response and response.status == OK else None
 
-    async def expect_nothing_held(self, timeout_s: float) -> None:
+    async def expect_all_idle(self, timeout_s: float) -> None:
         """Checks, after the traffic, that all gateways release the resources of requests within a time-out."""
         await asyncio.gather(*(self.expect_idle(name, timeout_s) for name in self.cluster.gateways))
 
@@ -72,7 +72,7 @@
             async with asyncio.timeout(timeout_s):
                 while True:
                     figures = await self.fetch(gateway)
-                    held = held_by(figures) if figures else held
+                    held = resources_in_use(figures) if figures else held
                     if figures and not held:
                         return
                     await asyncio.sleep(POLL_S)
@@ -80,7 +80,7 @@
             self.ledger.report(Rule.NOTHING_HELD, f"{gateway} {f'still has {held}' if held else 'returns no metrics'}")
 
 
-def held_by(figures: Figures) -> Figures:
+def resources_in_use(figures: Figures) -> Figures:
     """Returns the metrics of resources in use that a gateway without clients should have released."""
     held = {name: figures[name] for name in HELD if figures[name]}
     if figures[DESCRIPTORS] != figures[IDLE]:
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -8,13 +8,13 @@
 import pytest
 
 from stoneyoke.lab.cluster.traffic_ledger import Rule
-from stoneyoke.lab.soak.judge import BACKEND_LINK, GONE_S, SETTLE_S, SLACK_S, Judge
+from stoneyoke.lab.soak.judge import BACKEND_LINK, CANCEL_LIMIT_S, SETTLE_S, SLACK_S, RuleChecker
 from stoneyoke.lab.soak.ledger import Disturbance, Run, RunEnd, SoakLedger, Try
 from stoneyoke.lab.soak.run import Soak, SoakSettings
 from stoneyoke.lab.soak.schedule import PROCESS_FAULTS, Targets, draw_schedule
 
 TARGETS = Targets(("c1", "c2", "c3"), ("g1", "g2"), ("l1", "l2"), ("b1", "b2"))
-LIMIT_S = GONE_S + SLACK_S
+LIMIT_S = CANCEL_LIMIT_S + SLACK_S
 
 
 def overlap(one, other):
@@ -37,16 +37,16 @@
     assert len({draw_schedule(seed, 20.0, TARGETS) for seed in range(200)}) == 200
 
 
-def judged(one, run, order=False, disturbances=(), status=0):
+def violated_rules(one, run, order=False, disturbances=(), status=0):
     """The rules that one try with one run breaks."""
     ledger = SoakLedger(tries={"a": one}, runs=[run], disturbances=list(disturbances))
     ledger.statuses["a"] = status
     if order:
         ledger.orders.add("a")
-    return [violation.rule for violation in Judge(ledger, ended_s=20.0).violations()]
+    return [violation.rule for violation in RuleChecker(ledger, ended_s=20.0).violations()]
 
 
-def left_try(left_s=10.0):
+def abandoned_try(left_s=10.0):
     return Try(gateway="g1", link="l1", sent_s=9.0, left_s=left_s, how="close")
 
 
@@ -57,42 +57,42 @@
 @pytest.mark.parametrize("end", list(RunEnd))
 def test_a_read_s_run_that_outlives_its_client_breaks_a_rule_however_it_ends(end):
     late_s = 10.0 + LIMIT_S + 0.01
-    assert judged(left_try(), run_until(late_s, end)) == [Rule.ENDS_WITH_CLIENT]
-    assert judged(left_try(), run_until(late_s - 0.02, end)) == []
-    assert judged(left_try(), run_until(None, RunEnd.AT_WORK)) == [Rule.ENDS_WITH_CLIENT]
+    assert violated_rules(abandoned_try(), run_until(late_s, end)) == [Rule.ENDS_WITH_CLIENT]
+    assert violated_rules(abandoned_try(), run_until(late_s - 0.02, end)) == []
+    assert violated_rules(abandoned_try(), run_until(None, RunEnd.AT_WORK)) == [Rule.ENDS_WITH_CLIENT]
 
 
 def test_an_order_may_run_on_but_not_begin_after_its_client_has_left():
     late_s = 10.0 + LIMIT_S + 0.01
-    assert judged(left_try(), run_until(15.0), order=True) == []
-    assert judged(left_try(), run_until(15.0, started_s=late_s), order=True) == [Rule.ENDS_WITH_CLIENT]
+    assert violated_rules(abandoned_try(), run_until(15.0), order=True) == []
+    assert violated_rules(abandoned_try(), run_until(15.0, started_s=late_s), order=True) == [Rule.ENDS_WITH_CLIENT]
 
 
 @pytest.mark.parametrize("target", ["g1", "l1", "b1", BACKEND_LINK.format("b1")])
 def test_a_disturbance_on_the_way_moves_the_limit_to_its_end_and_no_further(target):
     stopped = Disturbance(target, 10.1, 11.5)
-    assert judged(left_try(), run_until(11.5 + SETTLE_S + LIMIT_S - 0.01), disturbances=[stopped]) == []
+    assert violated_rules(abandoned_try(), run_until(11.5 + SETTLE_S + LIMIT_S - 0.01), disturbances=[stopped]) == []
     late = run_until(11.5 + SETTLE_S + LIMIT_S + 0.01)
-    assert judged(left_try(), late, disturbances=[stopped]) == [Rule.ENDS_WITH_CLIENT]
+    assert violated_rules(abandoned_try(), late, disturbances=[stopped]) == [Rule.ENDS_WITH_CLIENT]
     for other in (Disturbance("g2", 10.1, 11.5), Disturbance(target, 8.0, 9.0), Disturbance(target, 12.0, 13.0)):
-        assert judged(left_try(), run_until(11.4), disturbances=[other]) == [Rule.ENDS_WITH_CLIENT]
+        assert violated_rules(abandoned_try(), run_until(11.4), disturbances=[other]) == [Rule.ENDS_WITH_CLIENT]
 
 
 def test_an_order_that_is_broken_off_breaks_a_rule_unless_something_failed():
     cut = run_until(9.5, RunEnd.CLOSED)
     waited = Try(gateway="g1", link="l1", sent_s=9.0, ended_s=9.6)
-    assert judged(left_try(), cut, order=True) == [Rule.ORDERS_FINISH]
-    assert judged(waited, cut, order=True, status=502) == [Rule.ORDERS_FINISH]
-    assert judged(waited, cut, order=True, status=502, disturbances=[Disturbance("b1", 9.2, 9.4)]) == []
-    assert judged(waited, cut, status=200) == []  # a read may be sent again elsewhere
+    assert violated_rules(abandoned_try(), cut, order=True) == [Rule.ORDERS_FINISH]
+    assert violated_rules(waited, cut, order=True, status=502) == [Rule.ORDERS_FINISH]
+    assert violated_rules(waited, cut, order=True, status=502, disturbances=[Disturbance("b1", 9.2, 9.4)]) == []
+    assert violated_rules(waited, cut, status=200) == []  # a read may be sent again elsewhere
 
 
 def test_what_ran_and_was_waited_for_is_answered_unless_something_failed():
     waited = Try(gateway="g1", link="l1", sent_s=9.0, ended_s=12.0)
-    assert judged(waited, run_until(9.5)) == [Rule.ANSWERED]
-    assert judged(waited, run_until(9.5), status=504) == []
-    assert judged(waited, run_until(9.5, RunEnd.LOST)) == []
-    assert judged(waited, run_until(9.5), disturbances=[Disturbance("g1", 9.2, 9.3)]) == []
+    assert violated_rules(waited, run_until(9.5)) == [Rule.ANSWERED]
+    assert violated_rules(waited, run_until(9.5), status=504) == []
+    assert violated_rules(waited, run_until(9.5, RunEnd.LOST)) == []
+    assert violated_rules(waited, run_until(9.5), disturbances=[Disturbance("g1", 9.2, 9.3)]) == []
 
 
 def short_soak(seed, defect=""):
