--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its schedules, its judge, and a short run of real processes with and without a defect."""
+"""The soak: its schedules, its rule checker, and short runs of real processes with and without a defect."""
 
 import asyncio
 import os
@@ -21,7 +21,7 @@
     return one.at_s < other.at_s + other.for_s and other.at_s < one.at_s + one.for_s
 
 
-def test_a_seed_gives_one_schedule_in_which_faults_overlap_and_a_majority_of_controllers_runs():
+def test_a_seed_determines_a_schedule_with_overlapping_faults_and_a_majority_of_controllers_up():
     for seed in range(200):
         schedule = draw_schedule(seed, 20.0, TARGETS)
         assert schedule == draw_schedule(seed, 20.0, TARGETS)
@@ -38,7 +38,7 @@
 
 
 def violated_rules(one, run, order=False, disturbances=(), status=0):
-    """The rules that one try with one run breaks."""
+    """Returns the rules that one try with one run violates."""
     ledger = SoakLedger(tries={"a": one}, runs=[run], disturbances=list(disturbances))
     ledger.statuses["a"] = status
     if order:
@@ -55,21 +55,21 @@
 
 
 @pytest.mark.parametrize("end", list(RunEnd))
-def test_a_read_s_run_that_outlives_its_client_breaks_a_rule_however_it_ends(end):
+def test_an_idempotent_run_that_outlives_its_client_violates_a_rule_whatever_its_end(end):
     late_s = 10.0 + LIMIT_S + 0.01
     assert violated_rules(abandoned_try(), run_until(late_s, end)) == [Rule.ENDS_WITH_CLIENT]
     assert violated_rules(abandoned_try(), run_until(late_s - 0.02, end)) == []
     assert violated_rules(abandoned_try(), run_until(None, RunEnd.AT_WORK)) == [Rule.ENDS_WITH_CLIENT]
 
 
-def test_an_order_may_run_on_but_not_begin_after_its_client_has_left():
+def test_a_non_idempotent_run_may_outlive_its_client_but_not_begin_after_the_client_disconnected():
     late_s = 10.0 + LIMIT_S + 0.01
     assert violated_rules(abandoned_try(), run_until(15.0), order=True) == []
     assert violated_rules(abandoned_try(), run_until(15.0, started_s=late_s), order=True) == [Rule.ENDS_WITH_CLIENT]
 
 
 @pytest.mark.parametrize("target", ["g1", "l1", "b1", BACKEND_LINK.format("b1")])
-def test_a_disturbance_on_the_way_moves_the_limit_to_its_end_and_no_further(target):
+def test_a_disturbance_on_the_path_extends_the_limit_to_its_end_and_no_further(target):
     stopped = Disturbance(target, 10.1, 11.5)
     assert violated_rules(abandoned_try(), run_until(11.5 + SETTLE_S + LIMIT_S - 0.01), disturbances=[stopped]) == []
     late = run_until(11.5 + SETTLE_S + LIMIT_S + 0.01)
@@ -78,16 +78,16 @@
         assert violated_rules(abandoned_try(), run_until(11.4), disturbances=[other]) == [Rule.ENDS_WITH_CLIENT]
 
 
-def test_an_order_that_is_broken_off_breaks_a_rule_unless_something_failed():
+def test_a_cancelled_non_idempotent_run_violates_a_rule_unless_its_path_was_disturbed():
     cut = run_until(9.5, RunEnd.CLOSED)
     waited = Try(gateway="g1", link="l1", sent_s=9.0, ended_s=9.6)
     assert violated_rules(abandoned_try(), cut, order=True) == [Rule.ORDERS_FINISH]
     assert violated_rules(waited, cut, order=True, status=502) == [Rule.ORDERS_FINISH]
     assert violated_rules(waited, cut, order=True, status=502, disturbances=[Disturbance("b1", 9.2, 9.4)]) == []
-    assert violated_rules(waited, cut, status=200) == []  # a read may be sent again elsewhere
+    assert violated_rules(waited, cut, status=200) == []  # an idempotent request may be retried at another backend
 
 
-def test_what_ran_and_was_waited_for_is_answered_unless_something_failed():
+def test_a_client_that_waits_for_a_run_receives_a_response_unless_the_path_was_disturbed():
     waited = Try(gateway="g1", link="l1", sent_s=9.0, ended_s=12.0)
     assert violated_rules(waited, run_until(9.5)) == [Rule.ANSWERED]
     assert violated_rules(waited, run_until(9.5), status=504) == []
@@ -96,7 +96,7 @@
 
 
 def short_soak(seed, defect=""):
-    """A run of two episodes, in a block of addresses beside that of the cluster's test."""
+    """Runs a soak of two episodes, in an address block next to that of the cluster's test."""
     settings = SoakSettings(
         seed=seed, seconds=9.0, gateways=2, rate_per_s=25.0, address_block=1 + os.getpid() % 250, defect=defect
     )
@@ -105,12 +105,12 @@
 
 
 @pytest.mark.xdist_group("cluster")
-def test_a_short_soak_breaks_no_rule():
+def test_a_short_soak_violates_no_rule():
     result = short_soak(seed=2)
     assert result.violations == []
     assert result.left > 20 and result.served > 50
     ends = [run.end for run in result.ledger.runs]
-    assert ends.count(RunEnd.CLOSED) > 10, "no run was ended with its client: the soak has shown nothing"
+    assert ends.count(RunEnd.CLOSED) > 10, "too few runs ended with their client: the soak has tested nothing"
 
 
 @pytest.mark.xdist_group("cluster")
--- a/tests/system/test_scripted_scenarios.py
+++ b/tests/system/test_scripted_scenarios.py
@@ -1,4 +1,4 @@
-"""Scripted scenarios: each breaks no promise, has the events it is made for, and finds its seeded defects."""
+"""Scripted scenarios: each violates no invariant, includes its expected events, and finds its seeded defects."""
 
 import os
 from concurrent.futures import ProcessPoolExecutor
@@ -10,7 +10,7 @@
 from stoneyoke.lab.simulation.runs import run_scripted
 from stoneyoke.lab.simulation.scripted import SCRIPTED_SCENARIOS
 
-# The events that a scenario has at least: none passes because its fault did not happen.
+# Minimum counts of events in each scenario, so that a scenario cannot pass because its fault did not happen.
 MIN_EVENT_COUNTS = {
     "cut_off_for_20_s": {"cut": 1, "refused, cut off": 20, "drains": 2, "acknowledged": 15},
     "two_of_five_cut_off": {"cut": 1, "refused, cut off": 20, "acknowledged": 9},
@@ -60,17 +60,17 @@
     "late_while_voters_change": {"late": 1, "exchange": 1, "lease_holder": 1, "wiped, votes again": 1},
 }
 PROCESSES = len(os.sched_getaffinity(0))
-DISK_BYTES = 16_000  # three records of each family, of these configurations of some 400 bytes
+DISK_BYTES = 16_000  # three records of each family, with the scenarios' configurations of about 400 bytes
 
 # The scenario that finds each seeded defect, by case (docs/design/control-safety.md).
 SCENARIO_THAT_FINDS = {
-    # 1: cut off or frozen
+    # 1: partitioned or frozen
     "isolated_controller_serves": "cut_off_for_20_s",
     "read_quorum_one_short": "cut_off_for_20_s",
     "caught_up_from_one_controller": "cut_off_for_20_s",
     "majority_one_short": "two_frozen_in_turn",
     "read_without_majority": "frozen_when_receiving",
-    # 2: one number, two contents; sent again
+    # 2: several contents under one number; configurations that are sent again
     "highest_digest_wins": "eight_contents_at_once",
     "repeated_order_refused": "eight_orders_at_once",
     "accepts_below_promise": "frozen_between_phases",
@@ -84,7 +84,7 @@
     "partial_proposal_left": "acknowledged_and_learned_by_nobody",
     # 4: after many changes; records_never_removed has a test of its own
     "never_caught_up": "every_voter_replaced_of_3",
-    # 5: late answers
+    # 5: late responses
     "lease_counted_from_answer": "lease_answers_late",
     "configuration_goes_back": "late_and_doubled",
 }
@@ -92,25 +92,25 @@
 
 @lru_cache(maxsize=1)
 def results() -> dict[str, ScenarioResult]:
-    """Plays all scenarios once, on all processors."""
+    """Runs all scenarios once, on all processors."""
     with ProcessPoolExecutor(PROCESSES) as pool:
         return dict(zip(SCRIPTED_SCENARIOS, pool.map(run_scripted, SCRIPTED_SCENARIOS), strict=True))
 
 
 @lru_cache(maxsize=1)
 def results_with_defects() -> dict[str, ScenarioResult]:
-    """Plays each defect's scenario with that defect once, on all processors."""
+    """Runs each defect's scenario with that defect once, on all processors."""
     with ProcessPoolExecutor(PROCESSES) as pool:
         with_defects = pool.map(run_scripted, SCENARIO_THAT_FINDS.values(), SCENARIO_THAT_FINDS)
         return dict(zip(SCENARIO_THAT_FINDS, with_defects, strict=True))
 
 
-@test("every scripted scenario has its least events")
+@test("every scripted scenario has minimum event counts")
 def _():
     assert set(MIN_EVENT_COUNTS) == set(SCRIPTED_SCENARIOS)
 
 
-@test("scenario {name}: breaks no promise and has its events")
+@test("scenario {name}: violates no invariant and has its minimum event counts")
 def _(name=each(*SCRIPTED_SCENARIOS)):
     result = results()[name]
     assert not result.violations, str(result.violations[:3])
@@ -118,7 +118,7 @@
         assert result.event_counts[event] >= minimum, f"{event}: {result.event_counts[event]}"
 
 
-@test("scenario {name}: the disk holds no more than the state needs at the end")
+@test("scenario {name}: at the end the disk holds no more data than the state requires")
 def _(name=each(*SCRIPTED_SCENARIOS)):
     assert 0 < results()[name].disk_bytes < DISK_BYTES
 
