--- a/stoneyoke/lab/simulation/clock.py
+++ b/stoneyoke/lab/simulation/clock.py
@@ -51,7 +51,7 @@
         self.frozen: dict[str, deque[asyncio.Handle]] = {}
         real_select = self._selector.select  # type: ignore[attr-defined]
 
-        def advance_time(timeout: float | None) -> Any:
+        def jump(timeout: float | None) -> Any:
             self.iterations += 1
             if self.iterations > MAX_ITERATIONS_WITHOUT_PROGRESS:
                 raise RuntimeError(f"time does not advance at {self.now:.3f} s: a task never waits")
@@ -63,7 +63,7 @@
                 self.now, self.iterations = self.now + timeout, self.iterations if timeout < 1e-9 else 0
             return events
 
-        self._selector.select = advance_time  # type: ignore[attr-defined]
+        self._selector.select = jump  # type: ignore[attr-defined]
 
     def time(self) -> float:
         """Returns the simulated time in seconds."""
--- a/stoneyoke/lab/simulation/register_history.py
+++ b/stoneyoke/lab/simulation/register_history.py
@@ -91,19 +91,19 @@
 
     def read(self, asked_at: float, now: float, where: str, configuration: Configuration) -> None:
         """Records the response to a read that was sent at a time."""
-        number, required = configuration.version.number, self.level(asked_at)
+        number, least = configuration.version.number, self.level(asked_at)
         self.check(
-            number >= required,
+            number >= least,
             now,
-            f"CONFIG: a read from {where} returns r{number}, though r{required} was shown before",
+            f"CONFIG: a read from {where} returns r{number}, though r{least} was shown before",
         )
         self.show(now, where, configuration)
 
     def read_nothing(self, asked_at: float, now: float, where: str) -> None:
         """Records the response that there is no configuration."""
-        required = self.level(asked_at)
-        violation = f"CONFIG: {where} reports no configuration, though r{required} was shown before"
-        self.check(required == 0, now, violation)
+        least = self.level(asked_at)
+        violation = f"CONFIG: {where} reports no configuration, though r{least} was shown before"
+        self.check(least == 0, now, violation)
 
     def acknowledge(self, now: float, version: Version) -> None:
         """Records an acknowledgement."""
@@ -163,14 +163,14 @@
             )
             holds = conflicting is None or self.is_superseded(response) or self.is_superseded(conflicting)
             self.check(holds, now, f"CONFIG: two contents of {response.version} were acknowledged")
-        rejected = {response.version for response in self.conflicts}
+        refused = {response.version for response in self.conflicts}
         for response in self.conflicts:
             others = [
                 other
                 for other in self.sent
                 if is_conflicting(response.version, other) and self.sent[other] <= response.at
             ]
-            holds = any(version not in rejected for version in others)
+            holds = any(version not in refused for version in others)
             self.check(holds, now, f"CONFIG: every content of {response.version} was rejected")
 
     def is_superseded(self, response: OperatorResponse) -> bool:
--- a/stoneyoke/lab/soak/faults.py
+++ b/stoneyoke/lab/soak/faults.py
@@ -61,7 +61,7 @@
                 FaultKind.KILL: self.kill,
                 FaultKind.TERMINATE: self.terminate,
                 FaultKind.PAUSE: self.pause,
-                FaultKind.LOSE_ANSWERS: self.lose_responses,
+                FaultKind.LOSE_ANSWERS: self.lose_answers,
                 FaultKind.STALL: self.stall,
                 FaultKind.LEAVE: self.make_clients_abandon_requests,
             }[fault.kind]
@@ -116,7 +116,7 @@
             await asyncio.sleep(fault.for_s)
             link.change_fault(fault.number, condition, False)
 
-    async def lose_responses(self, fault: ScheduledFault) -> None:
+    async def lose_answers(self, fault: ScheduledFault) -> None:
         """Makes a backend lose the responses to its runs, for the duration of the fault."""
         backend = self.targets.backends[fault.target]
         backend.loses_responses = True
--- a/stoneyoke/lab/soak/judge.py
+++ b/stoneyoke/lab/soak/judge.py
@@ -42,7 +42,7 @@
         if one.left_s is not None:
             late = [text for run in runs if (text := self.describe_outlived(one, run, is_order))]
             violations += [Violation(Rule.ENDS_WITH_CLIENT, f"{attempt_id} {text}") for text in late]
-        elif text := self.describe_lost(attempt_id, one, runs):
+        elif text := self.lost(attempt_id, one, runs):
             violations.append(Violation(Rule.ANSWERED, f"{attempt_id} {text}"))
         return violations
 
@@ -66,7 +66,7 @@
             return ""
         return f"was cancelled at {run.backend} by {one.gateway}, at {run.ended_s:.3f}"
 
-    def describe_lost(self, attempt_id: str, one: Try, runs: list[Run]) -> str:
+    def lost(self, attempt_id: str, one: Try, runs: list[Run]) -> str:
         """Describes a try that ran and whose client waited and got no response without a disturbance; else ""."""
         if not runs or one.ended_s is None or self.ledger.statuses[attempt_id] != NO_RESPONSE:
             return ""
--- a/stoneyoke/lab/soak/watch.py
+++ b/stoneyoke/lab/soak/watch.py
@@ -45,8 +45,8 @@
             if process and process.returncode is not None and name not in self.down:
                 self.report_once(Rule.STAYS_UP, name, f"exited unexpectedly with status {process.returncode}")
         for name, figures in zip(names, await asyncio.gather(*map(self.fetch, names)), strict=True):
-            violated = [key for key, value in (figures or {}).items() if key.startswith(VIOLATIONS + "{") and value]
-            for key in violated:
+            broken = [key for key, value in (figures or {}).items() if key.startswith(VIOLATIONS + "{") and value]
+            for key in broken:
                 self.report_once(Rule.NO_VIOLATIONS, name, key)
 
     def report_once(self, rule: Rule, name: str, detail: str) -> None:
--- a/tests/system/test_scripted_scenarios.py
+++ b/tests/system/test_scripted_scenarios.py
@@ -114,8 +114,8 @@
 def _(name=each(*SCRIPTED_SCENARIOS)):
     result = results()[name]
     assert not result.violations, str(result.violations[:3])
-    for event, minimum in MIN_EVENT_COUNTS[name].items():
-        assert result.event_counts[event] >= minimum, f"{event}: {result.event_counts[event]}"
+    for event, least in MIN_EVENT_COUNTS[name].items():
+        assert result.event_counts[event] >= least, f"{event}: {result.event_counts[event]}"
 
 
 @test("scenario {name}: at the end the disk holds no more data than the state requires")
