--- a/stoneyoke/lab/simulation/scripted/voter_changes.py
+++ b/stoneyoke/lab/simulation/scripted/voter_changes.py
@@ -95,14 +95,14 @@
 def change_interrupted(sent: bool) -> Plan:
     """The sender or the receiver of each message of a change of voters restarts."""
     faults: list[Fault] = []
-    places = [C1, C2, C3]
+    voters = [C1, C2, C3]
     for index, message in enumerate(("PrepareRequest", "AcceptRequest", "ChosenNotice") * 2):
-        starts_at, removed = BEGIN_S + 10 * index, places.pop(0)
+        starts_at, removed = BEGIN_S + 10 * index, voters.pop(0)
         successor = controller_address(3 + index)
         faults.append(Fault(starts_at, FaultKind.EXCHANGE, REPLACEMENT_GAP_S, (removed,), successor=successor))
         restart = at_message(starts_at + REPLACEMENT_GAP_S, FaultKind.KILL, 1.0, message, sent=sent, count=1 + index)
         faults.append(restart)
-        places.append(successor)
+        voters.append(successor)
     return Plan(309 + sent, spares=6, seconds=62.0, faults=tuple(faults))
 
 
--- a/stoneyoke/lab/soak/__main__.py
+++ b/stoneyoke/lab/soak/__main__.py
@@ -76,9 +76,8 @@
     folder.mkdir(parents=True)
     try:
         result = asyncio.run(Soak(read_settings(seed), folder).run())
-    except (
-        OSError
-    ) as error:  # most likely an address in use by a soak of the same seed, or of one that differs by BLOCKS
+    except OSError as error:
+        # Most likely an address is in use by a soak of the same seed, or of one that differs by a multiple of BLOCKS.
         print(f"seed {seed}: not run: {error}", file=sys.stderr)
         sys.exit(EXIT_NOT_RUN)
     print(f"seed {seed}: {result}", flush=True)
