--- a/stoneyoke/lab/simulation/defects/quorums.py
+++ b/stoneyoke/lab/simulation/defects/quorums.py
@@ -13,10 +13,10 @@
 def majority_one_short() -> list[Patch]:
     """Half of the voters count as a majority."""
 
-    def short(voters: int) -> int:
+    def one_short(voters: int) -> int:
         return max(1, voters // 2)
 
-    return [Patch(quorum, "majority", short)]
+    return [Patch(quorum, "majority", one_short)]
 
 
 def only_new_voters() -> list[Patch]:
@@ -45,10 +45,10 @@
 def read_quorum_one_short() -> list[Patch]:
     """A read counts as complete with one response too few."""
 
-    def short(voters: int) -> int:
+    def one_short(voters: int) -> int:
         return max(1, (voters + 1) // 2 - 1)
 
-    return [Patch(quorum, "read_quorum", short)]
+    return [Patch(quorum, "read_quorum", one_short)]
 
 
 def change_without_old_voters() -> list[Patch]:
--- a/stoneyoke/lab/simulation/invariants.py
+++ b/stoneyoke/lab/simulation/invariants.py
@@ -20,7 +20,7 @@
     """Checks the invariants of a scenario.
 
     Attributes:
-        learned: The proposal that each controller last considered chosen.
+        last_chosen: The proposal that each controller last considered chosen.
     """
 
     def __init__(self, cluster: SimulatedCluster, operators: Operators, tenants: Tenants) -> None:
@@ -28,7 +28,7 @@
         self.cluster, self.operators, self.tenants = cluster, operators, tenants
         self.environment, self.checker = cluster.environment, cluster.environment.checker
         self.disturbances = self.checker.disturbances
-        self.learned: dict[str, Proposal | None] = {}
+        self.last_chosen: dict[str, Proposal | None] = {}
 
     async def watch(self) -> None:
         """Checks all invariants every CHECK_INTERVAL_S, for as long as the scenario lasts."""
@@ -53,8 +53,8 @@
     def check_controller(self, machine: ControllerMachine, controller: Controller, now: float) -> None:
         """Checks what a controller considers chosen, its identity after a disk loss, and that it has caught up."""
         name, chosen = machine.name, controller.replica.chosen
-        if chosen is not None and chosen is not self.learned.get(name):
-            self.learned[name] = chosen
+        if chosen is not None and chosen is not self.last_chosen.get(name):
+            self.last_chosen[name] = chosen
             self.checker.register.learn(now, name, chosen)
         if machine.wiped and controller.replica.is_voter():
             machine.wiped = False
--- a/stoneyoke/lab/simulation/process_faults.py
+++ b/stoneyoke/lab/simulation/process_faults.py
@@ -44,9 +44,9 @@
         """Starts the processes of machines after a delay, one after the other."""
         await asyncio.sleep(delay_s)
         for name in names:
-            await self.start_again(name)
+            await self.restart_machine(name)
 
-    async def start_again(self, name: str) -> None:
+    async def restart_machine(self, name: str) -> None:
         """Starts the process of a machine, unless one runs or the machine was removed."""
         machine = self.cluster.machine(name)
         if machine.is_up() or isinstance(machine, ControllerMachine) and machine.removed:
--- a/stoneyoke/lab/soak/faults.py
+++ b/stoneyoke/lab/soak/faults.py
@@ -78,7 +78,7 @@
         self.down.add(fault.target)
         await self.targets.cluster.kill(fault.target)
         await asyncio.sleep(fault.for_s)
-        await self.restart(fault.target)
+        await self.restart_process(fault.target)
 
     async def terminate(self, fault: ScheduledFault) -> None:
         """Ends a process by SIGTERM and starts it again. Not ending within its grace period violates a rule."""
@@ -92,9 +92,9 @@
             self.ledger.report(Rule.STAYS_UP, f"{name} is still running {GRACE_S + GRACE_MARGIN_S} s after SIGTERM")
         await cluster.kill(name)
         await asyncio.sleep(fault.for_s)
-        await self.restart(name)
+        await self.restart_process(name)
 
-    async def restart(self, name: str) -> None:
+    async def restart_process(self, name: str) -> None:
         """Starts a process that a fault has ended."""
         await self.targets.cluster.start(name)
         self.down.discard(name)
