--- a/stoneyoke/lab/simulation/network.py
+++ b/stoneyoke/lab/simulation/network.py
@@ -184,7 +184,7 @@
         """Lets the receiver handle a call, and sends its response back."""
         response = await handler(unpack(call.frame[FRAME_HEADER_BYTES:])[1])
         if response is not None:
-            # The response is a task of the network: it arrives even if its sender ends or freezes meanwhile.
+            # The response is a task of the network, not of its sender: an end or a freeze of the sender does not stop it.
             self.run_on("", self.return_answer(call, pack(CALL_ID, response)))
 
     async def return_answer(self, call: PeerCall, frame: bytes) -> None:
@@ -216,7 +216,7 @@
         self.network.fire_message_triggers(self.own, kind, sent=True)
         response: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         call = PeerCall(self.own, self.other, kind, pack(CALL_ID, message), response)
-        # The call is a task of the network: it is delivered even if its sender ends meanwhile.
+        # The call is a task of the network, not of its sender: the end of the sender does not cancel it.
         self.network.run_on("", self.network.deliver(call))
         try:
             async with asyncio.timeout(timeout_s):
