--- a/stoneyoke/lab/simulation/network.py
+++ b/stoneyoke/lab/simulation/network.py
@@ -184,7 +184,7 @@
         """Lets the receiver handle a call, and sends its response back."""
         response = await handler(unpack(call.frame[FRAME_HEADER_BYTES:])[1])
         if response is not None:
-            # The response is a task of the network, not of its sender: an end or a freeze of the sender does not stop it.
+            # The response is a task of the network, not of its sender: its end or freeze does not stop it.
             self.run_on("", self.return_answer(call, pack(CALL_ID, response)))
 
     async def return_answer(self, call: PeerCall, frame: bytes) -> None:
