--- a/stoneyoke/lab/simulation/scenario.py
+++ b/stoneyoke/lab/simulation/scenario.py
@@ -23,15 +23,15 @@
 from stoneyoke.lab.simulation.simulated_cluster import SimulatedCluster
 from stoneyoke.lab.simulation.tenants import Tenants
 
-CANCELLATION_TURNS = 4  # turns of the loop in which cancelled tasks end
-Due = TypeVar("Due", Fault, Order)
+CANCELLATION_ITERATIONS = 4  # loop iterations in which cancelled tasks end
+FaultOrOrder = TypeVar("FaultOrOrder", Fault, Order)
 
 
 class Scenario:
-    """A plan with all that takes part in it."""
+    """A plan with its simulated machines, operators, tenants, faults and checks."""
 
     def __init__(self, plan: Plan) -> None:
-        """Prepares a scenario; nothing runs before `play`."""
+        """Prepares a scenario; nothing runs before `simulate`."""
         self.plan, random_source = plan, random.Random(plan.seed * 7 + 1)
         self.environment = Environment(
             plan=plan,
@@ -47,8 +47,8 @@
         self.invariants = Invariants(self.cluster, self.operators, self.tenants)
         self.disk_bytes = 0
 
-    def play(self) -> ScenarioResult:
-        """Runs the scenario from its start to its end, in a loop of its own."""
+    def simulate(self) -> ScenarioResult:
+        """Runs the scenario to its end, in an event loop of its own."""
         self.environment.folder = tempfile.mkdtemp(prefix="scenario-")
         logger.disable("stoneyoke")
         loop = SimulatedLoop()
@@ -62,7 +62,7 @@
         return self.result()
 
     def result(self) -> ScenarioResult:
-        """Returns what came of the scenario."""
+        """Returns the result of the scenario."""
         return ScenarioResult(
             seed=self.plan.seed,
             violations=self.checker.violations,
@@ -76,17 +76,17 @@
         )
 
     def on_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Counts an exception that ended a task of a machine, and that nobody awaited, as a violation."""
+        """Reports an exception that ended a task of a machine and was never retrieved as a violation."""
         error = context.get("exception") or context["message"]
         self.checker.check(False, loop.time(), f"EXCEPTION: {error!r}")
 
     async def run(self) -> None:
-        """Starts the machines, runs the plan, and checks the end state once all has settled."""
+        """Starts the machines, runs the plan, and checks the final state REST_S after the last fault."""
         plan, now = self.plan, self.environment.now
         self.cluster.create_machines()
         await self.cluster.start()
         started_at = now()
-        self.checker.disturbances.controllers_until = self.checker.intolerable_until = started_at
+        self.checker.disturbances.controllers_until = self.checker.beyond_tolerance_until = started_at
         tasks = self.start_tasks(started_at)
         ends_s = max([LEAD_S + plan.seconds, *(fault.at + fault.for_s for fault in plan.faults)])
         self.faults.faults_end_at = started_at + ends_s
@@ -99,10 +99,10 @@
             await self.invariants.check_converged()
             self.disk_bytes = max(machine.disk.size() for machine in self.cluster.controllers.values())
         finally:
-            await self.end_all()
+            await self.cancel_all_tasks()
 
     def start_tasks(self, started_at: float) -> list[asyncio.Task[Any]]:
-        """Starts all that happens outside the machines. The order of the tasks is part of the trace."""
+        """Starts the tasks of operators, tenants, backends, faults and checks. Their order is part of the trace."""
         plan, client, faults = self.plan, self.client, self.faults
         work = [self.operators.put(1), self.tenants.send_requests(), self.invariants.watch()]
         if plan.reads:
@@ -114,16 +114,18 @@
         work += [self.run_at(started_at, order, self.operators.carry_out) for order in plan.orders]
         return [self.network.run_on("", one) for one in work]
 
-    async def run_at(self, started_at: float, due: Due, act: Callable[[Due], Awaitable[None]]) -> None:
-        """Carries out a fault or an order at its time."""
+    async def run_at(
+        self, started_at: float, due: FaultOrOrder, action: Callable[[FaultOrOrder], Awaitable[None]]
+    ) -> None:
+        """Carries out a fault or a configuration change at its time."""
         await asyncio.sleep(started_at + due.at - self.environment.now())
-        await act(due)
+        await action(due)
 
-    async def end_all(self) -> None:
+    async def cancel_all_tasks(self) -> None:
         """Cancels every task of every machine."""
         for name in list(simulated_loop().frozen):
             simulated_loop().thaw(name)
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
-        for _ in range(CANCELLATION_TURNS):
+        for _ in range(CANCELLATION_ITERATIONS):
             await asyncio.sleep(0)
--- a/stoneyoke/lab/soak/__main__.py
+++ b/stoneyoke/lab/soak/__main__.py
@@ -1,7 +1,7 @@
-"""Runs the soak for one seed after the other.
+"""Runs the soak test for one seed after the other.
 
-python -m stoneyoke.lab.soak --seeds=1-20 --seconds=14      # ends with 1 at the first seed that breaks a rule
-python -m stoneyoke.lab.soak --seeds=7 --schedule           # what a seed does, without doing it
+python -m stoneyoke.lab.soak --seeds=1-20 --seconds=14      # exits with 1 at the first seed that violates a rule
+python -m stoneyoke.lab.soak --seeds=7 --schedule           # prints a seed's schedule without running it
 """
 
 import asyncio
@@ -21,27 +21,29 @@
 SECONDS = flags.DEFINE_float("seconds", 14.0, "How long traffic lasts for each seed.", lower_bound=1, upper_bound=600)
 GATEWAYS = flags.DEFINE_integer("gateways", 3, "Gateways.", lower_bound=2, upper_bound=20)
 RATE = flags.DEFINE_float("rate", 40.0, "Requests a second.", lower_bound=1, upper_bound=200)
-OUT = flags.DEFINE_string("out", "runs", "The folder that keeps the schedule, the ledger and all logs of a red seed.")
-DEFECT = flags.DEFINE_enum("defect", "", ["", *DEFECTS], "A defect to put into the gateways: the soak has to find it.")
-KEEP_GOING = flags.DEFINE_bool("keep_going", False, "Go on after a seed that breaks a rule.")
+OUT = flags.DEFINE_string(
+    "out", "runs", "The folder for the schedule, the ledger and all logs of a seed that violates a rule."
+)
+DEFECT = flags.DEFINE_enum("defect", "", ["", *DEFECTS], "A defect to seed into the gateways: the soak must find it.")
+KEEP_GOING = flags.DEFINE_bool("keep_going", False, "Continue after a seed that violates a rule.")
 SCHEDULE = flags.DEFINE_bool("schedule", False, "Print each seed's schedule, and run nothing.")
-FIRST_BLOCK, BLOCKS = 100, 150  # of addresses: soaks of neighbouring seeds may run beside each other
+FIRST_BLOCK, BLOCKS = 100, 150  # address blocks: soaks of neighbouring seeds may run at the same time
 PRINTED_MAX = 20
-EXIT_RED, EXIT_NOT_RUN = 1, 2
+EXIT_FAILED, EXIT_NOT_RUN = 1, 2
 
 
 def parse_seeds(text: str) -> range:
-    """The seeds of "7" or "1-20".
+    """Returns the seeds of a text such as "7" or "1-20".
 
     Raises:
-        ValueError: The text is neither.
+        ValueError: The text is neither a number nor a range.
     """
     first, _, last = text.partition("-")
     return range(int(first), int(last or first) + 1)
 
 
-def settings_of(seed: int) -> SoakSettings:
-    """The soak of one seed, by the command line."""
+def read_settings(seed: int) -> SoakSettings:
+    """Returns the settings of the soak of one seed, from the command line."""
     return SoakSettings(
         seed=seed,
         seconds=SECONDS.value,
@@ -53,7 +55,7 @@
 
 
 def write_result(result: SoakResult, folder: Path) -> None:
-    """Keeps a red seed's schedule, violations and ledger beside its logs."""
+    """Stores the schedule, violations and ledger of a failed seed beside its logs."""
     (folder / "schedule.txt").write_text("".join(f"{fault}\n" for fault in result.schedule))
     (folder / "violations.txt").write_text("".join(f"{violation}\n" for violation in result.violations))
     ledger = result.ledger
@@ -68,13 +70,14 @@
 
 
 def run_seed(seed: int) -> bool:
-    """Runs one seed, says what came of it, and returns whether all rules held."""
+    """Runs one seed, prints its result, and returns whether all rules were observed."""
     folder = Path(OUT.value) / f"soak-{seed}"
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
     try:
-        result = asyncio.run(Soak(settings_of(seed), folder).run())
-    except OSError as error:  # an address, most likely: a soak of the same seed, or of one BLOCKS away
+        result = asyncio.run(Soak(read_settings(seed), folder).run())
+    except OSError as error:
+        # Most likely an address is in use by a soak of the same seed, or of one that differs by a multiple of BLOCKS.
         print(f"seed {seed}: not run: {error}", file=sys.stderr)
         sys.exit(EXIT_NOT_RUN)
     print(f"seed {seed}: {result}", flush=True)
@@ -82,7 +85,7 @@
         print(f"  {violation}", flush=True)
     if result.violations:
         write_result(result, folder)
-        print(f"  kept in {folder}; again: --seeds={seed} --seconds={SECONDS.value:g}", flush=True)
+        print(f"  stored in {folder}; repeat with: --seeds={seed} --seconds={SECONDS.value:g}", flush=True)
     else:
         shutil.rmtree(folder)
     return not result.violations
@@ -96,20 +99,20 @@
         raise app.UsageError(f"--seeds: {SEEDS.value!r} is neither a seed nor a range of seeds") from None
     if SCHEDULE.value:
         for seed in seeds:
-            print(f"seed {seed}", *Soak(settings_of(seed), Path(OUT.value)).schedule(), sep="\n")
+            print(f"seed {seed}", *Soak(read_settings(seed), Path(OUT.value)).schedule(), sep="\n")
         return
-    red: list[int] = []
+    failed_seeds: list[int] = []
     for seed in seeds:
         if not run_seed(seed):
-            red.append(seed)
+            failed_seeds.append(seed)
             if not KEEP_GOING.value:
                 break
-    print(f"seeds that broke a rule: {', '.join(map(str, red)) or 'none'}")
-    sys.exit(EXIT_RED if red else 0)
+    print(f"seeds that broke a rule: {', '.join(map(str, failed_seeds)) or 'none'}")
+    sys.exit(EXIT_FAILED if failed_seeds else 0)
 
 
 def main() -> None:
-    """Parses the command line and runs. SIGTERM ends it as Ctrl-C does: with all processes that it has started."""
+    """Parses the command line and runs. SIGTERM, as Ctrl-C, also ends all processes that the soak has started."""
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     app.run(run)
 
