--- a/stoneyoke/lab/simulation/control_api_client.py
+++ b/stoneyoke/lab/simulation/control_api_client.py
@@ -79,7 +79,7 @@
             response.set_result(result)
 
     def check_rejection(self, machine: ControllerMachine, asked_at: float, received: ApiResult | None) -> None:
-        """Checks that an isolated controller rejects a call within REFUSE_S, and not as an error of the caller."""
+        """Checks that an isolated controller rejects a call within REJECT_S, and not as an error of the caller."""
         isolated_since = self.isolated_since.get(machine.name, NEVER_S)
         must_know_at = max(isolated_since, machine.started_at) + DETECT_ISOLATION_S
         if asked_at <= self.exempt_until.get(machine.name, 0.0):
